--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -242,8 +242,8 @@
     }
     let endpoint = grant.endpoint;
     let (request, hop) = plan.request(grant.address, body);
-    let pools = Arc::clone(&edge.pools);
-    let mut exchange = Exchange::new(pools, connection, grant, plan.deadline);
+    let pool = Arc::clone(&edge.pool);
+    let mut exchange = Exchange::new(pool, connection, grant, plan.deadline);
     match exchange.send(request).await {
         Ok(response) => judge(exchange, response, plan, claim, hop).await,
         Err(e) => Err(Failed::sending(e, endpoint)),
@@ -258,7 +258,7 @@
         drop(hop);
         let grant = granted.map_err(|refusal| Failed::unplaced(Fault::Refused(refusal)))?;
         let endpoint = grant.endpoint;
-        let Ok(connection) = edge.pools.take(endpoint, grant.address).await else {
+        let Ok(connection) = edge.pool.take(endpoint, grant.address).await else {
             grant.finish(Ending::Unreachable);
             return Err(Failed {
                 fault: Fault::Unreachable,
@@ -267,13 +267,13 @@
             });
         };
         if clock::now() >= call.deadline {
-            edge.pools.put(connection);
+            edge.pool.put(connection);
             return Err(Failed::unplaced(Fault::Refused(Refusal::Expired)));
         }
         if grant.may_send() {
             return Ok((grant, connection));
         }
-        edge.pools.put(connection);
+        edge.pool.put(connection);
     }
 }
 
@@ -288,7 +288,7 @@
     let (mut parts, mut incoming) = response.into_parts();
     if parts.status == StatusCode::SERVICE_UNAVAILABLE && parts.headers.contains_key(NOT_RUN) {
         let endpoint = exchange.endpoint();
-        exchange.read_refusal(&mut incoming, SHED_LIMIT).await;
+        exchange.drain_rejection(&mut incoming, SHED_LIMIT).await;
         return Err(Failed {
             fault: Fault::Shed(parts.headers.remove(RETRY_AFTER)),
             endpoint,
@@ -340,7 +340,7 @@
     fn next(&mut self) -> RequestBody {
         match self.rest.take() {
             Some(rest) => RequestBody::Streamed(self.start.clone(), SharedBody::new(rest)),
-            None => RequestBody::Whole(self.start.clone()),
+            None => RequestBody::Buffered(self.start.clone()),
         }
     }
 }
--- a/components/transport/src/edge/mod.rs
+++ b/components/transport/src/edge/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::dispatch::Dispatcher;
 use crate::trace::Tracing;
-use crate::upstream::Pools;
+use crate::upstream::ConnectionPool;
 pub use keyed::KeyClaims;
 use service::Services;
 
@@ -60,7 +60,7 @@
     limits: Limits,
     dispatcher: Arc<Dispatcher>,
     config: watch::Receiver<Arc<Config>>,
-    pools: Arc<Pools>,
+    pool: Arc<ConnectionPool>,
     services: Services,
     tracing: Tracing,
     claims: OnceLock<Arc<dyn KeyClaims>>,
@@ -100,7 +100,7 @@
             limits,
             dispatcher,
             config,
-            pools: Arc::new(Pools::default()),
+            pool: Arc::new(ConnectionPool::default()),
             services: Services::default(),
             tracing,
             claims: OnceLock::new(),
@@ -161,7 +161,7 @@
 
     /// Returns how many idle connections to backend servers are kept.
     pub fn kept_connections(&self) -> usize {
-        self.pools.idle()
+        self.pool.idle_count()
     }
 
     async fn accept(self: Arc<Self>, listener: &TcpListener) {
@@ -183,11 +183,11 @@
     /// Keeps the pools in step with the configuration and free of old connections.
     async fn keep_pools(self: Arc<Self>) {
         let mut config = self.config.clone();
-        let sweep = Arc::clone(&self.pools).sweep();
+        let sweep = Arc::clone(&self.pool).sweep();
         let follow = async {
             loop {
                 let current = Arc::clone(&config.borrow_and_update());
-                self.pools.configure(&current);
+                self.pool.configure(&current);
                 if config.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
--- a/components/transport/src/gateway/ask.rs
+++ b/components/transport/src/gateway/ask.rs
@@ -237,7 +237,7 @@
         let orders = self.orders.borrow();
         let services = &orders.catalogue.as_ref()?.services;
         let path = &services.get(&endpoint.service)?.health;
-        let mut request = Request::new(RequestBody::Whole(bytes::Bytes::new()));
+        let mut request = Request::new(RequestBody::Buffered(bytes::Bytes::new()));
         *request.uri_mut() = path.parse().ok()?;
         let host = HeaderValue::try_from(endpoint.address.to_string()).ok()?;
         request.headers_mut().insert(HOST, host);
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -129,7 +129,7 @@
     };
     let fingerprints = Fingerprints::new(content(parts, &body.start, length), caller);
     let body = match body.rest {
-        None => RequestBody::Whole(body.start),
+        None => RequestBody::Buffered(body.start),
         Some(more) => {
             let more = rest.get_or_init(|| SharedBody::new(more));
             RequestBody::Streamed(body.start, more.clone())
@@ -232,7 +232,7 @@
             exposed: &exposed,
         };
         let whole = match &body {
-            RequestBody::Whole(bytes) => Some(bytes.clone()),
+            RequestBody::Buffered(bytes) => Some(bytes.clone()),
             RequestBody::Streamed(..) => None,
         };
         self.race(&attempt, body, whole).await
@@ -247,7 +247,7 @@
         first: RequestBody,
         whole: Option<Bytes>,
     ) -> Result<Box<Answer>, Denial> {
-        let again = || attempt.run(RequestBody::Whole(whole.clone().unwrap_or_default()));
+        let again = || attempt.run(RequestBody::Buffered(whole.clone().unwrap_or_default()));
         let mut racers: Vec<Racer<'a>> = vec![Box::pin(attempt.run(first))];
         let mut progress = Progress {
             attempts: 1,
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -267,7 +267,7 @@
     }
 
     fn request(&self, method: Method, path: &str, body: Bytes) -> Request<RequestBody> {
-        let mut request = Request::new(RequestBody::Whole(body));
+        let mut request = Request::new(RequestBody::Buffered(body));
         *request.method_mut() = method;
         if let Ok(uri) = path.parse() {
             *request.uri_mut() = uri;
--- a/components/transport/src/upstream/body.rs
+++ b/components/transport/src/upstream/body.rs
@@ -11,7 +11,7 @@
 /// What is sent as a request's body.
 pub enum RequestBody {
     /// The whole body, held in memory, empty where there is none.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// The body's beginning, already read, and the rest as the caller sends it.
     Streamed(Bytes, SharedBody),
 }
@@ -25,8 +25,10 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            RequestBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            RequestBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            RequestBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            RequestBody::Buffered(bytes) => {
+                Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))))
+            }
             RequestBody::Streamed(start, _) if !start.is_empty() => {
                 Poll::Ready(Some(Ok(Frame::data(std::mem::take(start)))))
             }
@@ -38,14 +40,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RequestBody::Whole(bytes) => bytes.is_empty(),
+            RequestBody::Buffered(bytes) => bytes.is_empty(),
             RequestBody::Streamed(start, rest) => start.is_empty() && rest.is_end(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RequestBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            RequestBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             RequestBody::Streamed(start, rest) => match rest.left() {
                 Some(left) => SizeHint::with_exact(start.len() as u64 + left),
                 None => SizeHint::default(),
--- a/components/transport/src/upstream/exchange.rs
+++ b/components/transport/src/upstream/exchange.rs
@@ -17,7 +17,7 @@
 
 use super::body::RequestBody;
 use super::connection::{Connection, WireError};
-use super::pool::Pools;
+use super::pool::ConnectionPool;
 use crate::clock;
 use crate::dispatch::{Ending, Grant};
 use crate::edge::body::BodyError;
@@ -67,7 +67,7 @@
 /// closed and never used again, so that a late answer reaches nobody else.
 pub struct Exchange {
     parts: Option<Parts>,
-    pools: Arc<Pools>,
+    pool: Arc<ConnectionPool>,
     deadline: Moment,
 }
 
@@ -79,14 +79,14 @@
 impl Exchange {
     /// Returns the exchange that will use `connection` and `grant`.
     pub fn new(
-        pools: Arc<Pools>,
+        pool: Arc<ConnectionPool>,
         connection: Connection,
         grant: Grant,
         deadline: Moment,
     ) -> Exchange {
         Exchange {
             parts: Some(Parts { connection, grant }),
-            pools,
+            pool,
             deadline,
         }
     }
@@ -128,7 +128,7 @@
         if doubtful {
             match timeout(DOUBT_AFTER, sending.as_mut()).await {
                 Ok(result) => return Some(result),
-                Err(_) => self.pools.doubt(endpoint, sent_at),
+                Err(_) => self.pool.doubt(endpoint, sent_at),
             }
         }
         timeout(clock::now().until(self.deadline), sending)
@@ -166,7 +166,7 @@
     /// Reads the body of a refusal of the backend server's, so that the connection can be kept.
     ///
     /// Past `most` bytes, or a tenth of a second, a new connection is cheaper.
-    pub async fn read_refusal(mut self, body: &mut Incoming, most: usize) {
+    pub async fn drain_rejection(mut self, body: &mut Incoming, most: usize) {
         let read = async {
             let mut seen = 0;
             while let Some(piece) = poll_fn(|cx| self.poll_data(body, cx)).await {
@@ -206,7 +206,7 @@
     fn keep(&mut self, ending: Ending) {
         if let Some(parts) = self.parts.take() {
             parts.grant.finish(ending);
-            self.pools.put(parts.connection);
+            self.pool.put(parts.connection);
         }
     }
 
--- a/components/transport/src/upstream/mod.rs
+++ b/components/transport/src/upstream/mod.rs
@@ -9,4 +9,4 @@
 pub use body::RequestBody;
 pub use connection::{ConnectError, Connection};
 pub use exchange::{Exchange, SendError};
-pub use pool::Pools;
+pub use pool::ConnectionPool;
--- a/components/transport/src/upstream/pool.rs
+++ b/components/transport/src/upstream/pool.rs
@@ -21,7 +21,7 @@
 
 /// The idle connections of all endpoints.
 #[derive(Default)]
-pub struct Pools {
+pub struct ConnectionPool {
     shelves: Mutex<BTreeMap<EndpointKey, Shelf>>,
 }
 
@@ -34,7 +34,7 @@
     opening: bool,
 }
 
-impl Pools {
+impl ConnectionPool {
     /// Takes over the endpoints and limits of the configuration in force.
     pub fn configure(&self, config: &Config) {
         let mut shelves = self.shelves();
@@ -100,7 +100,7 @@
     }
 
     /// Returns how many connections lie idle.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.shelves().values().map(|s| s.idle.len()).sum()
     }
 
