--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/log_calls.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use coordination::joins;
 use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
-use transport::store::{Store, StoreError};
+use transport::store::{StoreClient, StoreError};
 
-fn started() -> (LogStandIn, Store) {
+fn started() -> (LogStandIn, StoreClient) {
     let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let store = Store::new(log.address());
+    let store = StoreClient::new(log.address());
     (log, store)
 }
 
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn even_parts() {
     let (log, mut store) = started();
-    let mut other = Store::new(log.address());
+    let mut other = StoreClient::new(log.address());
     let topics = ["hosts-0".to_owned(), "hosts-1".to_owned()];
     let body = |member, timeout| platform::store::join_body("g", member, &topics, timeout, 0);
     let alone = store.join(body("one", 60.0)).await.unwrap();
@@ -120,15 +120,15 @@
     let mut refused = 0;
     for _ in 0..12 {
         let read = store.read("claims-0", 0, Duration::ZERO, None).await;
-        refused += u32::from(read.is_err_and(|e| e.is_refusal()));
+        refused += u32::from(read.is_err_and(|e| e.is_not_applied()));
     }
     assert!(refused > 0);
     log.change(|b| b.outage = Some(Outage::Refusing));
     let record = Bytes::from_static(b"x");
     let down = store.append("claims-0", &record).await;
-    assert!(down.is_err_and(|e| e.is_refusal()));
+    assert!(down.is_err_and(|e| e.is_not_applied()));
     log.change(|b| (b.outage, b.loss, b.losses) = (None, Some(Loss::Gateway), 1));
     let lost = store.append("claims-0", &record).await;
-    assert!(lost.is_err_and(|e| !e.is_refusal()));
+    assert!(lost.is_err_and(|e| !e.is_not_applied()));
     assert_eq!(log.counts().appends, 1);
 }
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -19,12 +19,12 @@
 
 use super::Gateway;
 use crate::clock;
-use crate::store::{Store, StoreError};
+use crate::store::{StoreClient, StoreError};
 
 impl Gateway {
     /// Follows one topic, for ever.
     pub(super) async fn follow(self: Rc<Self>, topic: Topic) {
-        let mut store = Store::new(self.settings.log);
+        let mut store = StoreClient::new(self.settings.log);
         loop {
             self.wait_due(topic).await;
             let (next, reads) = self.feed(topic, |feed| {
@@ -136,7 +136,7 @@
 
     async fn read_on(
         self: &Rc<Self>,
-        store: &mut Store,
+        store: &mut StoreClient,
         topic: Topic,
         from: u64,
     ) -> Result<(), StoreError> {
@@ -230,7 +230,11 @@
     }
 
     /// Reads the newest record of each key: at the start, or where the log forgot.
-    async fn read_all(self: &Rc<Self>, store: &mut Store, topic: Topic) -> Result<(), StoreError> {
+    async fn read_all(
+        self: &Rc<Self>,
+        store: &mut StoreClient,
+        topic: Topic,
+    ) -> Result<(), StoreError> {
         let (records, end) = newest(store, name(topic)).await?;
         let draw = self.draw_share();
         let back = self.feed(topic, |feed| feed.listed(end, draw, clock::now()));
@@ -358,7 +362,7 @@
 ///
 /// Pages are no snapshot: what is written meanwhile is read again from the end
 /// that the first page tells.
-async fn newest(store: &mut Store, topic: &str) -> Result<(Vec<Record>, u64), StoreError> {
+async fn newest(store: &mut StoreClient, topic: &str) -> Result<(Vec<Record>, u64), StoreError> {
     let mut page = store.newest(topic, None).await?;
     let end = page.end;
     let mut records = page.records;
--- a/components/transport/src/gateway/share.rs
+++ b/components/transport/src/gateway/share.rs
@@ -12,7 +12,7 @@
 
 use super::Gateway;
 use crate::clock;
-use crate::store::{Store, StoreError};
+use crate::store::{StoreClient, StoreError};
 
 /// The group that all entry hosts join.
 const GROUP: &str = "entry-hosts";
@@ -61,7 +61,7 @@
     /// While the store is away the parts can't be dealt anew, so the last one
     /// still adds up with those of the others.
     pub(super) async fn keep_share(self: Rc<Self>) {
-        let mut store = Store::new(self.settings.log);
+        let mut store = StoreClient::new(self.settings.log);
         let topics = joins::topics();
         let member = self.member();
         let mut joins = Joins::default();
@@ -86,7 +86,7 @@
     /// Joins the group, and returns how long it is until the next time.
     async fn join(
         &self,
-        store: &mut Store,
+        store: &mut StoreClient,
         member: &str,
         topics: &[String],
         joins: &mut Joins,
@@ -124,7 +124,7 @@
     }
 
     /// Asks the store for neighbours where it is time to.
-    async fn search(&self, store: &mut Store, search: &mut Search) {
+    async fn search(&self, store: &mut StoreClient, search: &mut Search) {
         if clock::now() < search.due {
             return;
         }
@@ -143,7 +143,7 @@
     }
 
     /// Greets the hosts of this data centre that hold a part, and learns of others.
-    async fn find_neighbours(&self, store: &mut Store) -> Result<(), StoreError> {
+    async fn find_neighbours(&self, store: &mut StoreClient) -> Result<(), StoreError> {
         let members = store.owners(GROUP).await?;
         let contacts = members.iter().filter_map(|m| contact(m));
         let (here, elsewhere): (Vec<Contact>, Vec<Contact>) =
--- a/components/transport/src/log/client.rs
+++ b/components/transport/src/log/client.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::store::{Store, StoreError};
+use crate::store::{StoreClient, StoreError};
 
 /// How long an append's answer, or a read's beyond its own wait, may take by default.
 ///
@@ -59,7 +59,7 @@
 
 /// A client of the log for threads that may block. Clones share its connections.
 ///
-/// A thread of its own runs [`Store`], the one client of the store, so that it
+/// A thread of its own runs [`StoreClient`], the one client of the store, so that it
 /// needs no runtime where it is used. The thread ends with the last clone.
 #[derive(Clone, Debug)]
 pub struct LogClient {
@@ -112,7 +112,9 @@
             .map_err(|_| AppendError::Refused(GONE.to_owned()))?;
         match answered.recv() {
             Ok(Ok(offset)) => Ok(offset),
-            Ok(Err(error)) if error.is_refusal() => Err(AppendError::Refused(error.to_string())),
+            Ok(Err(error)) if error.is_not_applied() => {
+                Err(AppendError::Refused(error.to_string()))
+            }
             Ok(Err(error)) => Err(AppendError::Unanswered(error.to_string())),
             Err(_) => Err(AppendError::Unanswered(GONE.to_owned())),
         }
@@ -156,7 +158,7 @@
 const GONE: &str = "the log's client has stopped";
 
 /// Connections of one client that lie idle.
-type Idle = Rc<RefCell<Vec<Store>>>;
+type Idle = Rc<RefCell<Vec<StoreClient>>>;
 
 fn run(address: SocketAddr, calls: UnboundedReceiver<Call>) {
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
@@ -174,12 +176,12 @@
     let idle = Idle::default();
     while let Some(call) = calls.recv().await {
         let kept = idle.borrow_mut().pop();
-        let store = kept.unwrap_or_else(|| Store::new(address));
+        let store = kept.unwrap_or_else(|| StoreClient::new(address));
         spawn_local(carry_out(call, store, Rc::clone(&idle)));
     }
 }
 
-async fn carry_out(call: Call, mut store: Store, idle: Idle) {
+async fn carry_out(call: Call, mut store: StoreClient, idle: Idle) {
     let silent = match call {
         Call::Append {
             topic,
@@ -187,7 +189,7 @@
             limit,
             answer,
         } => {
-            store.set_limit(limit);
+            store.set_timeout(limit);
             let result = store.append(&topic, &record).await;
             let silent = is_silent(&result);
             // The caller waits for this answer, so it is there.
@@ -202,7 +204,7 @@
             limit,
             answer,
         } => {
-            store.set_limit(limit);
+            store.set_timeout(limit);
             let mut result = store.read(&topic, from, wait, kilobytes).await;
             if let Err(StoreError::Forgotten(Some(first))) = result {
                 result = store.read(&topic, first, wait, kilobytes).await;
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -69,7 +69,7 @@
     ///
     /// Only the store's own words count: 504 and the like may come from
     /// something in between, after the effect.
-    pub fn is_refusal(&self) -> bool {
+    pub fn is_not_applied(&self) -> bool {
         match self {
             StoreError::Connect(_) | StoreError::Wire(WireError::Unsent) => true,
             StoreError::Refused(status) => {
@@ -93,16 +93,16 @@
 ///
 /// Each of the host's loops has its own: a read that waits must not hold up
 /// another, and a connection that fell silent must not take all of them along.
-pub struct Store {
+pub struct StoreClient {
     address: SocketAddr,
     answer_limit: Duration,
     connection: Option<Connection>,
 }
 
-impl Store {
+impl StoreClient {
     /// Returns a client of the store at `address`.
-    pub fn new(address: SocketAddr) -> Store {
-        Store {
+    pub fn new(address: SocketAddr) -> StoreClient {
+        StoreClient {
             address,
             answer_limit: ANSWER_LIMIT,
             connection: None,
@@ -110,7 +110,7 @@
     }
 
     /// Sets how long the store may keep silent where it waits for nothing.
-    pub fn set_limit(&mut self, limit: Duration) {
+    pub fn set_timeout(&mut self, limit: Duration) {
         self.answer_limit = limit;
     }
 
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing; [`StoreError::is_refusal`] tells
+    /// Says why the call brought nothing; [`StoreError::is_not_applied`] tells
     /// whether the record may stand there all the same.
     pub async fn append(&mut self, topic: &str, record: &Bytes) -> Result<u64, StoreError> {
         let path = platform::store::append_path(topic);
--- a/components/transport/tests/slow_answers.rs
+++ b/components/transport/tests/slow_answers.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
-use transport::store::{Store, StoreError};
+use transport::store::{StoreClient, StoreError};
 
 /// Pieces of the answer, one every [`PAUSE`].
 const PIECES: usize = 10;
@@ -42,7 +42,7 @@
 }
 
 async fn read(address: SocketAddr) -> Result<Vec<Bytes>, StoreError> {
-    let mut store = Store::new(address);
+    let mut store = StoreClient::new(address);
     let read = store.read("keyed.op", 0, Duration::ZERO, None).await?;
     Ok(read.records)
 }
