--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use coordination::config::{Change, Command, CommandId, Fold, Record, Step, parse_preset};
+use coordination::config::{Applied, Change, Command, CommandId, Fold, Record, parse_preset};
 use protocol::record::{decode_record, encode_command, encode_snapshot};
 use stand_ins::log::{Behaviour, LogStandIn, Outage};
 use transport::log::{
@@ -199,14 +199,14 @@
 }
 
 fn give(fold: &mut Fold, change: Change) {
-    let offset = fold.mark().next;
+    let offset = fold.position().next;
     let command = Command {
-        id: CommandId::draw(offset, offset),
-        decided_on: fold.mark().revision,
+        id: CommandId::new(offset, offset),
+        decided_on: fold.position().revision,
         change,
     };
     let step = fold.apply(offset, Ok(Record::Command(command)));
-    assert!(matches!(step, Step::Decided(..)));
+    assert!(matches!(step, Applied::Decided(..)));
 }
 
 fn fold_cost() {
@@ -245,8 +245,8 @@
             _ => join(n),
         };
         let command = Command {
-            id: CommandId::draw(first + n, n),
-            decided_on: fold.mark().revision,
+            id: CommandId::new(first + n, n),
+            decided_on: fold.position().revision,
             change,
         };
         let data = encode_command(&command);
@@ -254,7 +254,7 @@
         let start = Instant::now();
         let step = fold.apply(first + n, decode_record(&data));
         spent += start.elapsed();
-        assert!(matches!(step, Step::Decided(..)));
+        assert!(matches!(step, Applied::Decided(..)));
     }
     spent
 }
@@ -267,7 +267,7 @@
     for n in 0..1_200 {
         give(&mut fold, join(n));
     }
-    let next = fold.mark().next;
+    let next = fold.position().next;
     (fold, next)
 }
 
@@ -276,8 +276,8 @@
     let text = preset("p-3", endpoints);
     parse_preset(&text).expect("the preset is good");
     let command = Command {
-        id: CommandId::draw(next, 1),
-        decided_on: fold.mark().revision,
+        id: CommandId::new(next, 1),
+        decided_on: fold.position().revision,
         change: put(&text),
     };
     let record = encode_command(&command);
--- a/components/coordination/src/config/check.rs
+++ b/components/coordination/src/config/check.rs
@@ -17,7 +17,7 @@
 
 /// One fault of a preset's text.
 #[value]
-pub struct Fault {
+pub struct PresetError {
     /// The line it stands in, counted from one.
     pub line: usize,
     /// What is wrong and what would mend it.
@@ -27,29 +27,29 @@
 /// All faults of a preset's text, in the order of their lines.
 #[value]
 #[derive(Default)]
-pub struct Faults(pub Vec<Fault>);
+pub struct PresetErrors(pub Vec<PresetError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for PresetErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(Fault::to_string).collect();
+        let lines: Vec<String> = self.0.iter().map(PresetError::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for PresetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for PresetErrors {}
 
 /// Reads a preset from its TOML text.
 ///
 /// # Errors
 ///
 /// Returns every fault with its line; nothing is taken then.
-pub fn parse_preset(text: &str) -> Result<Preset, Faults> {
+pub fn parse_preset(text: &str) -> Result<Preset, PresetErrors> {
     let mut report = Report::new(text);
     if text.len() > TEXT_LIMIT {
         report.at(0, format!("the text is over {TEXT_LIMIT} bytes"));
@@ -75,7 +75,7 @@
 /// Collects faults by the place in the text.
 pub(super) struct Report<'a> {
     text: &'a str,
-    faults: Vec<Fault>,
+    faults: Vec<PresetError>,
 }
 
 impl Report<'_> {
@@ -89,12 +89,12 @@
     pub(super) fn at(&mut self, start: usize, message: String) {
         let before = &self.text.as_bytes()[..start.min(self.text.len())];
         let line = 1 + before.iter().filter(|b| **b == b'\n').count();
-        self.faults.push(Fault { line, message });
+        self.faults.push(PresetError { line, message });
     }
 
-    fn finish(&mut self) -> Faults {
+    fn finish(&mut self) -> PresetErrors {
         self.faults.sort_by_key(|f| f.line);
-        Faults(std::mem::take(&mut self.faults))
+        PresetErrors(std::mem::take(&mut self.faults))
     }
 }
 
--- a/components/coordination/src/config/command.rs
+++ b/components/coordination/src/config/command.rs
@@ -19,12 +19,12 @@
 
 impl CommandId {
     /// Returns a new id for an author that has read the log up to `offset`.
-    pub fn draw(offset: u64, random: u64) -> CommandId {
+    pub fn new(offset: u64, random: u64) -> CommandId {
         CommandId((u128::from(offset) << 64) | u128::from(random))
     }
 
     /// Returns the log's offset that the author had read up to.
-    pub fn seen(self) -> u64 {
+    pub fn author_offset(self) -> u64 {
         (self.0 >> 64) as u64
     }
 }
--- a/components/coordination/src/config/fold.rs
+++ b/components/coordination/src/config/fold.rs
@@ -9,14 +9,14 @@
 use super::check::parse_preset;
 use super::command::{Answer, Command, CommandId, Refusal, Subject};
 use super::decide::{Decision, Touched, decide};
-use super::snapshot::{Floor, Mark, Recent, Snapshot, newer};
+use super::snapshot::{Floor, Position, RecentCommand, Snapshot, is_newer};
 
 /// Commands whose ids and answers are kept.
 ///
 /// A repeat comes within seconds of the first, so that a few hundred would do;
 /// but a region that comes back brings some three hundred joins at once, and a
 /// command decided on before them must not be too old.
-pub const WINDOW: usize = 1_024;
+pub const KEPT_COMMANDS: usize = 1_024;
 
 /// One record of the stream, decoded.
 #[value]
@@ -43,15 +43,15 @@
 
 /// What a record came to.
 #[value]
-pub enum Step {
+pub enum Applied {
     /// A command was decided now.
     Decided(CommandId, Answer),
     /// A command was a repeat, and has the answer of the first.
     Repeated(CommandId, Answer),
-    /// A snapshot was taken over; reading goes on at [`Fold::position`].
-    Took(Mark),
+    /// A snapshot was taken over; reading goes on at [`Fold::read_offset`].
+    Replaced(Position),
     /// The record changes nothing here.
-    Passed,
+    Ignored,
     /// The record was skipped.
     Skipped(Unreadable),
 }
@@ -61,17 +61,17 @@
 pub struct Fold {
     config: Arc<Config>,
     next: u64,
-    recent: BTreeMap<u64, Recent>,
+    recent: BTreeMap<u64, RecentCommand>,
     offsets: BTreeMap<CommandId, u64>,
     touched: BTreeMap<Subject, u64>,
     floor: Floor,
-    search: Option<Search>,
-    blind: Option<u64>,
+    search: Option<SnapshotSearch>,
+    skipped_newer: Option<u64>,
 }
 
 /// Looks for a snapshot, since records that were not folded have fallen off.
 #[derive(Clone, Copy, Debug)]
-struct Search {
+struct SnapshotSearch {
     first: u64,
     at: u64,
 }
@@ -83,15 +83,15 @@
     }
 
     /// Returns how far the fold has come.
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn position(&self) -> Position {
+        Position {
             next: self.next,
             revision: self.config.revision,
         }
     }
 
     /// Returns the offset to read from.
-    pub fn position(&self) -> u64 {
+    pub fn read_offset(&self) -> u64 {
         self.search.map_or(self.next, |s| s.at)
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// Returns the offset of a record that was skipped since only a newer version reads it.
-    pub fn blind(&self) -> Option<u64> {
-        self.blind
+    pub fn skipped_newer(&self) -> Option<u64> {
+        self.skipped_newer
     }
 
     /// Returns the answer to a command that has been folded lately.
@@ -116,24 +116,24 @@
     /// A host that was paused while its next record fell off would fold the
     /// rest onto an old state and differ from all others. From now on it reads
     /// nothing but snapshots, until one reaches into what the log still has.
-    pub fn retained_from(&mut self, first: u64) {
+    pub fn log_trimmed(&mut self, first: u64) {
         let lost = match self.search {
             Some(search) => first > search.first,
             None => first > self.next,
         };
         if lost {
-            let at = self.position().max(first);
-            self.search = Some(Search { first, at });
+            let at = self.read_offset().max(first);
+            self.search = Some(SnapshotSearch { first, at });
         }
     }
 
-    /// Folds the record at `offset`, which has to be the one at [`Fold::position`].
+    /// Folds the record at `offset`, which has to be the one at [`Fold::read_offset`].
     ///
     /// Any other changes nothing: after a snapshot was taken over, what a page
     /// still holds lies ahead of the snapshot's own end and is read again.
-    pub fn apply(&mut self, offset: u64, record: Result<Record, Unreadable>) -> Step {
-        if offset != self.position() {
-            return Step::Passed;
+    pub fn apply(&mut self, offset: u64, record: Result<Record, Unreadable>) -> Applied {
+        if offset != self.read_offset() {
+            return Applied::Ignored;
         }
         if let Some(search) = &mut self.search {
             search.at = offset + 1;
@@ -142,20 +142,20 @@
         self.next = offset + 1;
         match record {
             Ok(Record::Command(command)) => self.command(offset, &command),
-            Ok(Record::Snapshot(snapshot)) if self.heals(&snapshot) => self.replace(*snapshot),
-            Ok(Record::Snapshot(_)) => Step::Passed,
+            Ok(Record::Snapshot(snapshot)) if self.covers_gap(&snapshot) => self.replace(*snapshot),
+            Ok(Record::Snapshot(_)) => Applied::Ignored,
             Ok(Record::Begin(text)) => self.begin(offset, &text),
             Err(Unreadable::Newer(version)) => {
-                self.blind = Some(offset);
-                Step::Skipped(Unreadable::Newer(version))
+                self.skipped_newer = Some(offset);
+                Applied::Skipped(Unreadable::Newer(version))
             }
-            Err(Unreadable::Damaged) => Step::Skipped(Unreadable::Damaged),
+            Err(Unreadable::Damaged) => Applied::Skipped(Unreadable::Damaged),
         }
     }
 
     /// Takes a snapshot from a peer, where it is newer. Returns whether it was.
-    pub fn take(&mut self, snapshot: Snapshot) -> bool {
-        let wanted = newer(self.mark(), snapshot.mark()) || self.heals(&snapshot);
+    pub fn take_snapshot(&mut self, snapshot: Snapshot) -> bool {
+        let wanted = is_newer(self.position(), snapshot.position()) || self.covers_gap(&snapshot);
         if wanted {
             self.replace(snapshot);
         }
@@ -166,7 +166,7 @@
     ///
     /// The snapshot of such a host would spread its gap to those that have none.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        self.blind.is_none().then(|| Snapshot {
+        self.skipped_newer.is_none().then(|| Snapshot {
             next: self.next,
             config: Config::clone(&self.config),
             recent: self.recent.values().cloned().collect(),
@@ -182,9 +182,9 @@
     /// that a host that had been paused all the while ends where the new ones
     /// are. A revision is never greater than the offset after it: this one is
     /// greater than any before, and no host goes back.
-    fn begin(&mut self, offset: u64, text: &str) -> Step {
+    fn begin(&mut self, offset: u64, text: &str) -> Applied {
         let Ok(preset) = parse_preset(text) else {
-            return Step::Passed;
+            return Applied::Ignored;
         };
         let next = offset + 1;
         let config = Config {
@@ -206,22 +206,24 @@
         })
     }
 
-    fn apply_searching(&mut self, offset: u64, record: Result<Record, Unreadable>) -> Step {
+    fn apply_searching(&mut self, offset: u64, record: Result<Record, Unreadable>) -> Applied {
         let first = self.search.map_or(0, |s| s.first);
         match record {
-            Ok(Record::Snapshot(s)) if s.next >= first && newer(self.mark(), s.mark()) => {
+            Ok(Record::Snapshot(s))
+                if s.next >= first && is_newer(self.position(), s.position()) =>
+            {
                 self.replace(*s)
             }
             Ok(Record::Begin(text)) => self.begin(offset, &text),
-            Ok(Record::Command(_) | Record::Snapshot(_)) => Step::Passed,
-            Err(unreadable) => Step::Skipped(unreadable),
+            Ok(Record::Command(_) | Record::Snapshot(_)) => Applied::Ignored,
+            Err(unreadable) => Applied::Skipped(unreadable),
         }
     }
 
     /// Returns whether a snapshot covers the record that was skipped, without
     /// taking back what this host has shown.
-    fn heals(&self, snapshot: &Snapshot) -> bool {
-        match self.blind {
+    fn covers_gap(&self, snapshot: &Snapshot) -> bool {
+        match self.skipped_newer {
             Some(skipped) => {
                 snapshot.next > skipped && snapshot.config.revision >= self.config.revision
             }
@@ -229,8 +231,8 @@
         }
     }
 
-    fn replace(&mut self, snapshot: Snapshot) -> Step {
-        let mark = snapshot.mark();
+    fn replace(&mut self, snapshot: Snapshot) -> Applied {
+        let mark = snapshot.position();
         let recent = snapshot.recent.into_iter();
         *self = Fold {
             config: Arc::new(snapshot.config),
@@ -240,31 +242,33 @@
             touched: snapshot.touched.into_iter().collect(),
             floor: snapshot.floor,
             search: None,
-            blind: None,
+            skipped_newer: None,
         };
         self.offsets = self.recent.iter().map(|(o, r)| (r.id, *o)).collect();
-        Step::Took(mark)
+        Applied::Replaced(mark)
     }
 
-    fn command(&mut self, offset: u64, command: &Command) -> Step {
+    fn command(&mut self, offset: u64, command: &Command) -> Applied {
         let id = command.id;
         if let Some(answer) = self.answer(id) {
-            return Step::Repeated(id, answer.clone());
+            return Applied::Repeated(id, answer.clone());
         }
-        let answer = match self.decided(offset, command) {
+        let answer = match self.decide_command(offset, command) {
             Ok(revision) => Answer::Accepted { revision },
             Err(refusal) => Answer::Refused { refusal },
         };
-        self.remember(offset, id, answer.clone());
-        Step::Decided(id, answer)
+        self.store_answer(offset, id, answer.clone());
+        Applied::Decided(id, answer)
     }
 
-    fn decided(&mut self, offset: u64, command: &Command) -> Result<u64, Refusal> {
+    fn decide_command(&mut self, offset: u64, command: &Command) -> Result<u64, Refusal> {
         let revision = self.config.revision;
         match command {
-            c if c.id.seen() > offset => return Err(Refusal::Future(c.id.seen())),
+            c if c.id.author_offset() > offset => {
+                return Err(Refusal::Future(c.id.author_offset()));
+            }
             c if c.decided_on > revision => return Err(Refusal::Future(c.decided_on)),
-            c if c.id.seen() < self.floor.offset => return Err(Refusal::TooOld),
+            c if c.id.author_offset() < self.floor.offset => return Err(Refusal::TooOld),
             c if c.decided_on < self.floor.revision => return Err(Refusal::TooOld),
             _ => {}
         }
@@ -285,14 +289,14 @@
         }
     }
 
-    /// Keeps the answer, and forgets the oldest one over [`WINDOW`].
+    /// Keeps the answer, and forgets the oldest one over [`KEPT_COMMANDS`].
     ///
     /// Without a bound the state would grow with every command ever given.
     /// What is forgotten raises the floor, so that a late repeat is refused
     /// and never runs a second time.
-    fn remember(&mut self, offset: u64, id: CommandId, answer: Answer) {
+    fn store_answer(&mut self, offset: u64, id: CommandId, answer: Answer) {
         let revision = self.config.revision;
-        let recent = Recent {
+        let recent = RecentCommand {
             offset,
             id,
             revision,
@@ -300,7 +304,7 @@
         };
         self.offsets.insert(id, offset);
         self.recent.insert(offset, recent);
-        if self.recent.len() <= WINDOW {
+        if self.recent.len() <= KEPT_COMMANDS {
             return;
         }
         if let Some((offset, oldest)) = self.recent.pop_first() {
--- a/components/coordination/src/config/mod.rs
+++ b/components/coordination/src/config/mod.rs
@@ -8,12 +8,12 @@
 mod command;
 mod decide;
 mod fold;
-mod retention;
 mod schema;
 mod snapshot;
+mod snapshot_timer;
 
-pub use check::{Fault, Faults, parse_preset};
+pub use check::{PresetError, PresetErrors, parse_preset};
 pub use command::{Answer, Change, Command, CommandId, Refusal, Subject};
-pub use fold::{Fold, Record, Step, Unreadable, WINDOW};
-pub use retention::{LogView, SnapshotTimer, Spacing};
-pub use snapshot::{Floor, Mark, Recent, Snapshot, newer};
+pub use fold::{Applied, Fold, KEPT_COMMANDS, Record, Unreadable};
+pub use snapshot::{Floor, Position, RecentCommand, Snapshot, is_newer};
+pub use snapshot_timer::{LogView, SnapshotPolicy, SnapshotTimer};
--- a/components/coordination/src/config/snapshot.rs
+++ b/components/coordination/src/config/snapshot.rs
@@ -10,7 +10,7 @@
 /// marks of different hosts can be compared.
 #[tag]
 #[derive(Default, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Position {
     /// The log's offset after the last record folded in.
     pub next: u64,
     /// The revision in force there.
@@ -22,7 +22,7 @@
 /// A host that comes back from a pause is handed older configurations that
 /// were on their way meanwhile. Taking one would send work to a data centre
 /// that has left; so only more of the log counts, and never a lower revision.
-pub fn newer(mine: Mark, theirs: Mark) -> bool {
+pub fn is_newer(mine: Position, theirs: Position) -> bool {
     theirs.next > mine.next && theirs.revision >= mine.revision
 }
 
@@ -35,7 +35,7 @@
     /// The configuration.
     pub config: Config,
     /// The last commands and their answers, by offset.
-    pub recent: Vec<Recent>,
+    pub recent: Vec<RecentCommand>,
     /// The revision at which each subject was last changed.
     pub touched: Vec<(Subject, u64)>,
     /// What has been forgotten.
@@ -45,7 +45,7 @@
 /// A command that was decided, kept so that repeating it is harmless.
 #[value]
 #[derive(Serialize, Deserialize)]
-pub struct Recent {
+pub struct RecentCommand {
     /// Its offset on the log.
     pub offset: u64,
     /// Its id.
@@ -71,8 +71,8 @@
 
 impl Snapshot {
     /// Returns how far the snapshot has come.
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn position(&self) -> Position {
+        Position {
             next: self.next,
             revision: self.config.revision,
         }
--- a/components/coordination/src/config/retention.rs
+++ b/components/coordination/src/config/snapshot_timer.rs
@@ -7,21 +7,21 @@
 
 /// How far apart snapshots are.
 #[tag]
-pub struct Spacing {
+pub struct SnapshotPolicy {
     /// The longest time between two snapshots: a quarter of the time the log
     /// keeps a record or less, so that three may be lost in a row.
-    pub time: Duration,
+    pub max_age: Duration,
     /// Records after which a snapshot is due, however young the last one is.
-    pub records: u64,
+    pub max_records: u64,
     /// Hosts that notice together wait up to this long, each another time.
     pub jitter: Duration,
 }
 
-impl Default for Spacing {
-    fn default() -> Spacing {
-        Spacing {
-            time: Duration::from_secs(600),
-            records: 512,
+impl Default for SnapshotPolicy {
+    fn default() -> SnapshotPolicy {
+        SnapshotPolicy {
+            max_age: Duration::from_secs(600),
+            max_records: 512,
             jitter: Duration::from_secs(2),
         }
     }
@@ -44,7 +44,7 @@
 /// harm; they cost an append.
 #[value]
 pub struct SnapshotTimer {
-    spacing: Spacing,
+    policy: SnapshotPolicy,
     last: Option<u64>,
     seen: Moment,
     due: Option<Moment>,
@@ -52,9 +52,9 @@
 
 impl SnapshotTimer {
     /// Starts the timer of a host that has read nothing yet.
-    pub fn new(spacing: Spacing, now: Moment) -> SnapshotTimer {
+    pub fn new(policy: SnapshotPolicy, now: Moment) -> SnapshotTimer {
         SnapshotTimer {
-            spacing,
+            policy,
             last: None,
             seen: now,
             due: None,
@@ -62,7 +62,7 @@
     }
 
     /// Notes a snapshot on the log, readable to all.
-    pub fn saw(&mut self, offset: u64, now: Moment) {
+    pub fn snapshot_seen(&mut self, offset: u64, now: Moment) {
         self.last = Some(offset);
         self.seen = now;
         self.due = None;
@@ -70,32 +70,32 @@
 
     /// Returns whether to append a snapshot now. `draw` is random, from 0 to 1.
     pub fn is_due(&mut self, view: LogView, now: Moment, draw: f64) -> bool {
-        if !self.wanted(view, now) {
+        if !self.is_wanted(view, now) {
             self.due = None;
             return false;
         }
         let due = *self
             .due
-            .get_or_insert(now + self.spacing.jitter.mul_f64(draw.clamp(0.0, 1.0)));
+            .get_or_insert(now + self.policy.jitter.mul_f64(draw.clamp(0.0, 1.0)));
         now >= due
     }
 
     /// Puts the next try off after an append that failed or has not been read yet.
-    pub fn tried(&mut self, now: Moment, draw: f64) {
-        let wait = self.spacing.jitter.mul_f64(1.0 + draw.clamp(0.0, 1.0));
+    pub fn append_tried(&mut self, now: Moment, draw: f64) {
+        let wait = self.policy.jitter.mul_f64(1.0 + draw.clamp(0.0, 1.0));
         self.due = Some(now + wait);
     }
 
-    fn wanted(&self, view: LogView, now: Moment) -> bool {
+    fn is_wanted(&self, view: LogView, now: Moment) -> bool {
         match self.last {
             _ if view.next == 0 => false,
             // Nothing covers what has fallen off: a new host could not start.
             None if view.first > 0 => true,
             Some(last) if last < view.first => true,
             // A quiet stream gives no sign of records about to fall off.
-            _ if now.since(self.seen) >= self.spacing.time => true,
-            None => view.next >= self.spacing.records,
-            Some(last) if view.next.saturating_sub(last) >= self.spacing.records => true,
+            _ if now.since(self.seen) >= self.policy.max_age => true,
+            None => view.next >= self.policy.max_records,
+            Some(last) if view.next.saturating_sub(last) >= self.policy.max_records => true,
             // The snapshot is in the older half of what the log keeps. The
             // log's own bound shows only in what has fallen off.
             Some(last) if view.first > 0 => (last - view.first) < (view.next - view.first) / 2,
--- a/components/coordination/src/outbox.rs
+++ b/components/coordination/src/fragment_queue.rs
@@ -10,34 +10,34 @@
 ///
 /// The narrowest links carry 10 Mbit/s: a fifth of that is left to callers. A
 /// message of 290 KB reaches a data centre of any size within 0.6 s.
-const RATE: f64 = 1_000_000.0;
+const SEND_RATE: f64 = 1_000_000.0;
 
 /// Bytes sent without a pause, so that not every fragment costs a timer.
-const BURST: usize = 8 * 1_024;
+const BURST_BYTES: usize = 8 * 1_024;
 
 /// Bytes that may wait.
 ///
 /// More would be on its way longer than any host waits for it.
-const LIMIT: usize = 4 * 1_024 * 1_024;
+const QUEUE_LIMIT_BYTES: usize = 4 * 1_024 * 1_024;
 
 /// Bytes that wait above which a host answers nobody who lacks fragments.
 ///
 /// What they lack may be on its way in this very queue, and answers to all of them
 /// would hold up the next message.
-const BUSY: usize = 64 * 1_024;
+const BUSY_BYTES: usize = 64 * 1_024;
 
 /// The fragments that wait, each with the host it goes to and what it is about.
 #[derive(Clone, Debug)]
-pub struct Outbox<T> {
+pub struct FragmentQueue<T> {
     waiting: VecDeque<(SocketAddr, T, Fragment)>,
     size: usize,
     /// Bytes sent since the last pause.
     sent: usize,
 }
 
-impl<T> Default for Outbox<T> {
-    fn default() -> Outbox<T> {
-        Outbox {
+impl<T> Default for FragmentQueue<T> {
+    fn default() -> FragmentQueue<T> {
+        FragmentQueue {
             waiting: VecDeque::new(),
             size: 0,
             sent: 0,
@@ -45,10 +45,10 @@
     }
 }
 
-impl<T> Outbox<T> {
+impl<T> FragmentQueue<T> {
     /// Takes a fragment to be sent, and returns whether there is room for it.
     pub fn push(&mut self, to: SocketAddr, about: T, fragment: Fragment) -> bool {
-        if self.size + fragment.bytes.len() > LIMIT {
+        if self.size + fragment.bytes.len() > QUEUE_LIMIT_BYTES {
             return false;
         }
         self.size += fragment.bytes.len();
@@ -67,21 +67,21 @@
 
     /// Returns how long to pause before the next one, where that is due.
     pub fn pause(&mut self) -> Option<Duration> {
-        if self.sent < BURST {
+        if self.sent < BURST_BYTES {
             return None;
         }
         let sent = std::mem::take(&mut self.sent);
         let bytes = u32::try_from(sent).unwrap_or(u32::MAX);
-        Some(Duration::from_secs_f64(f64::from(bytes) / RATE))
+        Some(Duration::from_secs_f64(f64::from(bytes) / SEND_RATE))
     }
 
     /// Returns whether too much waits to answer those who lack fragments.
     pub fn is_busy(&self) -> bool {
-        self.size > BUSY
+        self.size > BUSY_BYTES
     }
 
     /// Returns whether fragments of a message wait to be sent to this host.
-    pub fn holds(&self, to: SocketAddr, message: MessageKey) -> bool {
+    pub fn contains(&self, to: SocketAddr, message: MessageKey) -> bool {
         let mut waiting = self.waiting.iter();
         waiting.any(|(host, _, fragment)| *host == to && fragment.message == message)
     }
--- a/components/coordination/src/fragments.rs
+++ b/components/coordination/src/fragments.rs
@@ -36,7 +36,7 @@
 /// How long a message is kept after the last of its fragments came.
 ///
 /// Others that lost some of it ask for them meanwhile.
-pub const KEEP: Duration = Duration::from_secs(5);
+pub const KEEP_TIME: Duration = Duration::from_secs(5);
 
 /// Messages kept at once; the one heard of longest ago goes first.
 const KEPT_LIMIT: usize = 8;
@@ -72,25 +72,25 @@
     /// Which piece this is, from 0.
     pub number: u32,
     /// Whether the receiver is to pass it on to all its neighbours.
-    pub spread: bool,
+    pub relay: bool,
     /// The piece.
     pub bytes: Bytes,
 }
 
 /// What a fragment that came was good for.
 #[value]
-pub enum Taken {
+pub enum Inserted {
     /// It was known, or makes no sense.
-    Useless,
+    Ignored,
     /// It was new.
     New,
     /// It was the last one that the message lacked.
-    Whole(Bytes),
+    Complete(Bytes),
 }
 
 /// Whom to ask for fragments.
 #[tag]
-pub enum Source {
+pub enum RequestTarget {
     /// A host that holds the whole message.
     Origin(SocketAddr),
     /// Any neighbour.
@@ -99,7 +99,7 @@
 
 /// A request for the fragments that a message lacks.
 #[value]
-pub struct Lacking {
+pub struct FragmentRequest {
     /// The message.
     pub message: MessageKey,
     /// The numbers of the fragments.
@@ -111,7 +111,7 @@
 /// About one for each, so that all share the work of passing them on; in sizes
 /// of which there are few, so that hosts which know one neighbour more or less
 /// cut alike.
-pub fn cut(origin: SocketAddr, message: &Bytes, hosts: usize) -> Vec<Fragment> {
+pub fn split(origin: SocketAddr, message: &Bytes, hosts: usize) -> Vec<Fragment> {
     let share = message.len().div_ceil(hosts.max(1));
     let size = size_class(share).clamp(SMALLEST, LARGEST);
     let key = MessageKey {
@@ -125,7 +125,7 @@
             message: key,
             origin,
             number,
-            spread: false,
+            relay: false,
             bytes: message.slice(start..message.len().min(start + size)),
         })
         .collect()
@@ -143,7 +143,7 @@
 /// Each goes to the host that passes it on to the others. That is the same one
 /// for whichever host sends the message, but for what it would have to pass on
 /// itself: the others share that.
-pub fn spread(
+pub fn assign_relays(
     me: SocketAddr,
     fragments: &[Fragment],
     neighbours: &[SocketAddr],
@@ -158,16 +158,16 @@
     let place = hosts.partition_point(|h| *h < me) * less / hosts.len();
     let mut instead = neighbours.iter().cycle().skip(more + place);
     let mut sent = Vec::new();
-    for (relay, fragment) in hosts.iter().cycle().zip(fragments) {
-        let to = match *relay == me {
+    for (host, fragment) in hosts.iter().cycle().zip(fragments) {
+        let to = match *host == me {
             true => instead.next(),
-            false => Some(relay),
+            false => Some(host),
         };
-        let spread = Fragment {
-            spread: true,
+        let relay = Fragment {
+            relay: true,
             ..fragment.clone()
         };
-        sent.extend(to.map(|to| (*to, spread)));
+        sent.extend(to.map(|to| (*to, relay)));
     }
     sent
 }
@@ -197,7 +197,7 @@
     bytes: Option<Bytes>,
     /// Hosts that have asked for it since it was last spread.
     askers: u32,
-    spread_at: Option<Moment>,
+    relayed_at: Option<Moment>,
 }
 
 /// A message of which some or all fragments are here.
@@ -255,60 +255,60 @@
     }
 
     /// Returns a fragment for a host that asks for it.
-    fn again(&mut self, number: u32, now: Moment) -> Option<(Bytes, bool)> {
+    fn resend(&mut self, number: u32, now: Moment) -> Option<(Bytes, bool)> {
         let place = self.places.get_mut(number as usize)?;
         let bytes = place.bytes.clone()?;
         if place
-            .spread_at
+            .relayed_at
             .is_some_and(|at| now.since(at) < SPREAD_PAUSE)
         {
             return None;
         }
         place.askers += 1;
-        let spread = place.askers >= SPREAD_ASK;
-        if spread {
+        let relay = place.askers >= SPREAD_ASK;
+        if relay {
             place.askers = 0;
-            place.spread_at = Some(now);
+            place.relayed_at = Some(now);
         }
-        Some((bytes, spread))
+        Some((bytes, relay))
     }
 }
 
 /// The messages of which fragments have come, and those sent in fragments.
 #[derive(Clone, Debug, Default)]
-pub struct Fragments {
+pub struct Reassembly {
     messages: BTreeMap<MessageKey, Message>,
 }
 
-impl Fragments {
+impl Reassembly {
     /// Keeps a message of this host's, for neighbours that lose some of it.
-    pub fn keep(&mut self, fragments: &[Fragment], now: Moment) {
+    pub fn insert_own(&mut self, fragments: &[Fragment], now: Moment) {
         for fragment in fragments {
             self.place(fragment, now);
         }
     }
 
     /// Takes in a fragment.
-    pub fn take(&mut self, fragment: &Fragment, now: Moment) -> Taken {
+    pub fn insert(&mut self, fragment: &Fragment, now: Moment) -> Inserted {
         let count = fragment.message.count;
         let known = fragment.number < count && count <= COUNT_LIMIT;
         if !known || fragment.bytes.len() > LARGEST || !self.place(fragment, now) {
-            return Taken::Useless;
+            return Inserted::Ignored;
         }
         match self.messages.get(&fragment.message) {
             Some(message) if message.lacking == 0 => self.check(fragment.message),
-            _ => Taken::New,
+            _ => Inserted::New,
         }
     }
 
     /// Returns the message, unless its fragments don't make what its digest names.
-    fn check(&mut self, key: MessageKey) -> Taken {
+    fn check(&mut self, key: MessageKey) -> Inserted {
         let whole = self.messages.get(&key).map(Message::whole);
         match whole {
-            Some(whole) if xxh3_64(&whole) == key.digest => Taken::Whole(whole),
+            Some(whole) if xxh3_64(&whole) == key.digest => Inserted::Complete(whole),
             _ => {
                 self.messages.remove(&key);
-                Taken::Useless
+                Inserted::Ignored
             }
         }
     }
@@ -320,13 +320,13 @@
             .or_insert_with(|| Message::new(fragment, now));
         message.origin = fragment.origin;
         let new = message.put(fragment, now);
-        self.forget(now);
+        self.expire(now);
         new
     }
 
     /// Forgets messages of which nothing has come for a while.
-    pub fn forget(&mut self, now: Moment) {
-        self.messages.retain(|_, m| now.since(m.heard) < KEEP);
+    pub fn expire(&mut self, now: Moment) {
+        self.messages.retain(|_, m| now.since(m.heard) < KEEP_TIME);
         while self.messages.len() > KEPT_LIMIT {
             let oldest = self.messages.iter().min_by_key(|(_, m)| m.heard);
             let Some(key) = oldest.map(|(key, _)| *key) else {
@@ -337,7 +337,7 @@
     }
 
     /// Returns whether fragments of this message are still awaited.
-    pub fn awaits(&self, key: MessageKey) -> bool {
+    pub fn is_incomplete(&self, key: MessageKey) -> bool {
         let message = self.messages.get(&key);
         message.is_some_and(|m| m.lacking > 0 && !m.given_up())
     }
@@ -346,12 +346,12 @@
     ///
     /// The origin has them all for sure, unless it is gone; so any neighbour is
     /// asked in turn with it.
-    pub fn ask(
+    pub fn next_request(
         &mut self,
         key: MessageKey,
         silence: Duration,
         now: Moment,
-    ) -> Option<(Source, Lacking)> {
+    ) -> Option<(RequestTarget, FragmentRequest)> {
         let message = self.messages.get_mut(&key)?;
         if message.lacking == 0 || message.given_up() || now.since(message.stirred) < silence {
             return None;
@@ -359,11 +359,11 @@
         message.asks += 1;
         message.stirred = now;
         let source = match message.asks % 2 {
-            1 => Source::Origin(message.origin),
-            _ => Source::Any,
+            1 => RequestTarget::Origin(message.origin),
+            _ => RequestTarget::Any,
         };
         let places = (0..).zip(&message.places);
-        let lacking = Lacking {
+        let lacking = FragmentRequest {
             message: key,
             numbers: places
                 .filter(|(_, p)| p.bytes.is_none())
@@ -374,20 +374,20 @@
     }
 
     /// Returns the fragments that are here of those that a neighbour lacks.
-    pub fn again(&mut self, lacking: &Lacking, now: Moment) -> Vec<Fragment> {
+    pub fn resend(&mut self, lacking: &FragmentRequest, now: Moment) -> Vec<Fragment> {
         let Some(message) = self.messages.get_mut(&lacking.message) else {
             return Vec::new();
         };
         let mut fragments = Vec::new();
         for number in &lacking.numbers {
-            let Some((bytes, spread)) = message.again(*number, now) else {
+            let Some((bytes, relay)) = message.resend(*number, now) else {
                 continue;
             };
             fragments.push(Fragment {
                 message: lacking.message,
                 origin: message.origin,
                 number: *number,
-                spread,
+                relay,
                 bytes,
             });
         }
--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -6,12 +6,12 @@
 
 pub mod claims;
 pub mod config;
-pub mod feed;
+pub mod fragment_queue;
 pub mod fragments;
-pub mod joins;
+pub mod group_joins;
 pub mod members;
 pub mod neighbours;
-pub mod outbox;
-pub mod recent;
+pub mod read_schedule;
+pub mod recent_records;
 pub mod relay;
 pub mod slots;
--- a/components/coordination/src/neighbours.rs
+++ b/components/coordination/src/neighbours.rs
@@ -11,30 +11,30 @@
 use derives::{tag, value};
 use state::Moment;
 
-use crate::relay::Passed;
+use crate::relay::Forwarded;
 
 /// How long a neighbour that says nothing is still told.
-const FORGET_AFTER: Duration = Duration::from_secs(20);
+const HOST_TTL: Duration = Duration::from_secs(20);
 
 /// Greetings with which a host that has just started asks whom others know.
 ///
 /// Where a whole site starts, the first answers name only the few that had
 /// started by then.
-const EAGER: u32 = 5;
+const STARTUP_QUERIES: u32 = 5;
 
 /// With how many later greetings it asks once.
 ///
 /// A list of 300 hosts is 5 KB; asked for every ten seconds it takes half a
 /// kilobyte a second.
-const ASK_EVERY: u32 = 10;
+const QUERY_INTERVAL: u32 = 10;
 
 /// Hosts of each other data centre that are told what this one reads.
 ///
 /// Were it only one, the loss of one datagram would leave its data centre behind.
-pub const TOLD: usize = 2;
+pub const REMOTE_TARGETS: usize = 2;
 
 /// Hosts of each other data centre that are named to one that asks.
-const NAMED: usize = 3;
+const SAMPLE_SIZE: usize = 3;
 
 /// A host of another data centre.
 #[value]
@@ -47,29 +47,29 @@
 
 /// When a host of another data centre was heard or heard of.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastSeen {
     at: Moment,
     /// Whether it said so itself.
-    itself: bool,
+    direct: bool,
 }
 
 /// What a greeting told.
 #[tag]
-pub enum Greeted {
+pub enum GreetingEffect {
     /// A neighbour is known now.
     New,
     /// Nothing new.
     Known,
     /// The greeting comes from another data centre.
-    Stranger,
+    Remote,
     /// It does, and its sender was not known.
-    NewStranger,
+    NewRemote,
 }
 
 /// Returns a few of the hosts of each data centre, others by another `draw`.
 ///
 /// `draw` is evenly drawn from all of `u64`.
-pub fn some_of_each(contacts: Vec<Contact>, draw: u64) -> Vec<Contact> {
+pub fn sample_by_centre(contacts: Vec<Contact>, draw: u64) -> Vec<Contact> {
     let mut centres: BTreeMap<String, Vec<Contact>> = BTreeMap::new();
     for contact in contacts {
         let hosts = centres.entry(contact.centre.clone()).or_default();
@@ -80,7 +80,7 @@
         let count = u64::try_from(hosts.len()).unwrap_or(u64::MAX);
         let first = usize::try_from(draw % count).unwrap_or_default();
         hosts.rotate_left(first);
-        hosts.truncate(NAMED);
+        hosts.truncate(SAMPLE_SIZE);
         some.append(&mut hosts);
     }
     some
@@ -92,12 +92,12 @@
     me: SocketAddr,
     centre: String,
     heard: BTreeMap<SocketAddr, Moment>,
-    strangers: BTreeMap<String, BTreeMap<SocketAddr, Heard>>,
+    remotes: BTreeMap<String, BTreeMap<SocketAddr, LastSeen>>,
     greetings: u32,
     /// How far the operators' news were passed on.
-    pub operators: Passed,
+    pub operators: Forwarded,
     /// How far the endpoints' news were passed on.
-    pub endpoints: Passed,
+    pub endpoints: Forwarded,
 }
 
 impl Neighbours {
@@ -107,10 +107,10 @@
             me,
             centre: centre.to_owned(),
             heard: BTreeMap::new(),
-            strangers: BTreeMap::new(),
+            remotes: BTreeMap::new(),
             greetings: 0,
-            operators: Passed::default(),
-            endpoints: Passed::default(),
+            operators: Forwarded::default(),
+            endpoints: Forwarded::default(),
         }
     }
 
@@ -119,28 +119,33 @@
     /// Hosts of other data centres are remembered for those that ask for their
     /// own: a site names three hosts to begin with, and there are more data
     /// centres than that.
-    pub fn greeted(&mut self, from: SocketAddr, centre: &str, now: Moment) -> Greeted {
+    pub fn greeting_received(
+        &mut self,
+        from: SocketAddr,
+        centre: &str,
+        now: Moment,
+    ) -> GreetingEffect {
         if centre != self.centre {
-            let strangers = self.strangers.entry(centre.to_owned()).or_default();
-            let heard = Heard {
+            let remotes = self.remotes.entry(centre.to_owned()).or_default();
+            let heard = LastSeen {
                 at: now,
-                itself: true,
+                direct: true,
             };
-            let new = strangers.insert(from, heard).is_none();
+            let new = remotes.insert(from, heard).is_none();
             return if new {
-                Greeted::NewStranger
+                GreetingEffect::NewRemote
             } else {
-                Greeted::Stranger
+                GreetingEffect::Remote
             };
         }
         match self.heard.insert(from, now) {
-            None => Greeted::New,
-            Some(_) => Greeted::Known,
+            None => GreetingEffect::New,
+            Some(_) => GreetingEffect::Known,
         }
     }
 
     /// Takes in that another host names `address`; true where it is to be greeted.
-    pub fn meet(&mut self, address: SocketAddr, now: Moment) -> bool {
+    pub fn add(&mut self, address: SocketAddr, now: Moment) -> bool {
         let new = address != self.me && !self.heard.contains_key(&address);
         if new {
             self.heard.insert(address, now);
@@ -151,9 +156,10 @@
     /// Returns whom to ask with the next greeting whom it knows, nobody mostly.
     ///
     /// `draw` is evenly drawn from all of `u64`.
-    pub fn ask(&mut self, draw: u64) -> Option<SocketAddr> {
+    pub fn next_query(&mut self, draw: u64) -> Option<SocketAddr> {
         self.greetings += 1;
-        let due = self.greetings <= EAGER || self.greetings.is_multiple_of(ASK_EVERY);
+        let due =
+            self.greetings <= STARTUP_QUERIES || self.greetings.is_multiple_of(QUERY_INTERVAL);
         self.any(draw).filter(|_| due)
     }
 
@@ -172,31 +178,31 @@
     /// Returns all neighbours, and forgets those that have long been silent.
     pub fn current(&mut self, now: Moment) -> Vec<SocketAddr> {
         let heard = &mut self.heard;
-        heard.retain(|_, at| now.since(*at) < FORGET_AFTER);
+        heard.retain(|_, at| now.since(*at) < HOST_TTL);
         self.operators.retain(|a| heard.contains_key(&a));
         self.endpoints.retain(|a| heard.contains_key(&a));
         self.heard.keys().copied().collect()
     }
 
     /// Returns the hosts of `centre` that this host has heard of, for one of them that asks.
-    pub fn of(&mut self, centre: &str, now: Moment) -> Vec<SocketAddr> {
+    pub fn hosts_of(&mut self, centre: &str, now: Moment) -> Vec<SocketAddr> {
         if centre == self.centre {
             return self.current(now);
         }
-        let Some(strangers) = self.strangers.get_mut(centre) else {
+        let Some(remotes) = self.remotes.get_mut(centre) else {
             return Vec::new();
         };
-        strangers.retain(|_, heard| now.since(heard.at) < FORGET_AFTER);
-        strangers.keys().copied().collect()
+        remotes.retain(|_, heard| now.since(heard.at) < HOST_TTL);
+        remotes.keys().copied().collect()
     }
 
     /// Takes in that another host names one of another data centre.
-    pub fn hear_of(&mut self, contact: Contact, now: Moment) {
+    pub fn add_remote(&mut self, contact: Contact, now: Moment) {
         if contact.centre != self.centre {
-            let strangers = self.strangers.entry(contact.centre).or_default();
-            strangers.entry(contact.address).or_insert(Heard {
+            let remotes = self.remotes.entry(contact.centre).or_default();
+            remotes.entry(contact.address).or_insert(LastSeen {
                 at: now,
-                itself: false,
+                direct: false,
             });
         }
     }
@@ -205,11 +211,11 @@
     ///
     /// Only those that were heard themselves: one that is gone would else be named
     /// for ever.
-    pub fn named(&mut self, now: Moment) -> Vec<Contact> {
-        self.forget_strangers(now);
+    pub fn remote_sample(&mut self, now: Moment) -> Vec<Contact> {
+        self.expire_remotes(now);
         let mut named = Vec::new();
-        for (centre, strangers) in &self.strangers {
-            let heard = strangers.iter().filter(|(_, h)| h.itself).take(NAMED);
+        for (centre, remotes) in &self.remotes {
+            let heard = remotes.iter().filter(|(_, h)| h.direct).take(SAMPLE_SIZE);
             named.extend(heard.map(|(address, _)| Contact {
                 centre: centre.clone(),
                 address: *address,
@@ -219,22 +225,26 @@
     }
 
     /// Returns whom to tell in each other data centre what this one reads.
-    pub fn contacts(&mut self, now: Moment) -> Vec<Vec<SocketAddr>> {
-        self.forget_strangers(now);
-        let centres = self.strangers.values();
+    pub fn remote_targets(&mut self, now: Moment) -> Vec<Vec<SocketAddr>> {
+        self.expire_remotes(now);
+        let centres = self.remotes.values();
         centres
             .map(|hosts| {
-                let mut hosts: Vec<(&SocketAddr, &Heard)> = hosts.iter().collect();
-                hosts.sort_by_key(|(address, heard)| (!heard.itself, **address));
-                hosts.iter().take(TOLD).map(|(a, _)| **a).collect()
+                let mut hosts: Vec<(&SocketAddr, &LastSeen)> = hosts.iter().collect();
+                hosts.sort_by_key(|(address, heard)| (!heard.direct, **address));
+                hosts
+                    .iter()
+                    .take(REMOTE_TARGETS)
+                    .map(|(a, _)| **a)
+                    .collect()
             })
             .collect()
     }
 
     /// Returns any host of another data centre; `draw` is evenly drawn from all of `u64`.
-    pub fn any_stranger(&self, draw: u64) -> Option<SocketAddr> {
+    pub fn any_remote(&self, draw: u64) -> Option<SocketAddr> {
         let all: Vec<SocketAddr> = self
-            .strangers
+            .remotes
             .values()
             .flat_map(|s| s.keys().copied())
             .collect();
@@ -249,10 +259,10 @@
         self.heard.len()
     }
 
-    fn forget_strangers(&mut self, now: Moment) {
-        for strangers in self.strangers.values_mut() {
-            strangers.retain(|_, heard| now.since(heard.at) < FORGET_AFTER);
+    fn expire_remotes(&mut self, now: Moment) {
+        for remotes in self.remotes.values_mut() {
+            remotes.retain(|_, heard| now.since(heard.at) < HOST_TTL);
         }
-        self.strangers.retain(|_, strangers| !strangers.is_empty());
+        self.remotes.retain(|_, remotes| !remotes.is_empty());
     }
 }
--- a/components/coordination/src/feed.rs
+++ b/components/coordination/src/read_schedule.rs
@@ -100,7 +100,7 @@
 const START_INTRODUCED: Duration = Duration::from_millis(100);
 
 /// How long a host that starts again waits to be greeted.
-pub const START_GREETING: Duration = Duration::from_millis(25);
+pub const GREETING_WAIT: Duration = Duration::from_millis(25);
 
 /// How long a data centre's hosts may have heard nothing before one that hears from
 /// elsewhere tells them.
@@ -110,7 +110,7 @@
 
 /// How far one host is with one topic.
 #[derive(Clone, Debug)]
-pub struct Feed {
+pub struct ReadSchedule {
     next: Option<u64>,
     reader: bool,
     asking: bool,
@@ -129,13 +129,13 @@
 
 /// What a neighbour's word is good for.
 #[tag]
-pub enum Told {
+pub enum UpdateOutcome {
     /// Its records are to be taken in, but for the first `skip`.
     Apply {
         /// Records known already.
         skip: u64,
         /// Whether this host had failed to read before.
-        back: bool,
+        recovered: bool,
     },
     /// It says nothing new.
     Known,
@@ -143,10 +143,10 @@
     Gap,
 }
 
-impl Feed {
+impl ReadSchedule {
     /// Returns a feed that reads at once.
-    pub fn new(now: Moment) -> Feed {
-        Feed {
+    pub fn new(now: Moment) -> ReadSchedule {
+        ReadSchedule {
             next: None,
             reader: false,
             asking: false,
@@ -161,10 +161,10 @@
     }
 
     /// Returns a feed of a host that starts again, and asks its neighbours first.
-    pub fn restarted(now: Moment) -> Feed {
-        Feed {
-            due: now + START_GREETING * 2,
-            ..Feed::new(now)
+    pub fn restarted(now: Moment) -> ReadSchedule {
+        ReadSchedule {
+            due: now + GREETING_WAIT * 2,
+            ..ReadSchedule::new(now)
         }
     }
 
@@ -173,24 +173,24 @@
     /// Made for the moment at which all hosts lose power: the more there are, the
     /// longer each leaves the store to the others. A host that knows far fewer than it
     /// expects waits to be told of them. `draw` is from 0 to 1.
-    pub fn greeted(&mut self, known: usize, expected: usize, draw: f64, now: Moment) {
+    pub fn neighbours_counted(&mut self, known: usize, expected: usize, draw: f64, now: Moment) {
         if self.next.is_some() || self.failures > 0 {
             return;
         }
         let introduced = match known < expected / 2 {
-            true => (start_spread(expected) / 4).min(START_INTRODUCED),
+            true => (restart_jitter(expected) / 4).min(START_INTRODUCED),
             false => Duration::ZERO,
         };
-        self.due = now + introduced + start_spread(known.max(expected)).mul_f64(draw);
+        self.due = now + introduced + restart_jitter(known.max(expected)).mul_f64(draw);
     }
 
     /// Returns a feed of a host that starts together with its whole site.
     ///
     /// Were each to read at once, a start would cost as many calls as minutes of quiet.
-    pub fn beginning(draw: f64, now: Moment) -> Feed {
-        Feed {
+    pub fn at_site_start(draw: f64, now: Moment) -> ReadSchedule {
+        ReadSchedule {
             due: now + FIRST_PAUSE + FIRST_SPREAD.mul_f64(draw),
-            ..Feed::new(now)
+            ..ReadSchedule::new(now)
         }
     }
 
@@ -213,7 +213,7 @@
     ///
     /// Others lose their patience where nothing is told for longer than that, so a
     /// pause before the read counts.
-    pub fn wait(&self, now: Moment) -> Duration {
+    pub fn read_wait(&self, now: Moment) -> Duration {
         match self.reader {
             true => READ_WAIT.saturating_sub(now.since(self.heard)),
             false => Duration::ZERO,
@@ -229,7 +229,7 @@
     ///
     /// Hosts read all when they start, and often start together: whoever reads
     /// on first does so for the others.
-    pub fn listed(&mut self, next: u64, draw: f64, now: Moment) -> bool {
+    pub fn full_read_finished(&mut self, next: u64, draw: f64, now: Moment) -> bool {
         self.hear(now);
         self.next = Some(next);
         self.reader = false;
@@ -244,7 +244,7 @@
     /// One that could not read the store goes on trying as before, and reads on
     /// from there; any other waits to be told, as if it had read. `draw` is from
     /// 0 to 1.
-    pub fn handed(&mut self, next: u64, draw: f64, now: Moment) {
+    pub fn snapshot_received(&mut self, next: u64, draw: f64, now: Moment) {
         self.hear(now);
         self.missing = false;
         self.next = Some(next);
@@ -254,7 +254,7 @@
     }
 
     /// Notes that this host begins to read.
-    pub fn ask(&mut self) {
+    pub fn begin_read(&mut self) {
         self.asking = true;
     }
 
@@ -263,7 +263,7 @@
     /// The host reads on for its neighbours, unless it gave way to one meanwhile.
     /// One that knows none, as `alone` says, reads no more often than it would
     /// lose its patience: when a whole site starts, nobody knows anybody.
-    pub fn read(&mut self, next: u64, alone: bool, draw: f64, now: Moment) -> bool {
+    pub fn read_finished(&mut self, next: u64, alone: bool, draw: f64, now: Moment) -> bool {
         self.hear(now);
         let brought = self.next != Some(next);
         self.next = Some(next.max(self.next.unwrap_or(0)));
@@ -283,7 +283,7 @@
     ///
     /// Those that were not the reader go on waiting to be told, so that an
     /// outage isn't answered by calls of every host.
-    pub fn failed(&mut self, draw: f64, now: Moment) {
+    pub fn read_failed(&mut self, draw: f64, now: Moment) {
         self.failures += 1;
         self.due = match self.reader {
             true => now + RETRY_PAUSE,
@@ -296,7 +296,7 @@
     /// A host that has met the same trouble leaves it to the neighbour to find
     /// out when the store is back. One that hasn't tries for itself in its turn,
     /// since the store turns single hosts away at times.
-    pub fn heard_trouble(&mut self, draw: f64, now: Moment) {
+    pub fn neighbour_read_failed(&mut self, draw: f64, now: Moment) {
         if self.failures > 0 && !self.reader {
             self.due = now + patience(draw);
         }
@@ -305,7 +305,7 @@
     /// Takes in that a fragment of what a neighbour tells has come; `draw` is from 0 to 1.
     ///
     /// Were this host to read the store meanwhile, so would all others.
-    pub fn coming(&mut self, draw: f64, now: Moment) {
+    pub fn fragment_received(&mut self, draw: f64, now: Moment) {
         let since = *self.coming.get_or_insert(now);
         if !self.reader && now.since(since) < REST_LIMIT {
             self.due = self.due.max(now + REST + SPREAD.mul_f64(draw));
@@ -319,7 +319,7 @@
     /// silent tells the first of them nothing that it could tell the others. The
     /// more have read in vain, the longer the next ones wait. One that lacks records is
     /// served by nobody's reading on.
-    pub fn heard_read(&mut self, draw: f64, now: Moment) {
+    pub fn neighbour_read_started(&mut self, draw: f64, now: Moment) {
         if self.next.is_none() {
             self.leave_start(draw, now);
             return;
@@ -349,14 +349,14 @@
     ///
     /// Of what is read elsewhere, large changes aren't sent between data centres.
     /// This host reads them and tells its neighbours.
-    pub fn lag(&mut self, now: Moment) {
+    pub fn mark_lagging(&mut self, now: Moment) {
         self.due = self.due.min(now);
         self.missing = !self.reader;
         self.lags = true;
     }
 
     /// Returns whether this host reads for its data centre what was read elsewhere.
-    pub fn lags(&self) -> bool {
+    pub fn is_lagging(&self) -> bool {
         self.lags
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// Takes in that the store has forgotten what this host wanted to read.
-    pub fn forgotten(&mut self, now: Moment) {
+    pub fn offset_trimmed(&mut self, now: Moment) {
         self.next = None;
         self.due = now;
     }
@@ -378,24 +378,31 @@
     /// `yields` says that this host gives way where both read; `draw` is from 0
     /// to 1. An older word than this host's own doesn't count as news: it may
     /// come from a neighbour that was paused between reading and telling.
-    pub fn told(&mut self, from: u64, next: u64, yields: bool, draw: f64, now: Moment) -> Told {
+    pub fn update_received(
+        &mut self,
+        from: u64,
+        next: u64,
+        yields: bool,
+        draw: f64,
+        now: Moment,
+    ) -> UpdateOutcome {
         let known = match self.next {
             Some(known) if from <= known => known,
             // Its first reading is due anyway, and not hurried by every word.
-            None if self.failures == 0 => return Told::Gap,
+            None if self.failures == 0 => return UpdateOutcome::Gap,
             // Soon, where no neighbour sends them again, but not at the same
             // moment as all who miss them too.
             _ => {
                 self.due = self.due.min(now + RESEND + SPREAD.mul_f64(draw));
                 self.missing = !self.reader;
-                return Told::Gap;
+                return UpdateOutcome::Gap;
             }
         };
         if next < known {
-            return Told::Known;
+            return UpdateOutcome::Known;
         }
-        let back = std::mem::take(&mut self.failures) > 0;
-        if yields || back || !(self.reader || self.asking) {
+        let recovered = std::mem::take(&mut self.failures) > 0;
+        if yields || recovered || !(self.reader || self.asking) {
             self.reader = false;
             self.asking = false;
             self.due = now + patience(draw);
@@ -403,19 +410,19 @@
         self.hear(now);
         self.next = Some(next);
         self.missing = false;
-        match next > known || back {
-            true => Told::Apply {
+        match next > known || recovered {
+            true => UpdateOutcome::Apply {
                 skip: known - from,
-                back,
+                recovered,
             },
-            false => Told::Known,
+            false => UpdateOutcome::Known,
         }
     }
 }
 
 /// Returns over how long the hosts of a data centre spread what one of them does for all
 /// when they start again.
-pub fn start_spread(neighbours: usize) -> Duration {
+pub fn restart_jitter(neighbours: usize) -> Duration {
     let steps = u32::try_from(neighbours).unwrap_or(u32::MAX);
     START_STEP.saturating_mul(steps).min(FIRST_SPREAD)
 }
--- a/components/coordination/src/recent.rs
+++ b/components/coordination/src/recent_records.rs
@@ -10,30 +10,30 @@
 use bytes::Bytes;
 
 /// Bytes of records kept: a bunch of three hundred endpoints that change at once.
-const LIMIT: usize = 64 * 1024;
+const MAX_BYTES: usize = 64 * 1024;
 
 /// The last records of one topic.
 #[derive(Clone, Debug, Default)]
-pub struct Recent {
+pub struct RecentRecords {
     from: u64,
     size: usize,
     records: VecDeque<Bytes>,
 }
 
-impl Recent {
+impl RecentRecords {
     /// Takes in the record at `offset`.
     ///
     /// One that doesn't follow the last begins anew: what lies between is unknown.
     pub fn push(&mut self, offset: u64, record: Bytes) {
         if offset != self.end() {
-            *self = Recent {
+            *self = RecentRecords {
                 from: offset,
-                ..Recent::default()
+                ..RecentRecords::default()
             };
         }
         self.size += record.len();
         self.records.push_back(record);
-        while self.size > LIMIT {
+        while self.size > MAX_BYTES {
             let Some(oldest) = self.records.pop_front() else {
                 return;
             };
@@ -43,7 +43,7 @@
     }
 
     /// Returns the records from `from` on, nothing where they aren't all here.
-    pub fn since(&self, from: u64) -> Option<Vec<Bytes>> {
+    pub fn records_from(&self, from: u64) -> Option<Vec<Bytes>> {
         if from < self.from || from >= self.end() {
             return None;
         }
--- a/components/coordination/src/relay.rs
+++ b/components/coordination/src/relay.rs
@@ -35,16 +35,16 @@
 /// records at the same moment. Were news passed on only by hosts to which they
 /// are new, the readers would never hear of each other and all go on reading.
 #[derive(Clone, Debug, Default)]
-pub struct Passed {
+pub struct Forwarded {
     readers: BTreeMap<SocketAddr, u64>,
 }
 
-impl Passed {
+impl Forwarded {
     /// Returns whether what `reader` read up to `next` is yet to be passed on, and notes it.
     ///
     /// Each is passed on once, so that nothing goes round where hosts know
     /// different neighbours.
-    pub fn take(&mut self, reader: SocketAddr, next: u64) -> bool {
+    pub fn mark(&mut self, reader: SocketAddr, next: u64) -> bool {
         let last = self.readers.entry(reader).or_default();
         let further = next > *last;
         *last = next.max(*last);
--- a/components/coordination/tests/config_fold.rs
+++ b/components/coordination/tests/config_fold.rs
@@ -1,8 +1,8 @@
 //! The fold of the `config` stream: races, repeats, gaps, and generated histories.
 
 use coordination::config::{
-    Answer, Change, Command, CommandId, Fold, Mark, Record, Refusal, Step, Subject, Unreadable,
-    WINDOW, newer,
+    Answer, Applied, Change, Command, CommandId, Fold, KEPT_COMMANDS, Position, Record, Refusal,
+    Subject, Unreadable, is_newer,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -48,14 +48,14 @@
 
 /// Folds one more command, decided on `revision` by one who has read all.
 fn give(fold: &mut Fold, revision: u64, change: Change) -> Answer {
-    let offset = fold.mark().next;
+    let offset = fold.position().next;
     let command = Command {
-        id: CommandId::draw(offset, offset),
+        id: CommandId::new(offset, offset),
         decided_on: revision,
         change,
     };
     match fold.apply(offset, Ok(Record::Command(command))) {
-        Step::Decided(_, answer) => answer,
+        Applied::Decided(_, answer) => answer,
         other => panic!("{other:?}"),
     }
 }
@@ -144,7 +144,7 @@
         give(&mut fold, 4, put(PEAK)),
         Answer::Accepted { revision: 2 }
     );
-    assert_eq!(fold.mark().revision, 5);
+    assert_eq!(fold.position().revision, 5);
 }
 
 #[test]
@@ -204,31 +204,34 @@
 fn repeats() {
     let mut fold = started();
     let command = Command {
-        id: CommandId::draw(4, 77),
+        id: CommandId::new(4, 77),
         decided_on: 4,
         change: choose("peak"),
     };
     let answer = Answer::Accepted { revision: 5 };
     let repeat = |fold: &mut Fold| {
-        let offset = fold.mark().next;
+        let offset = fold.position().next;
         fold.apply(offset, Ok(Record::Command(command.clone())))
     };
-    assert_eq!(repeat(&mut fold), Step::Decided(command.id, answer.clone()));
+    assert_eq!(
+        repeat(&mut fold),
+        Applied::Decided(command.id, answer.clone())
+    );
     give(&mut fold, 5, choose("ordinary"));
-    assert_eq!(repeat(&mut fold), Step::Repeated(command.id, answer));
-    for n in 0..=WINDOW as u64 {
-        let revision = fold.mark().revision;
+    assert_eq!(repeat(&mut fold), Applied::Repeated(command.id, answer));
+    for n in 0..=KEPT_COMMANDS as u64 {
+        let revision = fold.position().revision;
         give(&mut fold, revision, join("trent-1", n));
     }
     let refusal = Refusal::TooOld;
     assert_eq!(
         repeat(&mut fold),
-        Step::Decided(command.id, Answer::Refused { refusal })
+        Applied::Decided(command.id, Answer::Refused { refusal })
     );
     assert_eq!(fold.config().chosen.as_deref(), Some("ordinary"));
     let snapshot = fold.snapshot().unwrap();
-    assert_eq!(snapshot.recent.len(), WINDOW);
-    assert!(snapshot.touched.len() <= WINDOW);
+    assert_eq!(snapshot.recent.len(), KEPT_COMMANDS);
+    assert!(snapshot.touched.len() <= KEPT_COMMANDS);
 }
 
 // A host is paused while the records it would fold next fall off the log. It
@@ -243,21 +246,21 @@
     give(&mut fold, 5, leave("soar"));
     let snapshot = fold.snapshot().unwrap();
     let missed = Command {
-        id: CommandId::draw(6, 1),
+        id: CommandId::new(6, 1),
         decided_on: 6,
         change: choose("maintenance"),
     };
-    paused.retained_from(6);
+    paused.log_trimmed(6);
     assert!(paused.is_behind());
     let step = paused.apply(6, Ok(Record::Command(missed.clone())));
-    assert_eq!((step, paused.mark().revision), (Step::Passed, 4));
+    assert_eq!((step, paused.position().revision), (Applied::Ignored, 4));
     let step = paused.apply(7, Ok(Record::Snapshot(Box::new(stale))));
-    assert_eq!(step, Step::Passed, "the records after it are gone");
+    assert_eq!(step, Applied::Ignored, "the records after it are gone");
     let step = paused.apply(8, Ok(Record::Snapshot(Box::new(snapshot.clone()))));
-    assert_eq!(step, Step::Took(snapshot.mark()));
-    assert_eq!((paused.position(), paused.is_behind()), (6, false));
+    assert_eq!(step, Applied::Replaced(snapshot.position()));
+    assert_eq!((paused.read_offset(), paused.is_behind()), (6, false));
     let ahead = paused.apply(9, Ok(Record::Command(missed.clone())));
-    assert_eq!((ahead, paused.is_behind()), (Step::Passed, false));
+    assert_eq!((ahead, paused.is_behind()), (Applied::Ignored, false));
     for fold in [&mut paused, &mut fold] {
         fold.apply(6, Ok(Record::Command(missed.clone())));
     }
@@ -272,14 +275,14 @@
     let mut updated = fold.clone();
     give(&mut updated, 4, choose("peak"));
     let step = fold.apply(4, Err(Unreadable::Newer(2)));
-    assert_eq!(step, Step::Skipped(Unreadable::Newer(2)));
-    assert_eq!((fold.blind(), fold.snapshot()), (Some(4), None));
+    assert_eq!(step, Applied::Skipped(Unreadable::Newer(2)));
+    assert_eq!((fold.skipped_newer(), fold.snapshot()), (Some(4), None));
     give(&mut fold, 4, leave("soar"));
     give(&mut updated, 4, leave("soar"));
     let snapshot = updated.snapshot().unwrap();
     fold.apply(6, Ok(Record::Snapshot(Box::new(snapshot))));
     assert_eq!(fold.config(), updated.config());
-    assert_eq!(fold.blind(), None);
+    assert_eq!(fold.skipped_newer(), None);
 }
 
 // Every entry host was gone for longer than the log keeps records, and an
@@ -289,31 +292,31 @@
 fn begun_anew() {
     let mut paused = started();
     let mut new = Fold::default();
-    new.retained_from(60);
+    new.log_trimmed(60);
     assert_eq!(
         new.apply(60, Err(Unreadable::Damaged)),
-        Step::Skipped(Unreadable::Damaged)
+        Applied::Skipped(Unreadable::Damaged)
     );
     let begin = || Ok(Record::Begin(PEAK.to_owned()));
-    let mark = Mark {
+    let mark = Position {
         next: 62,
         revision: 62,
     };
-    assert_eq!(new.apply(61, begin()), Step::Took(mark));
+    assert_eq!(new.apply(61, begin()), Applied::Replaced(mark));
     for n in 4..61 {
         give(&mut paused, 4, join("trent-1", n));
     }
     let late = Command {
-        id: CommandId::draw(60, 1),
+        id: CommandId::new(60, 1),
         decided_on: 60,
         change: leave("soar"),
     };
-    assert_eq!(paused.apply(61, begin()), Step::Took(mark));
+    assert_eq!(paused.apply(61, begin()), Applied::Replaced(mark));
     for fold in [&mut paused, &mut new] {
         fold.apply(62, Ok(Record::Command(late.clone())));
         assert_eq!(
             fold.apply(63, Ok(Record::Begin("name = 3".to_owned()))),
-            Step::Passed
+            Applied::Ignored
         );
         give(fold, 62, leave("trent"));
     }
@@ -331,11 +334,11 @@
     let mut fold = started();
     let old = fold.snapshot().unwrap();
     give(&mut fold, 4, choose("peak"));
-    assert!(!newer(fold.mark(), old.mark()));
-    assert!(!fold.take(old.clone()));
+    assert!(!is_newer(fold.position(), old.position()));
+    assert!(!fold.take_snapshot(old.clone()));
     let mut other = Fold::default();
-    assert!(other.take(fold.snapshot().unwrap()));
-    assert!(!other.take(old));
+    assert!(other.take_snapshot(fold.snapshot().unwrap()));
+    assert!(!other.take_snapshot(old));
     assert_eq!(other.config(), fold.config());
 }
 
@@ -382,8 +385,8 @@
         let earlier = |back: usize| records.len().checked_sub(1 + back);
         let record = match event {
             Event::Give { change, behind } => Ok(Record::Command(Command {
-                id: CommandId::draw(offset.saturating_sub(*behind), offset),
-                decided_on: fold.mark().revision.saturating_sub(*behind),
+                id: CommandId::new(offset.saturating_sub(*behind), offset),
+                decided_on: fold.position().revision.saturating_sub(*behind),
                 change: change.clone(),
             })),
             Event::Repeat { back } => match earlier(*back) {
@@ -417,7 +420,7 @@
             let (before, after) = (pair[0].config(), pair[1].config());
             let grown = after.revision - before.revision;
             prop_assert!(grown <= 1 || matches!(record, Ok(Record::Begin(_))));
-            prop_assert!(after.revision <= pair[1].mark().next);
+            prop_assert!(after.revision <= pair[1].position().next);
             prop_assert_eq!(grown == 0, before == after);
             prop_assert!(before.chosen.is_none() || after.preset().is_some());
         }
@@ -450,17 +453,17 @@
         let first = at(pause + gap);
         records.push(Ok(Record::Snapshot(Box::new(end.snapshot().unwrap()))));
         let mut host = folds[pause].clone();
-        host.retained_from(first as u64);
-        let mut shown = host.mark().revision;
+        host.log_trimmed(first as u64);
+        let mut shown = host.position().revision;
         let mut reads = 0;
-        while host.position() < records.len() as u64 {
-            let offset = host.position();
+        while host.read_offset() < records.len() as u64 {
+            let offset = host.read_offset();
             host.apply(offset, records[offset as usize].clone());
             if offset as usize == word {
-                host.take(folds[word].snapshot().unwrap());
+                host.take_snapshot(folds[word].snapshot().unwrap());
             }
-            prop_assert!(host.mark().revision >= shown);
-            shown = host.mark().revision;
+            prop_assert!(host.position().revision >= shown);
+            shown = host.position().revision;
             reads += 1;
             prop_assert!(reads <= 3 * records.len(), "reading never ends");
         }
--- a/components/coordination/tests/site_reader.rs
+++ b/components/coordination/tests/cross_centre_reads.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use coordination::feed::{Feed, Told};
-use coordination::neighbours::TOLD;
+use coordination::neighbours::REMOTE_TARGETS;
+use coordination::read_schedule::{ReadSchedule, UpdateOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::Moment;
@@ -27,7 +27,7 @@
 }
 
 struct Host {
-    feed: Feed,
+    feed: ReadSchedule,
     /// A read under way: when it ends.
     reading: Option<Moment>,
     alive: bool,
@@ -61,7 +61,7 @@
 impl Site {
     fn new(centres: usize, centre: usize, seed: u64, loss: f64) -> Site {
         let host = || Host {
-            feed: Feed::new(Moment(0)),
+            feed: ReadSchedule::new(Moment(0)),
             reading: None,
             alive: true,
             fresh: Moment(0),
@@ -112,8 +112,8 @@
         match host.reading {
             None if host.feed.due() <= now => {
                 let reader = host.feed.is_reader();
-                host.feed.ask();
-                let wait = host.feed.wait(now);
+                host.feed.begin_read();
+                let wait = host.feed.read_wait(now);
                 let answer = if self.store == Store::Silent {
                     SILENCE
                 } else {
@@ -141,7 +141,7 @@
         for other in self.neighbours(at) {
             if self.arrives(other) {
                 let draw = self.random.random();
-                self.hosts[other].feed.heard_read(draw, now);
+                self.hosts[other].feed.neighbour_read_started(draw, now);
             }
         }
     }
@@ -149,11 +149,11 @@
     fn finish(&mut self, at: usize, now: Moment) {
         let draw = self.random.random();
         if self.store == Store::Silent {
-            self.hosts[at].feed.failed(draw, now);
+            self.hosts[at].feed.read_failed(draw, now);
             for other in self.neighbours(at) {
                 if self.arrives(other) {
                     let draw = self.random.random();
-                    self.hosts[other].feed.heard_trouble(draw, now);
+                    self.hosts[other].feed.neighbour_read_failed(draw, now);
                 }
             }
             return;
@@ -161,11 +161,11 @@
         let host = &mut self.hosts[at];
         host.fresh = now;
         let Some(from) = host.feed.next() else {
-            host.feed.listed(self.end, draw, now);
+            host.feed.full_read_finished(self.end, draw, now);
             self.hand_over(at, now);
             return;
         };
-        host.feed.read(self.end, false, draw, now);
+        host.feed.read_finished(self.end, false, draw, now);
         let next = self.end;
         if host.feed.is_reader() {
             self.tell_abroad(at, from, now);
@@ -178,7 +178,9 @@
         for other in self.neighbours(at) {
             if self.hosts[other].feed.next().is_none() && self.arrives(other) {
                 let draw = self.random.random();
-                self.hosts[other].feed.handed(self.end, draw, now);
+                self.hosts[other]
+                    .feed
+                    .snapshot_received(self.end, draw, now);
                 self.hosts[other].fresh = now;
             }
         }
@@ -192,10 +194,19 @@
         }
     }
 
-    fn hear(&mut self, at: usize, reader: usize, from: u64, next: u64, now: Moment) -> Told {
+    fn hear(
+        &mut self,
+        at: usize,
+        reader: usize,
+        from: u64,
+        next: u64,
+        now: Moment,
+    ) -> UpdateOutcome {
         let draw = self.random.random();
-        let told = self.hosts[at].feed.told(from, next, reader < at, draw, now);
-        if told != Told::Gap && next == self.end {
+        let told = self.hosts[at]
+            .feed
+            .update_received(from, next, reader < at, draw, now);
+        if told != UpdateOutcome::Gap && next == self.end {
             self.hosts[at].fresh = now;
         }
         told
@@ -205,7 +216,7 @@
     fn tell_abroad(&mut self, reader: usize, from: u64, now: Moment) {
         let mine = self.centre_of(reader);
         for centre in (0..self.hosts.len() / self.centre).filter(|c| *c != mine) {
-            for place in 0..TOLD.min(self.centre) {
+            for place in 0..REMOTE_TARGETS.min(self.centre) {
                 self.way.push(Abroad {
                     at: now + SECOND_AFTER * place as u32,
                     to: centre * self.centre + place,
@@ -226,12 +237,12 @@
         let feed = &mut self.hosts[abroad.to].feed;
         match feed.next() {
             None => return,
-            Some(next) if abroad.from > next => return feed.lag(now),
+            Some(next) if abroad.from > next => return feed.mark_lagging(now),
             Some(_) => {}
         }
         let stale = feed.is_stale(now);
         let told = self.hear(abroad.to, abroad.reader, abroad.from, abroad.next, now);
-        if stale || matches!(told, Told::Apply { .. }) {
+        if stale || matches!(told, UpdateOutcome::Apply { .. }) {
             self.tell_centre(abroad.to, abroad.reader, abroad.from, abroad.next, now);
         }
     }
@@ -286,7 +297,7 @@
             if millis % 5_000 == 4_900 {
                 site.cut = None;
                 for host in site.hosts.iter_mut().filter(|h| !h.alive) {
-                    host.feed = Feed::new(now);
+                    host.feed = ReadSchedule::new(now);
                     host.reading = None;
                     host.alive = true;
                     host.fresh = now;
@@ -336,12 +347,15 @@
 #[test]
 fn behind_alone() {
     let mut now = Moment::from_millis(10_000);
-    let mut feed = Feed::new(now);
-    feed.listed(27, 0.5, now);
-    assert_eq!(feed.told(990, 991, true, 0.5, now), Told::Gap);
+    let mut feed = ReadSchedule::new(now);
+    feed.full_read_finished(27, 0.5, now);
+    assert_eq!(
+        feed.update_received(990, 991, true, 0.5, now),
+        UpdateOutcome::Gap
+    );
     let first = now;
     while feed.due() > now {
-        feed.heard_read(1.0, now);
+        feed.neighbour_read_started(1.0, now);
         now = now + Duration::from_millis(50);
         assert!(now.since(first) < BOUND, "it never reads");
     }
--- a/components/coordination/tests/group_joins.rs
+++ b/components/coordination/tests/group_joins.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use coordination::joins::{Joins, TOPICS};
+use coordination::group_joins::{GROUP_TOPICS, GroupJoins};
 use state::Moment;
 
 /// Partitions of all topics, 24 each.
-const PARTS: usize = TOPICS * 24;
+const PARTITIONS: usize = GROUP_TOPICS * 24;
 
 /// The store's group: a part moves when the member that held it has joined again.
 #[derive(Default)]
@@ -31,7 +31,7 @@
         if generation == self.generation {
             self.held.insert(member, listed);
         }
-        let free = PARTS - self.held.values().sum::<usize>();
+        let free = PARTITIONS - self.held.values().sum::<usize>();
         let more = free.min(fair - listed);
         if more > 0 {
             self.held.insert(member, listed + more);
@@ -42,7 +42,7 @@
     fn fair(&self, member: usize) -> usize {
         let count = self.members.len();
         let rank = self.members.range(..member).count();
-        PARTS / count + usize::from(rank < PARTS % count)
+        PARTITIONS / count + usize::from(rank < PARTITIONS % count)
     }
 }
 
@@ -56,7 +56,7 @@
 fn play_from(mut due: Vec<Moment>, seconds: u64) -> (Vec<usize>, usize) {
     let hosts = due.len();
     let mut group = Group::default();
-    let mut joins = vec![Joins::default(); hosts];
+    let mut joins = vec![GroupJoins::default(); hosts];
     let mut known = vec![0; hosts];
     let mut calls = 0;
     for millis in 0..seconds * 1_000 {
@@ -65,13 +65,13 @@
             if due[host] > now {
                 continue;
             }
-            let (generation, parts) = group.join(host, joins[host].generation());
-            known[host] = parts;
-            let pause = joins[host].joined(generation, parts);
+            let (generation, partitions) = group.join(host, joins[host].generation());
+            known[host] = partitions;
+            let pause = joins[host].join_succeeded(generation, partitions);
             due[host] = now + pause.max(Duration::from_millis(4));
             calls += 1;
             assert!(
-                known.iter().sum::<usize>() <= PARTS,
+                known.iter().sum::<usize>() <= PARTITIONS,
                 "more than all is dealt"
             );
         }
@@ -83,7 +83,7 @@
 /// repeat a request, nor keep connections; the first to join holds all parts until it
 /// joins again.
 #[test]
-fn parts_in_time() {
+fn partitions_in_time() {
     for hosts in [13, 94, 472] {
         let (known, _) = play(hosts, 8);
         let without = known.iter().filter(|n| **n == 0).count();
--- a/components/coordination/tests/large_messages.rs
+++ b/components/coordination/tests/large_messages.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use coordination::fragment_queue::FragmentQueue;
 use coordination::fragments::{
-    Fragment, Fragments, Lacking, MessageKey, Source, Taken, cut, relay_order, spread,
+    Fragment, FragmentRequest, Inserted, MessageKey, Reassembly, RequestTarget, assign_relays,
+    relay_order, split,
 };
-use coordination::outbox::Outbox;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::Moment;
@@ -27,12 +28,12 @@
 #[derive(Clone)]
 enum Sent {
     Fragment(Fragment),
-    Lacking(Lacking),
+    FragmentRequest(FragmentRequest),
 }
 
 struct Host {
-    fragments: Fragments,
-    outbox: Outbox<()>,
+    fragments: Reassembly,
+    outbox: FragmentQueue<()>,
     paused_until: Moment,
     whole_at: Option<Moment>,
     alive: bool,
@@ -55,8 +56,8 @@
         let address =
             |n: usize| SocketAddr::from(([10, 1, (n / 200) as u8, (n % 200) as u8], 7540));
         let host = |_| Host {
-            fragments: Fragments::default(),
-            outbox: Outbox::default(),
+            fragments: Reassembly::default(),
+            outbox: FragmentQueue::default(),
             paused_until: Moment(0),
             whole_at: None,
             alive: true,
@@ -82,11 +83,11 @@
     fn spread(&mut self, origin: usize, now: Moment) -> MessageKey {
         let others = self.others(origin);
         let me = self.addresses[origin];
-        let fragments = cut(me, &self.message, self.hosts.len());
+        let fragments = split(me, &self.message, self.hosts.len());
         let host = &mut self.hosts[origin];
-        host.fragments.keep(&fragments, now);
+        host.fragments.insert_own(&fragments, now);
         host.whole_at = Some(now);
-        for (to, fragment) in spread(me, &fragments, &others) {
+        for (to, fragment) in assign_relays(me, &fragments, &others) {
             assert!(host.outbox.push(to, (), fragment));
         }
         fragments[0].message
@@ -113,15 +114,15 @@
                 }
             }
             if host.alive
-                && let Some((source, lacking)) = host.fragments.ask(key, SILENCE, now)
+                && let Some((source, lacking)) = host.fragments.next_request(key, SILENCE, now)
             {
                 let to = match source {
-                    Source::Origin(origin) => {
+                    RequestTarget::Origin(origin) => {
                         self.addresses.binary_search(&origin).expect("a host")
                     }
-                    Source::Any => draw,
+                    RequestTarget::Any => draw,
                 };
-                way.push((me, to, Sent::Lacking(lacking)));
+                way.push((me, to, Sent::FragmentRequest(lacking)));
             }
         }
         for (from, to, sent) in way {
@@ -134,11 +135,11 @@
     fn arrive(&mut self, from: usize, me: usize, sent: &Sent, now: Moment) {
         match sent {
             Sent::Fragment(fragment) => self.take(me, fragment, now),
-            Sent::Lacking(_) if self.hosts[me].outbox.is_busy() => {}
-            Sent::Lacking(lacking) => {
+            Sent::FragmentRequest(_) if self.hosts[me].outbox.is_busy() => {}
+            Sent::FragmentRequest(lacking) => {
                 let to = self.addresses[from];
                 let host = &mut self.hosts[me];
-                for fragment in host.fragments.again(lacking, now) {
+                for fragment in host.fragments.resend(lacking, now) {
                     host.outbox.push(to, (), fragment);
                 }
             }
@@ -150,18 +151,18 @@
         let address = self.addresses[me];
         let host = &mut self.hosts[me];
         host.received += fragment.bytes.len();
-        match host.fragments.take(fragment, now) {
-            Taken::Useless => return,
-            Taken::New => {}
-            Taken::Whole(message) => {
+        match host.fragments.insert(fragment, now) {
+            Inserted::Ignored => return,
+            Inserted::New => {}
+            Inserted::Complete(message) => {
                 assert_eq!(message, self.message);
                 host.whole_at = Some(now);
             }
         }
-        if fragment.spread {
+        if fragment.relay {
             for to in relay_order(address, fragment.origin, others) {
                 let mut copy = fragment.clone();
-                copy.spread = false;
+                copy.relay = false;
                 host.outbox.push(to, (), copy);
             }
         }
@@ -284,7 +285,7 @@
     }
     let rest = &centre.hosts[1..];
     assert!(rest.iter().all(|h| h.whole_at.is_none()));
-    assert!(rest.iter().all(|h| !h.fragments.awaits(key)));
+    assert!(rest.iter().all(|h| !h.fragments.is_incomplete(key)));
 }
 
 /// A damaged fragment, or one that claims what can't be, neither makes a message nor
@@ -293,27 +294,27 @@
 fn bad_fragments() {
     let origin = SocketAddr::from(([10, 1, 0, 1], 7540));
     let now = Moment::from_millis(1);
-    let good = cut(origin, &Bytes::from(vec![7; 40_000]), 3);
-    let mut fragments = Fragments::default();
+    let good = split(origin, &Bytes::from(vec![7; 40_000]), 3);
+    let mut fragments = Reassembly::default();
     let mut claims = good[0].clone();
     claims.message.count = u32::MAX;
-    assert_eq!(fragments.take(&claims, now), Taken::Useless);
+    assert_eq!(fragments.insert(&claims, now), Inserted::Ignored);
     let mut beyond = good[0].clone();
     beyond.number = beyond.message.count;
-    assert_eq!(fragments.take(&beyond, now), Taken::Useless);
+    assert_eq!(fragments.insert(&beyond, now), Inserted::Ignored);
     for (n, fragment) in good.iter().enumerate() {
         let mut damaged = fragment.clone();
         damaged.bytes = Bytes::from(vec![8; fragment.bytes.len()]);
         let expected = match n + 1 == good.len() {
-            true => Taken::Useless,
-            false => Taken::New,
+            true => Inserted::Ignored,
+            false => Inserted::New,
         };
-        assert_eq!(fragments.take(&damaged, now), expected);
+        assert_eq!(fragments.insert(&damaged, now), expected);
     }
     for fragment in &good[1..] {
-        assert_eq!(fragments.take(fragment, now), Taken::New);
+        assert_eq!(fragments.insert(fragment, now), Inserted::New);
     }
-    let whole = Taken::Whole(Bytes::from(vec![7; 40_000]));
-    assert_eq!(fragments.take(&good[0], now), whole);
-    assert_eq!(fragments.take(&good[0], now), Taken::Useless);
+    let whole = Inserted::Complete(Bytes::from(vec![7; 40_000]));
+    assert_eq!(fragments.insert(&good[0], now), whole);
+    assert_eq!(fragments.insert(&good[0], now), Inserted::Ignored);
 }
--- a/components/coordination/tests/neighbours_met.rs
+++ b/components/coordination/tests/neighbour_discovery.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coordination::neighbours::{Contact, Greeted, Neighbours};
+use coordination::neighbours::{Contact, GreetingEffect, Neighbours};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::Moment;
@@ -24,8 +24,8 @@
     for n in 0..count {
         for middle in 0..2 {
             if middle != n {
-                hosts[usize::from(n)].greeted(address(middle), "d", at(0));
-                hosts[usize::from(middle)].greeted(address(n), "d", at(0));
+                hosts[usize::from(n)].greeting_received(address(middle), "d", at(0));
+                hosts[usize::from(middle)].greeting_received(address(n), "d", at(0));
             }
         }
     }
@@ -45,15 +45,15 @@
             let me = address(n as u8);
             let known = hosts[n].current(now);
             for other in known {
-                hosts[usize::from(last(other))].greeted(me, "d", now);
+                hosts[usize::from(last(other))].greeting_received(me, "d", now);
             }
-            let Some(asked) = hosts[n].ask(random.random()) else {
+            let Some(asked) = hosts[n].next_query(random.random()) else {
                 continue;
             };
-            let named = hosts[usize::from(last(asked))].of("d", now);
+            let named = hosts[usize::from(last(asked))].hosts_of("d", now);
             for other in named {
-                if hosts[n].meet(other, now) {
-                    hosts[usize::from(last(other))].greeted(me, "d", now);
+                if hosts[n].add(other, now) {
+                    hosts[usize::from(last(other))].greeting_received(me, "d", now);
                 }
             }
         }
@@ -75,25 +75,40 @@
 #[test]
 fn strangers_introduced() {
     let mut seed = Neighbours::new(address(1), "a");
-    assert_eq!(seed.greeted(address(7), "d", at(1)), Greeted::NewStranger);
-    assert_eq!(seed.greeted(address(7), "d", at(1)), Greeted::Stranger);
-    assert_eq!(seed.greeted(address(8), "d", at(1)), Greeted::NewStranger);
-    assert_eq!(seed.of("d", at(2)), [address(7), address(8)]);
-    assert!(seed.of("c", at(2)).is_empty());
+    assert_eq!(
+        seed.greeting_received(address(7), "d", at(1)),
+        GreetingEffect::NewRemote
+    );
+    assert_eq!(
+        seed.greeting_received(address(7), "d", at(1)),
+        GreetingEffect::Remote
+    );
+    assert_eq!(
+        seed.greeting_received(address(8), "d", at(1)),
+        GreetingEffect::NewRemote
+    );
+    assert_eq!(seed.hosts_of("d", at(2)), [address(7), address(8)]);
+    assert!(seed.hosts_of("c", at(2)).is_empty());
     assert!(seed.is_empty());
-    assert!(seed.of("d", at(60)).is_empty());
+    assert!(seed.hosts_of("d", at(60)).is_empty());
 }
 
 /// A neighbour was replaced at another address: it isn't told for ever.
 #[test]
 fn silent_forgotten() {
     let mut host = Neighbours::new(address(1), "d");
-    assert_eq!(host.greeted(address(2), "d", at(1)), Greeted::New);
-    assert_eq!(host.greeted(address(2), "d", at(2)), Greeted::Known);
-    assert!(!host.meet(address(1), at(2)));
-    assert!(host.meet(address(3), at(2)));
+    assert_eq!(
+        host.greeting_received(address(2), "d", at(1)),
+        GreetingEffect::New
+    );
+    assert_eq!(
+        host.greeting_received(address(2), "d", at(2)),
+        GreetingEffect::Known
+    );
+    assert!(!host.add(address(1), at(2)));
+    assert!(host.add(address(3), at(2)));
     assert_eq!(host.current(at(10)).len(), 2);
-    host.greeted(address(3), "d", at(15));
+    host.greeting_received(address(3), "d", at(15));
     assert_eq!(host.current(at(25)), [address(3)]);
     assert!(host.current(at(15) + Duration::from_secs(30)).is_empty());
 }
@@ -104,9 +119,9 @@
 fn contacts_kept() {
     let mut host = Neighbours::new(address(1), "a");
     for (centre, n) in [("b", 9), ("b", 8), ("c", 7)] {
-        host.greeted(address(n), centre, at(1));
+        host.greeting_received(address(n), centre, at(1));
     }
-    host.hear_of(
+    host.add_remote(
         Contact {
             centre: "b".to_owned(),
             address: address(2),
@@ -114,8 +129,12 @@
         at(1),
     );
     let b = vec![address(8), address(9)];
-    assert_eq!(host.contacts(at(2)), [b, vec![address(7)]]);
-    assert!(host.named(at(2)).iter().all(|c| c.address != address(2)));
-    host.greeted(address(7), "c", at(20));
-    assert_eq!(host.contacts(at(30)), [vec![address(7)]]);
+    assert_eq!(host.remote_targets(at(2)), [b, vec![address(7)]]);
+    assert!(
+        host.remote_sample(at(2))
+            .iter()
+            .all(|c| c.address != address(2))
+    );
+    host.greeting_received(address(7), "c", at(20));
+    assert_eq!(host.remote_targets(at(30)), [vec![address(7)]]);
 }
--- a/components/coordination/tests/store_feed.rs
+++ b/components/coordination/tests/read_schedule.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coordination::feed::{Feed, READ_WAIT, Told};
+use coordination::read_schedule::{READ_WAIT, ReadSchedule, UpdateOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::Moment;
@@ -23,7 +23,7 @@
 }
 
 struct Host {
-    feed: Feed,
+    feed: ReadSchedule,
     /// A read under way: when it ends.
     reading: Option<Moment>,
     alive: bool,
@@ -35,7 +35,7 @@
 impl Site {
     fn new(hosts: usize, seed: u64, loss: f64) -> Site {
         let host = |_| Host {
-            feed: Feed::new(Moment(0)),
+            feed: ReadSchedule::new(Moment(0)),
             reading: None,
             alive: true,
             turned_away: false,
@@ -57,8 +57,8 @@
             match host.reading {
                 _ if !host.alive => {}
                 None if host.feed.due() <= now => {
-                    host.feed.ask();
-                    host.reading = Some(now + host.feed.wait(now).max(ANSWER));
+                    host.feed.begin_read();
+                    host.reading = Some(now + host.feed.read_wait(now).max(ANSWER));
                     self.reads += 1;
                 }
                 Some(ends) => {
@@ -78,31 +78,32 @@
         let alone = self.hosts.len() == 1;
         let host = &mut self.hosts[at];
         if host.turned_away {
-            host.feed.failed(draw, now);
+            host.feed.read_failed(draw, now);
             for other in (0..self.hosts.len()).filter(|o| *o != at) {
                 if self.arrives(other) {
                     let draw = self.random.random();
-                    self.hosts[other].feed.heard_trouble(draw, now);
+                    self.hosts[other].feed.neighbour_read_failed(draw, now);
                 }
             }
             return;
         }
         let Some(from) = host.feed.next() else {
-            host.feed.listed(self.end, draw, now);
+            host.feed.full_read_finished(self.end, draw, now);
             host.fresh = now;
             return;
         };
-        host.feed.read(self.end, alone, draw, now);
+        host.feed.read_finished(self.end, alone, draw, now);
         host.fresh = now;
         for other in (0..self.hosts.len()).filter(|o| *o != at) {
             if !self.arrives(other) {
                 continue;
             }
             let draw = self.random.random();
-            let told = self.hosts[other]
-                .feed
-                .told(from, self.end, at < other, draw, now);
-            if told != Told::Gap {
+            let told =
+                self.hosts[other]
+                    .feed
+                    .update_received(from, self.end, at < other, draw, now);
+            if told != UpdateOutcome::Gap {
                 self.hosts[other].fresh = now;
             }
         }
@@ -177,7 +178,7 @@
                 for host in &mut site.hosts {
                     if !host.alive {
                         *host = Host {
-                            feed: Feed::new(now),
+                            feed: ReadSchedule::new(now),
                             reading: None,
                             alive: true,
                             turned_away: false,
@@ -230,13 +231,13 @@
 /// A neighbour was paused between reading and telling: its word is old.
 #[test]
 fn stale_word() {
-    let mut feed = Feed::new(Moment(0));
-    feed.ask();
-    feed.listed(10, 0.5, Moment(0));
+    let mut feed = ReadSchedule::new(Moment(0));
+    feed.begin_read();
+    feed.full_read_finished(10, 0.5, Moment(0));
     let due = feed.due();
     assert_eq!(
-        feed.told(5, 9, true, 0.5, Moment::from_millis(900)),
-        Told::Known
+        feed.update_received(5, 9, true, 0.5, Moment::from_millis(900)),
+        UpdateOutcome::Known
     );
     assert_eq!(feed.due(), due);
 }
@@ -245,16 +246,19 @@
 /// it must not pass them over.
 #[test]
 fn missing_records() {
-    let mut feed = Feed::new(Moment(0));
-    feed.ask();
-    feed.listed(10, 0.5, Moment(0));
-    assert_eq!(feed.told(12, 14, true, 0.5, Moment(1)), Told::Gap);
+    let mut feed = ReadSchedule::new(Moment(0));
+    feed.begin_read();
+    feed.full_read_finished(10, 0.5, Moment(0));
+    assert_eq!(
+        feed.update_received(12, 14, true, 0.5, Moment(1)),
+        UpdateOutcome::Gap
+    );
     assert_eq!(feed.next(), Some(10));
-    let applied = Told::Apply {
+    let applied = UpdateOutcome::Apply {
         skip: 2,
-        back: false,
+        recovered: false,
     };
-    assert_eq!(feed.told(8, 14, true, 0.5, Moment(2)), applied);
+    assert_eq!(feed.update_received(8, 14, true, 0.5, Moment(2)), applied);
     assert_eq!(feed.next(), Some(14));
 }
 
@@ -264,21 +268,28 @@
 #[test]
 fn first_start() {
     let start = Moment(0);
-    let mut feeds: Vec<Feed> = (0..40)
-        .map(|n| Feed::beginning(f64::from(n) / 40.0, start))
+    let mut feeds: Vec<ReadSchedule> = (0..40)
+        .map(|n| ReadSchedule::at_site_start(f64::from(n) / 40.0, start))
         .collect();
-    let first = feeds.iter().map(Feed::due).min().expect("there are some");
+    let first = feeds
+        .iter()
+        .map(ReadSchedule::due)
+        .min()
+        .expect("there are some");
     let handed_over = first + Duration::from_millis(300);
     let reads = feeds.iter().filter(|f| f.due() <= handed_over).count();
     assert!(reads <= 8, "{reads} of 40 read for themselves");
     for feed in &mut feeds {
         let due = feed.due();
-        assert_eq!(feed.told(3, 4, true, 0.0, first), Told::Gap);
+        assert_eq!(
+            feed.update_received(3, 4, true, 0.0, first),
+            UpdateOutcome::Gap
+        );
         assert_eq!(feed.due(), due);
-        feed.handed(4, 0.5, handed_over);
+        feed.snapshot_received(4, 0.5, handed_over);
         assert!(feed.due() > handed_over + READ_WAIT);
-        let next = feed.told(4, 5, true, 0.0, handed_over);
-        assert!(matches!(next, Told::Apply { skip: 0, .. }));
+        let next = feed.update_received(4, 5, true, 0.0, handed_over);
+        assert!(matches!(next, UpdateOutcome::Apply { skip: 0, .. }));
     }
 }
 
@@ -286,11 +297,11 @@
 /// go on trying the store: what it was handed grows old.
 #[test]
 fn handed_while_away() {
-    let mut feed = Feed::new(Moment(0));
-    feed.ask();
-    feed.failed(0.5, Moment(0));
+    let mut feed = ReadSchedule::new(Moment(0));
+    feed.begin_read();
+    feed.read_failed(0.5, Moment(0));
     let due = feed.due();
-    feed.handed(7, 0.5, Moment::from_millis(10));
+    feed.snapshot_received(7, 0.5, Moment::from_millis(10));
     assert_eq!((feed.due(), feed.next()), (due, Some(7)));
 }
 
@@ -301,17 +312,17 @@
 #[test]
 fn fragments_awaited() {
     let start = Moment::from_millis(10_000);
-    let mut feed = Feed::new(start);
-    feed.listed(7, 0.0, start);
+    let mut feed = ReadSchedule::new(start);
+    feed.full_read_finished(7, 0.0, start);
     let mut now = feed.due();
     for _ in 0..5 {
-        feed.coming(0.0, now);
+        feed.fragment_received(0.0, now);
         assert!(feed.due() > now, "it reads though the rest is coming");
         now = now + Duration::from_millis(100);
     }
     let first = now;
     while feed.due() > now {
-        feed.coming(1.0, now);
+        feed.fragment_received(1.0, now);
         now = now + Duration::from_millis(100);
         assert!(now.since(first) < BOUND, "it never reads");
     }
--- a/components/coordination/tests/recent_records.rs
+++ b/components/coordination/tests/recent_records.rs
@@ -1,7 +1,7 @@
 //! What neighbours that missed records are given.
 
 use bytes::Bytes;
-use coordination::recent::Recent;
+use coordination::recent_records::RecentRecords;
 
 fn record(n: u8) -> Bytes {
     Bytes::from(vec![n; 100])
@@ -10,33 +10,33 @@
 /// A host misses a datagram. It gets just what it lacks, in order.
 #[test]
 fn from_anywhere() {
-    let mut recent = Recent::default();
+    let mut recent = RecentRecords::default();
     (0..5).for_each(|n| recent.push(40 + u64::from(n), record(n)));
-    assert_eq!(recent.since(43), Some(vec![record(3), record(4)]));
-    assert_eq!(recent.since(40).map(|r| r.len()), Some(5));
-    assert_eq!(recent.since(39), None);
-    assert_eq!(recent.since(45), None);
+    assert_eq!(recent.records_from(43), Some(vec![record(3), record(4)]));
+    assert_eq!(recent.records_from(40).map(|r| r.len()), Some(5));
+    assert_eq!(recent.records_from(39), None);
+    assert_eq!(recent.records_from(45), None);
 }
 
 /// The store forgot its history and this host began anew: what it knew before
 /// doesn't lead to what it knows now, and a neighbour must not be told that it does.
 #[test]
 fn no_bridge() {
-    let mut recent = Recent::default();
+    let mut recent = RecentRecords::default();
     recent.push(7, record(1));
     recent.push(20, record(2));
-    assert_eq!(recent.since(7), None);
-    assert_eq!(recent.since(8), None);
-    assert_eq!(recent.since(20), Some(vec![record(2)]));
+    assert_eq!(recent.records_from(7), None);
+    assert_eq!(recent.records_from(8), None);
+    assert_eq!(recent.records_from(20), Some(vec![record(2)]));
 }
 
 #[test]
 fn bounded() {
-    let mut recent = Recent::default();
+    let mut recent = RecentRecords::default();
     (0..2_000).for_each(|n| recent.push(n, record(0)));
-    assert_eq!(recent.since(0), None);
-    let kept = recent.since(1_999 - 600).expect("the last are kept");
+    assert_eq!(recent.records_from(0), None);
+    let kept = recent.records_from(1_999 - 600).expect("the last are kept");
     assert_eq!(kept.len(), 601);
     recent.push(2_000, Bytes::from(vec![0; 1 << 20]));
-    assert_eq!(recent.since(2_000), None);
+    assert_eq!(recent.records_from(2_000), None);
 }
--- a/components/coordination/tests/snapshot_timer.rs
+++ b/components/coordination/tests/snapshot_timer.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use coordination::config::{LogView, SnapshotTimer, Spacing};
+use coordination::config::{LogView, SnapshotPolicy, SnapshotTimer};
 use rstest::rstest;
 use state::Moment;
 
-const SPACING: Spacing = Spacing {
-    time: Duration::from_secs(100),
-    records: 50,
+const POLICY: SnapshotPolicy = SnapshotPolicy {
+    max_age: Duration::from_secs(100),
+    max_records: 50,
     jitter: Duration::from_secs(2),
 };
 
@@ -34,9 +34,9 @@
     #[case] seconds: u64,
     #[case] due: bool,
 ) {
-    let mut timer = SnapshotTimer::new(SPACING, at(0));
+    let mut timer = SnapshotTimer::new(POLICY, at(0));
     if let Some(offset) = last {
-        timer.saw(offset, at(0));
+        timer.snapshot_seen(offset, at(0));
     }
     assert_eq!(timer.is_due(LogView { first, next }, at(seconds), 0.0), due);
 }
@@ -46,9 +46,8 @@
 #[test]
 fn one_of_many() {
     let view = LogView { first: 3, next: 10 };
-    let mut timers: Vec<SnapshotTimer> = (0..17)
-        .map(|_| SnapshotTimer::new(SPACING, at(0)))
-        .collect();
+    let mut timers: Vec<SnapshotTimer> =
+        (0..17).map(|_| SnapshotTimer::new(POLICY, at(0))).collect();
     let mut appended = 0;
     for tick in 0..60 {
         let now = Moment::from_millis(tick * 50);
@@ -59,7 +58,7 @@
         });
         if due.count() > 0 {
             appended += 1;
-            timers.iter_mut().for_each(|t| t.saw(11, now));
+            timers.iter_mut().for_each(|t| t.snapshot_seen(11, now));
         }
     }
     assert_eq!(appended, 1);
@@ -68,9 +67,9 @@
 #[test]
 fn failed_append() {
     let view = LogView { first: 3, next: 10 };
-    let mut timer = SnapshotTimer::new(SPACING, at(0));
+    let mut timer = SnapshotTimer::new(POLICY, at(0));
     assert!(timer.is_due(view, at(1), 0.0));
-    timer.tried(at(1), 0.5);
+    timer.append_tried(at(1), 0.5);
     assert!(!timer.is_due(view, at(3), 0.0));
     assert!(timer.is_due(view, at(4), 0.0));
 }
--- a/components/coordination/tests/news_relay.rs
+++ b/components/coordination/tests/update_relay.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coordination::feed::Feed;
-use coordination::relay::{Passed, next_hops};
+use coordination::read_schedule::ReadSchedule;
+use coordination::relay::{Forwarded, next_hops};
 use state::Moment;
 
 /// A reader with a narrow link tells dozens of neighbours: each of them is told
@@ -46,16 +46,16 @@
 fn one_reader_left() {
     let hosts = hosts(26);
     let start = Moment::from_millis(1_000);
-    let mut feeds = vec![Feed::new(start); hosts.len()];
-    let mut passed = vec![Passed::default(); hosts.len()];
+    let mut feeds = vec![ReadSchedule::new(start); hosts.len()];
+    let mut passed = vec![Forwarded::default(); hosts.len()];
     for feed in &mut feeds {
-        feed.listed(100, 0.5, start);
+        feed.full_read_finished(100, 0.5, start);
     }
     let now = start + Duration::from_secs(2);
     let readers = [3, 11, 19];
     for reader in readers {
-        feeds[reader].ask();
-        feeds[reader].read(150, false, 0.5, now);
+        feeds[reader].begin_read();
+        feeds[reader].read_finished(150, false, 0.5, now);
     }
     let mut way: Vec<(usize, SocketAddr)> = Vec::new();
     let hops = |me: usize, reader: SocketAddr| {
@@ -71,8 +71,8 @@
     while !way.is_empty() {
         let (me, reader) = way.remove(0);
         sent += 1;
-        feeds[me].told(100, 150, reader < hosts[me], 0.5, now);
-        if passed[me].take(reader, 150) {
+        feeds[me].update_received(100, 150, reader < hosts[me], 0.5, now);
+        if passed[me].mark(reader, 150) {
             let next = hops(me, reader);
             way.extend(next.into_iter().map(|h| (index(h), reader)));
         }
@@ -87,11 +87,11 @@
 #[test]
 fn passed_once() {
     let reader = hosts(1)[0];
-    let mut passed = Passed::default();
-    assert!(passed.take(reader, 150));
-    assert!(!passed.take(reader, 150));
-    assert!(!passed.take(reader, 140));
-    assert!(passed.take(reader, 151));
+    let mut passed = Forwarded::default();
+    assert!(passed.mark(reader, 150));
+    assert!(!passed.mark(reader, 150));
+    assert!(!passed.mark(reader, 140));
+    assert!(passed.mark(reader, 151));
     passed.retain(|_| false);
-    assert!(passed.take(reader, 150));
+    assert!(passed.mark(reader, 150));
 }
--- a/components/protocol/src/news.rs
+++ b/components/protocol/src/news.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use coordination::fragments::{Fragment, Lacking, MessageKey};
+use coordination::fragments::{Fragment, FragmentRequest, MessageKey};
 use coordination::neighbours::Contact;
 use derives::{tag, value};
 use prost::Message;
@@ -50,7 +50,7 @@
     /// A piece of a message about a topic that fits into no datagram.
     Fragment(Topic, Fragment),
     /// The sender lacks fragments of a message about a topic.
-    Lacking(Topic, Lacking),
+    FragmentRequest(Topic, FragmentRequest),
     /// The sender may ask endpoints hardly any more questions; each request has a number.
     Borrow(u32),
     /// Questions that the receiver may ask in the sender's place.
@@ -212,7 +212,7 @@
     #[prost(uint32, tag = "4")]
     count: u32,
     #[prost(bool, tag = "5")]
-    spread: bool,
+    relay: bool,
     #[prost(bytes = "bytes", tag = "6")]
     bytes: Bytes,
 }
@@ -291,7 +291,7 @@
             Neighbourly::Held(_) => "held",
             Neighbourly::Missing(..) => "missing",
             Neighbourly::Fragment(..) => "fragment",
-            Neighbourly::Lacking(..) => "lacking",
+            Neighbourly::FragmentRequest(..) => "lacking",
             Neighbourly::Borrow(_) | Neighbourly::Lend(_) => "loan",
             Neighbourly::Crashes(_) => "crashes",
             Neighbourly::Limits(_) => "limits",
@@ -341,7 +341,7 @@
                 fragment: Some(WireFragment::from(fragment)),
                 ..WireNews::default()
             },
-            Neighbourly::Lacking(topic, lacking) => WireNews {
+            Neighbourly::FragmentRequest(topic, lacking) => WireNews {
                 topic: number(*topic),
                 lacking: Some(WireLacking {
                     digest: lacking.message.digest,
@@ -447,7 +447,7 @@
             return Ok(Neighbourly::Fragment(topic, fragment.read()?));
         }
         if let Some(lacking) = wire.lacking {
-            return Ok(Neighbourly::Lacking(topic, lacking.read()));
+            return Ok(Neighbourly::FragmentRequest(topic, lacking.read()));
         }
         Ok(Neighbourly::News(News {
             topic,
@@ -476,7 +476,7 @@
             digest: fragment.message.digest,
             number: fragment.number,
             count: fragment.message.count,
-            spread: fragment.spread,
+            relay: fragment.relay,
             bytes: fragment.bytes.clone(),
         }
     }
@@ -491,15 +491,15 @@
             },
             origin: address(&self.origin)?,
             number: self.number,
-            spread: self.spread,
+            relay: self.relay,
             bytes: self.bytes,
         })
     }
 }
 
 impl WireLacking {
-    fn read(self) -> Lacking {
-        Lacking {
+    fn read(self) -> FragmentRequest {
+        FragmentRequest {
             message: MessageKey {
                 digest: self.digest,
                 count: self.count,
--- a/components/protocol/tests/config_record.rs
+++ b/components/protocol/tests/config_record.rs
@@ -12,7 +12,7 @@
 
 fn command(change: Change) -> Command {
     Command {
-        id: CommandId::draw(12, u64::MAX - 3),
+        id: CommandId::new(12, u64::MAX - 3),
         decided_on: 7,
         change,
     }
@@ -62,7 +62,7 @@
         },
     ]) {
         let command = Command {
-            id: CommandId::draw(offset, offset),
+            id: CommandId::new(offset, offset),
             decided_on: offset,
             change,
         };
--- a/components/protocol/tests/news_messages.rs
+++ b/components/protocol/tests/news_messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::fragments::{Fragment, Lacking, MessageKey};
+use coordination::fragments::{Fragment, FragmentRequest, MessageKey};
 use coordination::neighbours::Contact;
 use proptest::prelude::*;
 use protocol::crashes::{Crashes, Ended};
@@ -99,13 +99,13 @@
                 message: message(),
                 origin: "10.1.2.3:7540".parse().expect("an address"),
                 number: 4,
-                spread: true,
+                relay: true,
                 bytes: Bytes::from_static(b"one"),
             },
         ),
-        Neighbourly::Lacking(
+        Neighbourly::FragmentRequest(
             Topic::Endpoints,
-            Lacking {
+            FragmentRequest {
                 message: message(),
                 numbers: vec![0, 7],
             },
--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use coordination::config::{Answer, Change, Command, CommandId, Fold, Record, Refusal, Step};
+use coordination::config::{Answer, Applied, Change, Command, CommandId, Fold, Record, Refusal};
 use derives::value;
 use protocol::record::decode_record;
 use state::Config;
@@ -156,15 +156,15 @@
                 Ok(Record::Command(command)) => Some(command.clone()),
                 _ => None,
             };
-            let before = fold.mark().revision;
+            let before = fold.position().revision;
             let step = fold.apply(offset, record);
             truth
                 .configs
-                .insert(fold.mark().revision, Arc::clone(fold.config()));
-            if let (Some(command), Step::Decided(id, answer)) = (command, step) {
+                .insert(fold.position().revision, Arc::clone(fold.config()));
+            if let (Some(command), Applied::Decided(id, answer)) = (command, step) {
                 truth.decided(id, answer);
-                let changed = fold.mark().revision > before;
-                truth.note(command, changed.then_some(fold.mark().revision));
+                let changed = fold.position().revision > before;
+                truth.note(command, changed.then_some(fold.position().revision));
             }
         }
         truth
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use coordination::config::Spacing;
+use coordination::config::SnapshotPolicy;
 use derives::value;
 use state::Config;
 use tokio::runtime::Runtime;
@@ -104,7 +104,7 @@
         let end = |f: &Arc<Follower>| {
             let fold = f.fold();
             let next = log.journal(transport::log::CONFIG_STREAM).len() as u64;
-            !fold.is_behind() && fold.mark().next == next
+            !fold.is_behind() && fold.position().next == next
         };
         while Instant::now() < deadline && !(0..self.count()).all(|n| end(&self.follower(n))) {
             std::thread::sleep(Duration::from_millis(5));
@@ -147,9 +147,9 @@
         longest_pause: Duration::from_millis(50),
         patience: Duration::from_millis(100),
         kilobytes: Some(1),
-        snapshots: Some(Spacing {
-            time: Duration::from_secs(1),
-            records: 16,
+        snapshots: Some(SnapshotPolicy {
+            max_age: Duration::from_secs(1),
+            max_records: 16,
             jitter: Duration::from_millis(30),
         }),
     };
--- a/components/stand_ins/src/config_run/operators.rs
+++ b/components/stand_ins/src/config_run/operators.rs
@@ -44,11 +44,11 @@
     for number in 0..count {
         let host = draw.random_range(0..hosts.count());
         let fold = hosts.follower(host).fold();
-        let mark = fold.mark();
+        let mark = fold.position();
         let named = draw.random_bool(0.5);
         let stale = draw.random_bool(0.3) && seen_revision > 0;
         let request = CommandRequest {
-            id: named.then(|| CommandId::draw(mark.next, draw.random())),
+            id: named.then(|| CommandId::new(mark.next, draw.random())),
             decided_on: match (stale, named) {
                 (true, _) => Some(seen_revision),
                 (false, true) => Some(mark.revision),
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -36,7 +36,7 @@
 
 fn record(offset: u64, decided_on: u64, change: Change) -> Bytes {
     encode_command(&Command {
-        id: CommandId::draw(offset, 9),
+        id: CommandId::new(offset, 9),
         decided_on,
         change,
     })
@@ -65,7 +65,7 @@
     ];
     let told = Told {
         request: CommandRequest {
-            id: Some(CommandId::draw(3, 9)),
+            id: Some(CommandId::new(3, 9)),
             decided_on: Some(3),
             change: choose("peak"),
         },
@@ -135,7 +135,7 @@
 
 #[test]
 fn planted_silence() {
-    let id = CommandId::draw(3, 9);
+    let id = CommandId::new(3, 9);
     let broken = check(&tell(Outcome::Unknown { id }));
     assert_eq!(broken, [Broken::Unsettled { id }]);
 }
--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/log_calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::joins;
+use coordination::group_joins;
 use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
 use transport::store::{StoreClient, StoreError};
 
@@ -105,10 +105,10 @@
 #[tokio::test]
 async fn all_parts() {
     let (_log, mut store) = started();
-    let topics = joins::topics();
+    let topics = group_joins::group_topics();
     let body = platform::store::join_body("g", "one", &topics, 60.0, 0);
     let alone = store.join(body).await.unwrap();
-    assert_eq!(alone.parts, joins::TOPICS * 12);
+    assert_eq!(alone.parts, group_joins::GROUP_TOPICS * 12);
 }
 
 /// More reads come in a second than the store grants: the rest is refused, and
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -1,6 +1,6 @@
 //! Keeps the operators' orders and the list of endpoints in step with the store.
 //!
-//! `coordination::feed` decides when this host reads; what it reads it tells
+//! `coordination::read_schedule` decides when this host reads; what it reads it tells
 //! its neighbours.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use coordination::feed::{Feed, Told};
+use coordination::read_schedule::{ReadSchedule, UpdateOutcome};
 use platform::endpoint;
 use platform::operator::{self, Subject};
 use platform::store::Record;
@@ -28,7 +28,7 @@
         loop {
             self.wait_due(topic).await;
             let (next, reads) = self.feed(topic, |feed| {
-                feed.ask();
+                feed.begin_read();
                 (feed.next(), feed.is_reader())
             });
             if !reads {
@@ -59,7 +59,7 @@
     }
 
     /// Changes how far this host is with a topic.
-    pub(super) fn feed<R>(&self, topic: Topic, act: impl FnOnce(&mut Feed) -> R) -> R {
+    pub(super) fn feed<R>(&self, topic: Topic, act: impl FnOnce(&mut ReadSchedule) -> R) -> R {
         let mut feeds = self.feeds.borrow_mut();
         match topic {
             Topic::Operators => act(&mut feeds.operators),
@@ -71,11 +71,11 @@
         let now = clock::now();
         let draw = self.draw_share();
         if let StoreError::Forgotten(_) = error {
-            self.feed(topic, |feed| feed.forgotten(now));
+            self.feed(topic, |feed| feed.offset_trimmed(now));
             return;
         }
         let failures = self.feed(topic, |feed| {
-            feed.failed(draw, now);
+            feed.read_failed(draw, now);
             feed.failures()
         });
         if failures == 1 {
@@ -88,13 +88,13 @@
     /// Takes in that a neighbour could not read a topic.
     pub(super) fn take_trouble(&self, topic: Topic) {
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.heard_trouble(draw, clock::now()));
+        self.feed(topic, |feed| feed.neighbour_read_failed(draw, clock::now()));
     }
 
     /// Takes in that a neighbour has begun to read a topic by itself.
     pub(super) fn take_reading(&self, topic: Topic) {
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.heard_read(draw, clock::now()));
+        self.feed(topic, |f| f.neighbour_read_started(draw, clock::now()));
     }
 
     /// Takes in what a host of another data centre has read, for this whole one.
@@ -107,7 +107,7 @@
             if self.awaits(topic) {
                 return;
             }
-            self.feed(topic, |feed| feed.lag(clock::now()));
+            self.feed(topic, |feed| feed.mark_lagging(clock::now()));
             self.sooner.notify_waiters();
             return;
         }
@@ -140,14 +140,16 @@
         topic: Topic,
         from: u64,
     ) -> Result<(), StoreError> {
-        let (wait, lags) = self.feed(topic, |feed| (feed.wait(clock::now()), feed.lags()));
+        let (wait, lags) = self.feed(topic, |feed| {
+            (feed.read_wait(clock::now()), feed.is_lagging())
+        });
         let read = store.read(name(topic), from, wait, None).await?;
         // A neighbour may have told some of it meanwhile.
         let known = self.feed(topic, |feed| feed.next()).unwrap_or(from);
         let alone = self.neighbours.borrow().is_empty();
         let draw = self.draw_share();
         let back = self.feed(topic, |feed| {
-            feed.read(read.next(), alone, draw, clock::now())
+            feed.read_finished(read.next(), alone, draw, clock::now())
         });
         self.note_return(topic, back);
         let skip = usize::try_from(known.saturating_sub(from)).unwrap_or(usize::MAX);
@@ -184,19 +186,19 @@
         let yields = news.reader < self.settings.peers;
         let next = news.next();
         let told = self.feed(news.topic, |feed| {
-            feed.told(news.from, next, yields, draw, now)
+            feed.update_received(news.from, next, yields, draw, now)
         });
-        let (skip, back) = match told {
-            Told::Apply { skip, back } => (skip, back),
-            Told::Known => return false,
-            Told::Gap => {
+        let (skip, recovered) = match told {
+            UpdateOutcome::Apply { skip, recovered } => (skip, recovered),
+            UpdateOutcome::Known => return false,
+            UpdateOutcome::Gap => {
                 if let Some(from) = self.feed(news.topic, |feed| feed.next()) {
                     self.tell(teller, &Neighbourly::Missing(news.topic, from));
                 }
                 return false;
             }
         };
-        self.note_return(news.topic, back);
+        self.note_return(news.topic, recovered);
         let known = news.from + skip;
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         self.take_records(news.topic, known, news.records.iter().skip(skip));
@@ -237,7 +239,9 @@
     ) -> Result<(), StoreError> {
         let (records, end) = newest(store, name(topic)).await?;
         let draw = self.draw_share();
-        let back = self.feed(topic, |feed| feed.listed(end, draw, clock::now()));
+        let back = self.feed(topic, |feed| {
+            feed.full_read_finished(end, draw, clock::now())
+        });
         self.note_return(topic, back);
         let first = !self.knows(topic);
         self.take_all(topic, &records);
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use coordination::fragment_queue::FragmentQueue;
 use coordination::fragments::{
-    self, Fragment, Fragments, KEEP, Lacking, MessageKey, Source, Taken,
+    self, Fragment, FragmentRequest, Inserted, KEEP_TIME, MessageKey, Reassembly, RequestTarget,
 };
-use coordination::outbox::Outbox;
 use protocol::news::{DATAGRAM_LIMIT, Neighbourly, News, Topic};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -28,12 +28,12 @@
 /// Large messages on their way, in and out.
 #[derive(Default)]
 pub(super) struct Large {
-    fragments: Fragments,
+    fragments: Reassembly,
     /// Messages of which fragments are awaited.
     awaited: BTreeMap<MessageKey, Topic>,
     /// News that follow on records in a message that is awaited, and who told them.
     pending: VecDeque<(News, SocketAddr)>,
-    outbox: Outbox<Topic>,
+    outbox: FragmentQueue<Topic>,
 }
 
 impl Gateway {
@@ -49,7 +49,7 @@
             return;
         }
         let fragments = self.cut(&encoded);
-        let queued = |f: &Fragment| self.large.borrow().outbox.holds(to, f.message);
+        let queued = |f: &Fragment| self.large.borrow().outbox.contains(to, f.message);
         if fragments.first().is_some_and(queued) {
             // It asked again before its turn came.
             return;
@@ -69,7 +69,7 @@
             fragments.len(),
             neighbours.len()
         );
-        let pairs = fragments::spread(self.settings.peers, &fragments, &neighbours);
+        let pairs = fragments::assign_relays(self.settings.peers, &fragments, &neighbours);
         self.queue(topic, pairs.into_iter());
     }
 
@@ -77,16 +77,19 @@
     fn cut(self: &Rc<Self>, message: &Bytes) -> Vec<Fragment> {
         let now = clock::now();
         let count = self.neighbours.borrow_mut().current(now).len();
-        let fragments = fragments::cut(self.settings.peers, message, count + 1);
-        self.large.borrow_mut().fragments.keep(&fragments, now);
+        let fragments = fragments::split(self.settings.peers, message, count + 1);
+        self.large
+            .borrow_mut()
+            .fragments
+            .insert_own(&fragments, now);
         spawn_local(Rc::clone(self).forget_later());
         fragments
     }
 
     /// Gives the memory of messages back that nobody asks for any more.
     async fn forget_later(self: Rc<Self>) {
-        sleep(KEEP).await;
-        self.large.borrow_mut().fragments.forget(clock::now());
+        sleep(KEEP_TIME).await;
+        self.large.borrow_mut().fragments.expire(clock::now());
     }
 
     fn queue(&self, topic: Topic, pairs: impl Iterator<Item = (SocketAddr, Fragment)>) {
@@ -122,17 +125,17 @@
     /// Takes in a fragment, and passes it on where it is asked to.
     pub(super) fn take_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
         let now = clock::now();
-        let taken = self.large.borrow_mut().fragments.take(fragment, now);
-        if taken == Taken::Useless {
+        let taken = self.large.borrow_mut().fragments.insert(fragment, now);
+        if taken == Inserted::Ignored {
             return;
         }
-        if fragment.spread {
+        if fragment.relay {
             self.relay(topic, fragment);
         }
         match taken {
-            Taken::Useless => {}
-            Taken::New => self.await_rest(topic, fragment.message),
-            Taken::Whole(message) => {
+            Inserted::Ignored => {}
+            Inserted::New => self.await_rest(topic, fragment.message),
+            Inserted::Complete(message) => {
                 self.large.borrow_mut().awaited.remove(&fragment.message);
                 log::info!(
                     "E0423 message-whole topic={topic:?} bytes={} origin={}",
@@ -150,7 +153,7 @@
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let hosts = fragments::relay_order(self.settings.peers, fragment.origin, neighbours);
         let copy = Fragment {
-            spread: false,
+            relay: false,
             ..fragment.clone()
         };
         self.queue(topic, hosts.into_iter().map(|h| (h, copy.clone())));
@@ -167,15 +170,19 @@
 
     fn hold_off(&self, topic: Topic) {
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.coming(draw, clock::now()));
+        self.feed(topic, |feed| feed.fragment_received(draw, clock::now()));
     }
 
     /// Asks for what a message lacks until it is whole, or given up.
     async fn gather(self: Rc<Self>, topic: Topic, message: MessageKey) {
-        while self.large.borrow().fragments.awaits(message) {
+        while self.large.borrow().fragments.is_incomplete(message) {
             sleep(SILENCE).await;
             let now = clock::now();
-            let ask = self.large.borrow_mut().fragments.ask(message, SILENCE, now);
+            let ask = self
+                .large
+                .borrow_mut()
+                .fragments
+                .next_request(message, SILENCE, now);
             if let Some((source, lacking)) = ask {
                 self.ask_again(topic, source, lacking);
             }
@@ -190,26 +197,26 @@
         self.forget_later().await;
     }
 
-    fn ask_again(&self, topic: Topic, source: Source, lacking: Lacking) {
+    fn ask_again(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
         self.hold_off(topic);
         let draw = self.draw();
         let to = match source {
-            Source::Origin(origin) => Some(origin),
-            Source::Any => self.neighbours.borrow().any(draw),
+            RequestTarget::Origin(origin) => Some(origin),
+            RequestTarget::Any => self.neighbours.borrow().any(draw),
         };
         if let Some(to) = to {
-            self.tell(to, &Neighbourly::Lacking(topic, lacking));
+            self.tell(to, &Neighbourly::FragmentRequest(topic, lacking));
         }
     }
 
     /// Sends the fragments that a neighbour lacks.
-    pub(super) fn take_lacking(&self, from: SocketAddr, topic: Topic, lacking: &Lacking) {
+    pub(super) fn take_lacking(&self, from: SocketAddr, topic: Topic, lacking: &FragmentRequest) {
         let now = clock::now();
         if self.large.borrow().outbox.is_busy() {
             // It asks again soon.
             return;
         }
-        let fragments = self.large.borrow_mut().fragments.again(lacking, now);
+        let fragments = self.large.borrow_mut().fragments.resend(lacking, now);
         self.queue(topic, fragments.into_iter().map(|f| (from, f)));
     }
 
--- a/components/transport/src/gateway/held.rs
+++ b/components/transport/src/gateway/held.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::feed::START_GREETING;
-use coordination::recent::Recent;
+use coordination::read_schedule::GREETING_WAIT;
+use coordination::recent_records::RecentRecords;
 use platform::store::Record;
 use protocol::news::{Held, Neighbourly, News, Topic};
 use tokio::task::spawn_local;
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub(super) struct Shelf {
     /// The last records, for neighbours that missed some.
-    pub recent: Recent,
+    pub recent: RecentRecords,
     /// Neighbours that asked before this host knew anything.
     askers: BTreeSet<SocketAddr>,
     records: BTreeMap<String, Bytes>,
@@ -94,7 +94,7 @@
 
     /// Waits until a neighbour has greeted this host, not for long.
     async fn await_greeting(&self) {
-        let last = clock::now() + START_GREETING;
+        let last = clock::now() + GREETING_WAIT;
         while self.neighbours.borrow().is_empty() && clock::now() < last {
             sleep(SEEK_STEP).await;
         }
@@ -102,13 +102,13 @@
 
     /// Puts this host's own reading off for the neighbours that have greeted it.
     async fn defer_reading(self: Rc<Self>) {
-        sleep(START_GREETING).await;
+        sleep(GREETING_WAIT).await;
         let known = self.neighbours.borrow().len();
         let expected = self.expected_neighbours();
         for topic in [Topic::Operators, Topic::Endpoints] {
             let draw = self.draw_share();
             self.feed(topic, |feed| {
-                feed.greeted(known, expected, draw, clock::now());
+                feed.neighbours_counted(known, expected, draw, clock::now());
             });
         }
         self.sooner.notify_waiters();
@@ -174,7 +174,13 @@
 
     /// Sends records again that a neighbour missed; it reads the store where it gets none.
     pub(super) fn send_again(self: &Rc<Self>, to: SocketAddr, topic: Topic, from: u64) {
-        let Some(records) = self.shelves.borrow_mut().of(topic).recent.since(from) else {
+        let Some(records) = self
+            .shelves
+            .borrow_mut()
+            .of(topic)
+            .recent
+            .records_from(from)
+        else {
             self.hand_over(to, topic);
             return;
         };
@@ -208,7 +214,7 @@
             records.len()
         );
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.handed(next, draw, clock::now()));
+        self.feed(topic, |f| f.snapshot_received(next, draw, clock::now()));
         self.take_all(topic, &records);
         let askers = std::mem::take(&mut self.shelves.borrow_mut().of(topic).askers);
         if !held.shared {
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -33,8 +33,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use coordination::feed::Feed;
 use coordination::neighbours::Neighbours;
+use coordination::read_schedule::ReadSchedule;
 use protocol::news::Topic;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -80,16 +80,16 @@
 
 /// How far this host is with each topic of the store.
 struct Feeds {
-    operators: Feed,
-    endpoints: Feed,
+    operators: ReadSchedule,
+    endpoints: ReadSchedule,
 }
 
 impl Feeds {
     /// Returns the feeds of a host, which may start `first`, with its whole site.
     fn new(first: bool, draw: f64, now: Moment) -> Feeds {
         let feed = match first {
-            true => Feed::beginning(draw, now),
-            false => Feed::restarted(now),
+            true => ReadSchedule::at_site_start(draw, now),
+            false => ReadSchedule::restarted(now),
         };
         Feeds {
             operators: feed.clone(),
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::neighbours::{self, Contact, Greeted};
+use coordination::neighbours::{self, Contact, GreetingEffect};
 use coordination::relay;
 use protocol::news::{DATAGRAM_LIMIT, Hello, Neighbourly, News, Topic};
 use tokio::net::UdpSocket;
@@ -57,7 +57,7 @@
             self.greet_seeds();
             sleep(SEED_PAUSE).await;
             let known = self.neighbours.borrow();
-            if !known.is_empty() && known.any_stranger(0).is_some() {
+            if !known.is_empty() && known.any_remote(0).is_some() {
                 break;
             }
         }
@@ -70,7 +70,7 @@
                 self.greet_abroad();
             }
             let draw = self.draw();
-            let asked = self.neighbours.borrow_mut().ask(draw);
+            let asked = self.neighbours.borrow_mut().next_query(draw);
             if let Some(neighbour) = asked {
                 self.tell(neighbour, &self.hello(true));
             }
@@ -80,7 +80,7 @@
     /// Greets one host of another data centre, so that some there know this one.
     fn greet_abroad(&self) {
         let draw = self.draw();
-        let stranger = self.neighbours.borrow().any_stranger(draw);
+        let stranger = self.neighbours.borrow().any_remote(draw);
         if let Some(stranger) = stranger {
             self.tell(stranger, &self.hello(false));
         }
@@ -88,7 +88,7 @@
 
     /// Tells other data centres what this host has read.
     pub(super) fn tell_abroad(self: &Rc<Self>, news: &News) {
-        let contacts = self.neighbours.borrow_mut().contacts(clock::now());
+        let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
         let message = Neighbourly::News(news.for_abroad());
         let mut seconds = Vec::new();
         for hosts in contacts {
@@ -126,23 +126,23 @@
         let draw = self.draw();
         let mut known = self.neighbours.borrow_mut();
         for host in &hosts {
-            known.meet(*host, now);
+            known.add(*host, now);
         }
         for contact in &others {
-            known.hear_of(contact.clone(), now);
+            known.add_remote(contact.clone(), now);
         }
         drop(known);
         self.tell_all(&Neighbourly::Hello(Hello {
             centre: self.settings.data_centre.clone(),
             seeks: false,
             neighbours: hosts,
-            contacts: neighbours::some_of_each(others, draw),
+            contacts: neighbours::sample_by_centre(others, draw),
         }));
     }
 
     /// Greets a neighbour that another neighbour names.
     fn meet(&self, address: SocketAddr) {
-        let new = self.neighbours.borrow_mut().meet(address, clock::now());
+        let new = self.neighbours.borrow_mut().add(address, clock::now());
         if new {
             self.tell(address, &self.hello(false));
         }
@@ -219,7 +219,7 @@
             Neighbourly::Held(held) => self.take_held(held),
             Neighbourly::Missing(topic, next) => self.send_again(from, topic, next),
             Neighbourly::Fragment(topic, fragment) => self.take_fragment(topic, &fragment),
-            Neighbourly::Lacking(topic, lacking) => self.take_lacking(from, topic, &lacking),
+            Neighbourly::FragmentRequest(topic, r) => self.take_lacking(from, topic, &r),
             Neighbourly::Hello(hello) => self.take_hello(from, hello),
             Neighbourly::Crashes(crashes) => self.learn_crashes(crashes),
             Neighbourly::Limits(limits) => self.hear_limits(limits),
@@ -238,7 +238,7 @@
             Topic::Operators => &mut neighbours.operators,
             Topic::Endpoints => &mut neighbours.endpoints,
         };
-        passed.take(news.teller, news.next())
+        passed.mark(news.teller, news.next())
     }
 
     fn take_hello(&self, from: SocketAddr, hello: Hello) {
@@ -246,7 +246,7 @@
         let greeted = self
             .neighbours
             .borrow_mut()
-            .greeted(from, &hello.centre, now);
+            .greeting_received(from, &hello.centre, now);
         match greeted {
             _ if hello.seeks => {
                 self.tell(from, &self.list(&hello.centre));
@@ -254,16 +254,16 @@
                     self.tell(from, &crashes);
                 }
             }
-            Greeted::New | Greeted::NewStranger => self.tell(from, &self.hello(false)),
-            Greeted::Known | Greeted::Stranger => {}
+            GreetingEffect::New | GreetingEffect::NewRemote => self.tell(from, &self.hello(false)),
+            GreetingEffect::Known | GreetingEffect::Remote => {}
         }
         for contact in hello.contacts {
-            self.neighbours.borrow_mut().hear_of(contact, now);
+            self.neighbours.borrow_mut().add_remote(contact, now);
         }
         for other in hello.neighbours {
             self.meet(other);
         }
-        if greeted == Greeted::New {
+        if greeted == GreetingEffect::New {
             self.want_all();
         }
     }
@@ -288,8 +288,8 @@
         Neighbourly::Hello(Hello {
             centre: self.settings.data_centre.clone(),
             seeks: false,
-            neighbours: known.of(centre, now),
-            contacts: known.named(now),
+            neighbours: known.hosts_of(centre, now),
+            contacts: known.remote_sample(now),
         })
     }
 
@@ -307,7 +307,7 @@
     pub(super) fn tell_site(&self, message: impl Fn(bool) -> Neighbourly) {
         self.tell_all(&message(false));
         let abroad = message(true);
-        let contacts = self.neighbours.borrow_mut().contacts(clock::now());
+        let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
         for host in contacts.into_iter().flatten() {
             self.tell(host, &abroad);
         }
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -204,7 +204,7 @@
             };
             let known = self.neighbours.borrow();
             let one = known.any(self.draw());
-            let stranger = known.any_stranger(self.draw());
+            let stranger = known.any_remote(self.draw());
             drop(known);
             for host in one.into_iter().chain(stranger) {
                 self.tell(host, &reminder);
--- a/components/transport/src/gateway/share.rs
+++ b/components/transport/src/gateway/share.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::feed::{self, START_GREETING};
-use coordination::joins::{self, Joins};
+use coordination::group_joins::{self, GroupJoins};
 use coordination::neighbours::Contact;
+use coordination::read_schedule::{self, GREETING_WAIT};
 use state::Moment;
 use tokio::time::sleep;
 
@@ -62,9 +62,9 @@
     /// still adds up with those of the others.
     pub(super) async fn keep_share(self: Rc<Self>) {
         let mut store = StoreClient::new(self.settings.log);
-        let topics = joins::topics();
+        let topics = group_joins::group_topics();
         let member = self.member();
-        let mut joins = Joins::default();
+        let mut joins = GroupJoins::default();
         let mut due = clock::now();
         // When a whole site starts, all hosts are in the group only after a moment.
         let mut search = Search::new(clock::now() + SEARCH_PAUSE);
@@ -89,19 +89,19 @@
         store: &mut StoreClient,
         member: &str,
         topics: &[String],
-        joins: &mut Joins,
+        joins: &mut GroupJoins,
     ) -> Duration {
-        let timeout = joins.session().as_secs_f64();
+        let timeout = joins.session_timeout().as_secs_f64();
         let generation = joins.generation();
         let body = platform::store::join_body(GROUP, member, topics, timeout, generation);
         match store.join(body).await {
             Ok(membership) => {
                 self.set_share(membership.parts);
-                joins.joined(membership.generation, membership.parts)
+                joins.join_succeeded(membership.generation, membership.parts)
             }
             Err(error) => {
                 log::warn!("E0315 share-not-renewed error={error:?}");
-                joins.failed()
+                joins.join_failed()
             }
         }
     }
@@ -111,11 +111,12 @@
     /// Made for the moment at which all hosts lose power, and those that the settings
     /// name are back last: one of many asks, and tells the others of each other.
     fn start_pause(&self) -> Duration {
-        START_GREETING + feed::start_spread(self.expected_neighbours()).mul_f64(self.draw_share())
+        GREETING_WAIT
+            + read_schedule::restart_jitter(self.expected_neighbours()).mul_f64(self.draw_share())
     }
 
     fn set_share(&self, parts: usize) {
-        let total = (joins::TOPICS * self.settings.partitions).max(1);
+        let total = (group_joins::GROUP_TOPICS * self.settings.partitions).max(1);
         let share = parts as f64 / total as f64;
         if (share - self.share.get()).abs() > f64::EPSILON {
             log::info!("E0314 share-changed share={share:.3}");
--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::config::{Answer, CommandId, Fold, Mark, Record, Snapshot, Spacing};
+use coordination::config::{Answer, CommandId, Fold, Position, Record, Snapshot, SnapshotPolicy};
 use derives::value;
 use protocol::record::{decode_record, encode_snapshot};
 use state::{Config, Moment};
@@ -30,7 +30,7 @@
     /// Kilobytes of records asked for at once, none for as many as the log gives.
     pub kilobytes: Option<u32>,
     /// When snapshots are due, or none where this follower appends none.
-    pub snapshots: Option<Spacing>,
+    pub snapshots: Option<SnapshotPolicy>,
 }
 
 impl Default for FollowerOptions {
@@ -41,7 +41,7 @@
             longest_pause: Duration::from_secs(1),
             patience: Duration::from_secs(1),
             kilobytes: None,
-            snapshots: Some(Spacing::default()),
+            snapshots: Some(SnapshotPolicy::default()),
         }
     }
 }
@@ -50,7 +50,7 @@
 #[value]
 pub struct Progress {
     /// What has been folded.
-    pub mark: Mark,
+    pub mark: Position,
     /// When the read was sent whose answer showed that nothing more stood on
     /// the log, or none yet. What came later may not be known here.
     pub end_seen: Option<Moment>,
@@ -61,7 +61,7 @@
 impl Default for Progress {
     fn default() -> Progress {
         Progress {
-            mark: Mark::default(),
+            mark: Position::default(),
             end_seen: None,
             trouble: Some("the log has not been read yet".to_owned()),
         }
@@ -159,15 +159,15 @@
     }
 
     /// Returns how far the follower has folded.
-    pub fn mark(&self) -> Mark {
-        lock(&self.shared.fold).mark()
+    pub fn position(&self) -> Position {
+        lock(&self.shared.fold).position()
     }
 
     /// Returns whether the log has dropped records that this host needs, and
     /// holds no snapshot in their place up to `end`.
     pub fn is_lost(&self, end: u64) -> bool {
         let fold = lock(&self.shared.fold);
-        fold.is_behind() && fold.position() >= end
+        fold.is_behind() && fold.read_offset() >= end
     }
 
     /// Waits up to `limit` until every record before `next` is folded; says whether it is. Blocks.
@@ -176,9 +176,9 @@
         let waited = self
             .shared
             .folded
-            .wait_timeout_while(fold, limit, |f| f.mark().next < next)
+            .wait_timeout_while(fold, limit, |f| f.position().next < next)
             .unwrap_or_else(PoisonError::into_inner);
-        waited.0.mark().next >= next
+        waited.0.position().next >= next
     }
 
     /// Reads again at once, in place of waiting out a pause after a failure.
@@ -193,9 +193,12 @@
     /// Takes a peer's snapshot, where it is newer. Returns whether it was.
     pub fn take(&self, snapshot: Snapshot) -> bool {
         let mut fold = lock(&self.shared.fold);
-        let taken = fold.take(snapshot);
+        let taken = fold.take_snapshot(snapshot);
         if taken {
-            log::info!("E0305 config-from-peer revision={}", fold.mark().revision);
+            log::info!(
+                "E0305 config-from-peer revision={}",
+                fold.position().revision
+            );
             self.shared.publish(&fold);
         }
         taken
@@ -204,7 +207,7 @@
     /// Returns the whole state for a peer that has none, or none where there is nothing to hand on.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let fold = lock(&self.shared.fold);
-        match fold.mark().next {
+        match fold.position().next {
             0 => None,
             _ => fold.snapshot(),
         }
@@ -223,9 +226,9 @@
     }
 
     /// Returns the snapshot's record to hand to a peer, with its mark.
-    pub fn offer(&self) -> Option<(Mark, Bytes)> {
+    pub fn offer(&self) -> Option<(Position, Bytes)> {
         let snapshot = self.snapshot()?;
-        Some((snapshot.mark(), encode_snapshot(&snapshot)))
+        Some((snapshot.position(), encode_snapshot(&snapshot)))
     }
 
     /// Returns a copy of the folded state.
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
-use coordination::config::{Answer, Fold, LogView, Record, SnapshotTimer, Step, Unreadable};
+use coordination::config::{Answer, Applied, Fold, LogView, Record, SnapshotTimer, Unreadable};
 use platform::store::Read;
 use protocol::record::{decode_record, encode_snapshot};
 use rand::Rng;
@@ -104,7 +104,7 @@
         self.in_flight += 1;
         let options = &self.shared.options;
         self.next_read = now + options.wait + options.patience;
-        let from = lock(&self.shared.fold).position();
+        let from = lock(&self.shared.fold).read_offset();
         let (wait, kilobytes) = (options.wait, options.kilobytes);
         let client = self.shared.client.waiting(READ_LIMIT);
         let events = self.events.clone();
@@ -140,17 +140,17 @@
 
     fn fold(&mut self, page: &Read, sent: Moment) {
         let mut fold = lock(&self.shared.fold);
-        fold.retained_from(page.first);
+        fold.log_trimmed(page.first);
         for (offset, record) in (page.from..).zip(&page.records) {
             let decoded = decode_record(record);
             note_snapshot(&mut self.timer, offset, &decoded);
             let step = fold.apply(offset, decoded);
             report(offset, &step);
-            if let Step::Decided(_, Answer::Accepted { .. }) = step {
+            if let Applied::Decided(_, Answer::Accepted { .. }) = step {
                 self.shared.announce(&fold);
             }
         }
-        let mark = fold.mark();
+        let mark = fold.position();
         let at_end = !fold.is_behind() && mark.next >= page.end;
         let trouble = trouble(&fold, page);
         self.shared.publish(&fold);
@@ -183,7 +183,7 @@
         if !timer.is_due(view, now, draw.random()) {
             return;
         }
-        timer.tried(now, draw.random());
+        timer.append_tried(now, draw.random());
         let Some(snapshot) = lock(&self.shared.fold).snapshot() else {
             return;
         };
@@ -252,13 +252,13 @@
     decoded: &Result<Record, Unreadable>,
 ) {
     if let (Some(timer), Ok(Record::Snapshot(_))) = (timer, decoded) {
-        timer.saw(offset, clock::now());
+        timer.snapshot_seen(offset, clock::now());
     }
 }
 
 /// Says why the configuration is missing or old, for readiness and status.
 fn trouble(fold: &Fold, page: &Read) -> Option<String> {
-    match fold.blind() {
+    match fold.skipped_newer() {
         _ if fold.is_behind() => Some(format!(
             "the log's records before {} are gone and no snapshot has come yet",
             page.first
@@ -271,25 +271,25 @@
     }
 }
 
-fn report(offset: u64, step: &Step) {
+fn report(offset: u64, step: &Applied) {
     match step {
-        Step::Decided(id, Answer::Accepted { revision }) => {
+        Applied::Decided(id, Answer::Accepted { revision }) => {
             log::info!("E0302 command-accepted id={id} offset={offset} revision={revision}");
         }
-        Step::Decided(id, Answer::Refused { refusal }) => {
+        Applied::Decided(id, Answer::Refused { refusal }) => {
             log::info!("E0303 command-refused id={id} offset={offset} reason=\"{refusal}\"");
         }
-        Step::Skipped(unreadable) => {
+        Applied::Skipped(unreadable) => {
             log::error!("E0304 record-skipped offset={offset} reason=\"{unreadable}\"");
             metrics::counter!("cardamomvale_config_records_skipped_total").increment(1);
         }
-        Step::Took(mark) => {
+        Applied::Replaced(mark) => {
             log::info!(
                 "E0308 snapshot-taken next={} revision={}",
                 mark.next,
                 mark.revision
             );
         }
-        Step::Repeated(..) | Step::Passed => {}
+        Applied::Repeated(..) | Applied::Ignored => {}
     }
 }
--- a/components/transport/src/log/remote.rs
+++ b/components/transport/src/log/remote.rs
@@ -45,7 +45,7 @@
     };
     let id = request
         .id
-        .unwrap_or_else(|| CommandId::draw(config.offset, rand::rng().random()));
+        .unwrap_or_else(|| CommandId::new(config.offset, rand::rng().random()));
     let named = CommandRequest {
         id: Some(id),
         decided_on: request.decided_on,
--- a/components/transport/src/log/submit.rs
+++ b/components/transport/src/log/submit.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use coordination::config::{Answer, Change, Command, CommandId, Fold, Record, Step};
+use coordination::config::{Answer, Applied, Change, Command, CommandId, Fold, Record};
 use derives::value;
 use protocol::record::{encode_begin, encode_command};
 use rand::Rng;
@@ -95,11 +95,11 @@
             };
         }
         let fold = self.follower.fold();
-        let mark = fold.mark();
+        let mark = fold.position();
         let command = Command {
             id: request
                 .id
-                .unwrap_or_else(|| CommandId::draw(mark.next, rand::rng().random())),
+                .unwrap_or_else(|| CommandId::new(mark.next, rand::rng().random())),
             decided_on: request.decided_on.unwrap_or(mark.revision),
             change: request.change.clone(),
         };
@@ -143,7 +143,7 @@
         let mut reason;
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            let from = self.follower.mark().next;
+            let from = self.follower.position().next;
             let end = self.client.read(CONFIG_STREAM, from, LEAST, Duration::ZERO);
             if end.as_ref().is_ok_and(|page| page.end > from) {
                 // The log answers: a follower that waits out a pause need not.
@@ -224,11 +224,11 @@
     }
     match client.append(CONFIG_STREAM, &encode_begin(text)) {
         Ok(offset) if follower.wait_folded(offset + 1, limit) => Outcome::Accepted {
-            revision: follower.mark().revision,
+            revision: follower.position().revision,
         },
         Err(AppendError::Refused(reason)) => Outcome::Unreachable { reason },
         Ok(_) | Err(AppendError::Unanswered(_)) => Outcome::Unknown {
-            id: CommandId::draw(0, 0),
+            id: CommandId::new(0, 0),
         },
     }
 }
@@ -258,10 +258,10 @@
 /// Decides a command that nobody has seen yet, without the log, where it would
 /// change nothing: that needs no append, and is as true as by the log.
 fn preview(mut fold: Fold, command: &Command) -> Option<Outcome> {
-    let before = fold.mark();
+    let before = fold.position();
     let step = fold.apply(before.next, Ok(Record::Command(command.clone())));
     match step {
-        Step::Decided(_, answer) if fold.mark().revision == before.revision => {
+        Applied::Decided(_, answer) if fold.position().revision == before.revision => {
             Some(outcome(answer))
         }
         _ => None,
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use coordination::config::{Change, CommandId, Spacing};
+use coordination::config::{Change, CommandId, SnapshotPolicy};
 use protocol::record::encode_command;
 use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
 use stand_ins::proxy::{Fault, Proxy};
@@ -64,9 +64,9 @@
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
         patience: Duration::from_millis(100),
-        snapshots: Some(Spacing {
-            time: Duration::from_secs(60),
-            records: 8,
+        snapshots: Some(SnapshotPolicy {
+            max_age: Duration::from_secs(60),
+            max_records: 8,
             jitter: Duration::from_millis(20),
         }),
         ..FollowerOptions::default()
@@ -266,7 +266,7 @@
     open(&operator);
     log.change(|b| b.slow_ms = 1_000);
     let command = coordination::config::Command {
-        id: CommandId::draw(2, 1),
+        id: CommandId::new(2, 1),
         decided_on: 2,
         change: Change::LeaveCentre {
             name: "soar".to_owned(),
--- a/src/cmd/preset.rs
+++ b/src/cmd/preset.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use coordination::config::{Change, Faults, parse_preset};
+use coordination::config::{Change, PresetErrors, parse_preset};
 use state::Preset;
 
 use super::operator::{Grounds, Target};
@@ -164,7 +164,7 @@
     }
 }
 
-fn describe(file: &Path, faults: &Faults) -> String {
+fn describe(file: &Path, faults: &PresetErrors) -> String {
     let count = faults.0.len();
     let lines: Vec<String> = faults
         .0
