--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use coordination::claims::{Batch, ClaimId, ClaimKey, Entry, Table};
+use coordination::claims::{Batch, ClaimId, ClaimKey, ClaimTable, Entry};
 use entry_hosts::{Site, request};
 use hdrhistogram::Histogram;
 use protocol::claim::encode_batch;
@@ -127,7 +127,7 @@
         id: ClaimId(u128::from(n)),
         key,
         digest: 0,
-        keep: 7_200_000,
+        ttl_ms: 7_200_000,
     }
 }
 
@@ -181,7 +181,7 @@
     const KEYS: u64 = 200_000;
     let before = resident_bytes();
     let start = Instant::now();
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     for (offset, first) in (0..KEYS).step_by(1_000).enumerate() {
         let entries = (first..first + 1_000).map(|n| {
             let spread = u128::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c834);
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -113,7 +113,7 @@
     }
     let start = Instant::now();
     for _ in 0..MAPS {
-        std::hint::black_box(WatchMap::of(&config));
+        std::hint::black_box(WatchMap::from_config(&config));
     }
     let each = start.elapsed() / MAPS;
     println!("watch map of {size} hosts: {each:?}");
--- a/benches/slots/world.rs
+++ b/benches/slots/world.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use coordination::slots::message::{LeaseKey, SlotBody, SlotMessage};
-use coordination::slots::{Arrival, Effect, Ending, Identity, Slots};
+use coordination::slots::{Arrival, Effect, Ending, Identity, SlotManager};
 use protocol::PeerMessage;
 use state::config::Member;
 use state::preset::{DataCentre, Endpoint, Preset, Service};
@@ -52,7 +52,7 @@
     now: u64,
     turn: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    hosts: Vec<Slots>,
+    hosts: Vec<SlotManager>,
     index: BTreeMap<HostKey, usize>,
     wakes: Vec<u64>,
     mail: BTreeMap<usize, Mail>,
@@ -99,7 +99,7 @@
         let name = format!("entry-{n}");
         let member = Member {
             name: name.clone(),
-            incarnation: life(n),
+            incarnation: incarnation(n),
             peer: format!("10.1.{}.{}:9", n / 250, n % 250 + 1)
                 .parse()
                 .expect("an address"),
@@ -124,15 +124,15 @@
         SlotBody::Renewed { .. } => "renewed",
         SlotBody::Recall(_) => "recall",
         SlotBody::Return { .. } => "return",
-        SlotBody::Hand { .. } => "hand",
+        SlotBody::Transfer { .. } => "hand",
         SlotBody::Demand(_) => "demand",
-        SlotBody::Yield { .. } => "yield",
-        SlotBody::Pulse { .. } => "pulse",
+        SlotBody::TransferRequest { .. } => "yield",
+        SlotBody::Shortage { .. } => "pulse",
         SlotBody::Handoff(_) => "handoff",
     }
 }
 
-fn life(n: usize) -> u64 {
+fn incarnation(n: usize) -> u64 {
     (n as u64 + 1) << 40
 }
 
@@ -147,10 +147,10 @@
         let hosts = (0..setting.hosts).map(|n| {
             let identity = Identity {
                 host: keys[n],
-                life: life(n),
+                incarnation: incarnation(n),
                 centre: DataCentreKey::named(CENTRES[n % CENTRES.len()]),
             };
-            let mut slots = Slots::new(identity, Moment(0));
+            let mut slots = SlotManager::new(identity, Moment(0));
             slots.confirm(Moment(0));
             slots.configure(&config, &alive, Moment(0));
             slots
@@ -260,10 +260,10 @@
         self.step(job.host, |s, now| s.arrive(&arrival, now))
     }
 
-    fn step(&mut self, host: usize, act: impl FnOnce(&mut Slots, Moment)) -> usize {
+    fn step(&mut self, host: usize, act: impl FnOnce(&mut SlotManager, Moment)) -> usize {
         let began = Instant::now();
         act(&mut self.hosts[host], Moment(self.now));
-        let effects = self.hosts[host].drain();
+        let effects = self.hosts[host].take_effects();
         self.spent += began.elapsed();
         self.steps += 1;
         let ended = effects.into_iter().map(|e| self.apply(host, e)).sum();
--- a/components/coordination/src/claims/kept.rs
+++ b/components/coordination/src/claims/answer_cache.rs
@@ -5,41 +5,41 @@
 
 use state::Moment;
 
-use super::{ClaimId, ClaimKey, KeptAnswer};
+use super::{CachedAnswer, ClaimId, ClaimKey};
 
 /// The largest answer that is kept, in bytes: a body of 64 KiB with its fields.
-pub const KEPT_ANSWER: usize = 80 * 1_024;
+pub const CACHED_ANSWER_LIMIT: usize = 80 * 1_024;
 
 /// All kept answers of one stream together, in bytes.
-pub const KEPT_BYTES: usize = 4 * 1_024 * 1_024;
+pub const ANSWER_CACHE_LIMIT: usize = 4 * 1_024 * 1_024;
 
 /// How long an answer is kept. A repeat that comes later is told that the call was started.
-pub const KEPT_FOR: Duration = Duration::from_secs(600);
+pub const CACHED_ANSWER_TTL: Duration = Duration::from_secs(600);
 
 /// Kept answers, the oldest first to go.
 #[derive(Default)]
-pub struct Kept {
-    answers: BTreeMap<ClaimKey, (ClaimId, KeptAnswer)>,
+pub struct AnswerCache {
+    answers: BTreeMap<ClaimKey, (ClaimId, CachedAnswer)>,
     order: VecDeque<(Moment, ClaimKey, ClaimId)>,
     bytes: usize,
 }
 
-impl Kept {
+impl AnswerCache {
     /// Keeps an answer, if it is small enough.
-    pub fn insert(&mut self, key: ClaimKey, id: ClaimId, answer: &KeptAnswer, now: Moment) {
-        if answer.size() > KEPT_ANSWER || self.answers.contains_key(&key) {
+    pub fn insert(&mut self, key: ClaimKey, id: ClaimId, answer: &CachedAnswer, now: Moment) {
+        if answer.size() > CACHED_ANSWER_LIMIT || self.answers.contains_key(&key) {
             return;
         }
         self.bytes += answer.size();
         self.answers.insert(key, (id, answer.detached()));
         self.order.push_back((now, key, id));
-        while self.bytes > KEPT_BYTES {
+        while self.bytes > ANSWER_CACHE_LIMIT {
             self.drop_first();
         }
     }
 
     /// Returns the answer to the call that ran under claim `id`.
-    pub fn get(&self, key: ClaimKey, id: ClaimId) -> Option<&KeptAnswer> {
+    pub fn get(&self, key: ClaimKey, id: ClaimId) -> Option<&CachedAnswer> {
         let (kept, answer) = self.answers.get(&key)?;
         (*kept == id).then_some(answer)
     }
@@ -47,7 +47,7 @@
     /// Drops what has been kept long enough.
     pub fn expire(&mut self, now: Moment) {
         while let Some((at, ..)) = self.order.front() {
-            if now.since(*at) < KEPT_FOR {
+            if now.since(*at) < CACHED_ANSWER_TTL {
                 break;
             }
             self.drop_first();
--- a/components/coordination/src/claims/budget.rs
+++ b/components/coordination/src/claims/budget.rs
@@ -10,17 +10,17 @@
 /// site. Without a budget eight busy homes would append as fast as the log
 /// answers, and operators' commands would be refused. When tokens are short
 /// claims wait for the next append together: it grows, and costs the same.
-pub struct Budget {
+pub struct AppendBudget {
     tokens: f64,
     rate: f64,
     burst: f64,
     at: Moment,
 }
 
-impl Budget {
+impl AppendBudget {
     /// Returns a full bucket of `burst` tokens that gets `rate` a second.
-    pub fn new(rate: f64, burst: f64, now: Moment) -> Budget {
-        Budget {
+    pub fn new(rate: f64, burst: f64, now: Moment) -> AppendBudget {
+        AppendBudget {
             tokens: burst,
             rate,
             burst,
--- a/components/coordination/src/claims/home.rs
+++ b/components/coordination/src/claims/home.rs
@@ -6,10 +6,10 @@
 use derives::value;
 use state::{HostKey, Moment};
 
-use super::kept::Kept;
+use super::answer_cache::AnswerCache;
 use super::record::{Batch, Entry, Outcome};
-use super::table::Table;
-use super::{Answer, Ask, ClaimId, ClaimKey, Ending};
+use super::table::ClaimTable;
+use super::{Answer, ClaimId, ClaimKey, Ending, KeyRequest};
 
 /// Claims in one append: some 60 KB.
 const BATCH_LIMIT: usize = 1_000;
@@ -21,7 +21,7 @@
 const QUEUE_LIMIT: usize = 6_000;
 
 /// Endings that may wait for an append; the oldest outcomes are dropped first.
-const ENDS_LIMIT: usize = 20_000;
+const ENDINGS_LIMIT: usize = 20_000;
 
 /// Keys carried over in one append.
 const CARRY_LIMIT: usize = 1_000;
@@ -45,9 +45,9 @@
 }
 
 #[derive(Clone)]
-struct Asked {
+struct PendingRequest {
     from: HostKey,
-    ask: Ask,
+    request: KeyRequest,
     until: Moment,
 }
 
@@ -57,18 +57,18 @@
 /// first claim of a key says is the same for all of them.
 pub struct Home {
     carry_after: Duration,
-    table: Table,
+    table: ClaimTable,
     ready: bool,
-    queue: VecDeque<Asked>,
-    inflight: Vec<Asked>,
-    waiting: BTreeMap<ClaimKey, Vec<Asked>>,
+    queue: VecDeque<PendingRequest>,
+    inflight: Vec<PendingRequest>,
+    waiting: BTreeMap<ClaimKey, Vec<PendingRequest>>,
     running: BTreeMap<ClaimId, HostKey>,
     freeing: BTreeSet<ClaimId>,
     attempted: BTreeSet<ClaimId>,
     ends: VecDeque<Entry>,
     sent_ends: Vec<Entry>,
-    kept: Kept,
-    out: Vec<Reply>,
+    cache: AnswerCache,
+    replies: Vec<Reply>,
 }
 
 impl Home {
@@ -79,7 +79,7 @@
     pub fn new(carry_after: Duration) -> Home {
         Home {
             carry_after,
-            table: Table::default(),
+            table: ClaimTable::default(),
             ready: false,
             queue: VecDeque::new(),
             inflight: Vec::new(),
@@ -89,13 +89,13 @@
             attempted: BTreeSet::new(),
             ends: VecDeque::new(),
             sent_ends: Vec::new(),
-            kept: Kept::default(),
-            out: Vec::new(),
+            cache: AnswerCache::default(),
+            replies: Vec::new(),
         }
     }
 
     /// Returns the fold of the stream.
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &ClaimTable {
         &self.table
     }
 
@@ -111,40 +111,54 @@
 
     /// Takes the answers given since the last call.
     pub fn replies(&mut self) -> Vec<Reply> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.replies)
     }
 
     /// Takes an ask in. `until` is when its caller gives up.
-    pub fn ask(&mut self, from: HostKey, ask: Ask, until: Moment, now: Moment) {
-        let asked = Asked { from, ask, until };
-        if self.ready && self.decide(&asked, now) {
+    pub fn request(&mut self, from: HostKey, request: KeyRequest, until: Moment, now: Moment) {
+        let pending = PendingRequest {
+            from,
+            request,
+            until,
+        };
+        if self.ready && self.answer_from_table(&pending, now) {
             return;
         }
         let full = self.queue.len() >= QUEUE_LIMIT || self.table.is_full();
         if full {
-            self.reply(&asked, Answer::NotRun(RETRY));
+            self.reply(&pending, Answer::NotRun(RETRY));
             return;
         }
-        self.queue.push_back(asked);
+        self.queue.push_back(pending);
     }
 
     /// Takes an ask in while the log is out of reach.
     ///
     /// What is known of the key is told: "not run" would be taken to mean that
     /// the first call with it did not run either. Nothing new can be claimed.
-    pub fn ask_offline(&mut self, from: HostKey, ask: Ask, until: Moment, now: Moment) {
-        let asked = Asked { from, ask, until };
-        if !(self.ready && self.decide(&asked, now)) {
-            self.reply(&asked, Answer::NotRun(RETRY));
+    pub fn request_offline(
+        &mut self,
+        from: HostKey,
+        request: KeyRequest,
+        until: Moment,
+        now: Moment,
+    ) {
+        let pending = PendingRequest {
+            from,
+            request,
+            until,
+        };
+        if !(self.ready && self.answer_from_table(&pending, now)) {
+            self.reply(&pending, Answer::NotRun(RETRY));
         }
     }
 
     /// Takes note of how a call ended.
-    pub fn end(&mut self, id: ClaimId, key: ClaimKey, ending: Ending, now: Moment) {
+    pub fn end_call(&mut self, id: ClaimId, key: ClaimKey, ending: Ending, now: Moment) {
         self.running.remove(&id);
         match ending {
             Ending::Answered(answer) => {
-                self.kept.insert(key, id, &answer, now);
+                self.cache.insert(key, id, &answer, now);
                 self.write_end(id, key, Outcome::Done);
                 self.settle_waiting(key, now);
             }
@@ -158,10 +172,10 @@
             }
             Ending::NotRun => self.free(id, key),
             Ending::GivenUp => {
-                self.queue.retain(|a| a.ask.id != id);
+                self.queue.retain(|a| a.request.id != id);
                 // A claim that was never appended leaves nothing to take back:
                 // in an outage that would be a record for each refused call.
-                if self.may_stand(id, key) {
+                if self.may_hold(id, key) {
                     self.free(id, key);
                 }
             }
@@ -179,7 +193,7 @@
     /// Tells that the entry host `host` is lost, and what it ran with it.
     ///
     /// Repeats of its keys would wait for an ending that nobody is going to send.
-    pub fn lost(&mut self, host: HostKey) {
+    pub fn host_lost(&mut self, host: HostKey) {
         let waits = |id: &ClaimId| self.running.get(id) == Some(&host);
         let keys: Vec<ClaimKey> = self
             .waiting
@@ -195,21 +209,21 @@
 
     /// Gives up on asks whose callers no longer wait, and on old kept answers.
     pub fn expire(&mut self, now: Moment) {
-        self.kept.expire(now);
-        let over = |a: &Asked| a.until <= now;
-        let late: Vec<Asked> = self.queue.iter().filter(|a| over(a)).cloned().collect();
+        self.cache.expire(now);
+        let over = |a: &PendingRequest| a.until <= now;
+        let late: Vec<PendingRequest> = self.queue.iter().filter(|a| over(a)).cloned().collect();
         self.queue.retain(|a| !over(a));
-        for asked in late {
-            self.reply(&asked, Answer::NotRun(RETRY));
+        for pending in late {
+            self.reply(&pending, Answer::NotRun(RETRY));
         }
-        let mut tired = Vec::new();
+        let mut timed_out = Vec::new();
         for waiting in self.waiting.values_mut() {
-            tired.extend(waiting.iter().filter(|a| over(a)).cloned());
+            timed_out.extend(waiting.iter().filter(|a| over(a)).cloned());
             waiting.retain(|a| !over(a));
         }
         self.waiting.retain(|_, waiting| !waiting.is_empty());
-        for asked in tired {
-            self.reply(&asked, Answer::Started);
+        for pending in timed_out {
+            self.reply(&pending, Answer::Started);
         }
     }
 
@@ -235,14 +249,14 @@
         let ends = self.ends.len().min(BATCH_LIMIT);
         self.sent_ends = self.ends.drain(..ends).collect();
         entries.extend(self.sent_ends.iter().cloned());
-        let asks = self.queue.len().min(BATCH_LIMIT);
-        self.inflight = self.queue.drain(..asks).collect();
-        for asked in &self.inflight {
-            let ask = &asked.ask;
-            let over = self.table.holder(ask.key).filter(|h| h.is_over(now));
-            entries.extend(over.map(|h| expired(h.id, ask.key)));
-            entries.push(claim(ask));
-            self.attempted.insert(ask.id);
+        let requests = self.queue.len().min(BATCH_LIMIT);
+        self.inflight = self.queue.drain(..requests).collect();
+        for pending in &self.inflight {
+            let request = &pending.request;
+            let over = self.table.holder(request.key).filter(|h| h.is_over(now));
+            entries.extend(over.map(|h| expired(h.id, request.key)));
+            entries.push(claim(request));
+            self.attempted.insert(request.id);
         }
         if carry && self.ready {
             entries.extend(self.table.carry(self.carry_after, CARRY_LIMIT, now));
@@ -287,15 +301,15 @@
     ///
     /// A claim that is not to be seen may still land. It is appended again under
     /// its id: twice the same claim is one claim.
-    pub fn settle(&mut self, landed: bool, now: Moment) {
-        for asked in std::mem::take(&mut self.inflight) {
-            if self.decide(&asked, now) {
+    pub fn complete_append(&mut self, landed: bool, now: Moment) {
+        for pending in std::mem::take(&mut self.inflight) {
+            if self.answer_from_table(&pending, now) {
                 continue;
             }
             match landed {
                 // Its ending came in between: nobody waits for it.
-                true => self.reply(&asked, Answer::NotRun(RETRY)),
-                false => self.queue.push_back(asked),
+                true => self.reply(&pending, Answer::NotRun(RETRY)),
+                false => self.queue.push_back(pending),
             }
         }
         if !landed {
@@ -310,63 +324,63 @@
     /// Each entry host that hears "not run" gives its claim up, so that what
     /// lands later runs nowhere. `refused` is whether the log surely did not
     /// take the record.
-    pub fn fail(&mut self, refused: bool) {
+    pub fn fail_append(&mut self, refused: bool) {
         let inflight = std::mem::take(&mut self.inflight);
         if refused {
-            for asked in &inflight {
-                self.attempted.remove(&asked.ask.id);
+            for pending in &inflight {
+                self.attempted.remove(&pending.request.id);
             }
         }
         let queued = std::mem::take(&mut self.queue);
-        for asked in inflight.into_iter().chain(queued) {
-            self.reply(&asked, Answer::NotRun(RETRY));
+        for pending in inflight.into_iter().chain(queued) {
+            self.reply(&pending, Answer::NotRun(RETRY));
         }
         self.restore_ends();
         self.table.end_carry();
     }
 
     /// Answers an ask where the fold already tells; false where an append must.
-    fn decide(&mut self, asked: &Asked, now: Moment) -> bool {
-        let ask = &asked.ask;
-        let Some(holder) = self.table.holder(ask.key).copied() else {
+    fn answer_from_table(&mut self, pending: &PendingRequest, now: Moment) -> bool {
+        let request = &pending.request;
+        let Some(holder) = self.table.holder(request.key).copied() else {
             return false;
         };
-        let kept = self.kept.get(ask.key, holder.id).cloned();
+        let kept = self.cache.get(request.key, holder.id).cloned();
         match kept {
             _ if self.freeing.contains(&holder.id) => return false,
-            _ if holder.id != ask.id && holder.is_over(now) => return false,
-            _ if holder.id == ask.id => {
-                self.running.insert(ask.id, asked.from);
-                self.reply(asked, Answer::Go);
+            _ if holder.id != request.id && holder.is_over(now) => return false,
+            _ if holder.id == request.id => {
+                self.running.insert(request.id, pending.from);
+                self.reply(pending, Answer::Granted);
             }
-            _ if holder.digest != ask.digest => self.reply(asked, Answer::Mismatch),
-            Some(answer) => self.reply(asked, Answer::Known(answer)),
+            _ if holder.digest != request.digest => self.reply(pending, Answer::Mismatch),
+            Some(answer) => self.reply(pending, Answer::Known(answer)),
             None if self.running.contains_key(&holder.id) => {
-                let waiting = self.waiting.entry(ask.key).or_default();
-                waiting.push(asked.clone());
-                self.reply(asked, Answer::Waits);
+                let waiting = self.waiting.entry(request.key).or_default();
+                waiting.push(pending.clone());
+                self.reply(pending, Answer::InProgress);
             }
-            None => self.reply(asked, Answer::Started),
+            None => self.reply(pending, Answer::Started),
         }
         true
     }
 
     fn settle_waiting(&mut self, key: ClaimKey, now: Moment) {
-        for asked in self.waiting.remove(&key).unwrap_or_default() {
-            if !self.decide(&asked, now) {
-                self.reply(&asked, Answer::Started);
+        for pending in self.waiting.remove(&key).unwrap_or_default() {
+            if !self.answer_from_table(&pending, now) {
+                self.reply(&pending, Answer::Started);
             }
         }
     }
 
     fn release_waiting(&mut self, key: ClaimKey) {
-        for asked in self.waiting.remove(&key).unwrap_or_default() {
-            self.reply(&asked, Answer::Started);
+        for pending in self.waiting.remove(&key).unwrap_or_default() {
+            self.reply(&pending, Answer::Started);
         }
     }
 
     fn write_end(&mut self, id: ClaimId, key: ClaimKey, outcome: Outcome) {
-        if self.ends.len() >= ENDS_LIMIT {
+        if self.ends.len() >= ENDINGS_LIMIT {
             let dropped = self.ends.pop_front();
             if let Some(Entry::Ended { id, .. }) = dropped {
                 self.freeing.remove(&id);
@@ -381,16 +395,16 @@
         }
     }
 
-    fn reply(&mut self, asked: &Asked, answer: Answer) {
-        self.out.push(Reply {
-            to: asked.from,
-            id: asked.ask.id,
+    fn reply(&mut self, pending: &PendingRequest, answer: Answer) {
+        self.replies.push(Reply {
+            to: pending.from,
+            id: pending.request.id,
             answer,
         });
     }
 
     /// Returns whether a record of this home's may have the claim on the stream, now or later.
-    fn may_stand(&self, id: ClaimId, key: ClaimKey) -> bool {
+    fn may_hold(&self, id: ClaimId, key: ClaimKey) -> bool {
         let holds = self.table.holder(key).is_some_and(|h| h.id == id);
         holds || self.attempted.contains(&id)
     }
@@ -400,11 +414,11 @@
     Entry::Expired { id, key }
 }
 
-fn claim(ask: &Ask) -> Entry {
+fn claim(request: &KeyRequest) -> Entry {
     Entry::Claim {
-        id: ask.id,
-        key: ask.key,
-        digest: ask.digest,
-        keep: u64::try_from(ask.keep.as_millis()).unwrap_or(u64::MAX),
+        id: request.id,
+        key: request.key,
+        digest: request.digest,
+        ttl_ms: u64::try_from(request.ttl.as_millis()).unwrap_or(u64::MAX),
     }
 }
--- a/components/coordination/src/claims/mod.rs
+++ b/components/coordination/src/claims/mod.rs
@@ -1,12 +1,12 @@
 //! Claims: which call has an idempotency key.
 //!
 //! The first claim of a key in the offset order of a `claims` stream has it.
-//! [`Table`] folds a stream, the same at every host; [`Home`] gathers the
+//! [`ClaimTable`] folds a stream, the same at every host; [`Home`] gathers the
 //! claims of many callers into few appends and keeps answers for repeats.
 
+mod answer_cache;
 mod budget;
 mod home;
-mod kept;
 mod record;
 mod table;
 
@@ -16,11 +16,11 @@
 use derives::{key, value};
 use state::Moment;
 
-pub use budget::Budget;
+pub use answer_cache::{ANSWER_CACHE_LIMIT, CACHED_ANSWER_LIMIT, CACHED_ANSWER_TTL};
+pub use budget::AppendBudget;
 pub use home::{CARRY_AFTER, Home, Reply};
-pub use kept::{KEPT_ANSWER, KEPT_BYTES, KEPT_FOR};
 pub use record::{Batch, Entry, Outcome};
-pub use table::{Holder, RELEASED_FOR, TABLE_LIMIT, Table};
+pub use table::{ClaimTable, KEY_LIMIT, KeyHolder, RELEASED_CLAIM_TTL};
 
 /// How many `claims` streams there are.
 ///
@@ -38,7 +38,7 @@
 
 /// Asks for a key.
 #[value]
-pub struct Ask {
+pub struct KeyRequest {
     /// The claim's id.
     pub id: ClaimId,
     /// What is claimed.
@@ -46,20 +46,20 @@
     /// A hash of the request: the same key with another is refused.
     pub digest: u128,
     /// How long the key is remembered.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 /// What became of an ask.
 #[value]
 pub enum Answer {
     /// The key is this claim's: send the call once.
-    Go,
+    Granted,
     /// The first call with this key has this answer.
-    Known(KeptAnswer),
+    Known(CachedAnswer),
     /// The first call with this key is running; another answer follows when it ends.
     ///
     /// Should none come in time, the caller may not be told "not run".
-    Waits,
+    InProgress,
     /// The first call with this key was started; its outcome is not known here.
     Started,
     /// The key was used for another request.
@@ -70,7 +70,7 @@
 
 /// An answer kept for repeats of its key.
 #[value]
-pub struct KeptAnswer {
+pub struct CachedAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The end-to-end header fields.
@@ -83,7 +83,7 @@
 #[value]
 pub enum Ending {
     /// It was answered whole.
-    Answered(KeptAnswer),
+    Answered(CachedAnswer),
     /// It was answered whole, but the answer is too large to keep.
     AnsweredLarge,
     /// It was sent and surely did not run: the key is free again.
@@ -98,34 +98,34 @@
 #[value]
 pub enum ClaimMessage {
     /// The entry host asks for a key, and waits this long for the answer.
-    Ask(Ask, Duration),
+    Request(KeyRequest, Duration),
     /// The home has the ask and works on it.
-    Got(ClaimId),
+    RequestAck(ClaimId),
     /// The home's answer.
     Answer(ClaimId, Answer),
     /// The entry host says how the call ended.
     End(ClaimId, ClaimKey, Ending),
     /// The home has taken note of the ending.
-    Noted(ClaimId),
+    EndAck(ClaimId),
 }
 
 /// How much longer than its call a key is remembered at the least.
-const OUTLIVES: Duration = Duration::from_secs(60);
+const KEY_TTL_MARGIN: Duration = Duration::from_secs(60);
 
-/// Returns how long a key is remembered: `keep`, but longer than its call may take.
+/// Returns how long a key is remembered: `ttl`, but longer than its call may take.
 ///
 /// Were it forgotten while its call can still be sent, a repeat would claim it
 /// anew, and both would run. `left` is the time to the call's deadline.
-pub fn remembered(keep: Duration, left: Duration) -> Duration {
-    keep.max(left + OUTLIVES)
+pub fn key_ttl(ttl: Duration, left: Duration) -> Duration {
+    ttl.max(left + KEY_TTL_MARGIN)
 }
 
-/// Decides whether a `Go` that is taken up at `now` still lets the call be sent.
+/// Decides whether a `Granted` that is taken up at `now` still lets the call be sent.
 ///
 /// An entry host that was paused finds the answer waiting when it resumes, long
 /// after it was given. By then the key's time may be over and another call may
 /// have run under it; after the deadline nobody waits for this one anyway.
-pub fn may_go(now: Moment, deadline: Moment) -> bool {
+pub fn may_start(now: Moment, deadline: Moment) -> bool {
     now < deadline
 }
 
@@ -136,18 +136,18 @@
     }
 }
 
-impl KeptAnswer {
+impl CachedAnswer {
     /// Returns it in memory of its own.
     ///
     /// Its parts are slices of the buffers they came in, which are far larger.
     /// Kept for minutes, they would hold several times the memory that
-    /// [`KeptAnswer::size`] counts, and a node would outgrow its budget.
-    pub fn detached(&self) -> KeptAnswer {
+    /// [`CachedAnswer::size`] counts, and a node would outgrow its budget.
+    pub fn detached(&self) -> CachedAnswer {
         let copy = |(name, value): &(String, Bytes)| {
             let value = Bytes::copy_from_slice(value);
             (name.as_str().to_owned(), value)
         };
-        KeptAnswer {
+        CachedAnswer {
             status: self.status,
             fields: self.fields.iter().map(copy).collect(),
             body: Bytes::copy_from_slice(&self.body),
--- a/components/coordination/src/claims/record.rs
+++ b/components/coordination/src/claims/record.rs
@@ -23,7 +23,7 @@
         /// The request's digest.
         digest: u128,
         /// How long the key is remembered, in milliseconds.
-        keep: u64,
+        ttl_ms: u64,
     },
     /// Says how the call under a claim ended.
     Ended {
@@ -43,7 +43,7 @@
         /// The request's digest.
         digest: u128,
         /// How long the key is remembered, in milliseconds.
-        keep: u64,
+        ttl_ms: u64,
         /// How long ago it was claimed at the least, in milliseconds.
         age: u64,
     },
--- a/components/coordination/src/claims/table.rs
+++ b/components/coordination/src/claims/table.rs
@@ -13,18 +13,18 @@
 ///
 /// A table that forgot keys under load would let a deposit run twice, so a full
 /// one refuses new keys instead. See docs/CAPACITY.md for what this many cost.
-pub const TABLE_LIMIT: usize = 200_000;
+pub const KEY_LIMIT: usize = 200_000;
 
 /// How long a claim that was given up is remembered.
 ///
 /// An append that was given up may still land. It must not take the key then:
 /// nobody is going to run under it, and repeats would wait for an outcome.
 /// The log must land an append within this time or never.
-pub const RELEASED_FOR: Duration = Duration::from_secs(600);
+pub const RELEASED_CLAIM_TTL: Duration = Duration::from_secs(600);
 
 /// Who holds a key.
 #[tag]
-pub struct Holder {
+pub struct KeyHolder {
     /// The claim that has the key.
     pub id: ClaimId,
     /// The request's digest.
@@ -33,7 +33,7 @@
     claimed: i64,
     /// When its last record was folded here.
     written: i64,
-    keep: u64,
+    ttl_ms: u64,
 }
 
 /// The keys of one stream, folded from its records in offset order.
@@ -42,16 +42,16 @@
 /// that a key is forgotten: never early, since a host counts from the moment it
 /// folded a claim, which is after the claim was made.
 #[derive(Default)]
-pub struct Table {
+pub struct ClaimTable {
     next: u64,
-    holders: BTreeMap<ClaimKey, Holder>,
+    holders: BTreeMap<ClaimKey, KeyHolder>,
     released: BTreeSet<ClaimId>,
     written: VecDeque<(i64, ClaimKey)>,
     carrying: Vec<(i64, ClaimKey)>,
     releases: VecDeque<(i64, ClaimId)>,
 }
 
-impl Table {
+impl ClaimTable {
     /// Returns the offset to read from.
     pub fn next(&self) -> u64 {
         self.next
@@ -69,11 +69,11 @@
 
     /// Returns whether no more keys can be taken in.
     pub fn is_full(&self) -> bool {
-        self.holders.len() >= TABLE_LIMIT
+        self.holders.len() >= KEY_LIMIT
     }
 
     /// Returns who holds `key`.
-    pub fn holder(&self, key: ClaimKey) -> Option<&Holder> {
+    pub fn holder(&self, key: ClaimKey) -> Option<&KeyHolder> {
         self.holders.get(&key)
     }
 
@@ -82,9 +82,9 @@
     /// Those still to be remembered are carried over, so what the log still has
     /// is enough.
     pub fn restart(&mut self, first: u64) {
-        *self = Table {
+        *self = ClaimTable {
             next: first,
-            ..Table::default()
+            ..ClaimTable::default()
         };
     }
 
@@ -96,11 +96,11 @@
         self.next = offset + 1;
         self.forget_releases(millis(now));
         for entry in &batch.entries {
-            self.take(entry, millis(now));
+            self.apply(entry, millis(now));
         }
     }
 
-    /// Returns whether [`Table::carry`] would return anything.
+    /// Returns whether [`ClaimTable::carry`] would return anything.
     pub fn has_due(&self, age: Duration, now: Moment) -> bool {
         let before = millis(now) - i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
         self.written.front().is_some_and(|(at, _)| *at <= before)
@@ -135,7 +135,7 @@
         entries
     }
 
-    /// Makes what was handed out by [`Table::carry`] due again where it was not folded since.
+    /// Makes what was handed out by [`ClaimTable::carry`] due again where it was not folded since.
     pub fn end_carry(&mut self) {
         for (written, key) in std::mem::take(&mut self.carrying).into_iter().rev() {
             if self.holders.get(&key).is_some_and(|h| h.written == written) {
@@ -144,7 +144,7 @@
         }
     }
 
-    fn take(&mut self, entry: &Entry, now: i64) {
+    fn apply(&mut self, entry: &Entry, now: i64) {
         match *entry {
             Entry::Claim { id, .. } if self.released.contains(&id) => {}
             Entry::Claim { key, .. } if self.holders.contains_key(&key) => {}
@@ -152,16 +152,16 @@
                 id,
                 key,
                 digest,
-                keep,
+                ttl_ms,
             } => {
                 self.hold(
                     key,
-                    Holder {
+                    KeyHolder {
                         id,
                         digest,
                         claimed: now,
                         written: now,
-                        keep,
+                        ttl_ms,
                     },
                 );
             }
@@ -181,18 +181,18 @@
                 id,
                 key,
                 digest,
-                keep,
+                ttl_ms,
                 age,
             } => {
                 let claimed = now - i64::try_from(age).unwrap_or(i64::MAX);
                 self.carry_in(
                     key,
-                    Holder {
+                    KeyHolder {
                         id,
                         digest,
                         claimed,
                         written: now,
-                        keep,
+                        ttl_ms,
                     },
                 );
             }
@@ -201,7 +201,7 @@
 
     /// Takes a carried holder in. Of two, the one claimed later is the true one:
     /// a key changes hands only after the earlier claim is over.
-    fn carry_in(&mut self, key: ClaimKey, carried: Holder) {
+    fn carry_in(&mut self, key: ClaimKey, carried: KeyHolder) {
         match self.holders.get_mut(&key) {
             Some(h) if h.id == carried.id => {
                 h.written = carried.written;
@@ -212,7 +212,7 @@
         }
     }
 
-    fn hold(&mut self, key: ClaimKey, holder: Holder) {
+    fn hold(&mut self, key: ClaimKey, holder: KeyHolder) {
         self.written.push_back((holder.written, key));
         self.holders.insert(key, holder);
     }
@@ -224,7 +224,7 @@
     }
 
     fn forget_releases(&mut self, now: i64) {
-        let limit = now - RELEASED_FOR.as_millis() as i64;
+        let limit = now - RELEASED_CLAIM_TTL.as_millis() as i64;
         while let Some((at, id)) = self.releases.front().copied() {
             if at > limit {
                 break;
@@ -235,10 +235,10 @@
     }
 }
 
-impl Holder {
+impl KeyHolder {
     /// Returns whether the key has been remembered for its time.
     pub fn is_over(&self, now: Moment) -> bool {
-        self.age(millis(now)) >= self.keep
+        self.age(millis(now)) >= self.ttl_ms
     }
 
     fn age(&self, now: i64) -> u64 {
@@ -247,13 +247,13 @@
 
     fn renewal(&self, key: ClaimKey, now: i64) -> Entry {
         let age = self.age(now);
-        match age >= self.keep {
+        match age >= self.ttl_ms {
             true => Entry::Expired { id: self.id, key },
             false => Entry::Carried {
                 id: self.id,
                 key,
                 digest: self.digest,
-                keep: self.keep,
+                ttl_ms: self.ttl_ms,
                 age,
             },
         }
--- a/components/coordination/src/members/detector.rs
+++ b/components/coordination/src/members/detector.rs
@@ -6,19 +6,19 @@
 use derives::value;
 use state::{Config, HostKey, Moment};
 
-use super::message::{Beat, Doubt, MemberMessage, News, Rumour};
-use super::quorum::{Evidence, History, Settled, current_at, is_fresh};
-use super::removal::{Listed, Poll};
-use super::rumour::Rumours;
-use super::subject::Subject;
+use super::gossip::GossipState;
+use super::message::{Gossip, GossipEvent, Heartbeat, LivenessQuery, MemberMessage};
+use super::quorum::{OwnerStatus, WatchHistory, WatcherAck, current_at, is_fresh};
+use super::removal::{Listed, RemovalPoll};
 use super::view::{LiveView, PeerState};
 use super::watch::{MemberId, WatchMap};
+use super::watched::WatchedMember;
 
 /// How often a host beats to each of its watchers.
-pub const BEAT_EVERY: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Each so manieth beat asks for an answer.
-const ASK_EVERY: u64 = 3;
+const HEARTBEATS_PER_ACK: u64 = 3;
 
 /// A gap between two ticks after which the silence of others proves nothing.
 ///
@@ -55,23 +55,23 @@
     pub(super) me: MemberId,
     pub(super) epoch: u64,
     sequence: u64,
-    next_beat: Moment,
+    next_heartbeat: Moment,
     last_tick: Moment,
     pub(super) map: WatchMap,
     centres: BTreeMap<HostKey, String>,
     names: BTreeMap<HostKey, String>,
     revision: u64,
     pub(super) offset: u64,
-    history: History,
-    pub(super) subjects: BTreeMap<MemberId, Subject>,
-    pub(super) rumours: Rumours,
+    history: WatchHistory,
+    pub(super) watched: BTreeMap<MemberId, WatchedMember>,
+    pub(super) gossip_state: GossipState,
     suspected: BTreeSet<MemberId>,
     pub(super) asked: BTreeMap<u64, Moment>,
-    pub(super) answers: BTreeMap<MemberId, Evidence>,
+    pub(super) answers: BTreeMap<MemberId, WatcherAck>,
     log_read: Option<Moment>,
     pub(super) ahead: Option<(HostKey, Moment)>,
-    gone: BTreeSet<HostKey>,
-    pub(super) poll: Option<Poll>,
+    unlisted: BTreeSet<HostKey>,
+    pub(super) poll: Option<RemovalPoll>,
     out: Vec<Action>,
 }
 
@@ -82,22 +82,22 @@
             me,
             epoch: 0,
             sequence: 0,
-            next_beat: now,
+            next_heartbeat: now,
             last_tick: now,
             map: WatchMap::default(),
             centres: BTreeMap::new(),
             names: BTreeMap::new(),
             revision: 0,
             offset: 0,
-            history: History::default(),
-            subjects: BTreeMap::new(),
-            rumours: Rumours::default(),
+            history: WatchHistory::default(),
+            watched: BTreeMap::new(),
+            gossip_state: GossipState::default(),
             suspected: BTreeSet::new(),
             asked: BTreeMap::new(),
             answers: BTreeMap::new(),
             log_read: None,
             ahead: None,
-            gone: BTreeSet::new(),
+            unlisted: BTreeSet::new(),
             poll: None,
             out: Vec::new(),
         }
@@ -110,12 +110,12 @@
         }
         self.offset = config.offset;
         self.ahead = None;
-        self.rumours.show(self.me, config.offset);
+        self.gossip_state.note_applied(self.me, config.offset);
         if config.revision == self.revision {
             return;
         }
         self.revision = config.revision;
-        let old = std::mem::replace(&mut self.map, WatchMap::of(config));
+        let old = std::mem::replace(&mut self.map, WatchMap::from_config(config));
         self.history
             .configure(&self.map, config.revision, config.offset);
         let members = config.members.iter();
@@ -124,23 +124,23 @@
             .map(|(host, m)| (*host, m.data_centre.clone()))
             .collect();
         self.names = members.map(|(host, m)| (*host, m.name.clone())).collect();
-        let mut subjects = BTreeMap::new();
-        for id in self.map.subjects(self.me) {
-            let kept = self.subjects.remove(&id);
-            subjects.insert(id, kept.unwrap_or_else(|| Subject::new(now)));
+        let mut watched = BTreeMap::new();
+        for id in self.map.watched_by(self.me) {
+            let kept = self.watched.remove(&id);
+            watched.insert(id, kept.unwrap_or_else(|| WatchedMember::new(now)));
         }
-        self.subjects = subjects;
-        self.rumours.retain(&self.map);
+        self.watched = watched;
+        self.gossip_state.retain(&self.map);
         self.answers
             .retain(|id, _| self.map.member(id.host) == Some(*id));
-        self.show_removals(&old);
+        self.announce_removals(&old);
         self.refresh(now);
     }
 
     /// Tells all that this host has seen the end of members it watched.
     ///
-    /// Their successors wait for it: see [`History::settled`].
-    fn show_removals(&mut self, old: &WatchMap) {
+    /// Their successors wait for it: see [`WatchHistory::settled`].
+    fn announce_removals(&mut self, old: &WatchMap) {
         let watched: Vec<MemberId> = old
             .members()
             .filter(|id| self.map.member(id.host) != Some(*id))
@@ -149,57 +149,57 @@
         if watched.is_empty() {
             return;
         }
-        self.spread(self.me, self.offset);
+        self.announce_applied(self.me, self.offset);
         for id in watched {
-            let last = self.rumours.shown_by(id.host, id.incarnation);
-            self.spread(id, last);
+            let last = self.gossip_state.applied_by(id.host, id.incarnation);
+            self.announce_applied(id, last);
         }
     }
 
-    fn spread(&mut self, id: MemberId, offset: u64) {
-        let rumour = Rumour {
+    fn announce_applied(&mut self, id: MemberId, offset: u64) {
+        let gossip = Gossip {
             host: id.host,
             incarnation: id.incarnation,
-            news: News::Shown { offset },
+            event: GossipEvent::Applied { offset },
         };
-        self.pass_on(&rumour, None);
+        self.forward_gossip(&gossip, None);
     }
 
     /// Notes that the log's end was read, with a request sent at `asked`.
-    pub fn read_log(&mut self, asked: Moment) {
+    pub fn note_log_end(&mut self, asked: Moment) {
         self.log_read = self.log_read.max(Some(asked));
     }
 
     /// Takes over which members a usable list of the platform lacks or calls leaving.
-    pub fn list(&mut self, gone: BTreeSet<HostKey>) {
-        self.gone = gone;
+    pub fn set_unlisted(&mut self, unlisted: BTreeSet<HostKey>) {
+        self.unlisted = unlisted;
     }
 
     /// Notes what a peer said when its link was made.
-    pub fn met(&mut self, from: HostKey, incarnation: u64, offset: u64, now: Moment) {
+    pub fn peer_connected(&mut self, from: HostKey, incarnation: u64, offset: u64, now: Moment) {
         let id = MemberId {
             host: from,
             incarnation,
         };
-        self.rumours.show(id, offset);
-        if let Some(subject) = self.subjects.get_mut(&id) {
-            subject.hear(now);
+        self.gossip_state.note_applied(id, offset);
+        if let Some(member) = self.watched.get_mut(&id) {
+            member.record_contact(now);
         }
-        self.compare(from, offset, now);
+        self.note_peer_offset(from, offset, now);
     }
 
     /// Does what is due. To be called every 50 ms.
     pub fn tick(&mut self, now: Moment) {
         if now.since(self.last_tick) > OWN_PAUSE {
-            self.forgive(now);
+            self.reset_silence(now);
         }
         self.last_tick = now;
-        if now >= self.next_beat {
-            self.next_beat = (self.next_beat + BEAT_EVERY).max(now);
-            self.send_beats(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = (self.next_heartbeat + HEARTBEAT_INTERVAL).max(now);
+            self.send_heartbeats(now);
         }
-        let subjects: Vec<MemberId> = self.subjects.keys().copied().collect();
-        for id in subjects {
+        let watched: Vec<MemberId> = self.watched.keys().copied().collect();
+        for id in watched {
             self.watch(id, now);
         }
         self.settle_poll(now);
@@ -209,7 +209,7 @@
             self.ahead = None;
             self.out.push(Action::AskConfig(host));
         }
-        self.rumours.expire(now);
+        self.gossip_state.expire(now);
         self.refresh(now);
     }
 
@@ -220,8 +220,8 @@
 
     /// Asks `host` how far it has folded the configuration.
     pub fn ask(&mut self, host: HostKey, now: Moment) {
-        let beat = self.next(true, now);
-        self.out.push(Action::Send(host, beat));
+        let heartbeat = self.next(true, now);
+        self.out.push(Action::Send(host, heartbeat));
     }
 
     /// Returns whether this process is a member of the configuration taken over last.
@@ -237,13 +237,14 @@
     /// Returns when a member's configuration was last shown to be the current one.
     pub fn current_at(&self) -> Option<Moment> {
         let watchers = self.map.watchers(self.me);
-        let shown = current_at(self.offset, self.log_read, watchers, &self.answers);
-        shown.filter(|_| self.is_member())
+        let latest = current_at(self.offset, self.log_read, watchers, &self.answers);
+        latest.filter(|_| self.is_member())
     }
 
     /// Returns what is known of a previous owner after the change at `change`.
-    pub fn settled(&self, owner: MemberId, change: u64) -> Settled {
-        self.history.settled(owner, change, self.rumours.shown())
+    pub fn owner_status(&self, owner: MemberId, change: u64) -> OwnerStatus {
+        self.history
+            .owner_status(owner, change, self.gossip_state.applied())
     }
 
     /// Returns who is alive.
@@ -251,7 +252,7 @@
         let peer = |id: MemberId| PeerState {
             data_centre: self.centres.get(&id.host).cloned().unwrap_or_default(),
             suspected: self.suspected.contains(&id),
-            shown: self.rumours.shown_by(id.host, id.incarnation),
+            applied: self.gossip_state.applied_by(id.host, id.incarnation),
         };
         LiveView {
             revision: self.revision,
@@ -260,40 +261,40 @@
     }
 
     fn watch(&mut self, id: MemberId, now: Moment) {
-        let fellows = self.fellows(id, now);
-        let Some(subject) = self.subjects.get_mut(&id) else {
+        let other_watchers = self.other_watchers(id, now);
+        let Some(member) = self.watched.get_mut(&id) else {
             return;
         };
-        if subject.should_redial(now) {
+        if member.should_redial(now) {
             self.out.push(Action::Redial(id.host));
         }
-        if subject.should_doubt(now) {
-            let doubt = Doubt {
+        if member.should_query(now) {
+            let query = LivenessQuery {
                 host: id.host,
                 incarnation: id.incarnation,
-                epoch: subject.epoch,
-                silent_ms: millis(subject.silence(now)),
+                epoch: member.epoch,
+                silent_ms: millis(member.silence(now)),
             };
-            for fellow in self.map.watchers(id).iter().filter(|w| **w != self.me) {
-                let message = MemberMessage::Doubt(doubt.clone());
-                self.out.push(Action::Send(fellow.host, message));
+            for watcher in self.map.watchers(id).iter().filter(|w| **w != self.me) {
+                let message = MemberMessage::LivenessQuery(query.clone());
+                self.out.push(Action::Send(watcher.host, message));
             }
         }
-        if !subject.is_agreed(now, fellows.len()) {
+        if !member.is_agreed(now, other_watchers.len()) {
             return;
         }
-        let before = fellows.iter().filter(|f| **f < self.me).count();
-        let lost = subject.is_lost(now, &fellows, u32::try_from(before).unwrap_or(0));
-        let round = subject.silence(now).as_secs();
-        let epoch = subject.epoch;
-        if self.rumours.is_stale(id, now) {
-            let rumour = Rumour {
+        let before = other_watchers.iter().filter(|f| **f < self.me).count();
+        let lost = member.is_lost(now, &other_watchers, u32::try_from(before).unwrap_or(0));
+        let round = member.silence(now).as_secs();
+        let epoch = member.epoch;
+        if self.gossip_state.is_stale(id, now) {
+            let gossip = Gossip {
                 host: id.host,
                 incarnation: id.incarnation,
-                news: News::Suspected { epoch, round },
+                event: GossipEvent::Suspected { epoch, round },
             };
-            self.rumours.take(&rumour, now);
-            self.pass_on(&rumour, None);
+            self.gossip_state.accept(&gossip, now);
+            self.forward_gossip(&gossip, None);
         }
         if lost && self.poll.is_none() {
             self.start_poll(id, now);
@@ -301,20 +302,20 @@
     }
 
     /// Returns the other watchers of `id` that are not themselves suspected.
-    fn fellows(&self, id: MemberId, now: Moment) -> Vec<MemberId> {
+    fn other_watchers(&self, id: MemberId, now: Moment) -> Vec<MemberId> {
         let watchers = self.map.watchers(id).iter().copied();
         watchers
-            .filter(|w| *w != self.me && self.rumours.suspected(*w, now).is_none())
+            .filter(|w| *w != self.me && self.gossip_state.suspected(*w, now).is_none())
             .collect()
     }
 
     fn start_poll(&mut self, target: MemberId, now: Moment) {
-        let beat = self.next(true, now);
-        self.poll = Some(Poll::new(target, self.sequence, now));
+        let heartbeat = self.next(true, now);
+        self.poll = Some(RemovalPoll::new(target, self.sequence, now));
         let region: Vec<MemberId> = self.map.region(target.host).collect();
         for id in region {
             if id != self.me && id != target {
-                self.out.push(Action::Send(id.host, beat.clone()));
+                self.out.push(Action::Send(id.host, heartbeat.clone()));
             }
         }
     }
@@ -325,12 +326,12 @@
         };
         let target = poll.target();
         let region = self.map.region(target.host).count();
-        let listed = match self.gone.contains(&target.host) {
-            true => Listed::Gone,
+        let listed = match self.unlisted.contains(&target.host) {
+            true => Listed::Unlisted,
             false => Listed::Unclear,
         };
-        let silent = self.subjects.get(&target);
-        let silent = silent.is_some_and(|s| s.silence(now) >= super::subject::REMOVE_AFTER);
+        let silent = self.watched.get(&target);
+        let silent = silent.is_some_and(|s| s.silence(now) >= super::watched::REMOVE_AFTER);
         if silent && poll.should_remove(region, listed, now) {
             self.out.push(Action::Remove(target));
         }
@@ -339,28 +340,28 @@
         }
     }
 
-    fn send_beats(&mut self, now: Moment) {
-        let asks = (self.sequence + 1).is_multiple_of(ASK_EVERY);
-        let beat = self.next(asks, now);
+    fn send_heartbeats(&mut self, now: Moment) {
+        let wants_ack = (self.sequence + 1).is_multiple_of(HEARTBEATS_PER_ACK);
+        let heartbeat = self.next(wants_ack, now);
         for watcher in self.map.watchers(self.me) {
-            self.out.push(Action::Send(watcher.host, beat.clone()));
+            self.out.push(Action::Send(watcher.host, heartbeat.clone()));
         }
     }
 
-    fn next(&mut self, asks: bool, now: Moment) -> MemberMessage {
+    fn next(&mut self, wants_ack: bool, now: Moment) -> MemberMessage {
         self.sequence += 1;
-        if asks {
+        if wants_ack {
             self.asked.insert(self.sequence, now);
             while self.asked.len() > ASKED_LIMIT {
                 self.asked.pop_first();
             }
         }
-        MemberMessage::Beat(Beat {
+        MemberMessage::Heartbeat(Heartbeat {
             incarnation: self.me.incarnation,
             sequence: self.sequence,
             epoch: self.epoch,
             offset: self.offset,
-            asks,
+            wants_ack,
         })
     }
 
@@ -368,15 +369,15 @@
     ///
     /// Those pairs form a random graph of degree ten: news reach 300 hosts in
     /// three or four hops, at a cost a host that does not grow with them.
-    pub(super) fn pass_on(&mut self, rumour: &Rumour, from: Option<HostKey>) {
+    pub(super) fn forward_gossip(&mut self, gossip: &Gossip, from: Option<HostKey>) {
         let watchers = self.map.watchers(self.me).iter().map(|w| w.host);
-        let subjects = self.subjects.keys().map(|s| s.host);
-        let mut neighbours: BTreeSet<HostKey> = watchers.chain(subjects).collect();
+        let watched = self.watched.keys().map(|s| s.host);
+        let mut neighbours: BTreeSet<HostKey> = watchers.chain(watched).collect();
         if let Some(from) = from {
             neighbours.remove(&from);
         }
         for host in neighbours {
-            self.send(host, MemberMessage::Rumour(rumour.clone()));
+            self.send(host, MemberMessage::Gossip(gossip.clone()));
         }
     }
 
@@ -384,18 +385,18 @@
         self.out.push(Action::Send(to, message));
     }
 
-    fn forgive(&mut self, now: Moment) {
-        for subject in self.subjects.values_mut() {
-            subject.hear(now);
+    fn reset_silence(&mut self, now: Moment) {
+        for member in self.watched.values_mut() {
+            member.record_contact(now);
         }
     }
 
     /// Tells which members have become suspected, and which no longer are.
     pub(super) fn refresh(&mut self, now: Moment) {
-        if self.rumours.is_quiet() && self.suspected.is_empty() {
+        if self.gossip_state.is_quiet() && self.suspected.is_empty() {
             return;
         }
-        let is_suspected = |id: &MemberId| self.rumours.suspected(*id, now).is_some();
+        let is_suspected = |id: &MemberId| self.gossip_state.suspected(*id, now).is_some();
         let suspected: BTreeSet<MemberId> = self.map.members().filter(is_suspected).collect();
         for id in suspected.difference(&self.suspected) {
             self.out.push(Action::Suspected(id.host));
--- a/components/coordination/src/members/joining.rs
+++ b/components/coordination/src/members/membership.rs
@@ -6,16 +6,16 @@
 use state::Moment;
 
 /// The pause before a host joins again, doubled each time it is removed soon after.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_REJOIN_DELAY: Duration = Duration::from_secs(1);
 
 /// The longest pause.
-const LAST_PAUSE: Duration = Duration::from_secs(300);
+const MAX_REJOIN_DELAY: Duration = Duration::from_secs(300);
 
 /// Membership that lasted this long sets the pause back to the first.
-const SETTLED: Duration = Duration::from_secs(60);
+const STABLE_AFTER: Duration = Duration::from_secs(60);
 
 /// How long a command's effect is waited for before it is written again.
-const RETRY: Duration = Duration::from_secs(2);
+const COMMAND_RETRY: Duration = Duration::from_secs(2);
 
 /// What a host does about its own membership.
 #[tag]
@@ -31,20 +31,20 @@
 }
 
 /// A host's own membership.
-pub struct Joining {
+pub struct Membership {
     joined: Option<Moment>,
     leaving: bool,
-    pause: Duration,
+    delay: Duration,
     not_before: Moment,
 }
 
-impl Joining {
+impl Membership {
     /// Returns one for a host that is no member yet.
-    pub fn new(now: Moment) -> Joining {
-        Joining {
+    pub fn new(now: Moment) -> Membership {
+        Membership {
             joined: None,
             leaving: false,
-            pause: FIRST_PAUSE,
+            delay: MIN_REJOIN_DELAY,
             not_before: now,
         }
     }
@@ -78,11 +78,11 @@
             }
             (false, Some(since)) => {
                 self.joined = None;
-                self.pause = match now.since(since) {
-                    lasted if lasted >= SETTLED => FIRST_PAUSE,
-                    _ => (self.pause * 2).min(LAST_PAUSE),
+                self.delay = match now.since(since) {
+                    lasted if lasted >= STABLE_AFTER => MIN_REJOIN_DELAY,
+                    _ => (self.delay * 2).min(MAX_REJOIN_DELAY),
                 };
-                self.not_before = now + self.pause;
+                self.not_before = now + self.delay;
                 Step::Renew
             }
             (false, None) => self.write(Step::Join, current, now),
@@ -93,7 +93,7 @@
         if !current || now < self.not_before {
             return Step::Wait;
         }
-        self.not_before = now + RETRY;
+        self.not_before = now + COMMAND_RETRY;
         step
     }
 }
--- a/components/coordination/src/members/message.rs
+++ b/components/coordination/src/members/message.rs
@@ -7,20 +7,20 @@
 #[value]
 pub enum MemberMessage {
     /// A member tells one of its watchers that it lives.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// The watcher's answer.
-    Answer(Answer),
+    HeartbeatAck(HeartbeatAck),
     /// A watcher asks its fellow watchers whether they hear a member that it does not.
-    Doubt(Doubt),
+    LivenessQuery(LivenessQuery),
     /// A fellow watcher still hears the doubted member.
-    Heard(Heard),
+    LivenessReply(LivenessReply),
     /// News for all, passed on by each host that finds it new.
-    Rumour(Rumour),
+    Gossip(Gossip),
 }
 
 /// A member's sign of life.
 #[value]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's incarnation.
     pub incarnation: u64,
     /// Counts the sender's beats, so that an answer names one.
@@ -30,12 +30,12 @@
     /// The log's offset up to which the sender has folded the configuration.
     pub offset: u64,
     /// Whether the sender asks for an answer.
-    pub asks: bool,
+    pub wants_ack: bool,
 }
 
 /// A watcher's answer to a beat.
 #[value]
-pub struct Answer {
+pub struct HeartbeatAck {
     /// The sequence of the beat answered.
     pub sequence: u64,
     /// The log's offset up to which the watcher has folded the configuration.
@@ -46,7 +46,7 @@
 
 /// A watcher's doubt about a silent member.
 #[value]
-pub struct Doubt {
+pub struct LivenessQuery {
     /// The silent member.
     pub host: HostKey,
     /// The incarnation that fell silent.
@@ -59,7 +59,7 @@
 
 /// A fellow watcher's word for a doubted member.
 #[value]
-pub struct Heard {
+pub struct LivenessReply {
     /// The doubted member.
     pub host: HostKey,
     /// The incarnation heard.
@@ -70,18 +70,18 @@
 
 /// News about one member.
 #[value]
-pub struct Rumour {
+pub struct Gossip {
     /// The member it is about.
     pub host: HostKey,
     /// The incarnation it is about.
     pub incarnation: u64,
     /// What is told.
-    pub news: News,
+    pub event: GossipEvent,
 }
 
 /// What a rumour tells.
 #[tag]
-pub enum News {
+pub enum GossipEvent {
     /// Its watchers agree that it fell silent in this epoch.
     Suspected {
         /// The epoch of the silent member.
@@ -95,7 +95,7 @@
         epoch: u64,
     },
     /// The member has folded the configuration up to this offset.
-    Shown {
+    Applied {
         /// The offset after the last record folded.
         offset: u64,
     },
--- a/components/coordination/src/members/mod.rs
+++ b/components/coordination/src/members/mod.rs
@@ -1,19 +1,21 @@
 //! Who is alive, who watches whom, and who removes the lost.
 
 mod detector;
-pub mod joining;
+mod gossip;
+pub mod membership;
 pub mod message;
 pub mod quorum;
 mod receive;
 mod removal;
-mod rumour;
-mod subject;
 mod view;
 pub mod watch;
+mod watched;
 
 pub use detector::{Action, Detector};
-pub use message::{Answer, Beat, Doubt, Heard, MemberMessage, News, Rumour};
-pub use quorum::{Evidence, History, Settled, Takeover, current_at, may_act};
-pub use removal::gone;
+pub use message::{
+    Gossip, GossipEvent, Heartbeat, HeartbeatAck, LivenessQuery, LivenessReply, MemberMessage,
+};
+pub use quorum::{OwnerStatus, Takeover, WatchHistory, WatcherAck, current_at, may_act};
+pub use removal::unlisted_members;
 pub use view::{LiveView, PeerState};
 pub use watch::{MemberId, WatchMap};
--- a/components/coordination/src/members/quorum.rs
+++ b/components/coordination/src/members/quorum.rs
@@ -17,21 +17,21 @@
 use super::watch::{MemberId, WatchMap, majority};
 
 /// How long what an owner knows of the log's end lets it act.
-pub const ACT_WINDOW: Duration = Duration::from_secs(2);
+pub const AUTHORITY_WINDOW: Duration = Duration::from_secs(2);
 
 /// How long a successor waits where it can't know under which watchers the
 /// previous owner may be acting: it started after that owner was last heard.
 pub const UNKNOWN_FENCE: Duration = Duration::from_secs(60);
 
 /// Former members whose watch sets are kept.
-const FORMER: usize = 256;
+const FORMER_LIMIT: usize = 256;
 
 /// Watch sets kept of one member.
-const ERAS: usize = 64;
+const WATCH_SETS_LIMIT: usize = 64;
 
 /// An answer of one of this host's watchers.
 #[tag]
-pub struct Evidence {
+pub struct WatcherAck {
     /// The offset the watcher showed.
     pub offset: u64,
     /// When this host sent the beat that was answered.
@@ -44,15 +44,15 @@
     offset: u64,
     log_read: Option<Moment>,
     watchers: &[MemberId],
-    answers: &BTreeMap<MemberId, Evidence>,
+    answers: &BTreeMap<MemberId, WatcherAck>,
 ) -> bool {
-    let shown = current_at(offset, log_read, watchers, answers);
-    shown.is_some_and(|at| is_fresh(now, at))
+    let latest = current_at(offset, log_read, watchers, answers);
+    latest.is_some_and(|at| is_fresh(now, at))
 }
 
 /// Returns whether a proof of `at` still lets an owner act.
 pub fn is_fresh(now: Moment, at: Moment) -> bool {
-    now.since(at) < ACT_WINDOW
+    now.since(at) < AUTHORITY_WINDOW
 }
 
 /// Returns the latest moment at which the configuration known here was shown
@@ -66,7 +66,7 @@
     offset: u64,
     log_read: Option<Moment>,
     watchers: &[MemberId],
-    answers: &BTreeMap<MemberId, Evidence>,
+    answers: &BTreeMap<MemberId, WatcherAck>,
 ) -> Option<Moment> {
     let agreed = watchers.iter().filter_map(|w| answers.get(w));
     let mut asked: Vec<Moment> = agreed
@@ -84,33 +84,33 @@
 
 /// What is known of a previous owner after a change of the configuration.
 #[tag]
-pub enum Settled {
+pub enum OwnerStatus {
     /// It has shown the change itself: it acts by the new configuration.
-    Itself,
+    Applied,
     /// A majority of its watchers has shown the change: it stops acting within
-    /// [`ACT_WINDOW`] from now.
-    Watchers,
+    /// [`AUTHORITY_WINDOW`] from now.
+    MajorityApplied,
     /// It may act by an older configuration for as long as this goes on.
-    Open,
+    MayAct,
     /// This host knows too little of it: see [`UNKNOWN_FENCE`].
     Unknown,
 }
 
 /// The watch sets under which members may be acting.
 #[derive(Default)]
-pub struct History {
-    members: BTreeMap<MemberId, Past>,
+pub struct WatchHistory {
+    members: BTreeMap<MemberId, MemberPast>,
     revision: Option<u64>,
     former: VecDeque<MemberId>,
 }
 
 /// One member's watch sets.
-struct Past {
+struct MemberPast {
     /// The offset of the first configuration this host saw it in.
     since: u64,
     /// Whether it joined with that configuration.
     joined: bool,
-    ended: Vec<Era>,
+    ended: Vec<WatchSet>,
     watchers: Vec<MemberId>,
     /// The offset at which it was removed.
     removed: Option<u64>,
@@ -118,12 +118,12 @@
 
 /// A watch set and the offset at which it ended.
 #[value]
-struct Era {
+struct WatchSet {
     watchers: Vec<MemberId>,
     end: u64,
 }
 
-impl History {
+impl WatchHistory {
     /// Takes over the watch sets of the configuration at `offset`.
     ///
     /// Where revisions were skipped, an owner may be acting by a watch set that
@@ -139,7 +139,7 @@
         }
         for member in map.members() {
             let watchers = map.watchers(member);
-            let past = self.members.entry(member).or_insert_with(|| Past {
+            let past = self.members.entry(member).or_insert_with(|| MemberPast {
                 since: offset,
                 joined: follows,
                 ended: Vec::new(),
@@ -148,8 +148,9 @@
             });
             past.change(watchers, offset);
         }
-        let gone =
-            |id: &MemberId, past: &Past| past.removed.is_none() && map.member(id.host) != Some(*id);
+        let gone = |id: &MemberId, past: &MemberPast| {
+            past.removed.is_none() && map.member(id.host) != Some(*id)
+        };
         for (id, past) in &mut self.members {
             if gone(id, past) {
                 past.change(&[], offset);
@@ -157,7 +158,7 @@
                 self.former.push_back(*id);
             }
         }
-        while self.former.len() > FORMER {
+        while self.former.len() > FORMER_LIMIT {
             let oldest = self.former.pop_front();
             oldest.map(|id| self.members.remove(&id));
         }
@@ -173,27 +174,27 @@
 
     /// Decides whether `owner` may still act by a configuration before `change`.
     ///
-    /// `shown` is the greatest offset that each process has said it folded.
+    /// `applied` is the greatest offset that each process has said it folded.
     /// For each watch set that `owner` may be under, a majority must have gone
     /// past the set's end; `owner` finds no majority to agree with it then.
-    pub fn settled(
+    pub fn owner_status(
         &self,
         owner: MemberId,
         change: u64,
-        shown: &BTreeMap<MemberId, u64>,
-    ) -> Settled {
-        let last = shown.get(&owner).copied().unwrap_or(0);
+        applied: &BTreeMap<MemberId, u64>,
+    ) -> OwnerStatus {
+        let last = applied.get(&owner).copied().unwrap_or(0);
         if last >= change {
-            return Settled::Itself;
+            return OwnerStatus::Applied;
         }
         let Some(past) = self.members.get(&owner) else {
-            return Settled::Unknown;
+            return OwnerStatus::Unknown;
         };
         if !past.joined && last < past.since {
-            return Settled::Unknown;
+            return OwnerStatus::Unknown;
         }
         let passed = |watchers: &[MemberId], end: u64| {
-            let beyond = |w: &&MemberId| shown.get(w).is_some_and(|s| *s >= end);
+            let beyond = |w: &&MemberId| applied.get(w).is_some_and(|s| *s >= end);
             let count = watchers.iter().filter(beyond).count();
             watchers.is_empty() || count >= majority(watchers.len())
         };
@@ -201,25 +202,25 @@
         let ended = open.clone().all(|e| passed(&e.watchers, e.end.min(change)));
         let current = past.removed.is_some() || passed(&past.watchers, change);
         match ended && current {
-            true => Settled::Watchers,
-            false => Settled::Open,
+            true => OwnerStatus::MajorityApplied,
+            false => OwnerStatus::MayAct,
         }
     }
 }
 
-impl Past {
+impl MemberPast {
     fn change(&mut self, watchers: &[MemberId], offset: u64) {
         if self.watchers == watchers {
             return;
         }
         let old = std::mem::replace(&mut self.watchers, watchers.to_vec());
-        self.ended.push(Era {
+        self.ended.push(WatchSet {
             watchers: old,
             end: offset,
         });
         // The union of two sets would weaken the rule; too many of them make
         // the past unknown instead, which only costs waiting.
-        if self.ended.len() > ERAS {
+        if self.ended.len() > WATCH_SETS_LIMIT {
             let dropped = self.ended.remove(0);
             self.since = dropped.end;
             self.joined = false;
@@ -233,7 +234,7 @@
 /// that asking again does not start the wait anew.
 #[derive(Default)]
 pub struct Takeover {
-    waiting: Option<(Settled, Moment)>,
+    waiting: Option<(OwnerStatus, Moment)>,
 }
 
 impl Takeover {
@@ -241,21 +242,21 @@
     ///
     /// `term` is the longest time for which anything that the previous owner
     /// granted stays in use. A quarter is added for clocks that run unevenly.
-    pub fn may_adopt(&mut self, settled: Settled, term: Duration, now: Moment) -> bool {
-        let wait = match settled {
-            Settled::Itself => return true,
-            Settled::Open => {
+    pub fn may_take_over(&mut self, status: OwnerStatus, term: Duration, now: Moment) -> bool {
+        let wait = match status {
+            OwnerStatus::Applied => return true,
+            OwnerStatus::MayAct => {
                 self.waiting = None;
                 return false;
             }
-            Settled::Watchers => ACT_WINDOW + term,
-            Settled::Unknown => UNKNOWN_FENCE + term,
+            OwnerStatus::MajorityApplied => AUTHORITY_WINDOW + term,
+            OwnerStatus::Unknown => UNKNOWN_FENCE + term,
         };
         let since = match self.waiting {
-            Some((before, since)) if before == settled => since,
+            Some((before, since)) if before == status => since,
             _ => now,
         };
-        self.waiting = Some((settled, since));
+        self.waiting = Some((status, since));
         now.since(since) >= wait + wait / 4
     }
 }
--- a/components/coordination/src/members/receive.rs
+++ b/components/coordination/src/members/receive.rs
@@ -5,10 +5,12 @@
 use state::{HostKey, Moment};
 
 use super::detector::{Detector, millis};
-use super::message::{Answer, Beat, Doubt, Heard, MemberMessage, News, Rumour};
-use super::quorum::Evidence;
-use super::subject::HEARS;
+use super::message::{
+    Gossip, GossipEvent, Heartbeat, HeartbeatAck, LivenessQuery, LivenessReply, MemberMessage,
+};
+use super::quorum::WatcherAck;
 use super::watch::MemberId;
+use super::watched::HEARD_WITHIN;
 
 impl Detector {
     /// Takes one message in.
@@ -17,116 +19,118 @@
             return;
         };
         match message {
-            MemberMessage::Beat(beat) => self.beat(id, beat, now),
-            MemberMessage::Answer(answer) => self.answer(id, answer, now),
-            MemberMessage::Doubt(doubt) => self.doubt(id, doubt, now),
-            MemberMessage::Heard(heard) => self.heard(heard, now),
-            MemberMessage::Rumour(rumour) => self.rumour(id, rumour, now),
+            MemberMessage::Heartbeat(heartbeat) => self.heartbeat(id, heartbeat, now),
+            MemberMessage::HeartbeatAck(ack) => self.ack(id, ack, now),
+            MemberMessage::LivenessQuery(query) => self.liveness_query(id, query, now),
+            MemberMessage::LivenessReply(reply) => self.liveness_reply(reply, now),
+            MemberMessage::Gossip(gossip) => self.gossip(id, gossip, now),
         }
         self.refresh(now);
     }
 
     /// Notes a peer that is ahead of this host.
-    pub(super) fn compare(&mut self, from: HostKey, offset: u64, now: Moment) {
+    pub(super) fn note_peer_offset(&mut self, from: HostKey, offset: u64, now: Moment) {
         if offset > self.offset && self.ahead.is_none() {
             self.ahead = Some((from, now));
         }
     }
 
-    fn beat(&mut self, from: MemberId, beat: &Beat, now: Moment) {
-        if beat.incarnation != from.incarnation {
+    fn heartbeat(&mut self, from: MemberId, heartbeat: &Heartbeat, now: Moment) {
+        if heartbeat.incarnation != from.incarnation {
             return;
         }
-        self.rumours.show(from, beat.offset);
-        self.compare(from.host, beat.offset, now);
-        let suspected = self.rumours.suspected(from, now);
-        let suspected = suspected.filter(|epoch| *epoch >= beat.epoch);
-        if let Some(subject) = self.subjects.get_mut(&from) {
-            subject.epoch = subject.epoch.max(beat.epoch);
-            subject.hear(now);
+        self.gossip_state.note_applied(from, heartbeat.offset);
+        self.note_peer_offset(from.host, heartbeat.offset, now);
+        let suspected = self.gossip_state.suspected(from, now);
+        let suspected = suspected.filter(|epoch| *epoch >= heartbeat.epoch);
+        if let Some(member) = self.watched.get_mut(&from) {
+            member.epoch = member.epoch.max(heartbeat.epoch);
+            member.record_contact(now);
         }
-        if !beat.asks && suspected.is_none() {
+        if !heartbeat.wants_ack && suspected.is_none() {
             return;
         }
-        let answer = Answer {
-            sequence: beat.sequence,
+        let ack = HeartbeatAck {
+            sequence: heartbeat.sequence,
             offset: self.offset,
             suspected,
         };
-        self.send(from.host, MemberMessage::Answer(answer));
+        self.send(from.host, MemberMessage::HeartbeatAck(ack));
     }
 
-    fn answer(&mut self, from: MemberId, answer: &Answer, now: Moment) {
-        self.rumours.show(from, answer.offset);
-        self.compare(from.host, answer.offset, now);
-        if let Some(asked) = self.asked.get(&answer.sequence) {
-            let evidence = Evidence {
-                offset: answer.offset,
+    fn ack(&mut self, from: MemberId, ack: &HeartbeatAck, now: Moment) {
+        self.gossip_state.note_applied(from, ack.offset);
+        self.note_peer_offset(from.host, ack.offset, now);
+        if let Some(asked) = self.asked.get(&ack.sequence) {
+            let evidence = WatcherAck {
+                offset: ack.offset,
                 asked: *asked,
             };
             self.answers.insert(from, evidence);
         }
         if let Some(poll) = &mut self.poll {
-            poll.answer(from, answer.sequence);
+            poll.note_answer(from, ack.sequence);
         }
-        if let Some(epoch) = answer.suspected {
+        if let Some(epoch) = ack.suspected {
             self.refute(epoch);
         }
     }
 
     /// Answers a fellow watcher's doubt: an indirect ask whether the member is heard here.
-    fn doubt(&mut self, from: MemberId, doubt: &Doubt, now: Moment) {
+    fn liveness_query(&mut self, from: MemberId, query: &LivenessQuery, now: Moment) {
         let id = MemberId {
-            host: doubt.host,
-            incarnation: doubt.incarnation,
+            host: query.host,
+            incarnation: query.incarnation,
         };
-        let Some(subject) = self.subjects.get_mut(&id) else {
+        let Some(member) = self.watched.get_mut(&id) else {
             return;
         };
-        let silence = subject.silence(now);
-        if silence >= HEARS {
-            subject.doubt(from, now);
+        let silence = member.silence(now);
+        if silence >= HEARD_WITHIN {
+            member.note_concurring(from, now);
             return;
         }
-        let heard = Heard {
+        let reply = LivenessReply {
             host: id.host,
             incarnation: id.incarnation,
             ago_ms: millis(silence),
         };
-        self.send(from.host, MemberMessage::Heard(heard));
+        self.send(from.host, MemberMessage::LivenessReply(reply));
     }
 
-    fn heard(&mut self, heard: &Heard, now: Moment) {
+    fn liveness_reply(&mut self, reply: &LivenessReply, now: Moment) {
         let id = MemberId {
-            host: heard.host,
-            incarnation: heard.incarnation,
+            host: reply.host,
+            incarnation: reply.incarnation,
         };
-        if let Some(subject) = self.subjects.get_mut(&id) {
-            subject.hear(now - Duration::from_millis(heard.ago_ms));
+        if let Some(member) = self.watched.get_mut(&id) {
+            member.record_contact(now - Duration::from_millis(reply.ago_ms));
         }
     }
 
-    fn rumour(&mut self, from: MemberId, rumour: &Rumour, now: Moment) {
+    fn gossip(&mut self, from: MemberId, gossip: &Gossip, now: Moment) {
         let id = MemberId {
-            host: rumour.host,
-            incarnation: rumour.incarnation,
+            host: gossip.host,
+            incarnation: gossip.incarnation,
         };
-        if let (true, News::Suspected { epoch, .. }) = (id == self.me, rumour.news) {
+        if let (true, GossipEvent::Suspected { epoch, .. }) = (id == self.me, gossip.event) {
             self.refute(epoch);
             return;
         }
         let known = self.map.member(id.host) == Some(id);
-        if !known && !matches!(rumour.news, News::Shown { .. }) {
+        if !known && !matches!(gossip.event, GossipEvent::Applied { .. }) {
             return;
         }
-        if !self.rumours.take(rumour, now) {
+        if !self.gossip_state.accept(gossip, now) {
             return;
         }
-        if let (Some(subject), News::Alive { epoch }) = (self.subjects.get_mut(&id), rumour.news) {
-            subject.epoch = epoch;
-            subject.hear(now);
+        if let (Some(member), GossipEvent::Alive { epoch }) =
+            (self.watched.get_mut(&id), gossip.event)
+        {
+            member.epoch = epoch;
+            member.record_contact(now);
         }
-        self.pass_on(rumour, Some(from.host));
+        self.forward_gossip(gossip, Some(from.host));
     }
 
     /// Says that this host lives, in a newer epoch than the one it was suspected in.
@@ -135,11 +139,11 @@
             return;
         }
         self.epoch = epoch + 1;
-        let rumour = Rumour {
+        let gossip = Gossip {
             host: self.me.host,
             incarnation: self.me.incarnation,
-            news: News::Alive { epoch: self.epoch },
+            event: GossipEvent::Alive { epoch: self.epoch },
         };
-        self.pass_on(&rumour, None);
+        self.forward_gossip(&gossip, None);
     }
 }
--- a/components/coordination/src/members/removal.rs
+++ b/components/coordination/src/members/removal.rs
@@ -9,7 +9,7 @@
 use super::watch::{MemberId, majority};
 
 /// How long the answers to a poll are waited for.
-pub const POLL_LASTS: Duration = Duration::from_secs(1);
+pub const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a remover waits for its removal to show before it tries again.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -23,7 +23,7 @@
     /// It is there, or the list says nothing that can be relied on.
     Unclear,
     /// A list that names this host itself says that the member leaves, or lacks it.
-    Gone,
+    Unlisted,
 }
 
 /// Asks the region's members whether they hear this host, before it removes one.
@@ -31,7 +31,7 @@
 /// What goes wrong without it: hosts cut off from the rest, but not from the
 /// log, remove all the others one by one. Only hosts that a majority of the
 /// region answers may remove, so that of two halves one at most does.
-pub struct Poll {
+pub struct RemovalPoll {
     target: MemberId,
     asked: Moment,
     sequence: u64,
@@ -39,10 +39,10 @@
     removed: Option<Moment>,
 }
 
-impl Poll {
+impl RemovalPoll {
     /// Starts a poll about `target`, asked with the beat `sequence`.
-    pub fn new(target: MemberId, sequence: u64, now: Moment) -> Poll {
-        Poll {
+    pub fn new(target: MemberId, sequence: u64, now: Moment) -> RemovalPoll {
+        RemovalPoll {
             target,
             asked: now,
             sequence,
@@ -57,7 +57,7 @@
     }
 
     /// Notes an answer.
-    pub fn answer(&mut self, from: MemberId, sequence: u64) {
+    pub fn note_answer(&mut self, from: MemberId, sequence: u64) {
         if sequence >= self.sequence {
             self.answered.insert(from);
         }
@@ -67,7 +67,7 @@
     pub fn is_over(&self, now: Moment) -> bool {
         match self.removed {
             Some(at) => now.since(at) >= RETRY_AFTER,
-            None => now.since(self.asked) >= POLL_LASTS,
+            None => now.since(self.asked) >= POLL_TIMEOUT,
         }
     }
 
@@ -76,7 +76,7 @@
     /// `region` is how many members the region has, the target and this host among them.
     pub fn should_remove(&mut self, region: usize, listed: Listed, now: Moment) -> bool {
         let heard = self.answered.len() + 1;
-        let agreed = heard >= majority(region) || listed == Listed::Gone;
+        let agreed = heard >= majority(region) || listed == Listed::Unlisted;
         let due = agreed && self.removed.is_none();
         if due {
             self.removed = Some(now);
@@ -90,7 +90,7 @@
 /// `live` holds the names that the list calls live. Where this host is not
 /// among them the list is empty, of another site or older than this host, and
 /// says nothing about anybody.
-pub fn gone(live: &BTreeSet<String>, me: &str, config: &Config) -> BTreeSet<HostKey> {
+pub fn unlisted_members(live: &BTreeSet<String>, me: &str, config: &Config) -> BTreeSet<HostKey> {
     if !live.contains(me) {
         return BTreeSet::new();
     }
--- a/components/coordination/src/members/view.rs
+++ b/components/coordination/src/members/view.rs
@@ -23,7 +23,7 @@
     /// Whether its watchers agree that it fell silent.
     pub suspected: bool,
     /// The offset of its configuration, as it last said itself.
-    pub shown: u64,
+    pub applied: u64,
 }
 
 impl LiveView {
--- a/components/coordination/src/members/watch.rs
+++ b/components/coordination/src/members/watch.rs
@@ -38,12 +38,12 @@
     /// A member's watchers stand in its own region, where that has others: a
     /// region that loses sight of another must not think it dead. They are
     /// spread over the region's data centres, so that one that goes takes few.
-    pub fn of(config: &Config) -> WatchMap {
+    pub fn from_config(config: &Config) -> WatchMap {
         let regions = regions(config);
-        let stands: Vec<Stand> = config
+        let located: Vec<Located> = config
             .members
             .iter()
-            .map(|(host, member)| Stand {
+            .map(|(host, member)| Located {
                 id: MemberId {
                     host: *host,
                     incarnation: member.incarnation,
@@ -52,7 +52,10 @@
                 region: &regions[host],
             })
             .collect();
-        let watchers = stands.iter().map(|s| (s.id, choose(s, &stands))).collect();
+        let watchers = located
+            .iter()
+            .map(|s| (s.id, choose(s, &located)))
+            .collect();
         WatchMap { watchers, regions }
     }
 
@@ -65,11 +68,11 @@
     }
 
     /// Returns the members that `watcher` watches.
-    pub fn subjects(&self, watcher: MemberId) -> impl Iterator<Item = MemberId> {
+    pub fn watched_by(&self, watcher: MemberId) -> impl Iterator<Item = MemberId> {
         self.watchers
             .iter()
             .filter(move |(_, watchers)| watchers.contains(&watcher))
-            .map(|(subject, _)| *subject)
+            .map(|(member, _)| *member)
     }
 
     /// Returns all members.
@@ -115,23 +118,23 @@
 }
 
 /// A member and where it stands.
-struct Stand<'a> {
+struct Located<'a> {
     id: MemberId,
     centre: &'a str,
     region: &'a str,
 }
 
-fn choose(subject: &Stand, stands: &[Stand]) -> Vec<MemberId> {
-    let others = || stands.iter().filter(|s| s.id.host != subject.id.host);
-    let mut ranked: Vec<&Stand> = others().filter(|s| s.region == subject.region).collect();
+fn choose(member: &Located, located: &[Located]) -> Vec<MemberId> {
+    let others = || located.iter().filter(|s| s.id.host != member.id.host);
+    let mut ranked: Vec<&Located> = others().filter(|s| s.region == member.region).collect();
     if ranked.is_empty() {
         ranked = others().collect();
     }
-    ranked.sort_by_cached_key(|s| Reverse(rendezvous(s.id.host.0, subject.id.host.0)));
+    ranked.sort_by_cached_key(|s| Reverse(rendezvous(s.id.host.0, member.id.host.0)));
     let centres: BTreeSet<&str> = ranked.iter().map(|s| s.centre).collect();
     let share = WATCHERS.div_ceil(centres.len().max(1));
     let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
-    let (mut chosen, rest): (Vec<&Stand>, Vec<&Stand>) = ranked.iter().partition(|s| {
+    let (mut chosen, rest): (Vec<&Located>, Vec<&Located>) = ranked.iter().partition(|s| {
         let count = taken.entry(s.centre).or_default();
         *count += 1;
         *count <= share
--- a/components/coordination/src/slots/settling.rs
+++ b/components/coordination/src/slots/assignment.rs
@@ -4,24 +4,24 @@
 
 use state::{EndpointKey, Moment, ServiceKey};
 
-use super::holder::Usage;
+use super::held::Usage;
 use super::message::SlotKey;
-use super::{Effect, Slots};
+use super::{Effect, SlotManager};
 
 /// How good an endpoint is to start the next call on; the least is the best.
 type Rank = (bool, usize);
 
-impl Slots {
+impl SlotManager {
     /// Starts calls on idle slots and moves the slots that others need more.
     ///
     /// Runs at each arrival and each end of a call. Most of them find calm: so
     /// it looks first whether anyone wants a slot, and stops as soon as no one
     /// does. Ranking all idle slots each time took longer than the rest of a
     /// call's way through the host.
-    pub(super) fn settle(&mut self, service: ServiceKey, now: Moment) {
+    pub(super) fn assign_idle(&mut self, service: ServiceKey, now: Moment) {
         if self.is_wanted(service, now) {
             for slot in self.ranked(service) {
-                if !self.settle_slot(service, slot, now) {
+                if !self.assign_slot(service, slot, now) {
                     self.forget_idle(service, slot);
                 }
                 if !self.is_wanted(service, now) {
@@ -29,28 +29,28 @@
                 }
             }
         }
-        if let Some(desk) = self.desks.get_mut(&service)
-            && desk.queue.is_empty()
+        if let Some(pool) = self.pools.get_mut(&service)
+            && pool.queue.is_empty()
         {
-            desk.gate.note_empty(now);
+            pool.gate.note_empty(now);
         }
     }
 
     /// Starts the oldest waiting call that may run on this idle slot.
     pub(super) fn start_next(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) -> bool {
-        let Some(desk) = self.desks.get_mut(&service) else {
+        let Some(pool) = self.pools.get_mut(&service) else {
             return false;
         };
-        let Some(waiting) = desk.queue.take(slot.endpoint) else {
+        let Some(waiting) = pool.queue.take(slot.endpoint) else {
             return false;
         };
-        let lease = self.holder.start(slot, now);
-        let address = self.map.sites.get(&slot.endpoint).map(|s| s.address);
+        let lease = self.leases.start(slot, now);
+        let address = self.roles.endpoints.get(&slot.endpoint).map(|s| s.address);
         let (Some(lease), Some(address)) = (lease, address) else {
-            desk.queue.push_front(waiting);
+            pool.queue.push_front(waiting);
             return false;
         };
-        desk.gate.note_start(desk.queue.len(), now);
+        pool.gate.note_start(pool.queue.len(), now);
         self.effects.push(Effect::Start {
             call: waiting.call,
             lease,
@@ -61,18 +61,20 @@
 
     /// Returns whether an idle slot here has anything to do but stay.
     fn is_wanted(&self, service: ServiceKey, now: Moment) -> bool {
-        let Some(desk) = self.desks.get(&service) else {
+        let Some(pool) = self.pools.get(&service) else {
             return false;
         };
         match self.brokers.get(&service) {
-            _ if desk.idle.is_empty() => false,
-            _ if self.stopping || !desk.queue.is_empty() || !desk.orders.is_empty() => true,
-            Some(broker) if self.map.broker(service) == Some(self.me.host) => {
-                broker.neediest(Some(self.me.host), now).is_some()
-                    || (desk.idle.len() as u32 > desk.spare()
-                        && broker.wishing(self.me.host, now).is_some())
+            _ if pool.idle.is_empty() => false,
+            _ if self.stopping || !pool.queue.is_empty() || !pool.transfer_requests.is_empty() => {
+                true
             }
-            _ => desk.hungry,
+            Some(broker) if self.roles.broker(service) == Some(self.me.host) => {
+                broker.longest_waiting(Some(self.me.host), now).is_some()
+                    || (pool.idle.len() as u32 > pool.spare()
+                        && broker.spare_candidate(self.me.host, now).is_some())
+            }
+            _ => pool.shortage,
         }
     }
 
@@ -82,7 +84,7 @@
     /// with the fewest calls of this host, so that a server in trouble meets
     /// few of them.
     pub(super) fn ranked(&self, service: ServiceKey) -> Vec<SlotKey> {
-        let mut slots = self.idle_of(service);
+        let mut slots = self.idle_slots(service);
         if slots.len() < 2 {
             return slots;
         }
@@ -96,9 +98,9 @@
     }
 
     fn rank(&self, endpoint: EndpointKey) -> Rank {
-        let site = self.map.sites.get(&endpoint);
-        let near = site.is_some_and(|s| s.centre == self.me.centre);
-        let held = self.holder.of(endpoint);
+        let endpoint_roles = self.roles.endpoints.get(&endpoint);
+        let near = endpoint_roles.is_some_and(|s| s.centre == self.me.centre);
+        let held = self.leases.of_endpoint(endpoint);
         let busy = held.filter(|h| !matches!(h.usage, Usage::Idle(_)));
         (!near, busy.count())
     }
--- a/components/coordination/src/slots/broker.rs
+++ b/components/coordination/src/slots/broker.rs
@@ -15,15 +15,15 @@
 /// What a broker knows of the hosts that want or hold slots of its service.
 #[value]
 pub struct Broker {
-    clients: BTreeMap<HostKey, Client>,
-    hungry: bool,
-    unmet: Moment,
-    reviewed: Moment,
+    demands: BTreeMap<HostKey, HostDemand>,
+    shortage: bool,
+    last_unmet: Moment,
+    last_planned: Moment,
 }
 
 /// One host, by its last report.
 #[value]
-pub struct Client {
+pub struct HostDemand {
     stamp: Stamp,
     waiting: u32,
     unmet: u32,
@@ -31,17 +31,17 @@
     spare: u32,
     held: u32,
     idle: u32,
-    got: u32,
-    coming: VecDeque<Moment>,
-    asked: VecDeque<Moment>,
-    leaving: VecDeque<Moment>,
-    heard: Moment,
-    spoken: Moment,
+    received: u32,
+    incoming: VecDeque<Moment>,
+    requested: VecDeque<Moment>,
+    outgoing: VecDeque<Moment>,
+    last_report: Moment,
+    last_sent: Moment,
 }
 
 /// A slot to be moved from one holder to another.
 #[value]
-pub struct Move {
+pub struct PlannedTransfer {
     /// Who gives it.
     pub from: HostKey,
     /// Who gets it.
@@ -53,72 +53,79 @@
 }
 
 /// A slot on its way is forgotten after this: the giver may have had none free.
-const ON_WAY: Duration = Duration::from_millis(20);
+const IN_TRANSIT_TIMEOUT: Duration = Duration::from_millis(20);
 /// A slot asked for is forgotten after this: the giver may have had none free.
-const ASKED: Duration = Duration::from_millis(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(10);
 /// A host unheard of for this long wants and holds nothing.
-const SILENT: Duration = Duration::from_millis(3_000);
+const REPORT_TTL: Duration = Duration::from_millis(3_000);
 /// The least time between two rounds of moves.
-const ROUND: Duration = Duration::from_millis(2);
+const TRANSFER_INTERVAL: Duration = Duration::from_millis(2);
 /// A difference of waits worth a move, which costs the slot half a round trip.
-const MARGIN: Duration = Duration::from_millis(4);
+const MIN_WAIT_GAIN: Duration = Duration::from_millis(4);
 /// Calls must have found slots for this long before hosts may keep spares again.
-const CALM: Duration = Duration::from_millis(10);
+const SHORTAGE_HOLD: Duration = Duration::from_millis(10);
 /// A client spoken to longer ago than this is sent a pulse, for its stamp.
-const SPOKEN: Duration = Duration::from_millis(500);
+const STAMP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Broker {
     /// Returns a broker that has heard nothing.
     pub fn new(now: Moment) -> Broker {
         Broker {
-            clients: BTreeMap::new(),
-            hungry: false,
-            unmet: now,
-            reviewed: now,
+            demands: BTreeMap::new(),
+            shortage: false,
+            last_unmet: now,
+            last_planned: now,
         }
     }
 
     /// Takes in a report; returns whether the host should be sent a pulse.
-    pub fn note(&mut self, from: HostKey, stamp: Stamp, demand: &Demand, now: Moment) -> bool {
-        let known = self.clients.contains_key(&from);
-        let client = self.clients.entry(from).or_insert_with(|| Client::new(now));
-        if client.stamp.life != stamp.life {
-            *client = Client::new(now);
-            client.got = demand.got;
+    pub fn record(&mut self, from: HostKey, stamp: Stamp, demand: &Demand, now: Moment) -> bool {
+        let known = self.demands.contains_key(&from);
+        let entry = self
+            .demands
+            .entry(from)
+            .or_insert_with(|| HostDemand::new(now));
+        if entry.stamp.incarnation != stamp.incarnation {
+            *entry = HostDemand::new(now);
+            entry.received = demand.received;
         }
-        let arrived = demand.got.wrapping_sub(client.got) as usize;
-        let arrived = arrived.min(client.coming.len());
-        client.coming.drain(..arrived);
-        let gone = client.held.saturating_sub(demand.held) as usize;
-        client.leaving.drain(..gone.min(client.leaving.len()));
-        client.got = demand.got;
-        client.stamp = stamp;
-        client.settle(now);
-        let served = client.unmet.saturating_sub(demand.waiting) as usize;
-        client.asked.drain(..served.min(client.asked.len()));
-        client.waiting = demand.waiting;
-        client.unmet = demand.waiting.saturating_sub(client.coming.len() as u32);
-        client.since = now - demand.oldest;
-        client.spare = demand.spare;
-        client.held = demand.held;
-        client.idle = demand.idle;
-        client.heard = now;
-        let due = now.since(client.spoken) >= SPOKEN;
+        let arrived = demand.received.wrapping_sub(entry.received) as usize;
+        let arrived = arrived.min(entry.incoming.len());
+        entry.incoming.drain(..arrived);
+        let gone = entry.held.saturating_sub(demand.held) as usize;
+        entry.outgoing.drain(..gone.min(entry.outgoing.len()));
+        entry.received = demand.received;
+        entry.stamp = stamp;
+        entry.expire_pending(now);
+        let served = entry.unmet.saturating_sub(demand.waiting) as usize;
+        entry.requested.drain(..served.min(entry.requested.len()));
+        entry.waiting = demand.waiting;
+        entry.unmet = demand.waiting.saturating_sub(entry.incoming.len() as u32);
+        entry.since = now - demand.oldest;
+        entry.spare = demand.spare;
+        entry.held = demand.held;
+        entry.idle = demand.idle;
+        entry.last_report = now;
+        let due = now.since(entry.last_sent) >= STAMP_INTERVAL;
         if due {
-            client.spoken = now;
+            entry.last_sent = now;
         }
-        due || (self.hungry && !known)
+        due || (self.shortage && !known)
     }
 
     /// Forgets hosts that are gone.
     pub fn retain(&mut self, alive: impl Fn(HostKey) -> bool) {
-        self.clients.retain(|host, _| alive(*host));
+        self.demands.retain(|host, _| alive(*host));
     }
 
     /// Returns the host, but for `except`, whose calls have waited longest without a
     /// slot on the way, and how long they have.
-    pub fn neediest(&self, except: Option<HostKey>, now: Moment) -> Option<(HostKey, Duration)> {
-        self.clients
+    pub fn longest_waiting(
+        &self,
+        except: Option<HostKey>,
+        now: Moment,
+    ) -> Option<(HostKey, Duration)> {
+        self.demands
             .iter()
             .filter(|(host, c)| Some(**host) != except && c.unmet(now) > 0)
             .map(|(host, c)| (*host, c.age(now)))
@@ -126,37 +133,37 @@
     }
 
     /// Returns the host whose calls have waited longest with no slot asked for, and how long.
-    fn unasked(&self, now: Moment) -> Option<(HostKey, Duration)> {
-        self.clients
+    fn longest_unrequested(&self, now: Moment) -> Option<(HostKey, Duration)> {
+        self.demands
             .iter()
-            .filter(|(_, c)| c.unmet(now) > c.asked.len() as u32)
+            .filter(|(_, c)| c.unmet(now) > c.requested.len() as u32)
             .map(|(host, c)| (*host, c.age(now)))
             .max_by_key(|(host, age)| (*age, *host))
     }
 
     /// Returns a host, but for `except`, that wants a spare slot for its next calls.
-    pub fn wishing(&self, except: HostKey, now: Moment) -> Option<HostKey> {
-        self.clients
+    pub fn spare_candidate(&self, except: HostKey, now: Moment) -> Option<HostKey> {
+        self.demands
             .iter()
-            .filter(|(host, c)| **host != except && c.wish(now) > 0)
-            .max_by_key(|(host, c)| (c.wish(now), **host))
+            .filter(|(host, c)| **host != except && c.spare_demand(now) > 0)
+            .max_by_key(|(host, c)| (c.spare_demand(now), **host))
             .map(|(host, _)| *host)
     }
 
     /// Returns the last stamp of a host.
     pub fn stamp(&self, host: HostKey) -> Option<Stamp> {
-        self.clients.get(&host).map(|c| c.stamp)
+        self.demands.get(&host).map(|c| c.stamp)
     }
 
     /// Notes that a slot is on its way to a host.
     pub fn note_sent(&mut self, to: HostKey, now: Moment) {
-        if let Some(client) = self.clients.get_mut(&to) {
-            client.coming.push_back(now);
-            match client.unmet {
-                0 => client.spare = client.spare.saturating_sub(1),
-                _ => client.unmet -= 1,
+        if let Some(entry) = self.demands.get_mut(&to) {
+            entry.incoming.push_back(now);
+            match entry.unmet {
+                0 => entry.spare = entry.spare.saturating_sub(1),
+                _ => entry.unmet -= 1,
             }
-            client.spoken = now;
+            entry.last_sent = now;
         }
     }
 
@@ -165,81 +172,81 @@
     /// Made for more waiting calls than idle slots. Without it the calls of a
     /// host that has few slots wait long while younger ones elsewhere are
     /// started; each move costs a slot half a round trip, so only differences
-    /// above [`MARGIN`] are worth one, and a round moves one slot a giver.
-    pub fn moves(&mut self, now: Moment) -> Vec<Move> {
-        if now.since(self.reviewed) < ROUND {
+    /// above [`MIN_WAIT_GAIN`] are worth one, and a round moves one slot a giver.
+    pub fn plan_transfers(&mut self, now: Moment) -> Vec<PlannedTransfer> {
+        if now.since(self.last_planned) < TRANSFER_INTERVAL {
             return Vec::new();
         }
-        self.reviewed = now;
-        for client in self.clients.values_mut() {
-            client.settle(now);
+        self.last_planned = now;
+        for entry in self.demands.values_mut() {
+            entry.expire_pending(now);
         }
-        let mut moves = Vec::new();
-        let mut givers = self.givers(now);
-        while let Some((to, wait)) = self.unasked(now) {
-            let Some(index) = givers
+        let mut transfers = Vec::new();
+        let mut donors = self.donors(now);
+        while let Some((to, wait)) = self.longest_unrequested(now) {
+            let Some(index) = donors
                 .iter()
-                .position(|(from, age)| *from != to && *age + MARGIN < wait)
+                .position(|(from, age)| *from != to && *age + MIN_WAIT_GAIN < wait)
             else {
                 break;
             };
-            let (from, _) = givers.swap_remove(index);
+            let (from, _) = donors.swap_remove(index);
             let echo = self.stamp(to).unwrap_or_default();
-            if let Some(client) = self.clients.get_mut(&to) {
-                client.asked.push_back(now + ASKED);
+            if let Some(entry) = self.demands.get_mut(&to) {
+                entry.requested.push_back(now + REQUEST_TIMEOUT);
             }
-            if let Some(giver) = self.clients.get_mut(&from) {
-                giver.leaving.push_back(now);
-                giver.spoken = now;
+            if let Some(donor) = self.demands.get_mut(&from) {
+                donor.outgoing.push_back(now);
+                donor.last_sent = now;
             }
-            moves.push(Move {
+            transfers.push(PlannedTransfer {
                 from,
                 to,
                 echo,
                 oldest: wait,
             });
         }
-        moves
+        transfers
     }
 
     /// Returns the new state where hosts have to be told that it changed.
-    pub fn pulse(&mut self, now: Moment) -> Option<bool> {
-        let unmet = self.neediest(None, now).is_some();
+    pub fn update_shortage(&mut self, now: Moment) -> Option<bool> {
+        let unmet = self.longest_waiting(None, now).is_some();
         if unmet {
-            self.unmet = now;
+            self.last_unmet = now;
         }
-        let hungry = unmet || (self.hungry && now.since(self.unmet) < CALM);
-        let changed = hungry != self.hungry;
-        self.hungry = hungry;
-        changed.then_some(hungry)
+        let shortage = unmet || (self.shortage && now.since(self.last_unmet) < SHORTAGE_HOLD);
+        let changed = shortage != self.shortage;
+        self.shortage = shortage;
+        changed.then_some(shortage)
     }
 
     /// Returns whether calls wait that no idle slot can serve.
-    pub fn is_hungry(&self) -> bool {
-        self.hungry
+    pub fn has_shortage(&self) -> bool {
+        self.shortage
     }
 
     /// Returns the hosts that hold slots.
     pub fn holders(&self) -> Vec<HostKey> {
-        let holding = self.clients.iter().filter(|(_, c)| c.held > 0);
+        let holding = self.demands.iter().filter(|(_, c)| c.held > 0);
         holding.map(|(host, _)| *host).collect()
     }
 
-    fn givers(&self, now: Moment) -> Vec<(HostKey, Duration)> {
-        let mut givers: Vec<(HostKey, Duration)> = self
-            .clients
+    fn donors(&self, now: Moment) -> Vec<(HostKey, Duration)> {
+        let mut donors: Vec<(HostKey, Duration)> = self
+            .demands
             .iter()
-            .filter(|(_, c)| c.held as usize > c.leaving.len())
+            .filter(|(_, c)| c.held as usize > c.outgoing.len())
             .map(|(host, c)| (*host, c.age(now)))
             .collect();
-        givers.sort_by_key(|(host, age)| (*age, *host));
-        givers
+        donors.sort_by_key(|(host, age)| (*age, *host));
+        donors
     }
 }
 
-impl Client {
-    fn new(now: Moment) -> Client {
-        Client {
+impl HostDemand {
+    fn new(now: Moment) -> HostDemand {
+        HostDemand {
             stamp: Stamp::default(),
             waiting: 0,
             unmet: 0,
@@ -247,24 +254,24 @@
             spare: 0,
             held: 0,
             idle: 0,
-            got: 0,
-            coming: VecDeque::new(),
-            asked: VecDeque::new(),
-            leaving: VecDeque::new(),
-            heard: now,
-            spoken: Moment(0),
+            received: 0,
+            incoming: VecDeque::new(),
+            requested: VecDeque::new(),
+            outgoing: VecDeque::new(),
+            last_report: now,
+            last_sent: Moment(0),
         }
     }
 
     fn unmet(&self, now: Moment) -> u32 {
-        if now.since(self.heard) > SILENT {
+        if now.since(self.last_report) > REPORT_TTL {
             return 0;
         }
         self.unmet
     }
 
-    fn wish(&self, now: Moment) -> u32 {
-        if now.since(self.heard) > SILENT {
+    fn spare_demand(&self, now: Moment) -> u32 {
+        if now.since(self.last_report) > REPORT_TTL {
             return 0;
         }
         self.unmet + self.spare
@@ -278,9 +285,11 @@
         }
     }
 
-    fn settle(&mut self, now: Moment) {
-        self.coming.retain(|at| now.since(*at) < ON_WAY);
-        self.asked.retain(|until| *until > now);
-        self.leaving.retain(|at| now.since(*at) < ON_WAY);
+    fn expire_pending(&mut self, now: Moment) {
+        self.incoming
+            .retain(|at| now.since(*at) < IN_TRANSIT_TIMEOUT);
+        self.requested.retain(|until| *until > now);
+        self.outgoing
+            .retain(|at| now.since(*at) < IN_TRANSIT_TIMEOUT);
     }
 }
--- a/components/coordination/src/slots/holding.rs
+++ b/components/coordination/src/slots/calls.rs
@@ -6,40 +6,40 @@
 use state::queue::{CallKey, Waiting};
 use state::{EndpointKey, HostKey, Moment, ServiceKey};
 
-use super::desk::Desk;
-use super::holder::{Freed, Usage};
-use super::map::Map;
-use super::message::{Handed, LeaseKey, Reason, Returned, SlotKey, Stamp};
-use super::{Arrival, Effect, Ending, Refusal, Slots};
+use super::held::{Freed, Usage};
+use super::message::{LeaseKey, Reason, ReturnedLease, SlotKey, Stamp, TransferredLease};
+use super::pool::SlotPool;
+use super::role_map::RoleMap;
+use super::{Arrival, Effect, Ending, Refusal, SlotManager};
 
 /// How long work may run on after its connection broke.
-const BREAKING: Duration = Duration::from_millis(100);
+const BROKEN_CALL_GRACE: Duration = Duration::from_millis(100);
 
-impl Slots {
+impl SlotManager {
     /// Takes in a call: it is started, queued or refused.
     pub fn arrive(&mut self, arrival: &Arrival, now: Moment) {
         if let Some(refusal) = self.admit(arrival, now) {
             self.effects.push(Effect::Refuse(arrival.call, refusal));
         }
-        self.pump(now);
+        self.finish_step(now);
     }
 
     /// Forgets a call that waits: its caller has hung up.
     pub fn cancel(&mut self, service: ServiceKey, call: CallKey, now: Moment) {
-        if let Some(desk) = self.desks.get_mut(&service) {
-            desk.queue.cancel(call);
+        if let Some(pool) = self.pools.get_mut(&service) {
+            pool.queue.cancel(call);
         }
-        self.pump(now);
+        self.finish_step(now);
     }
 
     /// Returns whether a call may be sent on this lease now.
     pub fn may_send(&self, lease: LeaseKey, now: Moment) -> bool {
-        self.holder.may_send(lease, now)
+        self.leases.may_send(lease, now)
     }
 
     /// Ends the use of a lease.
     pub fn finish(&mut self, lease: LeaseKey, ending: Ending, now: Moment) {
-        let Some(held) = self.holder.get(lease.slot).filter(|h| h.lease == lease) else {
+        let Some(held) = self.leases.get(lease.slot).filter(|h| h.lease == lease) else {
             return;
         };
         let service = held.service;
@@ -57,187 +57,193 @@
             Ending::Answered | Ending::Cancelled | Ending::Unused => {
                 self.free(lease, service, now);
             }
-            Ending::Broken => self.holder.linger(lease, now + BREAKING),
-            Ending::Shed => self.retreat(lease, service, Reason::Shed, now),
-            Ending::Unreachable => self.retreat(lease, service, Reason::Unreachable, now),
+            Ending::Broken => self.leases.linger(lease, now + BROKEN_CALL_GRACE),
+            Ending::Shed => self.return_endpoint(lease, service, Reason::Shed, now),
+            Ending::Unreachable => self.return_endpoint(lease, service, Reason::Unreachable, now),
         }
-        self.settle(service, now);
-        self.pump(now);
+        self.assign_idle(service, now);
+        self.finish_step(now);
     }
 
     /// Stops taking calls, refuses those that wait and gives idle slots back.
     pub fn stop(&mut self, now: Moment) {
         self.stopping = true;
-        let services: Vec<ServiceKey> = self.desks.keys().copied().collect();
+        let services: Vec<ServiceKey> = self.pools.keys().copied().collect();
         for service in services {
-            if let Some(desk) = self.desks.get_mut(&service) {
-                for waiting in desk.queue.clear() {
+            if let Some(pool) = self.pools.get_mut(&service) {
+                for waiting in pool.queue.clear() {
                     self.effects
                         .push(Effect::Refuse(waiting.call, Refusal::Stopping));
                 }
             }
-            for slot in self.idle_of(service) {
-                self.dismiss(service, slot, now);
+            for slot in self.idle_slots(service) {
+                self.give_up_slot(service, slot, now);
             }
         }
-        self.pump(now);
+        self.finish_step(now);
     }
 
     /// Gives an idle slot to the broker, or to its owner where that can't be.
-    pub(super) fn dismiss(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) {
-        let broker = self.map.broker(service).filter(|b| *b != self.me.host);
+    pub(super) fn give_up_slot(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) {
+        let broker = self.roles.broker(service).filter(|b| *b != self.me.host);
         let handed = match broker {
-            Some(broker) => self.hand_to(broker, None, slot, now),
+            Some(broker) => self.transfer_to(broker, None, slot, now),
             None => false,
         };
-        if !handed && let Some(lease) = self.holder.release(slot) {
+        if !handed && let Some(lease) = self.leases.release(slot) {
             self.give_back(lease, Reason::Idle);
         }
         self.forget_idle(service, slot);
-        self.lose(service);
+        self.decrement_held(service);
     }
 
     pub(super) fn give_back(&mut self, lease: LeaseKey, reason: Reason) {
-        self.returns.push(Returned { lease, reason });
+        self.returns.push(ReturnedLease { lease, reason });
     }
 
-    pub(super) fn lose(&mut self, service: ServiceKey) {
-        if let Some(desk) = self.desks.get_mut(&service) {
-            desk.held = desk.held.saturating_sub(1);
+    pub(super) fn decrement_held(&mut self, service: ServiceKey) {
+        if let Some(pool) = self.pools.get_mut(&service) {
+            pool.held = pool.held.saturating_sub(1);
         }
     }
 
     pub(super) fn forget_idle(&mut self, service: ServiceKey, slot: SlotKey) {
-        if let Some(desk) = self.desks.get_mut(&service) {
-            desk.idle.retain(|s| *s != slot);
-            desk.note_taken();
+        if let Some(pool) = self.pools.get_mut(&service) {
+            pool.idle.retain(|s| *s != slot);
+            pool.note_taken();
         }
     }
 
-    pub(super) fn idle_of(&self, service: ServiceKey) -> Vec<SlotKey> {
-        self.desks
+    pub(super) fn idle_slots(&self, service: ServiceKey) -> Vec<SlotKey> {
+        self.pools
             .get(&service)
             .map_or(Vec::new(), |d| d.idle.clone())
     }
 
     /// Takes in leases that were handed to this host.
-    pub(super) fn on_hand(&mut self, from: HostKey, echo: Stamp, leases: &[Handed], now: Moment) {
-        if echo.life != self.me.life {
+    pub(super) fn on_transfer(
+        &mut self,
+        from: HostKey,
+        echo: Stamp,
+        leases: &[TransferredLease],
+        now: Moment,
+    ) {
+        if echo.incarnation != self.me.incarnation {
             return;
         }
         let asked = Moment(echo.clock);
         let mut touched = Vec::new();
         for handed in leases {
             let slot = handed.lease.slot;
-            let Some(site) = self.map.sites.get(&slot.endpoint) else {
+            let Some(endpoint_roles) = self.roles.endpoints.get(&slot.endpoint) else {
                 continue;
             };
-            let service = site.service;
-            let Some(desk) = self.desks.get_mut(&service) else {
+            let service = endpoint_roles.service;
+            let Some(pool) = self.pools.get_mut(&service) else {
                 continue;
             };
-            if self.map.broker(service) == Some(from) {
-                desk.note_got();
+            if self.roles.broker(service) == Some(from) {
+                pool.note_received();
             }
-            let lapsed = self.holder.get(slot).is_some_and(|h| h.end <= now);
+            let lapsed = self.leases.get(slot).is_some_and(|h| h.end <= now);
             if lapsed {
-                desk.idle.retain(|s| *s != slot);
+                pool.idle.retain(|s| *s != slot);
             }
-            if !self.holder.accept(handed, service, asked, now) {
+            if !self.leases.accept(handed, service, asked, now) {
                 continue;
             }
             // Not given back while stopping: its owner still takes this host for
             // the broker and would lease it here again at once, back and forth.
             if self.stopping {
-                self.holder.release(slot);
+                self.leases.release(slot);
                 continue;
             }
-            if site.leaving {
-                self.holder.release(slot);
+            if endpoint_roles.leaving {
+                self.leases.release(slot);
                 self.give_back(handed.lease, Reason::Idle);
                 continue;
             }
             if !lapsed {
-                desk.held += 1;
+                pool.held += 1;
             }
-            desk.idle.push(slot);
+            pool.idle.push(slot);
             touched.push(service);
             self.renew_soon(slot, now);
         }
         touched.dedup();
         for service in touched {
-            self.settle(service, now);
+            self.assign_idle(service, now);
         }
     }
 
     /// Ends leases that have lapsed and the rest of given-up work.
     pub(super) fn sweep_leases(&mut self, now: Moment) {
         let lapsing: Vec<(ServiceKey, SlotKey)> = self
-            .holder
+            .leases
             .iter()
             .filter(|h| h.end <= now)
             .map(|h| (h.service, h.lease.slot))
             .collect();
-        let lapsed = self.holder.lapse(now);
+        let lapsed = self.leases.expire_idle(now);
         for (service, slot) in lapsing {
             if lapsed.contains(&slot) {
                 self.forget_idle(service, slot);
-                self.lose(service);
+                self.decrement_held(service);
             }
         }
-        for lease in self.holder.rested(now) {
-            if let Some(service) = self.holder.get(lease.slot).map(|h| h.service) {
+        for lease in self.leases.stopped(now) {
+            if let Some(service) = self.leases.get(lease.slot).map(|h| h.service) {
                 self.free(lease, service, now);
-                self.settle(service, now);
+                self.assign_idle(service, now);
             }
         }
-        self.flag_slow(now);
+        self.count_slow_calls(now);
     }
 
     /// Refuses calls that have become hopeless and gives up surplus slots.
-    pub(super) fn sweep_desks(&mut self, now: Moment) {
-        let services: Vec<ServiceKey> = self.desks.keys().copied().collect();
+    pub(super) fn sweep_pools(&mut self, now: Moment) {
+        let services: Vec<ServiceKey> = self.pools.keys().copied().collect();
         for service in services {
-            let broker = self.map.broker(service) == Some(self.me.host);
-            let Some(desk) = self.desks.get_mut(&service) else {
+            let broker = self.roles.broker(service) == Some(self.me.host);
+            let Some(pool) = self.pools.get_mut(&service) else {
                 continue;
             };
-            for waiting in desk.queue.expire(now) {
+            for waiting in pool.queue.expire(now) {
                 self.effects
                     .push(Effect::Refuse(waiting.call, Refusal::Expired));
             }
-            if desk.queue.is_empty() {
-                desk.gate.note_empty(now);
+            if pool.queue.is_empty() {
+                pool.gate.note_empty(now);
             }
-            let surplus = desk.review(now);
+            let surplus = pool.take_surplus(now);
             if broker {
                 continue;
             }
             let slots = self.ranked(service);
             for slot in slots.into_iter().rev().take(surplus as usize) {
-                self.dismiss(service, slot, now);
+                self.give_up_slot(service, slot, now);
             }
         }
     }
 
     /// Follows a new configuration: desks of its services, slots that must go.
-    pub(super) fn configure_desks(&mut self, before: &Map, now: Moment) {
-        for (service, plan) in &self.map.plans {
-            let desk = self
-                .desks
+    pub(super) fn configure_pools(&mut self, before: &RoleMap, now: Moment) {
+        for (service, service_roles) in &self.roles.services {
+            let pool = self
+                .pools
                 .entry(*service)
-                .or_insert_with(|| Desk::new(plan.queue, now));
-            desk.queue.resize(plan.queue);
-            if before.broker(*service) != self.map.broker(*service) {
-                desk.forget_broker();
+                .or_insert_with(|| SlotPool::new(service_roles.queue, now));
+            pool.queue.resize(service_roles.queue);
+            if before.broker(*service) != self.roles.broker(*service) {
+                pool.forget_broker();
             }
         }
-        let plans = &self.map.plans;
+        let services = &self.roles.services;
         let effects = &mut self.effects;
-        self.desks.retain(|service, desk| {
-            let stays = plans.contains_key(service);
+        self.pools.retain(|service, pool| {
+            let stays = services.contains_key(service);
             if !stays {
-                let calls = desk.queue.clear();
+                let calls = pool.queue.clear();
                 effects.extend(
                     calls
                         .iter()
@@ -252,27 +258,27 @@
     ///
     /// Their idle slots take no more calls from this moment; a running call
     /// ends in peace and its slot goes back then.
-    pub(super) fn vacate(&mut self, now: Moment) {
-        let sites = &self.map.sites;
+    pub(super) fn return_leaving(&mut self, now: Moment) {
+        let endpoints = &self.roles.endpoints;
         let leaving: Vec<SlotKey> = self
-            .holder
+            .leases
             .iter()
             .map(|h| h.lease.slot)
-            .filter(|slot| sites.get(&slot.endpoint).is_none_or(|s| s.leaving))
+            .filter(|slot| endpoints.get(&slot.endpoint).is_none_or(|s| s.leaving))
             .collect();
         for slot in leaving {
-            self.call_back(slot, now);
+            self.recall_slot(slot, now);
         }
         let empty: Vec<ServiceKey> = self
-            .map
-            .plans
+            .roles
+            .services
             .iter()
-            .filter(|(_, plan)| plan.endpoints.is_empty())
+            .filter(|(_, service_roles)| service_roles.endpoints.is_empty())
             .map(|(service, _)| *service)
             .collect();
         for service in empty {
-            if let Some(desk) = self.desks.get_mut(&service) {
-                for waiting in desk.queue.clear() {
+            if let Some(pool) = self.pools.get_mut(&service) {
+                for waiting in pool.queue.clear() {
                     self.effects
                         .push(Effect::Refuse(waiting.call, Refusal::NoBackend));
                 }
@@ -282,51 +288,54 @@
 
     fn admit(&mut self, arrival: &Arrival, now: Moment) -> Option<Refusal> {
         let service = arrival.service;
-        let Some(plan) = self.map.plans.get(&service) else {
+        let Some(service_roles) = self.roles.services.get(&service) else {
             return Some(Refusal::UnknownService);
         };
-        let Some(desk) = self.desks.get_mut(&service) else {
+        let Some(pool) = self.pools.get_mut(&service) else {
             return Some(Refusal::UnknownService);
         };
-        let servable = plan.endpoints.iter().any(|e| !arrival.tried.contains(e));
-        desk.note_arrival();
-        match desk.gate.decide(
-            desk.queue.len(),
-            desk.queue.is_full(),
+        let servable = service_roles
+            .endpoints
+            .iter()
+            .any(|e| !arrival.tried.contains(e));
+        pool.note_arrival();
+        match pool.gate.decide(
+            pool.queue.len(),
+            pool.queue.is_full(),
             now.until(arrival.deadline),
             now,
         ) {
             _ if self.stopping => return Some(Refusal::Stopping),
             _ if !servable => return Some(Refusal::NoBackend),
             _ if arrival.deadline <= now => return Some(Refusal::Expired),
-            Admission::Full if desk.idle.is_empty() => return Some(Refusal::QueueFull),
-            Admission::TooLate(wait) if desk.idle.is_empty() => {
+            Admission::Full if pool.idle.is_empty() => return Some(Refusal::QueueFull),
+            Admission::TooLate(wait) if pool.idle.is_empty() => {
                 return Some(Refusal::TooLate(wait));
             }
             _ => {}
         }
-        desk.queue.push(Waiting {
+        pool.queue.push(Waiting {
             call: arrival.call,
             arrived: now,
             deadline: arrival.deadline,
             tried: arrival.tried.clone(),
         });
-        self.settle(service, now);
+        self.assign_idle(service, now);
         None
     }
 
     fn free(&mut self, lease: LeaseKey, service: ServiceKey, now: Moment) {
-        match self.holder.free(lease, now) {
+        match self.leases.free(lease, now) {
             Freed::Ready => {
-                if let Some(desk) = self.desks.get_mut(&service) {
-                    desk.idle.push(lease.slot);
+                if let Some(pool) = self.pools.get_mut(&service) {
+                    pool.idle.push(lease.slot);
                 }
             }
-            Freed::GiveBack(lease) => {
+            Freed::Return(lease) => {
                 self.give_back(lease, Reason::Idle);
-                self.lose(service);
+                self.decrement_held(service);
             }
-            Freed::Lapsed => self.lose(service),
+            Freed::Expired => self.decrement_held(service),
         }
     }
 
@@ -334,31 +343,41 @@
     ///
     /// A shed says that the endpoint bears less than was leased. Its owner
     /// hears of it at once, over all hosts; here no further call tries it.
-    fn retreat(&mut self, lease: LeaseKey, service: ServiceKey, reason: Reason, now: Moment) {
-        self.holder.recall(lease.slot);
-        if let Freed::GiveBack(lease) = self.holder.free(lease, now) {
+    fn return_endpoint(
+        &mut self,
+        lease: LeaseKey,
+        service: ServiceKey,
+        reason: Reason,
+        now: Moment,
+    ) {
+        self.leases.recall(lease.slot);
+        if let Freed::Return(lease) = self.leases.free(lease, now) {
             self.give_back(lease, reason);
         }
-        self.lose(service);
+        self.decrement_held(service);
         let endpoint = lease.slot.endpoint;
-        let others: Vec<SlotKey> = self.holder.of(endpoint).map(|h| h.lease.slot).collect();
+        let others: Vec<SlotKey> = self
+            .leases
+            .of_endpoint(endpoint)
+            .map(|h| h.lease.slot)
+            .collect();
         for slot in others {
-            self.call_back(slot, now);
+            self.recall_slot(slot, now);
         }
     }
 
     /// Gives a slot back now where it is idle, else as soon as it is.
-    pub(super) fn call_back(&mut self, slot: SlotKey, _now: Moment) {
-        let Some(service) = self.holder.get(slot).map(|h| h.service) else {
+    pub(super) fn recall_slot(&mut self, slot: SlotKey, _now: Moment) {
+        let Some(service) = self.leases.get(slot).map(|h| h.service) else {
             return;
         };
-        match self.holder.release(slot) {
+        match self.leases.release(slot) {
             Some(lease) => {
                 self.give_back(lease, Reason::Idle);
                 self.forget_idle(service, slot);
-                self.lose(service);
+                self.decrement_held(service);
             }
-            None => self.holder.recall(slot),
+            None => self.leases.recall(slot),
         }
     }
 
@@ -371,17 +390,17 @@
         flagged: bool,
         now: Moment,
     ) {
-        let Some(desk) = self.desks.get_mut(&service) else {
+        let Some(pool) = self.pools.get_mut(&service) else {
             return;
         };
-        let over = match ending {
-            Ending::Answered => desk.norm.record(took),
+        let slow = match ending {
+            Ending::Answered => pool.norm.record(took),
             Ending::Broken => true,
-            Ending::Cancelled if desk.norm.is_over(took) => true,
+            Ending::Cancelled if pool.norm.is_over(took) => true,
             Ending::Cancelled | Ending::Unused | Ending::Shed | Ending::Unreachable => return,
         };
         if !flagged {
-            self.tally(endpoint, over, now);
+            self.count_call(endpoint, slow, now);
         }
     }
 }
--- a/components/coordination/src/slots/holder.rs
+++ b/components/coordination/src/slots/held.rs
@@ -6,12 +6,12 @@
 use derives::{tag, value};
 use state::{EndpointKey, Moment, ServiceKey};
 
-use super::message::{Handed, LeaseKey, SlotKey};
-use super::terms::TERM;
+use super::message::{LeaseKey, SlotKey, TransferredLease};
+use super::timing::LEASE_TERM;
 
 /// One lease at its holder.
 #[value]
-pub struct Held {
+pub struct HeldLease {
     /// The lease.
     pub lease: LeaseKey,
     /// The service its endpoint serves.
@@ -25,7 +25,7 @@
     /// It goes back to its owner as soon as it is idle.
     pub recalled: bool,
     /// It is for one call only.
-    pub once: bool,
+    pub single_use: bool,
 }
 
 /// What a lease is used for.
@@ -45,9 +45,9 @@
     /// It may serve the next call.
     Ready,
     /// It goes back to its owner.
-    GiveBack(LeaseKey),
+    Return(LeaseKey),
     /// Its lease is over and it is forgotten.
-    Lapsed,
+    Expired,
 }
 
 /// All leases of one entry host.
@@ -56,14 +56,14 @@
 /// giver decided; a lease that has ended is never revived, only leased anew.
 #[value]
 #[derive(Default)]
-pub struct Holder {
-    leases: BTreeMap<SlotKey, Held>,
+pub struct HeldLeases {
+    leases: BTreeMap<SlotKey, HeldLease>,
 }
 
 /// A lease with less than this left is not handed on: it would end on the way.
-pub const LEAST: Duration = Duration::from_millis(100);
+pub const MIN_TRANSFER_TERM: Duration = Duration::from_millis(100);
 
-impl Holder {
+impl HeldLeases {
     /// Takes in a lease that `asked` (a moment of this host's own clock) preceded.
     ///
     /// Returns false where it has ended on its way, or where an older lease of
@@ -71,12 +71,12 @@
     /// the new one would put two calls on one slot.
     pub fn accept(
         &mut self,
-        handed: &Handed,
+        handed: &TransferredLease,
         service: ServiceKey,
         asked: Moment,
         now: Moment,
     ) -> bool {
-        let end = asked + handed.left.min(TERM);
+        let end = asked + handed.left.min(LEASE_TERM);
         let clash = self
             .leases
             .get(&handed.lease.slot)
@@ -84,31 +84,31 @@
         if end <= now || clash {
             return false;
         }
-        let held = Held {
+        let held = HeldLease {
             lease: handed.lease,
             service,
             end,
             asked: None,
             usage: Usage::Idle(now),
             recalled: false,
-            once: handed.once,
+            single_use: handed.single_use,
         };
         self.leases.insert(handed.lease.slot, held);
         true
     }
 
     /// Returns a lease.
-    pub fn get(&self, slot: SlotKey) -> Option<&Held> {
+    pub fn get(&self, slot: SlotKey) -> Option<&HeldLease> {
         self.leases.get(&slot)
     }
 
     /// Returns all leases.
-    pub fn iter(&self) -> impl Iterator<Item = &Held> {
+    pub fn iter(&self) -> impl Iterator<Item = &HeldLease> {
         self.leases.values()
     }
 
     /// Returns all leases of one endpoint.
-    pub fn of(&self, endpoint: EndpointKey) -> impl Iterator<Item = &Held> {
+    pub fn of_endpoint(&self, endpoint: EndpointKey) -> impl Iterator<Item = &HeldLease> {
         let bound = |number| SlotKey { endpoint, number };
         self.leases
             .range(bound(0)..=bound(u32::MAX))
@@ -141,18 +141,18 @@
     pub fn free(&mut self, lease: LeaseKey, now: Moment) -> Freed {
         match self.leases.get_mut(&lease.slot) {
             Some(held) if held.lease == lease && held.end > now => {
-                if held.recalled || held.once {
+                if held.recalled || held.single_use {
                     self.leases.remove(&lease.slot);
-                    return Freed::GiveBack(lease);
+                    return Freed::Return(lease);
                 }
                 held.usage = Usage::Idle(now);
                 Freed::Ready
             }
             Some(held) if held.lease == lease => {
                 self.leases.remove(&lease.slot);
-                Freed::Lapsed
+                Freed::Expired
             }
-            _ => Freed::Lapsed,
+            _ => Freed::Expired,
         }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Returns the leases whose given-up work has stopped.
-    pub fn rested(&self, now: Moment) -> Vec<LeaseKey> {
+    pub fn stopped(&self, now: Moment) -> Vec<LeaseKey> {
         self.leases
             .values()
             .filter(|h| matches!(h.usage, Usage::Lingering(until) if until <= now))
@@ -175,19 +175,23 @@
     }
 
     /// Lets go of an idle lease for another holder.
-    pub fn hand(&mut self, slot: SlotKey, now: Moment) -> Option<Handed> {
+    pub fn transfer(&mut self, slot: SlotKey, now: Moment) -> Option<TransferredLease> {
         let held = self.leases.get(&slot)?;
         let left = now.until(held.end);
-        if left < LEAST || held.recalled || !matches!(held.usage, Usage::Idle(_)) {
+        if left < MIN_TRANSFER_TERM || held.recalled || !matches!(held.usage, Usage::Idle(_)) {
             return None;
         }
         let lease = LeaseKey {
             hop: held.lease.hop + 1,
             ..held.lease
         };
-        let once = held.once;
+        let single_use = held.single_use;
         self.leases.remove(&slot);
-        Some(Handed { lease, left, once })
+        Some(TransferredLease {
+            lease,
+            left,
+            single_use,
+        })
     }
 
     /// Lets go of an idle lease for its owner.
@@ -209,7 +213,7 @@
     }
 
     /// Marks a running call as counted among the slow ones.
-    pub fn flag(&mut self, slot: SlotKey) {
+    pub fn mark_slow(&mut self, slot: SlotKey) {
         if let Some(held) = self.leases.get_mut(&slot)
             && let Usage::Busy(since, _) = held.usage
         {
@@ -218,7 +222,7 @@
     }
 
     /// Notes that a renewal of this lease is sent now.
-    pub fn ask(&mut self, slot: SlotKey, now: Moment) {
+    pub fn note_renewal(&mut self, slot: SlotKey, now: Moment) {
         if let Some(held) = self.leases.get_mut(&slot) {
             held.asked = Some(now);
         }
@@ -229,7 +233,7 @@
         for held in self.leases.values_mut() {
             let named = held.asked == Some(asked) && !except.contains(&held.lease);
             if named && held.end > now {
-                held.end = held.end.max(asked + TERM);
+                held.end = held.end.max(asked + LEASE_TERM);
             }
         }
     }
@@ -250,7 +254,7 @@
     }
 
     /// Forgets idle leases that have ended and returns their slots.
-    pub fn lapse(&mut self, now: Moment) -> Vec<SlotKey> {
+    pub fn expire_idle(&mut self, now: Moment) -> Vec<SlotKey> {
         let ended: Vec<SlotKey> = self
             .leases
             .values()
--- a/components/coordination/src/slots/ledger.rs
+++ b/components/coordination/src/slots/lease_table.rs
@@ -5,8 +5,8 @@
 use derives::{tag, value};
 use state::{EndpointKey, HostKey, Moment};
 
-use super::message::{Estate, EstateLease, LeaseKey, SlotKey};
-use super::terms::{FENCE, TERM};
+use super::message::{EndpointHandoff, HandoffLease, LeaseKey, SlotKey};
+use super::timing::{FENCE_DURATION, LEASE_TERM};
 
 /// The leases of one endpoint's slots, at its owner.
 ///
@@ -14,19 +14,19 @@
 /// holder from the moment it *sent* it, so the owner's view of a lease ends
 /// last whatever the delay. A slot is leased anew only after that.
 #[value]
-pub struct Ledger {
+pub struct LeaseTable {
     endpoint: EndpointKey,
-    slots: Vec<Slip>,
+    slots: Vec<SlotState>,
     fence: Moment,
 }
 
 /// One slot's entry.
 #[tag]
-enum Slip {
+enum SlotState {
     /// Nobody can hold it, once the fence is over.
     Free,
     /// It is leased.
-    Out {
+    Leased {
         lease: LeaseKey,
         holder: HostKey,
         until: Moment,
@@ -46,20 +46,20 @@
 
 /// A lease that is out.
 #[tag]
-pub struct Out {
+pub struct GrantedLease {
     /// The lease.
     pub lease: LeaseKey,
     /// Who holds it, as far as the owner has heard.
     pub holder: HostKey,
 }
 
-impl Ledger {
+impl LeaseTable {
     /// Returns the ledger of a new owner that knows nothing of what is out.
-    pub fn fenced(endpoint: EndpointKey, slots: u32, now: Moment) -> Ledger {
-        Ledger {
+    pub fn with_fence(endpoint: EndpointKey, slots: u32, now: Moment) -> LeaseTable {
+        LeaseTable {
             endpoint,
-            slots: vec![Slip::Free; slots as usize],
-            fence: now + FENCE,
+            slots: vec![SlotState::Free; slots as usize],
+            fence: now + FENCE_DURATION,
         }
     }
 
@@ -67,33 +67,33 @@
     ///
     /// Its remaining times are counted from the receipt: later than at the
     /// giver, so no lease ends here before it ends there.
-    pub fn inherited(estate: &Estate, slots: u32, now: Moment) -> Ledger {
-        let mut ledger = Ledger {
-            endpoint: estate.endpoint,
-            slots: vec![Slip::Free; slots as usize],
-            fence: now + estate.fence.min(FENCE),
+    pub fn from_handoff(handoff: &EndpointHandoff, slots: u32, now: Moment) -> LeaseTable {
+        let mut lease_table = LeaseTable {
+            endpoint: handoff.endpoint,
+            slots: vec![SlotState::Free; slots as usize],
+            fence: now + handoff.fence.min(FENCE_DURATION),
         };
-        for entry in &estate.leases {
-            ledger.note(entry.lease, entry.holder, now + entry.left.min(TERM));
+        for entry in &handoff.leases {
+            lease_table.note(entry.lease, entry.holder, now + entry.left.min(LEASE_TERM));
         }
-        ledger
+        lease_table
     }
 
     /// Returns what the next owner has to know.
-    pub fn estate(&self, cap: u32, revision: u64, now: Moment) -> Estate {
-        let leases = self.slots.iter().filter_map(|slip| match *slip {
-            Slip::Out {
+    pub fn handoff(&self, cap: u32, revision: u64, now: Moment) -> EndpointHandoff {
+        let leases = self.slots.iter().filter_map(|slot| match *slot {
+            SlotState::Leased {
                 lease,
                 holder,
                 until,
-            } if until > now => Some(EstateLease {
+            } if until > now => Some(HandoffLease {
                 lease,
                 holder,
                 left: now.until(until),
             }),
             _ => None,
         });
-        Estate {
+        EndpointHandoff {
             endpoint: self.endpoint,
             revision,
             fence: now.until(self.fence),
@@ -106,11 +106,11 @@
     pub fn resize(&mut self, slots: u32) {
         while self.slots.len() > slots as usize {
             match self.slots.last() {
-                Some(Slip::Free) => self.slots.pop(),
+                Some(SlotState::Free) => self.slots.pop(),
                 _ => return,
             };
         }
-        self.slots.resize(slots as usize, Slip::Free);
+        self.slots.resize(slots as usize, SlotState::Free);
     }
 
     /// Returns whether slots may be leased: what was out before is known or over.
@@ -119,35 +119,35 @@
     }
 
     /// Returns whether nothing was ever leased or adopted here.
-    pub fn is_virgin(&self, now: Moment) -> bool {
-        !self.is_open(now) && self.out() == 0
+    pub fn is_untouched(&self, now: Moment) -> bool {
+        !self.is_open(now) && self.leased() == 0
     }
 
     /// Returns how many slots are out.
-    pub fn out(&self) -> u32 {
+    pub fn leased(&self) -> u32 {
         self.leases().count() as u32
     }
 
     /// Returns the leases that are out.
-    pub fn leases(&self) -> impl Iterator<Item = Out> {
-        self.slots.iter().filter_map(|slip| match *slip {
-            Slip::Out { lease, holder, .. } => Some(Out { lease, holder }),
-            Slip::Free => None,
+    pub fn leases(&self) -> impl Iterator<Item = GrantedLease> {
+        self.slots.iter().filter_map(|slot| match *slot {
+            SlotState::Leased { lease, holder, .. } => Some(GrantedLease { lease, holder }),
+            SlotState::Free => None,
         })
     }
 
     /// Frees the slots whose leases have ended and returns those leases.
-    pub fn expire(&mut self, now: Moment) -> Vec<Out> {
+    pub fn expire(&mut self, now: Moment) -> Vec<GrantedLease> {
         let mut ended = Vec::new();
-        for slip in &mut self.slots {
-            match *slip {
-                Slip::Out {
+        for slot in &mut self.slots {
+            match *slot {
+                SlotState::Leased {
                     lease,
                     holder,
                     until,
                 } if until <= now => {
-                    ended.push(Out { lease, holder });
-                    *slip = Slip::Free;
+                    ended.push(GrantedLease { lease, holder });
+                    *slot = SlotState::Free;
                 }
                 _ => {}
             }
@@ -160,7 +160,7 @@
         if !self.is_open(now) {
             return None;
         }
-        let number = self.slots.iter().position(|s| *s == Slip::Free)?;
+        let number = self.slots.iter().position(|s| *s == SlotState::Free)?;
         let lease = LeaseKey {
             slot: SlotKey {
                 endpoint: self.endpoint,
@@ -169,10 +169,10 @@
             serial,
             hop: 0,
         };
-        self.slots[number] = Slip::Out {
+        self.slots[number] = SlotState::Leased {
             lease,
             holder,
-            until: now + TERM,
+            until: now + LEASE_TERM,
         };
         Some(lease)
     }
@@ -184,36 +184,36 @@
     /// before the earlier owner has surely stopped, though: it might still
     /// lease the same slot to another host.
     pub fn renew(&mut self, lease: LeaseKey, holder: HostKey, now: Moment) -> Renewal {
-        let waits = self.fence_left(now) > TERM;
+        let waits = self.fence_left(now) > LEASE_TERM;
         let open = self.is_open(now);
-        let Some(slip) = self.slots.get(lease.slot.number as usize) else {
+        let Some(slot) = self.slots.get(lease.slot.number as usize) else {
             return Renewal::Ended;
         };
-        match *slip {
-            Slip::Free if open => return Renewal::Ended,
-            Slip::Free if waits => return Renewal::Pending,
-            Slip::Out { until, .. } if until <= now => return Renewal::Ended,
-            Slip::Out { lease: known, .. }
+        match *slot {
+            SlotState::Free if open => return Renewal::Ended,
+            SlotState::Free if waits => return Renewal::Pending,
+            SlotState::Leased { until, .. } if until <= now => return Renewal::Ended,
+            SlotState::Leased { lease: known, .. }
                 if known.serial != lease.serial || known.hop > lease.hop =>
             {
                 return Renewal::Ended;
             }
             _ => {}
         }
-        self.note(lease, holder, now + TERM);
+        self.note(lease, holder, now + LEASE_TERM);
         Renewal::Kept
     }
 
     /// Frees a slot that its holder gives back; returns whether it was that lease.
     pub fn give_back(&mut self, lease: LeaseKey) -> bool {
-        let Some(slip) = self.slots.get_mut(lease.slot.number as usize) else {
+        let Some(slot) = self.slots.get_mut(lease.slot.number as usize) else {
             return false;
         };
-        match *slip {
-            Slip::Out { lease: known, .. }
+        match *slot {
+            SlotState::Leased { lease: known, .. }
                 if known.serial == lease.serial && known.hop <= lease.hop =>
             {
-                *slip = Slip::Free;
+                *slot = SlotState::Free;
                 true
             }
             _ => false,
@@ -226,8 +226,8 @@
     }
 
     fn note(&mut self, lease: LeaseKey, holder: HostKey, until: Moment) {
-        if let Some(slip) = self.slots.get_mut(lease.slot.number as usize) {
-            *slip = Slip::Out {
+        if let Some(slot) = self.slots.get_mut(lease.slot.number as usize) {
+            *slot = SlotState::Leased {
                 lease,
                 holder,
                 until,
--- a/components/coordination/src/slots/message.rs
+++ b/components/coordination/src/slots/message.rs
@@ -37,7 +37,7 @@
 #[derive(Default)]
 pub struct Stamp {
     /// The incarnation of the host that stamped it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its clock.
     pub clock: u64,
 }
@@ -59,7 +59,7 @@
         /// The leases to renew.
         leases: Vec<LeaseKey>,
         /// What calls showed since the last message.
-        seen: Vec<Seen>,
+        stats: Vec<CallStats>,
     },
     /// Owner to holder: the leases of the renewal you stamped so go on, but for these.
     Renewed {
@@ -75,21 +75,21 @@
     /// Holder to owner: these are no longer held.
     Return {
         /// The leases.
-        leases: Vec<Returned>,
+        leases: Vec<ReturnedLease>,
         /// What calls showed since the last message.
-        seen: Vec<Seen>,
+        stats: Vec<CallStats>,
     },
     /// Holder or owner to the next holder: these are yours.
-    Hand {
+    Transfer {
         /// The receiver's stamp that the giver knew.
         echo: Stamp,
         /// The leases.
-        leases: Vec<Handed>,
+        leases: Vec<TransferredLease>,
     },
     /// Host to broker: how it stands with a service here.
     Demand(Demand),
     /// Broker to holder: hand slots straight to another host as they come free.
-    Yield {
+    TransferRequest {
         /// The service.
         service: ServiceKey,
         /// Who shall have them.
@@ -102,30 +102,30 @@
         oldest: Duration,
     },
     /// Broker to host: whether calls wait that no idle slot can serve.
-    Pulse {
+    Shortage {
         /// The service.
         service: ServiceKey,
         /// Idle slots are wanted at once.
-        hungry: bool,
+        active: bool,
     },
     /// Earlier owner to the next one: this is out, and I lease no more.
-    Handoff(Vec<Estate>),
+    Handoff(Vec<EndpointHandoff>),
 }
 
 /// What an entry host saw of an endpoint's answers since it last said so.
 #[value]
-pub struct Seen {
+pub struct CallStats {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Calls that took far longer than the service's calls do.
-    pub over: u32,
+    pub slow: u32,
     /// All calls.
     pub total: u32,
 }
 
 /// A lease given back to its owner.
 #[value]
-pub struct Returned {
+pub struct ReturnedLease {
     /// The lease.
     pub lease: LeaseKey,
     /// Why.
@@ -145,13 +145,13 @@
 
 /// A lease handed to the next holder.
 #[value]
-pub struct Handed {
+pub struct TransferredLease {
     /// The lease, with its hop counted up.
     pub lease: LeaseKey,
     /// What was left of it at the giver.
     pub left: Duration,
     /// It is for one call only, to try an endpoint in doubt.
-    pub once: bool,
+    pub single_use: bool,
 }
 
 /// How a host stands with one service.
@@ -170,12 +170,12 @@
     /// Slots held that are idle.
     pub idle: u32,
     /// Slots handed to this host so far, so that the broker knows which are on their way.
-    pub got: u32,
+    pub received: u32,
 }
 
 /// An endpoint's leases as its earlier owner leaves them.
 #[value]
-pub struct Estate {
+pub struct EndpointHandoff {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// The revision of the configuration by which the giver laid it down.
@@ -185,12 +185,12 @@
     /// The cap on slots out.
     pub cap: u32,
     /// The leases that are out.
-    pub leases: Vec<EstateLease>,
+    pub leases: Vec<HandoffLease>,
 }
 
 /// One lease of an estate.
 #[value]
-pub struct EstateLease {
+pub struct HandoffLease {
     /// The lease.
     pub lease: LeaseKey,
     /// Who holds it.
--- a/components/coordination/src/slots/mod.rs
+++ b/components/coordination/src/slots/mod.rs
@@ -2,23 +2,23 @@
 //!
 //! Each endpoint has one owner that leases its slots, each service a broker
 //! that says where idle ones are wanted, and every host holds leases and
-//! queues its calls. [`Slots`] is all three roles of one host: it takes calls,
+//! queues its calls. [`SlotManager`] is all three roles of one host: it takes calls,
 //! messages and the time, and returns what to do. It has no clock, no socket
 //! and no random numbers.
 
+mod assignment;
 pub mod broker;
-pub mod desk;
-mod handing;
-pub mod holder;
-mod holding;
-pub mod ledger;
-pub mod map;
+mod calls;
+pub mod held;
+pub mod lease_table;
 pub mod message;
-pub mod owned;
-mod owning;
-mod renewing;
-mod settling;
-pub mod terms;
+pub mod owned_endpoint;
+mod owner;
+pub mod pool;
+mod renewals;
+pub mod role_map;
+pub mod timing;
+mod transfers;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -30,13 +30,16 @@
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
 
 use broker::Broker;
-use desk::{Desk, Order};
-use handing::ORDER;
-use holder::Holder;
-use map::Map;
-use message::{Estate, Handed, LeaseKey, Returned, Seen, SlotBody, SlotKey, SlotMessage, Stamp};
-use owned::Owned;
-use terms::FRESHNESS;
+use held::HeldLeases;
+use message::{
+    CallStats, EndpointHandoff, LeaseKey, ReturnedLease, SlotBody, SlotKey, SlotMessage, Stamp,
+    TransferredLease,
+};
+use owned_endpoint::OwnedEndpoint;
+use pool::{SlotPool, TransferRequest};
+use role_map::RoleMap;
+use timing::AUTHORITY_WINDOW;
+use transfers::TRANSFER_REQUEST_TTL;
 
 /// Who this host is.
 #[value]
@@ -44,7 +47,7 @@
     /// Its key.
     pub host: HostKey,
     /// Its incarnation, drawn anew each time the process starts.
-    pub life: u64,
+    pub incarnation: u64,
     /// The data centre it stands in.
     pub centre: DataCentreKey,
 }
@@ -119,7 +122,7 @@
 /// How a service stands at this host, for operators and metrics.
 #[value]
 #[derive(Default)]
-pub struct Standing {
+pub struct ServiceStatus {
     /// Calls that wait.
     pub waiting: u32,
     /// Slots held.
@@ -130,84 +133,84 @@
 
 /// The slots of one entry host: holder, owner and broker.
 #[derive(Debug)]
-pub struct Slots {
+pub struct SlotManager {
     me: Identity,
-    map: Map,
-    desks: BTreeMap<ServiceKey, Desk>,
-    holder: Holder,
-    owned: BTreeMap<EndpointKey, Owned>,
+    roles: RoleMap,
+    pools: BTreeMap<ServiceKey, SlotPool>,
+    leases: HeldLeases,
+    owned: BTreeMap<EndpointKey, OwnedEndpoint>,
     brokers: BTreeMap<ServiceKey, Broker>,
-    stamps: BTreeMap<HostKey, Heard>,
-    estates: BTreeMap<EndpointKey, Left>,
+    stamps: BTreeMap<HostKey, LatestStamp>,
+    handoffs: BTreeMap<EndpointKey, EarlyHandoff>,
     /// Endpoints laid down lately of which slots had been leased here.
-    leased: BTreeMap<EndpointKey, Moment>,
+    recently_leased: BTreeMap<EndpointKey, Moment>,
     revision: u64,
-    tally: BTreeMap<EndpointKey, Seen>,
-    tallied: Option<Moment>,
+    call_stats: BTreeMap<EndpointKey, CallStats>,
+    stats_due: Option<Moment>,
     renewals: BTreeMap<HostKey, Moment>,
-    returns: Vec<Returned>,
-    hands: BTreeMap<HostKey, Parcel>,
+    returns: Vec<ReturnedLease>,
+    transfers: BTreeMap<HostKey, PendingTransfer>,
     confirmed: Option<Moment>,
     /// The revision of the last configuration, where that had no members.
-    empty: Option<u64>,
+    empty_revision: Option<u64>,
     serial: u64,
     stopping: bool,
-    swept: Moment,
+    last_sweep: Moment,
     inbox: VecDeque<SlotMessage>,
     effects: Vec<Effect>,
 }
 
 /// The latest stamp of another host.
 #[derive(Debug)]
-struct Heard {
+struct LatestStamp {
     stamp: Stamp,
     at: Moment,
 }
 
 /// Leases on their way to another host.
 #[derive(Debug)]
-struct Parcel {
+struct PendingTransfer {
     echo: Stamp,
-    leases: Vec<Handed>,
+    leases: Vec<TransferredLease>,
 }
 
 /// An estate that came before the configuration that calls for it.
 #[derive(Debug)]
-struct Left {
+struct EarlyHandoff {
     from: HostKey,
-    estate: Estate,
+    handoff: EndpointHandoff,
     at: Moment,
 }
 
 /// The time between two sweeps of deadlines, leases and owned endpoints.
-const SWEEP: Duration = Duration::from_millis(5);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 /// An estate that no configuration called for is forgotten after this.
-const UNCLAIMED: Duration = Duration::from_millis(10_000);
+const HANDOFF_TTL: Duration = Duration::from_millis(10_000);
 
-impl Slots {
+impl SlotManager {
     /// Returns the slots of a host that knows no configuration yet.
-    pub fn new(me: Identity, now: Moment) -> Slots {
-        Slots {
-            serial: me.life,
+    pub fn new(me: Identity, now: Moment) -> SlotManager {
+        SlotManager {
+            serial: me.incarnation,
             me,
-            map: Map::default(),
-            desks: BTreeMap::new(),
-            holder: Holder::default(),
+            roles: RoleMap::default(),
+            pools: BTreeMap::new(),
+            leases: HeldLeases::default(),
             owned: BTreeMap::new(),
             brokers: BTreeMap::new(),
             stamps: BTreeMap::new(),
-            estates: BTreeMap::new(),
-            leased: BTreeMap::new(),
+            handoffs: BTreeMap::new(),
+            recently_leased: BTreeMap::new(),
             revision: 0,
-            tally: BTreeMap::new(),
-            tallied: None,
+            call_stats: BTreeMap::new(),
+            stats_due: None,
             renewals: BTreeMap::new(),
             returns: Vec::new(),
-            hands: BTreeMap::new(),
+            transfers: BTreeMap::new(),
             confirmed: None,
-            empty: None,
+            empty_revision: None,
             stopping: false,
-            swept: now,
+            last_sweep: now,
             inbox: VecDeque::new(),
             effects: Vec::new(),
         }
@@ -216,16 +219,19 @@
     /// Takes over a configuration, or a new view of who is alive.
     pub fn configure(&mut self, config: &Config, alive: &BTreeSet<HostKey>, now: Moment) {
         self.revision = config.revision;
-        let before = std::mem::replace(&mut self.map, Map::new(config, self.me.host, alive));
-        self.configure_desks(&before, now);
+        let before = std::mem::replace(&mut self.roles, RoleMap::new(config, self.me.host, alive));
+        self.configure_pools(&before, now);
         self.configure_owned(self.is_first(config), now);
-        self.empty = config.members.is_empty().then_some(config.revision);
+        self.empty_revision = config.members.is_empty().then_some(config.revision);
         self.configure_brokers(now);
-        let peers = &self.map.peers;
-        self.stamps
-            .retain(|host, heard| peers.get(host).is_some_and(|p| p.life == heard.stamp.life));
-        self.vacate(now);
-        self.pump(now);
+        let members = &self.roles.members;
+        self.stamps.retain(|host, latest| {
+            members
+                .get(host)
+                .is_some_and(|p| p.incarnation == latest.stamp.incarnation)
+        });
+        self.return_leaving(now);
+        self.finish_step(now);
     }
 
     /// Begins a new life as a member, after this host was removed and joins anew.
@@ -233,16 +239,16 @@
     /// Other hosts may own by now what this one owned and have leased it to
     /// others. Acting on what it knew then would put two calls on one slot, so
     /// nothing of it is taken along; leases held end by their own term.
-    pub fn renew_life(&mut self, life: u64) {
-        if life == self.me.life {
+    pub fn renew_incarnation(&mut self, incarnation: u64) {
+        if incarnation == self.me.incarnation {
             return;
         }
-        self.me.life = life;
-        self.serial = life;
+        self.me.incarnation = incarnation;
+        self.serial = incarnation;
         self.confirmed = None;
-        self.tallied = None;
+        self.stats_due = None;
         self.owned.clear();
-        self.estates.clear();
+        self.handoffs.clear();
         self.renewals.clear();
     }
 
@@ -250,7 +256,7 @@
     ///
     /// A host that was paused or cut off may own endpoints that another host
     /// has owned meanwhile. One would notice two calls on one slot. So an
-    /// owner acts only within [`FRESHNESS`] of that moment, and after a
+    /// owner acts only within [`AUTHORITY_WINDOW`] of that moment, and after a
     /// longer gap takes nothing it knew for granted. The moment is that of the
     /// proof and not of hearing of it: counted from the latter, an owner would
     /// act for twice as long as its successor waits.
@@ -258,11 +264,13 @@
         let gap = self.confirmed.map_or(Duration::ZERO, |at| shown.since(at));
         let now = self.confirmed.map_or(shown, |at| at.max(shown));
         self.confirmed = Some(now);
-        if gap > FRESHNESS {
+        if gap > AUTHORITY_WINDOW {
             for (endpoint, owned) in &mut self.owned {
-                let site = self.map.sites.get(endpoint);
-                if let Some(plan) = site.and_then(|s| self.map.plans.get(&s.service)) {
-                    owned.fence(*endpoint, plan, now);
+                let endpoint_roles = self.roles.endpoints.get(endpoint);
+                if let Some(service_roles) =
+                    endpoint_roles.and_then(|s| self.roles.services.get(&s.service))
+                {
+                    owned.fence(*endpoint, service_roles, now);
                 }
             }
         }
@@ -273,23 +281,22 @@
     /// Those of a host that is no member, or of an earlier life of one, are
     /// ignored: they speak of leases and clocks that are gone.
     pub fn receive(&mut self, from: HostKey, message: SlotMessage, now: Moment) {
-        let known = self.map.peers.get(&from);
-        if known.is_none_or(|p| p.life != message.stamp.life) {
+        let known = self.roles.members.get(&from);
+        if known.is_none_or(|p| p.incarnation != message.stamp.incarnation) {
             return;
         }
-        let heard = Heard {
+        let latest = LatestStamp {
             stamp: message.stamp,
             at: now,
         };
-        let newer = self
-            .stamps
-            .get(&from)
-            .is_none_or(|h| h.stamp < heard.stamp || h.stamp.life != heard.stamp.life);
+        let newer = self.stamps.get(&from).is_none_or(|h| {
+            h.stamp < latest.stamp || h.stamp.incarnation != latest.stamp.incarnation
+        });
         if newer {
-            self.stamps.insert(from, heard);
+            self.stamps.insert(from, latest);
         }
         self.take_in(from, message, now);
-        self.pump(now);
+        self.finish_step(now);
     }
 
     /// Takes in what a probe found, none where it got no answer.
@@ -298,67 +305,68 @@
             owned.warmth.note_report(report, now);
             self.lease_out(endpoint, now);
         }
-        self.pump(now);
+        self.finish_step(now);
     }
 
     /// Does what is due by time.
     pub fn tick(&mut self, now: Moment) {
-        if now.since(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep_leases(now);
-            self.sweep_desks(now);
+            self.sweep_pools(now);
             self.sweep_owned(now);
             self.renew(now);
-            self.estates
-                .retain(|_, left| now.since(left.at) < UNCLAIMED);
-            self.leased.retain(|_, at| now.since(*at) < UNCLAIMED);
+            self.handoffs
+                .retain(|_, left| now.since(left.at) < HANDOFF_TTL);
+            self.recently_leased
+                .retain(|_, at| now.since(*at) < HANDOFF_TTL);
         }
-        self.pump(now);
+        self.finish_step(now);
     }
 
-    /// Returns when [`Slots::tick`] is next due.
+    /// Returns when [`SlotManager::tick`] is next due.
     pub fn next_wake(&self) -> Moment {
-        let sweep = self.swept + SWEEP;
-        let broker = |service: &ServiceKey| self.map.broker(*service);
+        let sweep = self.last_sweep + SWEEP_INTERVAL;
+        let broker = |service: &ServiceKey| self.roles.broker(*service);
         let reports = self
-            .desks
+            .pools
             .iter()
             .filter(|(service, _)| broker(service).is_some_and(|b| b != self.me.host))
-            .filter_map(|(_, desk)| desk.report_due());
+            .filter_map(|(_, pool)| pool.report_due());
         reports.min().map_or(sweep, |due| due.min(sweep))
     }
 
     /// Takes what is to be done.
-    pub fn drain(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// Returns how a service stands here.
-    pub fn standing(&self, service: ServiceKey) -> Option<Standing> {
-        self.desks.get(&service).map(|desk| Standing {
-            waiting: desk.queue.len() as u32,
-            held: desk.held,
-            idle: desk.idle.len() as u32,
+    pub fn status(&self, service: ServiceKey) -> Option<ServiceStatus> {
+        self.pools.get(&service).map(|pool| ServiceStatus {
+            waiting: pool.queue.len() as u32,
+            held: pool.held,
+            idle: pool.idle.len() as u32,
         })
     }
 
     /// Returns the leases this host holds.
-    pub fn holder(&self) -> &Holder {
-        &self.holder
+    pub fn held_leases(&self) -> &HeldLeases {
+        &self.leases
     }
 
     /// Returns the endpoints this host owns.
-    pub fn owned(&self) -> &BTreeMap<EndpointKey, Owned> {
+    pub fn owned(&self) -> &BTreeMap<EndpointKey, OwnedEndpoint> {
         &self.owned
     }
 
     /// Returns what was worked out from the configuration.
-    pub fn map(&self) -> &Map {
-        &self.map
+    pub fn roles(&self) -> &RoleMap {
+        &self.roles
     }
 
     /// Finishes one step: own messages, reports, brokerage, and what has piled up to send.
-    fn pump(&mut self, now: Moment) {
+    fn finish_step(&mut self, now: Moment) {
         loop {
             while let Some(message) = self.inbox.pop_front() {
                 self.take_in(self.me.host, message, now);
@@ -375,34 +383,34 @@
     fn take_in(&mut self, from: HostKey, message: SlotMessage, now: Moment) {
         let stamp = message.stamp;
         match message.body {
-            SlotBody::Renew { leases, seen } => self.on_renew(from, stamp, &leases, &seen, now),
+            SlotBody::Renew { leases, stats } => self.on_renew(from, stamp, &leases, &stats, now),
             SlotBody::Renewed {
                 echo,
                 ended,
                 pending,
             } => self.on_renewed(from, echo, &ended, &pending, now),
             SlotBody::Recall(leases) => self.on_recall(&leases, now),
-            SlotBody::Return { leases, seen } => self.on_return(&leases, &seen, now),
-            SlotBody::Hand { echo, leases } => self.on_hand(from, echo, &leases, now),
+            SlotBody::Return { leases, stats } => self.on_return(&leases, &stats, now),
+            SlotBody::Transfer { echo, leases } => self.on_transfer(from, echo, &leases, now),
             SlotBody::Demand(demand) => self.on_demand(from, stamp, &demand, now),
-            SlotBody::Yield {
+            SlotBody::TransferRequest {
                 service,
                 to,
                 echo,
                 count,
                 oldest,
             } => {
-                let order = Order {
+                let request = TransferRequest {
                     to,
                     echo,
                     count,
                     since: now - oldest,
-                    until: now + ORDER,
+                    until: now + TRANSFER_REQUEST_TTL,
                 };
-                self.on_yield(from, service, order, now);
+                self.on_transfer_request(from, service, request, now);
             }
-            SlotBody::Pulse { service, hungry } => self.on_pulse(from, service, hungry, now),
-            SlotBody::Handoff(estates) => self.on_handoff(from, estates, now),
+            SlotBody::Shortage { service, active } => self.on_shortage(from, service, active, now),
+            SlotBody::Handoff(handoffs) => self.on_handoff(from, handoffs, now),
         }
     }
 
@@ -420,23 +428,24 @@
 
     fn stamp(&self, now: Moment) -> Stamp {
         Stamp {
-            life: self.me.life,
+            incarnation: self.me.incarnation,
             clock: now.0,
         }
     }
 
     /// Returns the latest stamp of a host, where it is fresh enough to hand it a lease.
-    fn stamp_of(&self, host: HostKey, now: Moment) -> Option<Stamp> {
+    fn fresh_stamp(&self, host: HostKey, now: Moment) -> Option<Stamp> {
         if host == self.me.host {
             return Some(self.stamp(now));
         }
-        let heard = self.stamps.get(&host)?;
-        (now.since(heard.at) < STALE).then_some(heard.stamp)
+        let latest = self.stamps.get(&host)?;
+        (now.since(latest.at) < STAMP_TTL).then_some(latest.stamp)
     }
 
     /// Returns whether this host may act as an owner now.
     fn has_authority(&self, now: Moment) -> bool {
-        self.confirmed.is_some_and(|at| now.since(at) <= FRESHNESS)
+        self.confirmed
+            .is_some_and(|at| now.since(at) <= AUTHORITY_WINDOW)
     }
 
     /// Returns whether this host is the first member after there was none.
@@ -446,14 +455,14 @@
     /// then owned every endpoint, if only for a moment.
     fn is_first(&self, config: &Config) -> bool {
         let joined = config.members.get(&self.me.host).map(|m| m.joined);
-        let next = self.empty.map(|revision| revision + 1);
+        let next = self.empty_revision.map(|revision| revision + 1);
         joined.is_some() && joined == next
     }
 
     fn owner_of(&self, slot: SlotKey) -> Option<HostKey> {
-        self.map.sites.get(&slot.endpoint)?.owner
+        self.roles.endpoints.get(&slot.endpoint)?.owner
     }
 }
 
 /// A stamp older than this would leave too little of a lease handed with it.
-const STALE: Duration = Duration::from_millis(1_500);
+const STAMP_TTL: Duration = Duration::from_millis(1_500);
--- /dev/null
+++ b/components/coordination/src/slots/owned_endpoint.rs
@@ -0,0 +1,133 @@
+//! What an owner does for one endpoint: leases, the cap, the only probes.
+
+use std::time::Duration;
+
+use state::probe::ProbeBudget;
+use state::warmth::Warmth;
+use state::{EndpointKey, HostKey, Moment};
+
+use super::lease_table::{GrantedLease, LeaseTable};
+use super::message::{EndpointHandoff, LeaseKey};
+use super::role_map::ServiceRoles;
+
+/// One endpoint at its owner.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OwnedEndpoint {
+    /// The slots that are out.
+    pub lease_table: LeaseTable,
+    /// How much it bears.
+    pub warmth: Warmth,
+    budget: ProbeBudget,
+    urgent: bool,
+    last_recall: Moment,
+    trial: Option<(u64, Moment)>,
+    /// Since when another host owns it, until that has been told what is out.
+    pub superseded_at: Option<Moment>,
+}
+
+/// A lease to grant.
+pub struct Grant {
+    /// The lease.
+    pub lease: LeaseKey,
+    /// It is for one call only.
+    pub single_use: bool,
+}
+
+/// The time between two recalls of the same leases.
+const RECALL_INTERVAL: Duration = Duration::from_millis(100);
+/// A trial that has not come back for this long is recalled.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+impl OwnedEndpoint {
+    /// Returns an endpoint that this host has come to own, with its estate if there is one.
+    pub fn new(
+        endpoint: EndpointKey,
+        service_roles: &ServiceRoles,
+        handoff: Option<&EndpointHandoff>,
+        now: Moment,
+    ) -> OwnedEndpoint {
+        let mut warmth = Warmth::unknown(service_roles.slots, service_roles.cold_slots, now);
+        let lease_table = match handoff {
+            Some(handoff) => {
+                warmth.inherit(handoff.cap);
+                LeaseTable::from_handoff(handoff, service_roles.slots, now)
+            }
+            None => LeaseTable::with_fence(endpoint, service_roles.slots, now),
+        };
+        OwnedEndpoint {
+            lease_table,
+            warmth,
+            budget: ProbeBudget::new(service_roles.slots, service_roles.probe_cost, now),
+            urgent: true,
+            last_recall: Moment(0),
+            trial: None,
+            superseded_at: None,
+        }
+    }
+
+    /// Forgets what is out: another host may have owned the endpoint meanwhile.
+    pub fn fence(&mut self, endpoint: EndpointKey, service_roles: &ServiceRoles, now: Moment) {
+        self.lease_table = LeaseTable::with_fence(endpoint, service_roles.slots, now);
+        self.trial = None;
+    }
+
+    /// Takes over the sizes of a new configuration.
+    pub fn resize(&mut self, service_roles: &ServiceRoles, now: Moment) {
+        self.lease_table.resize(service_roles.slots);
+        self.warmth
+            .resize(service_roles.slots, service_roles.cold_slots);
+        if self.budget.cost() != service_roles.probe_cost {
+            self.budget = ProbeBudget::new(service_roles.slots, service_roles.probe_cost, now);
+        }
+    }
+
+    /// Asks for a probe as soon as the budget lets one go.
+    pub fn request_probe(&mut self) {
+        self.urgent = true;
+    }
+
+    /// Returns whether to probe now, and counts it.
+    pub fn take_probe(&mut self, now: Moment) -> bool {
+        let probe = self.budget.take(self.urgent, now);
+        self.urgent &= !probe;
+        probe
+    }
+
+    /// Leases the next slot to `broker`, as far as the cap allows.
+    pub fn grant(&mut self, broker: HostKey, serial: u64, now: Moment) -> Option<Grant> {
+        if self.lease_table.leased() < self.warmth.cap() {
+            let lease = self.lease_table.grant(broker, serial, now)?;
+            return Some(Grant {
+                lease,
+                single_use: false,
+            });
+        }
+        let idle = self.lease_table.leased() == 0 && self.lease_table.is_open(now);
+        if !idle || !self.warmth.take_trial(now) {
+            return None;
+        }
+        let lease = self.lease_table.grant(broker, serial, now)?;
+        self.trial = Some((serial, now));
+        Some(Grant {
+            lease,
+            single_use: true,
+        })
+    }
+
+    /// Returns the leases to call back: those above the cap.
+    pub fn leases_to_recall(&mut self, leaving: bool, now: Moment) -> Vec<GrantedLease> {
+        let cap = if leaving { 0 } else { self.warmth.cap() };
+        let above = self.lease_table.leased().saturating_sub(cap) as usize;
+        if above == 0 || now.since(self.last_recall) < RECALL_INTERVAL {
+            return Vec::new();
+        }
+        self.last_recall = now;
+        let trial = self.trial;
+        let spared = move |out: &GrantedLease| match trial {
+            Some((serial, at)) => serial == out.lease.serial && now.since(at) < TRIAL_TIMEOUT,
+            None => false,
+        };
+        let leases = self.lease_table.leases().filter(|o| !spared(o));
+        leases.take(above).collect()
+    }
+}
--- a/components/coordination/src/slots/owning.rs
+++ b/components/coordination/src/slots/owner.rs
@@ -5,32 +5,34 @@
 
 use state::{EndpointKey, HostKey, Moment};
 
-use super::ledger::Renewal;
-use super::message::{Estate, Handed, LeaseKey, Reason, Returned, Seen, SlotBody, Stamp};
-use super::owned::Owned;
-use super::terms::{FRESHNESS, TERM};
-use super::{Effect, Left, Slots};
+use super::lease_table::Renewal;
+use super::message::{
+    CallStats, EndpointHandoff, LeaseKey, Reason, ReturnedLease, SlotBody, Stamp, TransferredLease,
+};
+use super::owned_endpoint::OwnedEndpoint;
+use super::timing::{AUTHORITY_WINDOW, LEASE_TERM};
+use super::{EarlyHandoff, Effect, SlotManager};
 
-impl Slots {
+impl SlotManager {
     /// Answers a renewal, where this host may act as an owner.
     pub(super) fn on_renew(
         &mut self,
         from: HostKey,
         stamp: Stamp,
         leases: &[LeaseKey],
-        seen: &[Seen],
+        stats: &[CallStats],
         now: Moment,
     ) {
         if !self.has_authority(now) {
             return;
         }
-        self.note_seen(seen, now);
+        self.note_stats(stats, now);
         let (mut ended, mut pending) = (Vec::new(), Vec::new());
         for lease in leases {
             let owned = self.owned.get_mut(&lease.slot.endpoint);
             match owned
-                .filter(|o| o.lost.is_none())
-                .map(|o| o.ledger.renew(*lease, from, now))
+                .filter(|o| o.superseded_at.is_none())
+                .map(|o| o.lease_table.renew(*lease, from, now))
             {
                 Some(Renewal::Kept) => {}
                 Some(Renewal::Ended) => ended.push(*lease),
@@ -49,21 +51,21 @@
     }
 
     /// Takes leases back and leases them anew.
-    pub(super) fn on_return(&mut self, leases: &[Returned], seen: &[Seen], now: Moment) {
-        self.note_seen(seen, now);
+    pub(super) fn on_return(&mut self, leases: &[ReturnedLease], stats: &[CallStats], now: Moment) {
+        self.note_stats(stats, now);
         for returned in leases {
             let endpoint = returned.lease.slot.endpoint;
             let Some(owned) = self.owned.get_mut(&endpoint) else {
                 continue;
             };
-            owned.ledger.give_back(returned.lease);
+            owned.lease_table.give_back(returned.lease);
             match returned.reason {
                 Reason::Idle => {}
                 Reason::Shed => owned.warmth.note_shed(now),
                 Reason::Unreachable => owned.warmth.note_unreachable(now),
             }
             if returned.reason != Reason::Idle {
-                owned.hurry_probe();
+                owned.request_probe();
             }
             self.recall(endpoint, now);
             self.lease_out(endpoint, now);
@@ -75,25 +77,30 @@
     /// Believed only from a host that owned the endpoint by the configuration
     /// this host knew or knows, and only until something was leased on other
     /// grounds.
-    pub(super) fn on_handoff(&mut self, from: HostKey, estates: Vec<Estate>, now: Moment) {
-        for estate in estates {
-            let endpoint = estate.endpoint;
+    pub(super) fn on_handoff(
+        &mut self,
+        from: HostKey,
+        handoffs: Vec<EndpointHandoff>,
+        now: Moment,
+    ) {
+        for handoff in handoffs {
+            let endpoint = handoff.endpoint;
             let fresh = self
                 .owned
                 .get(&endpoint)
-                .is_some_and(|o| o.lost.is_none() && o.ledger.is_virgin(now));
+                .is_some_and(|o| o.superseded_at.is_none() && o.lease_table.is_untouched(now));
             if fresh {
-                self.inherit(&estate, now);
+                self.adopt_handoff(&handoff, now);
                 self.lease_out(endpoint, now);
-            } else if self.revision >= estate.revision && !self.owns(endpoint) {
-                self.pass_estate(estate, now);
+            } else if self.revision >= handoff.revision && !self.owns(endpoint) {
+                self.forward_handoff(handoff, now);
             } else if !self.owned.contains_key(&endpoint) {
-                let left = Left {
+                let left = EarlyHandoff {
                     from,
-                    estate,
+                    handoff,
                     at: now,
                 };
-                self.estates.insert(endpoint, left);
+                self.handoffs.insert(endpoint, left);
             }
         }
     }
@@ -104,54 +111,59 @@
     /// than its estate travels; its last owner would wait behind its fence and
     /// callers would miss its slots for seconds. Not where this host leased
     /// any of its slots meanwhile: the estate does not tell of those.
-    fn pass_estate(&mut self, estate: Estate, now: Moment) {
-        let leased = self.leased.get(&estate.endpoint);
-        let site = self.map.sites.get(&estate.endpoint);
-        let next = site.and_then(|s| s.owner).filter(|_| leased.is_none());
+    fn forward_handoff(&mut self, handoff: EndpointHandoff, now: Moment) {
+        let recently_leased = self.recently_leased.get(&handoff.endpoint);
+        let endpoint_roles = self.roles.endpoints.get(&handoff.endpoint);
+        let next = endpoint_roles
+            .and_then(|s| s.owner)
+            .filter(|_| recently_leased.is_none());
         if let Some(next) = next {
             let revision = self.revision;
-            let estate = Estate { revision, ..estate };
-            self.send(next, SlotBody::Handoff(vec![estate]), now);
+            let handoff = EndpointHandoff {
+                revision,
+                ..handoff
+            };
+            self.send(next, SlotBody::Handoff(vec![handoff]), now);
         }
     }
 
     fn owns(&self, endpoint: EndpointKey) -> bool {
-        let site = self.map.sites.get(&endpoint);
-        site.and_then(|s| s.owner) == Some(self.me.host)
+        let endpoint_roles = self.roles.endpoints.get(&endpoint);
+        endpoint_roles.and_then(|s| s.owner) == Some(self.me.host)
     }
 
     /// Takes up and lays down ownership as the configuration says.
     pub(super) fn configure_owned(&mut self, first: bool, now: Moment) {
         let me = Some(self.me.host);
         if first {
-            self.take_up_all(now);
+            self.own_all_unleased(now);
         }
-        let sites = &self.map.sites;
-        self.owned.retain(|e, _| sites.contains_key(e));
+        let endpoints = &self.roles.endpoints;
+        self.owned.retain(|e, _| endpoints.contains_key(e));
         for (endpoint, owned) in &mut self.owned {
-            let mine = sites.get(endpoint).and_then(|s| s.owner) == me;
-            owned.lost = match mine {
+            let mine = endpoints.get(endpoint).and_then(|s| s.owner) == me;
+            owned.superseded_at = match mine {
                 true => None,
-                false => owned.lost.or(Some(now)),
+                false => owned.superseded_at.or(Some(now)),
             };
         }
-        self.hand_off(now);
+        self.send_handoffs(now);
         let mine: Vec<EndpointKey> = self
-            .map
-            .sites
+            .roles
+            .endpoints
             .iter()
-            .filter(|(_, site)| site.owner == me)
+            .filter(|(_, endpoint_roles)| endpoint_roles.owner == me)
             .map(|(endpoint, _)| *endpoint)
             .collect();
         for endpoint in mine {
-            self.take_up(endpoint, now);
+            self.start_owning(endpoint, now);
         }
         let revision = self.revision;
         let passed = self
-            .estates
-            .extract_if(.., |_, left| left.estate.revision <= revision);
+            .handoffs
+            .extract_if(.., |_, left| left.handoff.revision <= revision);
         for left in passed.map(|(_, left)| left).collect::<Vec<_>>() {
-            self.pass_estate(left.estate, now);
+            self.forward_handoff(left.handoff, now);
         }
     }
 
@@ -160,11 +172,11 @@
         if !self.has_authority(now) {
             return;
         }
-        self.hand_off(now);
+        self.send_handoffs(now);
         let endpoints: Vec<EndpointKey> = self.owned.keys().copied().collect();
         for endpoint in endpoints {
             if let Some(owned) = self.owned.get_mut(&endpoint) {
-                owned.ledger.expire(now);
+                owned.lease_table.expire(now);
                 owned.warmth.grow(now);
             }
             self.recall(endpoint, now);
@@ -175,11 +187,11 @@
 
     /// Leases what is free at an endpoint to its broker, as far as the cap allows.
     pub(super) fn lease_out(&mut self, endpoint: EndpointKey, now: Moment) {
-        let site = self.map.sites.get(&endpoint);
-        if site.is_none_or(|s| s.leaving) || !self.has_authority(now) {
+        let endpoint_roles = self.roles.endpoints.get(&endpoint);
+        if endpoint_roles.is_none_or(|s| s.leaving) || !self.has_authority(now) {
             return;
         }
-        let Some(broker) = self.map.broker_of(endpoint) else {
+        let Some(broker) = self.roles.broker_of(endpoint) else {
             return;
         };
         // A stopping host gives back at once what it is leased. Leasing to itself
@@ -187,24 +199,24 @@
         if self.stopping && broker == self.me.host {
             return;
         }
-        let Some(echo) = self.stamp_of(broker, now) else {
+        let Some(echo) = self.fresh_stamp(broker, now) else {
             return;
         };
         let owned = self.owned.get_mut(&endpoint);
-        let Some(owned) = owned.filter(|o| o.lost.is_none()) else {
+        let Some(owned) = owned.filter(|o| o.superseded_at.is_none()) else {
             return;
         };
         let mut leases = Vec::new();
         while let Some(grant) = owned.grant(broker, self.serial, now) {
             self.serial = self.serial.wrapping_add(1);
-            leases.push(Handed {
+            leases.push(TransferredLease {
                 lease: grant.lease,
-                left: TERM,
-                once: grant.once,
+                left: LEASE_TERM,
+                single_use: grant.single_use,
             });
         }
         if !leases.is_empty() {
-            self.send(broker, SlotBody::Hand { echo, leases }, now);
+            self.send(broker, SlotBody::Transfer { echo, leases }, now);
         }
     }
 
@@ -212,7 +224,7 @@
         let endpoints: Vec<EndpointKey> = self
             .owned
             .keys()
-            .filter(|e| self.map.broker_of(**e) == Some(broker))
+            .filter(|e| self.roles.broker_of(**e) == Some(broker))
             .copied()
             .collect();
         for endpoint in endpoints {
@@ -220,12 +232,12 @@
         }
     }
 
-    fn note_seen(&mut self, seen: &[Seen], now: Moment) {
-        for entry in seen {
+    fn note_stats(&mut self, stats: &[CallStats], now: Moment) {
+        for entry in stats {
             let Some(owned) = self.owned.get_mut(&entry.endpoint) else {
                 continue;
             };
-            owned.warmth.note_answers(entry.over, entry.total, now);
+            owned.warmth.note_answers(entry.slow, entry.total, now);
             if owned.warmth.doubt().is_some() {
                 self.recall(entry.endpoint, now);
             }
@@ -233,12 +245,16 @@
     }
 
     fn recall(&mut self, endpoint: EndpointKey, now: Moment) {
-        let leaving = self.map.sites.get(&endpoint).is_none_or(|s| s.leaving);
+        let leaving = self
+            .roles
+            .endpoints
+            .get(&endpoint)
+            .is_none_or(|s| s.leaving);
         let Some(owned) = self.owned.get_mut(&endpoint) else {
             return;
         };
         let mut holders: BTreeMap<HostKey, Vec<LeaseKey>> = BTreeMap::new();
-        for out in owned.recalls(leaving, now) {
+        for out in owned.leases_to_recall(leaving, now) {
             holders.entry(out.holder).or_default().push(out.lease);
         }
         for (holder, leases) in holders {
@@ -247,13 +263,14 @@
     }
 
     fn probe(&mut self, endpoint: EndpointKey, now: Moment) {
-        let Some(site) = self.map.sites.get(&endpoint) else {
+        let Some(endpoint_roles) = self.roles.endpoints.get(&endpoint) else {
             return;
         };
         if let Some(owned) = self.owned.get_mut(&endpoint)
             && owned.take_probe(now)
         {
-            self.effects.push(Effect::Probe(endpoint, site.address));
+            self.effects
+                .push(Effect::Probe(endpoint, endpoint_roles.address));
         }
     }
 
@@ -262,75 +279,79 @@
     /// After a gap in its authority it may not: others may have owned the
     /// endpoint meanwhile. What it knew is then forgotten, and the next owner
     /// waits behind its fence.
-    fn hand_off(&mut self, now: Moment) {
+    fn send_handoffs(&mut self, now: Moment) {
         let fresh = self.has_authority(now);
         let revision = self.revision;
-        let (sites, leased) = (&self.map.sites, &mut self.leased);
-        let mut estates: BTreeMap<HostKey, Vec<Estate>> = BTreeMap::new();
+        let (endpoints, recently_leased) = (&self.roles.endpoints, &mut self.recently_leased);
+        let mut handoffs: BTreeMap<HostKey, Vec<EndpointHandoff>> = BTreeMap::new();
         self.owned.retain(|endpoint, owned| {
-            let Some(lost) = owned.lost else {
+            let Some(superseded_at) = owned.superseded_at else {
                 return true;
             };
             if !fresh {
-                return now.since(lost) <= FRESHNESS;
+                return now.since(superseded_at) <= AUTHORITY_WINDOW;
             }
-            if let Some(next) = sites.get(endpoint).and_then(|s| s.owner) {
-                let estate = owned.ledger.estate(owned.warmth.reached(), revision, now);
-                if !owned.ledger.is_virgin(now) {
-                    leased.insert(*endpoint, now);
+            if let Some(next) = endpoints.get(endpoint).and_then(|s| s.owner) {
+                let handoff = owned
+                    .lease_table
+                    .handoff(owned.warmth.reached(), revision, now);
+                if !owned.lease_table.is_untouched(now) {
+                    recently_leased.insert(*endpoint, now);
                 }
-                estates.entry(next).or_default().push(estate);
+                handoffs.entry(next).or_default().push(handoff);
             }
             false
         });
-        for (next, estates) in estates {
-            self.send(next, SlotBody::Handoff(estates), now);
+        for (next, handoffs) in handoffs {
+            self.send(next, SlotBody::Handoff(handoffs), now);
         }
     }
 
     /// Takes up every endpoint as its first owner ever: nothing can be out.
-    fn take_up_all(&mut self, now: Moment) {
-        let endpoints: Vec<EndpointKey> = self.map.sites.keys().copied().collect();
+    fn own_all_unleased(&mut self, now: Moment) {
+        let endpoints: Vec<EndpointKey> = self.roles.endpoints.keys().copied().collect();
         for endpoint in endpoints {
-            let estate = Estate {
+            let handoff = EndpointHandoff {
                 endpoint,
                 revision: self.revision,
                 fence: Duration::ZERO,
                 cap: 0,
                 leases: Vec::new(),
             };
-            self.inherit(&estate, now);
+            self.adopt_handoff(&handoff, now);
         }
     }
 
-    fn take_up(&mut self, endpoint: EndpointKey, now: Moment) {
-        let Some(site) = self.map.sites.get(&endpoint) else {
+    fn start_owning(&mut self, endpoint: EndpointKey, now: Moment) {
+        let Some(endpoint_roles) = self.roles.endpoints.get(&endpoint) else {
             return;
         };
-        let Some(plan) = self.map.plans.get(&site.service) else {
+        let Some(service_roles) = self.roles.services.get(&endpoint_roles.service) else {
             return;
         };
         if let Some(owned) = self.owned.get_mut(&endpoint) {
-            owned.resize(plan, now);
+            owned.resize(service_roles, now);
             return;
         }
-        let left = self.estates.remove(&endpoint);
-        let known = left.filter(|l| self.map.peers.contains_key(&l.from));
-        let estate = known.as_ref().map(|l| {
+        let left = self.handoffs.remove(&endpoint);
+        let known = left.filter(|l| self.roles.members.contains_key(&l.from));
+        let handoff = known.as_ref().map(|l| {
             let late = now.since(l.at);
-            let mut estate = l.estate.clone();
-            estate.fence = estate.fence.saturating_sub(late);
-            estate
+            let mut handoff = l.handoff.clone();
+            handoff.fence = handoff.fence.saturating_sub(late);
+            handoff
         });
-        let owned = Owned::new(endpoint, plan, estate.as_ref(), now);
+        let owned = OwnedEndpoint::new(endpoint, service_roles, handoff.as_ref(), now);
         self.owned.insert(endpoint, owned);
     }
 
-    fn inherit(&mut self, estate: &Estate, now: Moment) {
-        let site = self.map.sites.get(&estate.endpoint);
-        if let Some(plan) = site.and_then(|s| self.map.plans.get(&s.service)) {
-            let owned = Owned::new(estate.endpoint, plan, Some(estate), now);
-            self.owned.insert(estate.endpoint, owned);
+    fn adopt_handoff(&mut self, handoff: &EndpointHandoff, now: Moment) {
+        let endpoint_roles = self.roles.endpoints.get(&handoff.endpoint);
+        if let Some(service_roles) =
+            endpoint_roles.and_then(|s| self.roles.services.get(&s.service))
+        {
+            let owned = OwnedEndpoint::new(handoff.endpoint, service_roles, Some(handoff), now);
+            self.owned.insert(handoff.endpoint, owned);
         }
     }
 }
--- a/components/coordination/src/slots/desk.rs
+++ b/components/coordination/src/slots/pool.rs
@@ -13,7 +13,7 @@
 
 /// A broker's word to hand slots to another host.
 #[value]
-pub struct Order {
+pub struct TransferRequest {
     /// Who shall have them.
     pub to: HostKey,
     /// Its stamp.
@@ -28,7 +28,7 @@
 
 /// One service at this host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Desk {
+pub struct SlotPool {
     /// The calls that wait.
     pub queue: Queue,
     /// Decides who may wait.
@@ -40,65 +40,65 @@
     /// Slots held, idle or not.
     pub held: u32,
     /// Slots handed to this host so far.
-    pub got: u32,
+    pub received: u32,
     /// The broker says that calls wait elsewhere.
-    pub hungry: bool,
-    lent: Moment,
+    pub shortage: bool,
+    last_offer: Moment,
     /// Slots promised to other hosts.
-    pub orders: VecDeque<Order>,
+    pub transfer_requests: VecDeque<TransferRequest>,
     rate: Rate,
-    least: u32,
-    window: Moment,
-    told: Option<Told>,
+    min_idle: u32,
+    window_start: Moment,
+    last_report: Option<SentReport>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Told {
+struct SentReport {
     at: Moment,
     waiting: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Rate {
-    second: f64,
+    per_second: f64,
     count: u32,
     since: Moment,
 }
 
 /// The least time between two reports where calls have begun to wait.
-const AT_ONCE: Duration = Duration::from_micros(200);
+const URGENT_REPORT_INTERVAL: Duration = Duration::from_micros(200);
 /// The least time between two reports where little has changed.
-const SOON: Duration = Duration::from_millis(2);
+const REPORT_INTERVAL: Duration = Duration::from_millis(2);
 /// The time between reports of an unchanged queue.
-const REFRESH: Duration = Duration::from_millis(4);
+const QUEUE_REPORT_INTERVAL: Duration = Duration::from_millis(4);
 /// The time between reports where nothing is wanted.
-const KEEPALIVE: Duration = Duration::from_millis(1_000);
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Slots that stay idle for this long beyond the spare are given up.
-const SURPLUS: Duration = Duration::from_millis(100);
+const SURPLUS_WINDOW: Duration = Duration::from_millis(100);
 /// The time a spare slot has to bridge: to the broker and back, with a margin.
-const BRIDGE: f64 = 0.002;
+const REPLENISH_SECONDS: f64 = 0.002;
 
-impl Desk {
+impl SlotPool {
     /// Returns an empty desk.
-    pub fn new(limit: usize, now: Moment) -> Desk {
-        Desk {
+    pub fn new(limit: usize, now: Moment) -> SlotPool {
+        SlotPool {
             queue: Queue::new(limit),
             gate: Gate::new(now),
             norm: Norm::default(),
             idle: Vec::new(),
             held: 0,
-            got: 0,
-            hungry: false,
-            lent: Moment(0),
-            orders: VecDeque::new(),
+            received: 0,
+            shortage: false,
+            last_offer: Moment(0),
+            transfer_requests: VecDeque::new(),
             rate: Rate {
-                second: 0.0,
+                per_second: 0.0,
                 count: 0,
                 since: now,
             },
-            least: 0,
-            window: now,
-            told: None,
+            min_idle: 0,
+            window_start: now,
+            last_report: None,
         }
     }
 
@@ -111,16 +111,16 @@
     ///
     /// The broker takes a call that it sent a slot for as served, so the next
     /// one that waits is news to it.
-    pub fn note_got(&mut self) {
-        self.got = self.got.wrapping_add(1);
-        if let Some(told) = &mut self.told {
-            told.waiting = told.waiting.saturating_sub(1);
+    pub fn note_received(&mut self) {
+        self.received = self.received.wrapping_add(1);
+        if let Some(last_report) = &mut self.last_report {
+            last_report.waiting = last_report.waiting.saturating_sub(1);
         }
     }
 
     /// Notes that an idle slot was taken.
     pub fn note_taken(&mut self) {
-        self.least = self.least.min(self.idle.len() as u32);
+        self.min_idle = self.min_idle.min(self.idle.len() as u32);
     }
 
     /// Returns how many idle slots to keep for the next calls.
@@ -129,8 +129,8 @@
     /// slots don't pile up where they aren't needed: enough for the arrivals
     /// expected until the broker can send more, and their spread.
     pub fn spare(&self) -> u32 {
-        let expected = self.rate.second * BRIDGE;
-        if self.rate.second < 1.0 {
+        let expected = self.rate.per_second * REPLENISH_SECONDS;
+        if self.rate.per_second < 1.0 {
             return 0;
         }
         (expected + expected.sqrt()).ceil() as u32
@@ -140,62 +140,63 @@
     ///
     /// One a step: calls that wait elsewhere are few as a rule, and a host that
     /// gave all its idle slots for them would have to ask for some at once.
-    pub fn lends(&mut self, now: Moment) -> bool {
-        let lends = self.hungry && self.lent < now;
-        if lends {
-            self.lent = now;
+    pub fn should_offer(&mut self, now: Moment) -> bool {
+        let offers = self.shortage && self.last_offer < now;
+        if offers {
+            self.last_offer = now;
         }
-        lends
+        offers
     }
 
     /// Moves the windows on; returns how many idle slots to give up.
-    pub fn review(&mut self, now: Moment) -> u32 {
-        if now.since(self.window) < SURPLUS {
+    pub fn take_surplus(&mut self, now: Moment) -> u32 {
+        if now.since(self.window_start) < SURPLUS_WINDOW {
             return 0;
         }
         self.rate.advance(now);
-        let surplus = self.least.saturating_sub(self.spare());
-        self.window = now;
-        self.least = self.idle.len() as u32 - surplus.min(self.idle.len() as u32);
+        let surplus = self.min_idle.saturating_sub(self.spare());
+        self.window_start = now;
+        self.min_idle = self.idle.len() as u32 - surplus.min(self.idle.len() as u32);
         surplus
     }
 
     /// Takes the next valid order of the broker, where its call is older than those here.
-    pub fn take_order(&mut self, now: Moment) -> Option<Order> {
-        self.orders.retain(|o| o.until > now && o.count > 0);
+    pub fn take_transfer_request(&mut self, now: Moment) -> Option<TransferRequest> {
+        self.transfer_requests
+            .retain(|o| o.until > now && o.count > 0);
         let oldest = self.queue.oldest(now);
         let empty = self.queue.is_empty();
-        let order = self
-            .orders
+        let request = self
+            .transfer_requests
             .iter_mut()
             .find(|o| empty || now.since(o.since) > oldest)?;
-        order.count -= 1;
-        Some(order.clone())
+        request.count -= 1;
+        Some(request.clone())
     }
 
     /// Returns when the next report to the broker is due, if one is.
     pub fn report_due(&self) -> Option<Moment> {
         let waiting = self.queue.len() as u32;
-        let Some(told) = &self.told else {
+        let Some(last_report) = &self.last_report else {
             let any = waiting > 0 || self.held > 0 || self.rate.count > 0;
             return any.then_some(Moment(0));
         };
-        let pause = match (told.waiting, waiting) {
-            (0, 1..) => AT_ONCE,
-            (before, after) if after > before + before / 4 => AT_ONCE,
-            (1.., 0) => SOON,
-            (before, after) if after + before / 4 < before => SOON,
-            (_, 1..) => REFRESH,
-            _ if self.held > 0 || self.rate.second > 0.0 => KEEPALIVE,
+        let pause = match (last_report.waiting, waiting) {
+            (0, 1..) => URGENT_REPORT_INTERVAL,
+            (before, after) if after > before + before / 4 => URGENT_REPORT_INTERVAL,
+            (1.., 0) => REPORT_INTERVAL,
+            (before, after) if after + before / 4 < before => REPORT_INTERVAL,
+            (_, 1..) => QUEUE_REPORT_INTERVAL,
+            _ if self.held > 0 || self.rate.per_second > 0.0 => IDLE_REPORT_INTERVAL,
             _ => return None,
         };
-        Some(told.at + pause)
+        Some(last_report.at + pause)
     }
 
     /// Returns the report to the broker and notes it as sent.
     pub fn report(&mut self, service: ServiceKey, now: Moment) -> Demand {
         let demand = self.demand(service, now);
-        self.told = Some(Told {
+        self.last_report = Some(SentReport {
             at: now,
             waiting: demand.waiting,
         });
@@ -208,22 +209,22 @@
             service,
             waiting: self.queue.len() as u32,
             oldest: self.queue.oldest(now),
-            spare: self.lack(),
+            spare: self.missing_spares(),
             held: self.held,
             idle: self.idle.len() as u32,
-            got: self.got,
+            received: self.received,
         }
     }
 
     /// Makes the next report due at once: the broker is a new one.
     pub fn forget_broker(&mut self) {
-        self.told = None;
-        self.hungry = false;
-        self.orders.clear();
+        self.last_report = None;
+        self.shortage = false;
+        self.transfer_requests.clear();
     }
 
-    fn lack(&self) -> u32 {
-        match self.hungry {
+    fn missing_spares(&self) -> u32 {
+        match self.shortage {
             true => 0,
             false => self.spare().saturating_sub(self.idle.len() as u32),
         }
@@ -235,11 +236,11 @@
         let span = now.since(self.since).as_secs_f64().max(0.001);
         let fresh = f64::from(self.count) / span;
         let kept = (-span / 0.5).exp();
-        self.second = self.second * kept + fresh * (1.0 - kept);
+        self.per_second = self.per_second * kept + fresh * (1.0 - kept);
         self.count = 0;
         self.since = now;
-        if self.second < 0.01 {
-            self.second = 0.0;
+        if self.per_second < 0.01 {
+            self.per_second = 0.0;
         }
     }
 }
