--- a/components/coordination/src/slots/renewing.rs
+++ b/components/coordination/src/slots/renewals.rs
@@ -5,19 +5,19 @@
 
 use state::{EndpointKey, HostKey, Moment};
 
-use super::Slots;
-use super::holder::Usage;
-use super::message::{LeaseKey, Seen, SlotBody, SlotKey, Stamp};
-use super::terms::RENEWAL;
+use super::SlotManager;
+use super::held::Usage;
+use super::message::{CallStats, LeaseKey, SlotBody, SlotKey, Stamp};
+use super::timing::RENEWAL_INTERVAL;
 
 /// A lease with less than this left is renewed before its owner's turn.
-const SHORT: Duration = Duration::from_millis(1_300);
+const EARLY_RENEWAL_LIMIT: Duration = Duration::from_millis(1_300);
 /// The pause before an early renewal, so that several go together.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// The pause before a renewal that was left unanswered or undecided is repeated.
-const AGAIN: Duration = Duration::from_millis(200);
+const RENEWAL_RETRY: Duration = Duration::from_millis(200);
 
-impl Slots {
+impl SlotManager {
     pub(super) fn on_renewed(
         &mut self,
         owner: HostKey,
@@ -26,29 +26,33 @@
         pending: &[LeaseKey],
         now: Moment,
     ) {
-        if echo.life != self.me.life {
+        if echo.incarnation != self.me.incarnation {
             return;
         }
         let except: Vec<LeaseKey> = ended.iter().chain(pending).copied().collect();
-        self.holder.renewed(Moment(echo.clock), &except, now);
+        self.leases.renewed(Moment(echo.clock), &except, now);
         for lease in ended {
-            let service = self.holder.get(lease.slot).map(|h| h.service);
-            if let (Some(service), true) = (service, self.holder.end(*lease, now)) {
+            let service = self.leases.get(lease.slot).map(|h| h.service);
+            if let (Some(service), true) = (service, self.leases.end(*lease, now)) {
                 self.forget_idle(service, lease.slot);
-                self.lose(service);
+                self.decrement_held(service);
             }
         }
-        let next = if pending.is_empty() { RENEWAL } else { AGAIN };
+        let next = if pending.is_empty() {
+            RENEWAL_INTERVAL
+        } else {
+            RENEWAL_RETRY
+        };
         self.renewals.insert(owner, Moment(echo.clock) + next);
     }
 
     pub(super) fn on_recall(&mut self, leases: &[LeaseKey], now: Moment) {
         for lease in leases {
-            let Some(held) = self.holder.get(lease.slot) else {
+            let Some(held) = self.leases.get(lease.slot) else {
                 continue;
             };
             if held.lease.serial == lease.serial {
-                self.call_back(lease.slot, now);
+                self.recall_slot(lease.slot, now);
             }
         }
     }
@@ -59,86 +63,90 @@
         for owner in self.brokered_owners() {
             owners.entry(owner).or_default();
         }
-        for held in self.holder.iter().filter(|h| h.end > now) {
+        for held in self.leases.iter().filter(|h| h.end > now) {
             if let Some(owner) = self.owner_of(held.lease.slot) {
                 owners.entry(owner).or_default().push(held.lease);
             }
         }
-        for endpoint in self.tally.keys() {
-            if let Some(owner) = self.map.sites.get(endpoint).and_then(|s| s.owner) {
+        for endpoint in self.call_stats.keys() {
+            if let Some(owner) = self.roles.endpoints.get(endpoint).and_then(|s| s.owner) {
                 owners.entry(owner).or_default();
             }
         }
         self.renewals.retain(|owner, _| owners.contains_key(owner));
         for (owner, leases) in owners {
             let due = *self.renewals.entry(owner).or_insert(now);
-            let urgent = self.tallied.is_some_and(|at| at <= now) && self.tells(owner);
+            let urgent = self.stats_due.is_some_and(|at| at <= now) && self.has_slow_calls(owner);
             if due <= now {
                 self.send_renewal(owner, leases, now);
             } else if urgent {
-                let seen = self.take_seen(owner);
+                let stats = self.take_stats(owner);
                 let leases = Vec::new();
-                self.send(owner, SlotBody::Renew { leases, seen }, now);
+                self.send(owner, SlotBody::Renew { leases, stats }, now);
             }
         }
-        if self.tallied.is_some_and(|at| at <= now) {
-            self.tallied = None;
+        if self.stats_due.is_some_and(|at| at <= now) {
+            self.stats_due = None;
         }
     }
 
-    pub(super) fn take_seen(&mut self, owner: HostKey) -> Vec<Seen> {
-        let sites = &self.map.sites;
-        let is_own = |e: &EndpointKey| sites.get(e).and_then(|s| s.owner) == Some(owner);
-        let (own, rest) = std::mem::take(&mut self.tally)
+    pub(super) fn take_stats(&mut self, owner: HostKey) -> Vec<CallStats> {
+        let endpoints = &self.roles.endpoints;
+        let is_own = |e: &EndpointKey| endpoints.get(e).and_then(|s| s.owner) == Some(owner);
+        let (own, rest) = std::mem::take(&mut self.call_stats)
             .into_iter()
             .partition(|(endpoint, _)| is_own(endpoint));
-        self.tally = rest;
-        let own: BTreeMap<EndpointKey, Seen> = own;
+        self.call_stats = rest;
+        let own: BTreeMap<EndpointKey, CallStats> = own;
         own.into_values().collect()
     }
 
     /// Returns whether something slow was seen at an endpoint of this owner.
-    fn tells(&self, owner: HostKey) -> bool {
-        self.tally.values().any(|seen| {
-            let site = self.map.sites.get(&seen.endpoint);
-            seen.over > 0 && site.and_then(|s| s.owner) == Some(owner)
+    fn has_slow_calls(&self, owner: HostKey) -> bool {
+        self.call_stats.values().any(|stats| {
+            let endpoint_roles = self.roles.endpoints.get(&stats.endpoint);
+            stats.slow > 0 && endpoint_roles.and_then(|s| s.owner) == Some(owner)
         })
     }
 
     pub(super) fn renew_soon(&mut self, slot: SlotKey, now: Moment) {
-        let end = self.holder.get(slot).map(|h| h.end);
+        let end = self.leases.get(slot).map(|h| h.end);
         let (Some(end), Some(owner)) = (end, self.owner_of(slot)) else {
             return;
         };
-        let latest = if now.until(end) < SHORT {
-            now + GATHER
+        let latest = if now.until(end) < EARLY_RENEWAL_LIMIT {
+            now + BATCH_DELAY
         } else {
-            now + RENEWAL
+            now + RENEWAL_INTERVAL
         };
         let due = self.renewals.entry(owner).or_insert(latest);
         *due = latest.min(*due);
     }
 
     fn send_renewal(&mut self, owner: HostKey, leases: Vec<LeaseKey>, now: Moment) {
-        let pause = if leases.is_empty() { RENEWAL } else { AGAIN };
+        let pause = if leases.is_empty() {
+            RENEWAL_INTERVAL
+        } else {
+            RENEWAL_RETRY
+        };
         self.renewals.insert(owner, now + pause);
         for lease in &leases {
-            self.holder.ask(lease.slot, now);
+            self.leases.note_renewal(lease.slot, now);
         }
-        let seen = self.take_seen(owner);
-        self.send(owner, SlotBody::Renew { leases, seen }, now);
+        let stats = self.take_stats(owner);
+        self.send(owner, SlotBody::Renew { leases, stats }, now);
     }
 
-    pub(super) fn tally(&mut self, endpoint: EndpointKey, over: bool, now: Moment) {
-        let seen = self.tally.entry(endpoint).or_insert(Seen {
+    pub(super) fn count_call(&mut self, endpoint: EndpointKey, slow: bool, now: Moment) {
+        let stats = self.call_stats.entry(endpoint).or_insert(CallStats {
             endpoint,
-            over: 0,
+            slow: 0,
             total: 0,
         });
-        seen.total += 1;
-        seen.over += u32::from(over);
-        if over && self.tallied.is_none() {
-            self.tallied = Some(now + GATHER);
+        stats.total += 1;
+        stats.slow += u32::from(slow);
+        if slow && self.stats_due.is_none() {
+            self.stats_due = Some(now + BATCH_DELAY);
         }
     }
 
@@ -146,13 +154,13 @@
     ///
     /// A backend server that has become twenty times slower answers nothing
     /// for a long time; its owner must hear of it before the first answer.
-    pub(super) fn flag_slow(&mut self, now: Moment) {
-        let desks = &self.desks;
+    pub(super) fn count_slow_calls(&mut self, now: Moment) {
+        let pools = &self.pools;
         let slow: Vec<SlotKey> = self
-            .holder
+            .leases
             .iter()
             .filter(|h| match h.usage {
-                Usage::Busy(since, false) => desks
+                Usage::Busy(since, false) => pools
                     .get(&h.service)
                     .is_some_and(|d| d.norm.blames(now.since(since))),
                 _ => false,
@@ -160,8 +168,8 @@
             .map(|h| h.lease.slot)
             .collect();
         for slot in slow {
-            self.holder.flag(slot);
-            self.tally(slot.endpoint, true, now);
+            self.leases.mark_slow(slot);
+            self.count_call(slot.endpoint, true, now);
         }
     }
 }
--- a/components/coordination/src/slots/map.rs
+++ b/components/coordination/src/slots/role_map.rs
@@ -16,7 +16,7 @@
 
 /// One endpoint, as placing sees it.
 #[value]
-pub struct Site {
+pub struct EndpointRoles {
     /// Its service.
     pub service: ServiceKey,
     /// Where it listens.
@@ -33,28 +33,28 @@
 
 /// One service's sizes.
 #[value]
-pub struct Plan {
+pub struct ServiceRoles {
     /// Calls one endpoint bears at once.
     pub slots: u32,
     /// Calls one cold endpoint bears at once.
-    pub cold: u32,
+    pub cold_slots: u32,
     /// Calls that may wait at one entry host.
     pub queue: usize,
     /// What one probe costs.
-    pub probe: Duration,
+    pub probe_cost: Duration,
     /// The broker of each region that has endpoints.
     pub brokers: BTreeMap<RegionKey, HostKey>,
     /// The region whose broker this host asks.
-    pub home: Option<RegionKey>,
+    pub home_region: Option<RegionKey>,
     /// Its endpoints that are not leaving.
     pub endpoints: Vec<EndpointKey>,
 }
 
 /// One member, as the slots see it.
 #[value]
-pub struct Peer {
+pub struct MemberInfo {
     /// Its incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// The data centre it stands in.
     pub centre: DataCentreKey,
     /// The region it stands in.
@@ -66,31 +66,31 @@
 /// The whole of it.
 #[value]
 #[derive(Default)]
-pub struct Map {
+pub struct RoleMap {
     /// Endpoints by key.
-    pub sites: BTreeMap<EndpointKey, Site>,
+    pub endpoints: BTreeMap<EndpointKey, EndpointRoles>,
     /// Services by key.
-    pub plans: BTreeMap<ServiceKey, Plan>,
+    pub services: BTreeMap<ServiceKey, ServiceRoles>,
     /// Members by key.
-    pub peers: BTreeMap<HostKey, Peer>,
+    pub members: BTreeMap<HostKey, MemberInfo>,
 }
 
-impl Map {
+impl RoleMap {
     /// Works out the map for the host `me`; `alive` are the members not suspected.
     ///
     /// Owners follow the configuration alone, since two owners of an endpoint
     /// would lease a slot twice. Brokers follow who is alive: two of them only
     /// cost time.
-    pub fn new(config: &Config, me: HostKey, alive: &BTreeSet<HostKey>) -> Map {
+    pub fn new(config: &Config, me: HostKey, alive: &BTreeSet<HostKey>) -> RoleMap {
         let regions = regions(config);
-        let peers = config
+        let members = config
             .members
             .iter()
-            .map(|(key, member)| (*key, peer(config, *key, member, &regions)))
+            .map(|(key, member)| (*key, member_info(config, *key, member, &regions)))
             .collect();
-        let mut map = Map {
-            peers,
-            ..Map::default()
+        let mut map = RoleMap {
+            members,
+            ..RoleMap::default()
         };
         for service in config.services() {
             map.add(service, config, me, alive, &regions);
@@ -100,18 +100,21 @@
 
     /// Returns the broker that is told of free slots of this endpoint.
     pub fn broker_of(&self, endpoint: EndpointKey) -> Option<HostKey> {
-        let site = self.sites.get(&endpoint)?;
-        self.plans
-            .get(&site.service)?
+        let endpoint_roles = self.endpoints.get(&endpoint)?;
+        self.services
+            .get(&endpoint_roles.service)?
             .brokers
-            .get(&site.region)
+            .get(&endpoint_roles.region)
             .copied()
     }
 
     /// Returns the broker this host asks for slots of a service.
     pub fn broker(&self, service: ServiceKey) -> Option<HostKey> {
-        let plan = self.plans.get(&service)?;
-        plan.brokers.get(&plan.home?).copied()
+        let service_roles = self.services.get(&service)?;
+        service_roles
+            .brokers
+            .get(&service_roles.home_region?)
+            .copied()
     }
 
     fn add(
@@ -123,13 +126,13 @@
         regions: &BTreeMap<DataCentreKey, RegionKey>,
     ) {
         let key = service.key();
-        let mut plan = Plan {
+        let mut service_roles = ServiceRoles {
             slots: service.slots,
-            cold: service.cold_slots,
+            cold_slots: service.cold_slots,
             queue: service.queue as usize,
-            probe: Duration::from_millis(service.probe_cost_ms),
+            probe_cost: Duration::from_millis(service.probe_cost_ms),
             brokers: BTreeMap::new(),
-            home: None,
+            home_region: None,
             endpoints: Vec::new(),
         };
         for endpoint in &service.endpoints {
@@ -137,7 +140,7 @@
             let centre = endpoint.centre();
             let region = regions.get(&centre).copied().unwrap_or(RegionKey(0));
             let leaving = config.is_leaving(&endpoint.data_centre, endpoint.address);
-            let site = Site {
+            let endpoint_roles = EndpointRoles {
                 service: key,
                 address: endpoint.address,
                 centre,
@@ -145,20 +148,20 @@
                 owner: self.elect(id.0, region, |_| true),
                 leaving,
             };
-            self.sites.insert(id, site);
+            self.endpoints.insert(id, endpoint_roles);
             if leaving {
                 continue;
             }
-            plan.endpoints.push(id);
+            service_roles.endpoints.push(id);
             if let Some(broker) = self.elect(key.0, region, |h| h == me || alive.contains(&h)) {
-                plan.brokers.insert(region, broker);
+                service_roles.brokers.insert(region, broker);
             }
         }
-        let own = self.peers.get(&me).map(|p| p.region);
-        plan.home = own
-            .filter(|region| plan.brokers.contains_key(region))
-            .or_else(|| plan.brokers.keys().next().copied());
-        self.plans.insert(key, plan);
+        let own = self.members.get(&me).map(|p| p.region);
+        service_roles.home_region = own
+            .filter(|region| service_roles.brokers.contains_key(region))
+            .or_else(|| service_roles.brokers.keys().next().copied());
+        self.services.insert(key, service_roles);
     }
 
     /// Elects a member by rendezvous: staying ones of the region first, then any staying, then any.
@@ -168,7 +171,7 @@
         region: RegionKey,
         may: impl Fn(HostKey) -> bool,
     ) -> Option<HostKey> {
-        self.peers
+        self.members
             .iter()
             .filter(|(host, _)| may(**host))
             .max_by_key(|(host, peer)| {
@@ -193,15 +196,15 @@
         .collect()
 }
 
-fn peer(
+fn member_info(
     config: &Config,
     key: HostKey,
     member: &Member,
     regions: &BTreeMap<DataCentreKey, RegionKey>,
-) -> Peer {
+) -> MemberInfo {
     let centre = DataCentreKey::named(&member.data_centre);
-    Peer {
-        life: member.incarnation,
+    MemberInfo {
+        incarnation: member.incarnation,
         centre,
         region: regions.get(&centre).copied().unwrap_or(RegionKey(0)),
         leaving: config.draining.contains(&key)
--- a/components/coordination/tests/claim_bounds.rs
+++ b/components/coordination/tests/claim_bounds.rs
@@ -4,25 +4,25 @@
 
 use bytes::Bytes;
 use coordination::claims::{
-    Answer, Ask, Batch, Budget, CARRY_AFTER, ClaimId, ClaimKey, Ending, Entry, Home, KEPT_ANSWER,
-    KEPT_BYTES, KEPT_FOR, KeptAnswer, TABLE_LIMIT,
+    ANSWER_CACHE_LIMIT, Answer, AppendBudget, Batch, CACHED_ANSWER_LIMIT, CACHED_ANSWER_TTL,
+    CARRY_AFTER, CachedAnswer, ClaimId, ClaimKey, Ending, Entry, Home, KEY_LIMIT, KeyRequest,
 };
 use rstest::rstest;
 use state::{HostKey, Moment};
 
 const ENTRY: HostKey = HostKey(9);
-const KEEP: Duration = Duration::from_secs(7_200);
+const KEY_TTL: Duration = Duration::from_secs(7_200);
 
 fn second(seconds: u64) -> Moment {
     Moment::from_millis(seconds * 1_000)
 }
 
-fn ask(number: u128) -> Ask {
-    Ask {
+fn request(number: u128) -> KeyRequest {
+    KeyRequest {
         id: ClaimId(number),
         key: ClaimKey(number),
         digest: 0,
-        keep: KEEP,
+        ttl: KEY_TTL,
     }
 }
 
@@ -31,15 +31,15 @@
         id: ClaimId(n),
         key: ClaimKey(n),
         digest: 0,
-        keep: 7_200_000,
+        ttl_ms: 7_200_000,
     });
     Batch {
         entries: entries.collect(),
     }
 }
 
-fn answer(size: usize) -> KeptAnswer {
-    KeptAnswer {
+fn answer(size: usize) -> CachedAnswer {
+    CachedAnswer {
         status: 200,
         fields: Vec::new(),
         body: Bytes::from(vec![7; size]),
@@ -53,17 +53,17 @@
     home.fold(0, Some(&claims(0..keys)), now);
     for number in 0..keys {
         let ending = Ending::Answered(answer(size));
-        home.end(ClaimId(number), ClaimKey(number), ending, now);
+        home.end_call(ClaimId(number), ClaimKey(number), ending, now);
     }
     home
 }
 
 fn repeat(home: &mut Home, key: u128, now: Moment) -> Answer {
-    let again = Ask {
+    let again = KeyRequest {
         id: ClaimId(u128::MAX),
-        ..ask(key)
+        ..request(key)
     };
-    home.ask(ENTRY, again, now + KEEP, now);
+    home.request(ENTRY, again, now + KEY_TTL, now);
     home.replies().pop().expect("a repeat is answered").answer
 }
 
@@ -71,7 +71,7 @@
 // must not take those that operators need.
 #[test]
 fn append_budget() {
-    let mut budget = Budget::new(30.0, 10.0, second(0));
+    let mut budget = AppendBudget::new(30.0, 10.0, second(0));
     let tries = (0..10_000).map(Moment::from_millis);
     let spent = tries.filter(|now| budget.take(*now).is_ok()).count();
     assert!((300..=310).contains(&spent), "{spent} appends in 10 s");
@@ -83,14 +83,14 @@
 fn full_table() {
     let mut home = Home::new(CARRY_AFTER);
     home.caught_up();
-    for (offset, first) in (0..TABLE_LIMIT as u128).step_by(1_000).enumerate() {
+    for (offset, first) in (0..KEY_LIMIT as u128).step_by(1_000).enumerate() {
         home.fold(
             offset as u64,
             Some(&claims(first..first + 1_000)),
             second(1),
         );
     }
-    home.ask(ENTRY, ask(u128::MAX), second(30), second(2));
+    home.request(ENTRY, request(u128::MAX), second(30), second(2));
     let told = home.replies().pop().map(|r| r.answer);
     assert!(matches!(told, Some(Answer::NotRun(_))), "{told:?}");
     assert!(!home.has_claims());
@@ -101,8 +101,8 @@
 // size; a repeat of one that was dropped hears that the call was started.
 #[rstest]
 #[case::few_small(10, 1_000, true)]
-#[case::too_large(10, KEPT_ANSWER, false)]
-#[case::too_many(1_000, KEPT_BYTES / 500, false)]
+#[case::too_large(10, CACHED_ANSWER_LIMIT, false)]
+#[case::too_many(1_000, ANSWER_CACHE_LIMIT / 500, false)]
 fn kept_answers(#[case] keys: u128, #[case] size: usize, #[case] first_is_kept: bool) {
     let mut home = answered(keys, size, second(1));
     let told = repeat(&mut home, 0, second(2));
@@ -115,7 +115,7 @@
 #[test]
 fn old_answer() {
     let mut home = answered(1, 100, second(1));
-    let later = second(1) + KEPT_FOR;
+    let later = second(1) + CACHED_ANSWER_TTL;
     home.expire(later);
     assert_eq!(repeat(&mut home, 0, later), Answer::Started);
 }
@@ -125,7 +125,7 @@
 #[test]
 fn kept_apart() {
     let buffer = Bytes::from(vec![b'x'; 65_536]);
-    let answer = KeptAnswer {
+    let answer = CachedAnswer {
         status: 201,
         fields: vec![("content-type".to_owned(), buffer.slice(0..10))],
         body: buffer.slice(10..20),
--- a/components/coordination/tests/claim_races.rs
+++ b/components/coordination/tests/claim_races.rs
@@ -4,14 +4,15 @@
 
 use bytes::Bytes;
 use coordination::claims::{
-    Answer, Ask, Batch, ClaimId, ClaimKey, Ending, Home, KeptAnswer, Reply, may_go, remembered,
+    Answer, Batch, CachedAnswer, ClaimId, ClaimKey, Ending, Home, KeyRequest, Reply, key_ttl,
+    may_start,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 use state::{HostKey, Moment};
 
-const KEEP: Duration = Duration::from_secs(60);
+const KEY_TTL: Duration = Duration::from_secs(60);
 const PATIENCE: Duration = Duration::from_secs(30);
 const CARRY: Duration = Duration::from_secs(20);
 const ENTRY: HostKey = HostKey(9);
@@ -120,13 +121,13 @@
             state: CallState::Open,
         });
         for home in homes {
-            let ask = Ask {
+            let request = KeyRequest {
                 id,
                 key,
                 digest,
-                keep: KEEP,
+                ttl: KEY_TTL,
             };
-            self.homes[*home].ask(ENTRY, ask, until, self.now);
+            self.homes[*home].request(ENTRY, request, until, self.now);
         }
         self.collect();
         self.calls.len() - 1
@@ -143,15 +144,15 @@
             Fate::Refused => {}
         }
         match fate {
-            Fate::Refused => self.homes[home].fail(true),
-            _ if !reads => self.homes[home].fail(false),
+            Fate::Refused => self.homes[home].fail_append(true),
+            _ if !reads => self.homes[home].fail_append(false),
             Fate::Answered => {
                 self.read(home);
-                self.homes[home].settle(true, now);
+                self.homes[home].complete_append(true, now);
             }
             Fate::AnswerLost | Fate::Late => {
                 self.read(home);
-                self.homes[home].settle(false, now);
+                self.homes[home].complete_append(false, now);
             }
         }
         self.collect();
@@ -179,10 +180,10 @@
         }
         let deadline = self.calls[index].made + PATIENCE;
         match reply.answer {
-            Answer::Go if !may_go(self.now, deadline) => self.give_up(index, true),
-            Answer::Go => self.run(index),
+            Answer::Granted if !may_start(self.now, deadline) => self.give_up(index, true),
+            Answer::Granted => self.run(index),
             Answer::NotRun(_) => self.give_up(index, true),
-            Answer::Waits => {}
+            Answer::InProgress => {}
             Answer::Known(_) | Answer::Started | Answer::Mismatch => {
                 self.calls[index].state = CallState::Repeat;
             }
@@ -195,7 +196,7 @@
             .calls
             .iter()
             .filter(|c| c.key == key && c.state == CallState::Ran);
-        let remembered = before.filter(|c| self.now.since(c.made) < KEEP).count();
+        let remembered = before.filter(|c| self.now.since(c.made) < KEY_TTL).count();
         assert_eq!(
             remembered, 0,
             "key {key:?} runs a second time, as call {index}"
@@ -230,7 +231,7 @@
         let key = self.calls[index].key;
         for home in self.calls[index].homes.clone() {
             if told {
-                self.homes[home].end(id, key, ending.clone(), self.now);
+                self.homes[home].end_call(id, key, ending.clone(), self.now);
             }
         }
         self.collect();
@@ -289,8 +290,8 @@
     }
 }
 
-fn answer() -> KeptAnswer {
-    KeptAnswer {
+fn answer() -> CachedAnswer {
+    CachedAnswer {
         status: 200,
         fields: Vec::new(),
         body: Bytes::from_static(b"booked"),
@@ -447,7 +448,7 @@
     let second = world.call(1, 0, &[0]);
     world.append(0, Fate::Answered, true);
     let told = world.mail.pop().map(|r| r.answer);
-    assert_eq!(told, Some(Answer::Waits));
+    assert_eq!(told, Some(Answer::InProgress));
     assert!(
         world.mail.is_empty(),
         "the repeat was answered before the first ended"
@@ -485,8 +486,8 @@
     }
     world.call(1, 0, &[0]);
     if !home {
-        assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Waits));
-        world.homes[0].lost(ENTRY);
+        assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::InProgress));
+        world.homes[0].host_lost(ENTRY);
         world.collect();
     }
     assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Started));
@@ -509,21 +510,21 @@
     late.restart(1);
     late.fold(1, Some(&world.log[1]), world.now);
     late.caught_up();
-    let ask = |id| Ask {
+    let request = |id| KeyRequest {
         id: ClaimId(id),
         key: ClaimKey(1),
         digest: 0,
-        keep: KEEP,
+        ttl: KEY_TTL,
     };
-    let until = world.now + KEEP;
-    late.ask(ENTRY, ask(77), until, world.now);
+    let until = world.now + KEY_TTL;
+    late.request(ENTRY, request(77), until, world.now);
     assert_eq!(
         late.replies().pop().map(|r| r.answer),
         Some(Answer::Started)
     );
     // Its age is carried too: the key is free after its time, not later.
     let over = world.now + Duration::from_secs(36);
-    late.ask(ENTRY, ask(78), over + KEEP, over);
+    late.request(ENTRY, request(78), over + KEY_TTL, over);
     assert_eq!(late.replies(), []);
     assert!(late.has_claims());
 }
@@ -535,7 +536,7 @@
     world.call(1, 0, &[0]);
     world.append(0, Fate::Answered, true);
     world.deliver_all();
-    world.now = world.now + KEEP;
+    world.now = world.now + KEY_TTL;
     let again = world.call(1, 3, &[0]);
     world.append(0, Fate::Answered, true);
     world.deliver_all();
@@ -573,19 +574,19 @@
     world.call(1, 0, &[0]);
     world.append(0, Fate::Answered, true);
     world.deliver_all();
-    world.homes[0].lost(ENTRY);
-    let until = world.now + KEEP;
+    world.homes[0].host_lost(ENTRY);
+    let until = world.now + KEY_TTL;
     for (key, told) in [
         (1, Answer::Started),
         (2, Answer::NotRun(Duration::from_secs(1))),
     ] {
-        let ask = Ask {
+        let request = KeyRequest {
             id: ClaimId(77),
             key: ClaimKey(key),
             digest: 0,
-            keep: KEEP,
+            ttl: KEY_TTL,
         };
-        world.homes[0].ask_offline(ENTRY, ask, until, world.now);
+        world.homes[0].request_offline(ENTRY, request, until, world.now);
         assert_eq!(world.homes[0].replies().pop().map(|r| r.answer), Some(told));
     }
 }
@@ -599,7 +600,7 @@
     let paused = world.call(1, 0, &[0]);
     world.append(0, Fate::Answered, true);
     let late: Vec<Reply> = world.mail.drain(..).collect();
-    world.now = world.now + KEEP;
+    world.now = world.now + KEY_TTL;
     let repeat = world.call(1, 0, &[0]);
     world.append(0, Fate::Answered, true);
     world.deliver_all();
@@ -613,7 +614,7 @@
 // A preset forgets keys sooner than its calls may take.
 #[test]
 fn short_memory() {
-    let keep = remembered(Duration::from_secs(5), PATIENCE);
+    let keep = key_ttl(Duration::from_secs(5), PATIENCE);
     assert!(keep > PATIENCE);
-    assert_eq!(remembered(KEEP * 120, PATIENCE), KEEP * 120);
+    assert_eq!(key_ttl(KEY_TTL * 120, PATIENCE), KEY_TTL * 120);
 }
--- a/components/coordination/tests/failure_detector.rs
+++ b/components/coordination/tests/failure_detector.rs
@@ -291,7 +291,7 @@
         } else {
             BTreeSet::new()
         };
-        net.hosts.get_mut(&host).unwrap().list(gone);
+        net.hosts.get_mut(&host).unwrap().set_unlisted(gone);
     }
     net.run(Duration::from_secs(12));
     let removed: BTreeSet<HostKey> = net.removals.iter().map(|r| r.1.host).collect();
@@ -305,7 +305,7 @@
     let mut net = Net::new(6);
     let all: BTreeSet<HostKey> = net.keys().into_iter().collect();
     for host in net.keys() {
-        net.hosts.get_mut(&host).unwrap().list(all.clone());
+        net.hosts.get_mut(&host).unwrap().set_unlisted(all.clone());
     }
     net.run(Duration::from_secs(8));
     assert_eq!(net.removals, []);
@@ -315,7 +315,7 @@
 #[test]
 fn watch_spread() {
     let config = config(300);
-    let map = WatchMap::of(&config);
+    let map = WatchMap::from_config(&config);
     let mut load: BTreeMap<MemberId, usize> = BTreeMap::new();
     for member in map.members() {
         let watchers = map.watchers(member);
--- a/components/coordination/tests/owner_rule.rs
+++ b/components/coordination/tests/owner_rule.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use coordination::members::{Evidence, History, MemberId, Settled, Takeover, WatchMap, may_act};
+use coordination::members::{
+    MemberId, OwnerStatus, Takeover, WatchHistory, WatchMap, WatcherAck, may_act,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -23,11 +25,11 @@
     Moment::from_millis(millis)
 }
 
-fn answers(offsets: &[u64], asked: Moment) -> BTreeMap<MemberId, Evidence> {
+fn answers(offsets: &[u64], asked: Moment) -> BTreeMap<MemberId, WatcherAck> {
     let answer = |(index, offset): (usize, &u64)| {
         (
             id(index as u64),
-            Evidence {
+            WatcherAck {
                 offset: *offset,
                 asked,
             },
@@ -87,14 +89,14 @@
     assert!(may_act(moment(500), 7, Some(moment(400)), &[], &none));
 }
 
-fn removed(owner: u64) -> (History, Vec<MemberId>) {
-    let mut history = History::default();
+fn removed(owner: u64) -> (WatchHistory, Vec<MemberId>) {
+    let mut history = WatchHistory::default();
     let before = config(0..17, 1);
-    let map = WatchMap::of(&before);
+    let map = WatchMap::from_config(&before);
     history.configure(&WatchMap::default(), 0, 0);
     history.configure(&map, 1, 1);
     let after = config((0..17).filter(|h| *h != owner), 2);
-    history.configure(&WatchMap::of(&after), 2, 2);
+    history.configure(&WatchMap::from_config(&after), 2, 2);
     (history, map.watchers(id(owner)).to_vec())
 }
 
@@ -107,14 +109,14 @@
     for watcher in &watchers[..2] {
         shown.insert(*watcher, 2);
     }
-    assert_eq!(history.settled(id(4), 2, &shown), Settled::Open);
+    assert_eq!(history.owner_status(id(4), 2, &shown), OwnerStatus::MayAct);
     shown.insert(watchers[2], 2);
-    let settled = history.settled(id(4), 2, &shown);
-    assert_eq!(settled, Settled::Watchers);
+    let status = history.owner_status(id(4), 2, &shown);
+    assert_eq!(status, OwnerStatus::MajorityApplied);
     let mut takeover = Takeover::default();
-    assert!(!takeover.may_adopt(settled, TERM, moment(0)));
-    assert!(!takeover.may_adopt(settled, TERM, moment(5_000)));
-    assert!(takeover.may_adopt(settled, TERM, moment(6_250)));
+    assert!(!takeover.may_take_over(status, TERM, moment(0)));
+    assert!(!takeover.may_take_over(status, TERM, moment(5_000)));
+    assert!(takeover.may_take_over(status, TERM, moment(6_250)));
 }
 
 // An owner that is alive and shows the change itself hands over at once.
@@ -122,25 +124,25 @@
 fn living_owner() {
     let (history, _) = removed(4);
     let shown = BTreeMap::from([(id(4), 2)]);
-    let settled = history.settled(id(4), 2, &shown);
-    assert_eq!(settled, Settled::Itself);
-    assert!(Takeover::default().may_adopt(settled, TERM, moment(0)));
+    let status = history.owner_status(id(4), 2, &shown);
+    assert_eq!(status, OwnerStatus::Applied);
+    assert!(Takeover::default().may_take_over(status, TERM, moment(0)));
 }
 
 // A host that starts after the owner was last heard can't know under which
 // watchers the owner may still be acting: it waits far longer.
 #[test]
 fn late_starter() {
-    let mut history = History::default();
-    history.configure(&WatchMap::of(&config(0..17, 5)), 5, 5);
-    history.configure(&WatchMap::of(&config(1..17, 6)), 6, 6);
+    let mut history = WatchHistory::default();
+    history.configure(&WatchMap::from_config(&config(0..17, 5)), 5, 5);
+    history.configure(&WatchMap::from_config(&config(1..17, 6)), 6, 6);
     let all: BTreeMap<MemberId, u64> = (1..17).map(|h| (id(h), 6)).collect();
-    let settled = history.settled(id(0), 6, &all);
-    assert_eq!(settled, Settled::Unknown);
+    let status = history.owner_status(id(0), 6, &all);
+    assert_eq!(status, OwnerStatus::Unknown);
     let mut takeover = Takeover::default();
-    assert!(!takeover.may_adopt(settled, TERM, moment(0)));
-    assert!(!takeover.may_adopt(settled, TERM, moment(60_000)));
-    assert!(takeover.may_adopt(settled, TERM, moment(80_000)));
+    assert!(!takeover.may_take_over(status, TERM, moment(0)));
+    assert!(!takeover.may_take_over(status, TERM, moment(60_000)));
+    assert!(takeover.may_take_over(status, TERM, moment(80_000)));
 }
 
 proptest! {
@@ -157,12 +159,12 @@
     ) {
         let owner = 0;
         let mut members: Vec<u64> = (0..12).collect();
-        let mut history = History::default();
+        let mut history = WatchHistory::default();
         let mut maps = vec![WatchMap::default()];
         history.configure(&maps[0], 0, 0);
         let mut revision = 1;
         let mut publish = |members: &[u64], revision: u64| {
-            let map = WatchMap::of(&config(members.iter().copied(), revision));
+            let map = WatchMap::from_config(&config(members.iter().copied(), revision));
             history.configure(&map, revision, revision);
             maps.push(map);
         };
@@ -183,15 +185,15 @@
         publish(&members, revision);
         let at = |host: u64| stuck[host as usize].min(revision);
         let shown: BTreeMap<MemberId, u64> = (0..24).map(|h| (id(h), at(h))).collect();
-        let settled = history.settled(id(owner), revision, &shown);
+        let status = history.owner_status(id(owner), revision, &shown);
         let asked = moment(1_000);
         let watchers = maps[at(owner) as usize].watchers(id(owner));
-        let answer = |w: &MemberId| (*w, Evidence { offset: shown[w], asked });
+        let answer = |w: &MemberId| (*w, WatcherAck { offset: shown[w], asked });
         let answers = watchers.iter().map(answer).collect();
         let acts = at(owner) > 0 && may_act(asked, at(owner), None, watchers, &answers);
         prop_assert!(
-            !(acts && settled != Settled::Open),
-            "the owner acts at {}, settled {settled:?} at {revision}",
+            !(acts && status != OwnerStatus::MayAct),
+            "the owner acts at {}, settled {status:?} at {revision}",
             at(owner)
         );
     }
--- a/components/coordination/tests/slot_faults.rs
+++ b/components/coordination/tests/slot_faults.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use coordination::slots::message::{LeaseKey, SlotMessage};
-use coordination::slots::terms::TERM;
-use coordination::slots::{Arrival, Effect, Ending, Identity, Refusal, Slots};
+use coordination::slots::timing::LEASE_TERM;
+use coordination::slots::{Arrival, Effect, Ending, Identity, Refusal, SlotManager};
 use state::config::Member;
 use state::preset::{DataCentre, Endpoint, Preset, Service};
 use state::queue::CallKey;
@@ -19,7 +19,7 @@
 struct Site {
     config: Config,
     now: u64,
-    hosts: Vec<Option<Slots>>,
+    hosts: Vec<Option<SlotManager>>,
     mail: VecDeque<(u64, HostKey, HostKey, SlotMessage)>,
     running: Vec<(u64, usize, LeaseKey)>,
     refused: Vec<Refusal>,
@@ -96,10 +96,10 @@
         for n in 0..hosts {
             let me = Identity {
                 host: HostKey(n),
-                life: n + 1,
+                incarnation: n + 1,
                 centre: DataCentreKey::named(if n % 2 == 0 { "a" } else { "b" }),
             };
-            site.hosts.push(Some(Slots::new(me, Moment(0))));
+            site.hosts.push(Some(SlotManager::new(me, Moment(0))));
         }
         site.configure();
         for n in 0..hosts {
@@ -170,13 +170,13 @@
         self.act(host, |s, now| s.arrive(&arrival, now));
     }
 
-    fn act(&mut self, n: usize, step: impl FnOnce(&mut Slots, Moment)) {
+    fn act(&mut self, n: usize, step: impl FnOnce(&mut SlotManager, Moment)) {
         let now = Moment::from_millis(self.now);
         let Some(slots) = &mut self.hosts[n] else {
             return;
         };
         step(slots, now);
-        for effect in slots.drain() {
+        for effect in slots.take_effects() {
             self.carry_out(n, effect);
         }
     }
@@ -222,7 +222,9 @@
     /// Returns the leases of one endpoint over all hosts.
     fn leased(&self, endpoint: EndpointKey) -> usize {
         let hosts = self.hosts.iter().flatten();
-        hosts.map(|s| s.holder().of(endpoint).count()).sum()
+        hosts
+            .map(|s| s.held_leases().of_endpoint(endpoint).count())
+            .sum()
     }
 
     fn all_leased(&self) -> usize {
@@ -239,7 +241,9 @@
 
     fn broker(&self) -> usize {
         let hosts = self.hosts.iter().flatten();
-        let found = hosts.filter_map(|s| s.map().broker(service().key())).next();
+        let found = hosts
+            .filter_map(|s| s.roles().broker(service().key()))
+            .next();
         found.unwrap().0 as usize
     }
 }
@@ -340,7 +344,7 @@
     site.config.leaving_centres.clear();
     site.configure();
     // A slot on its way as the owners changed comes back after its term.
-    site.run(TERM.as_millis() as u64 + 500, 4);
+    site.run(LEASE_TERM.as_millis() as u64 + 500, 4);
     assert!(site.settles(24));
 }
 
@@ -358,7 +362,7 @@
         .collect();
     site.hosts[dead] = None;
     site.running.retain(|r| r.1 != dead);
-    site.run(TERM.as_millis() as u64 + 100, 2);
+    site.run(LEASE_TERM.as_millis() as u64 + 100, 2);
     for endpoint in kept {
         assert_eq!(site.leased(endpoint), SLOTS as usize);
     }
@@ -393,7 +397,7 @@
     site.run(50, 1);
     let fenced = site.hosts.iter().flatten().flat_map(|s| s.owned().values());
     let now = Moment::from_millis(site.now);
-    assert_eq!(fenced.filter(|o| !o.ledger.is_open(now)).count(), 0);
+    assert_eq!(fenced.filter(|o| !o.lease_table.is_open(now)).count(), 0);
     site.run(2_000, 1);
     assert!(site.settles(24));
     assert!(site.refused.is_empty());
--- a/components/coordination/tests/slot_safety.rs
+++ b/components/coordination/tests/slot_safety.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coordination::slots::message::{LeaseKey, SlotKey, SlotMessage};
-use coordination::slots::{Arrival, Effect, Ending, Identity, Slots};
+use coordination::slots::{Arrival, Effect, Ending, Identity, SlotManager};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::StdRng;
@@ -35,8 +35,8 @@
 
 struct Host {
     key: HostKey,
-    life: u64,
-    slots: Slots,
+    incarnation: u64,
+    slots: SlotManager,
     seen: Config,
     asleep_until: u64,
     running: Vec<(LeaseKey, u64)>,
@@ -116,18 +116,18 @@
     }
 
     fn host(&mut self, key: HostKey) -> Host {
-        let life = self.rng.random_range(1..u64::MAX / 2);
+        let incarnation = self.rng.random_range(1..u64::MAX / 2);
         let me = Identity {
             host: key,
-            life,
+            incarnation,
             centre: DataCentreKey::named("a"),
         };
-        let mut slots = Slots::new(me, Moment(self.now));
+        let mut slots = SlotManager::new(me, Moment(self.now));
         let empty = config();
         slots.configure(&empty, &BTreeSet::new(), Moment(self.now));
         Host {
             key,
-            life,
+            incarnation,
             slots,
             seen: empty,
             asleep_until: 0,
@@ -136,11 +136,11 @@
     }
 
     fn join(&mut self, n: usize) {
-        let (key, life) = (self.hosts[n].key, self.hosts[n].life);
+        let (key, number) = (self.hosts[n].key, self.hosts[n].incarnation);
         self.config.revision += 1;
         let member = Member {
             name: format!("entry-{}", key.0),
-            incarnation: life,
+            incarnation: number,
             peer: ([10, 0, 0, 2], 9).into(),
             data_centre: "a".to_owned(),
             joined: self.config.revision,
@@ -269,7 +269,7 @@
     }
 
     fn carry_out(&mut self, n: usize) {
-        for effect in self.hosts[n].slots.drain() {
+        for effect in self.hosts[n].slots.take_effects() {
             match effect {
                 Effect::Send(to, message) => self.post(n, to, message),
                 Effect::Start { lease, .. } => {
@@ -297,7 +297,7 @@
     fn check(&self) -> Result<(), TestCaseError> {
         let mut holders: BTreeMap<SlotKey, HostKey> = BTreeMap::new();
         for host in &self.hosts {
-            for held in host.slots.holder().iter() {
+            for held in host.slots.held_leases().iter() {
                 let slot = held.lease.slot;
                 if held.end.0 <= self.now {
                     continue;
--- a/components/coordination/tests/slot_shutdown.rs
+++ b/components/coordination/tests/slot_shutdown.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use coordination::slots::{Arrival, Effect, Ending, Identity, Slots};
+use coordination::slots::{Arrival, Effect, Ending, Identity, SlotManager};
 use state::config::Member;
 use state::preset::{DataCentre, Endpoint, Preset, Service};
 use state::queue::CallKey;
@@ -56,13 +56,13 @@
     }
 }
 
-fn host(name: &str, life: u64) -> Slots {
+fn host(name: &str, incarnation: u64) -> SlotManager {
     let identity = Identity {
         host: HostKey::named(name),
-        life,
+        incarnation,
         centre: DataCentreKey::named("trent"),
     };
-    Slots::new(identity, Moment(0))
+    SlotManager::new(identity, Moment(0))
 }
 
 /// The last host of a site is told to stop. It is the holder, the owner and
@@ -87,10 +87,13 @@
         tried: Vec::new(),
     };
     slots.arrive(&arrival, Moment::from_millis(11));
-    let started = slots.drain().into_iter().find_map(|effect| match effect {
-        Effect::Start { lease, .. } => Some(lease),
-        _ => None,
-    });
+    let started = slots
+        .take_effects()
+        .into_iter()
+        .find_map(|effect| match effect {
+            Effect::Start { lease, .. } => Some(lease),
+            _ => None,
+        });
     let lease = started.expect("an idle slot serves the call");
 
     slots.stop(Moment::from_millis(12));
@@ -99,10 +102,10 @@
         "the call in flight is not cut off"
     );
     slots.finish(lease, Ending::Answered, Moment::from_millis(20));
-    let standing = slots
-        .standing(ServiceKey::named("hallboard"))
+    let status = slots
+        .status(ServiceKey::named("hallboard"))
         .expect("the service is known");
-    assert_eq!(standing.idle, 0);
+    assert_eq!(status.idle, 0);
 }
 
 /// An operator restarts one of two entry hosts. Once its endpoints' free slots
@@ -142,12 +145,12 @@
         hosts[1]
             .owned()
             .values()
-            .all(|owned| owned.ledger.is_open(now))
+            .all(|owned| owned.lease_table.is_open(now))
     );
 }
 
 /// Runs both hosts for some milliseconds; messages take one.
-fn run(hosts: &mut [Slots; 2], keys: [HostKey; 2], now: &mut Moment, millis: u64) {
+fn run(hosts: &mut [SlotManager; 2], keys: [HostKey; 2], now: &mut Moment, millis: u64) {
     let mut mail = Vec::new();
     for _ in 0..millis {
         *now = *now + Duration::from_millis(1);
@@ -159,7 +162,7 @@
         for (slots, key) in hosts.iter_mut().zip(keys) {
             slots.confirm(*now);
             slots.tick(*now);
-            for effect in slots.drain() {
+            for effect in slots.take_effects() {
                 if let Effect::Send(to, message) = effect {
                     mail.push((key, to, message));
                 }
--- a/components/protocol/src/claim.rs
+++ b/components/protocol/src/claim.rs
@@ -4,7 +4,8 @@
 
 use bytes::Bytes;
 use coordination::claims::{
-    Answer, Ask, Batch, ClaimId, ClaimKey, ClaimMessage, Ending, Entry, KeptAnswer, Outcome,
+    Answer, Batch, CachedAnswer, ClaimId, ClaimKey, ClaimMessage, Ending, Entry, KeyRequest,
+    Outcome,
 };
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64;
@@ -42,7 +43,7 @@
     #[prost(message, optional, tag = "4")]
     digest: Option<WireWide>,
     #[prost(uint64, tag = "5")]
-    keep: u64,
+    ttl_ms: u64,
     #[prost(uint64, tag = "6")]
     age: u64,
 }
@@ -169,7 +170,7 @@
         id: wide(id.0),
         key: wide(key.0),
         digest: None,
-        keep: 0,
+        ttl_ms: 0,
         age: 0,
     };
     match *entry {
@@ -177,10 +178,10 @@
             id,
             key,
             digest,
-            keep,
+            ttl_ms,
         } => WireEntry {
             digest: Some(wide(digest)),
-            keep,
+            ttl_ms,
             ..plain(1, id, key)
         },
         Entry::Ended { id, key, outcome } => match outcome {
@@ -192,11 +193,11 @@
             id,
             key,
             digest,
-            keep,
+            ttl_ms,
             age,
         } => WireEntry {
             digest: Some(wide(digest)),
-            keep,
+            ttl_ms,
             age,
             ..plain(5, id, key)
         },
@@ -213,13 +214,13 @@
             .ok_or(ProtocolError::Missing("digest"))
     };
     let ended = |outcome| Entry::Ended { id, key, outcome };
-    let keep = wire.keep;
+    let ttl_ms = wire.ttl_ms;
     Ok(match wire.kind {
         1 => Entry::Claim {
             id,
             key,
             digest: digest()?,
-            keep,
+            ttl_ms,
         },
         2 => ended(Outcome::Done),
         3 => ended(Outcome::NotRun),
@@ -228,7 +229,7 @@
             id,
             key,
             digest: digest()?,
-            keep,
+            ttl_ms,
             age: wire.age,
         },
         6 => Entry::Expired { id, key },
@@ -239,20 +240,20 @@
 impl From<&ClaimMessage> for WireClaim {
     fn from(message: &ClaimMessage) -> WireClaim {
         let (id, key, kind) = match message {
-            ClaimMessage::Ask(ask, wait) => {
+            ClaimMessage::Request(ask, wait) => {
                 let wire = WireAsk {
                     digest: wide(ask.digest),
-                    keep_ms: millis(ask.keep),
+                    keep_ms: millis(ask.ttl),
                     wait_ms: millis(*wait),
                 };
                 (ask.id, Some(ask.key), WireKind::Ask(wire))
             }
-            ClaimMessage::Got(id) => (*id, None, WireKind::Got(WireNothing {})),
+            ClaimMessage::RequestAck(id) => (*id, None, WireKind::Got(WireNothing {})),
             ClaimMessage::Answer(id, answer) => (*id, None, WireKind::Answer(wire_answer(answer))),
             ClaimMessage::End(id, key, ending) => {
                 (*id, Some(*key), WireKind::End(wire_ending(ending)))
             }
-            ClaimMessage::Noted(id) => (*id, None, WireKind::Noted(WireNothing {})),
+            ClaimMessage::EndAck(id) => (*id, None, WireKind::Noted(WireNothing {})),
         };
         WireClaim {
             id: wide(id.0),
@@ -272,18 +273,18 @@
         Ok(
             match wire.kind.ok_or(ProtocolError::Missing("claim kind"))? {
                 WireKind::Ask(a) => {
-                    let ask = Ask {
+                    let ask = KeyRequest {
                         id,
                         key: key?,
                         digest: number(a.digest),
-                        keep: Duration::from_millis(a.keep_ms),
+                        ttl: Duration::from_millis(a.keep_ms),
                     };
-                    ClaimMessage::Ask(ask, Duration::from_millis(a.wait_ms))
+                    ClaimMessage::Request(ask, Duration::from_millis(a.wait_ms))
                 }
-                WireKind::Got(_) => ClaimMessage::Got(id),
+                WireKind::Got(_) => ClaimMessage::RequestAck(id),
                 WireKind::Answer(a) => ClaimMessage::Answer(id, answer(a)?),
                 WireKind::End(e) => ClaimMessage::End(id, key?, ending(e)?),
-                WireKind::Noted(_) => ClaimMessage::Noted(id),
+                WireKind::Noted(_) => ClaimMessage::EndAck(id),
             },
         )
     }
@@ -296,13 +297,13 @@
         kept: None,
     };
     match answer {
-        Answer::Go => plain(1),
+        Answer::Granted => plain(1),
         Answer::Known(kept) => WireAnswer {
             kept: Some(wire_kept(kept)),
             ..plain(2)
         },
         Answer::Started => plain(3),
-        Answer::Waits => plain(6),
+        Answer::InProgress => plain(6),
         Answer::Mismatch => plain(4),
         Answer::NotRun(retry) => WireAnswer {
             retry_ms: millis(*retry),
@@ -313,10 +314,10 @@
 
 fn answer(wire: WireAnswer) -> Result<Answer, ProtocolError> {
     Ok(match wire.kind {
-        1 => Answer::Go,
+        1 => Answer::Granted,
         2 => Answer::Known(kept(wire.kept.ok_or(ProtocolError::Missing("answer"))?)?),
         3 => Answer::Started,
-        6 => Answer::Waits,
+        6 => Answer::InProgress,
         4 => Answer::Mismatch,
         5 => Answer::NotRun(Duration::from_millis(wire.retry_ms)),
         _ => return Err(ProtocolError::Missing("answer kind")),
@@ -348,7 +349,7 @@
     })
 }
 
-fn wire_kept(kept: &KeptAnswer) -> WireKept {
+fn wire_kept(kept: &CachedAnswer) -> WireKept {
     let field = |(name, value): &(String, Bytes)| WireField {
         name: name.clone(),
         value: value.clone(),
@@ -360,9 +361,9 @@
     }
 }
 
-fn kept(wire: WireKept) -> Result<KeptAnswer, ProtocolError> {
+fn kept(wire: WireKept) -> Result<CachedAnswer, ProtocolError> {
     let fields = wire.fields.into_iter().map(|f| (f.name, f.value));
-    Ok(KeptAnswer {
+    Ok(CachedAnswer {
         status: u16::try_from(wire.status).map_err(|_| ProtocolError::Missing("status"))?,
         fields: fields.collect(),
         body: wire.body,
--- a/components/protocol/src/heartbeat.rs
+++ b/components/protocol/src/heartbeat.rs
@@ -1,6 +1,8 @@
 //! The wire form of the failure detector's messages.
 
-use coordination::members::{Answer, Beat, Doubt, Heard, MemberMessage, News, Rumour};
+use coordination::members::{
+    Gossip, GossipEvent, Heartbeat, HeartbeatAck, LivenessQuery, LivenessReply, MemberMessage,
+};
 use state::HostKey;
 
 use crate::peer::ProtocolError;
@@ -15,15 +17,15 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 enum WireKind {
     #[prost(message, tag = "1")]
-    Beat(WireBeat),
+    Heartbeat(WireBeat),
     #[prost(message, tag = "2")]
-    Answer(WireAnswer),
+    HeartbeatAck(WireAnswer),
     #[prost(message, tag = "3")]
-    Doubt(WireDoubt),
+    LivenessQuery(WireDoubt),
     #[prost(message, tag = "4")]
-    Heard(WireHeard),
+    LivenessReply(WireHeard),
     #[prost(message, tag = "5")]
-    Rumour(WireRumour),
+    Gossip(WireRumour),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -37,7 +39,7 @@
     #[prost(uint64, tag = "4")]
     offset: u64,
     #[prost(bool, tag = "5")]
-    asks: bool,
+    wants_ack: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -103,33 +105,33 @@
 impl From<&MemberMessage> for WireMember {
     fn from(message: &MemberMessage) -> WireMember {
         let kind = match message {
-            MemberMessage::Beat(b) => WireKind::Beat(WireBeat {
+            MemberMessage::Heartbeat(b) => WireKind::Heartbeat(WireBeat {
                 incarnation: b.incarnation,
                 sequence: b.sequence,
                 epoch: b.epoch,
                 offset: b.offset,
-                asks: b.asks,
+                wants_ack: b.wants_ack,
             }),
-            MemberMessage::Answer(a) => WireKind::Answer(WireAnswer {
+            MemberMessage::HeartbeatAck(a) => WireKind::HeartbeatAck(WireAnswer {
                 sequence: a.sequence,
                 offset: a.offset,
                 suspected: a.suspected,
             }),
-            MemberMessage::Doubt(d) => WireKind::Doubt(WireDoubt {
+            MemberMessage::LivenessQuery(d) => WireKind::LivenessQuery(WireDoubt {
                 host: d.host.0,
                 incarnation: d.incarnation,
                 epoch: d.epoch,
                 silent_ms: d.silent_ms,
             }),
-            MemberMessage::Heard(h) => WireKind::Heard(WireHeard {
+            MemberMessage::LivenessReply(h) => WireKind::LivenessReply(WireHeard {
                 host: h.host.0,
                 incarnation: h.incarnation,
                 ago_ms: h.ago_ms,
             }),
-            MemberMessage::Rumour(r) => WireKind::Rumour(WireRumour {
+            MemberMessage::Gossip(r) => WireKind::Gossip(WireRumour {
                 host: r.host.0,
                 incarnation: r.incarnation,
-                news: Some(wire_news(r.news)),
+                news: Some(wire_news(r.event)),
             }),
         };
         WireMember { kind: Some(kind) }
@@ -141,51 +143,55 @@
 
     fn try_from(wire: WireMember) -> Result<MemberMessage, ProtocolError> {
         let message = match wire.kind.ok_or(ProtocolError::Missing("member kind"))? {
-            WireKind::Beat(b) => MemberMessage::Beat(Beat {
+            WireKind::Heartbeat(b) => MemberMessage::Heartbeat(Heartbeat {
                 incarnation: b.incarnation,
                 sequence: b.sequence,
                 epoch: b.epoch,
                 offset: b.offset,
-                asks: b.asks,
+                wants_ack: b.wants_ack,
             }),
-            WireKind::Answer(a) => MemberMessage::Answer(Answer {
+            WireKind::HeartbeatAck(a) => MemberMessage::HeartbeatAck(HeartbeatAck {
                 sequence: a.sequence,
                 offset: a.offset,
                 suspected: a.suspected,
             }),
-            WireKind::Doubt(d) => MemberMessage::Doubt(Doubt {
+            WireKind::LivenessQuery(d) => MemberMessage::LivenessQuery(LivenessQuery {
                 host: HostKey(d.host),
                 incarnation: d.incarnation,
                 epoch: d.epoch,
                 silent_ms: d.silent_ms,
             }),
-            WireKind::Heard(h) => MemberMessage::Heard(Heard {
+            WireKind::LivenessReply(h) => MemberMessage::LivenessReply(LivenessReply {
                 host: HostKey(h.host),
                 incarnation: h.incarnation,
                 ago_ms: h.ago_ms,
             }),
-            WireKind::Rumour(r) => MemberMessage::Rumour(Rumour {
+            WireKind::Gossip(r) => MemberMessage::Gossip(Gossip {
                 host: HostKey(r.host),
                 incarnation: r.incarnation,
-                news: news(r.news.ok_or(ProtocolError::Missing("news"))?),
+                event: news(r.news.ok_or(ProtocolError::Missing("news"))?),
             }),
         };
         Ok(message)
     }
 }
 
-fn wire_news(news: News) -> WireNews {
+fn wire_news(news: GossipEvent) -> WireNews {
     match news {
-        News::Suspected { epoch, round } => WireNews::Suspected(WireSuspected { epoch, round }),
-        News::Alive { epoch } => WireNews::Alive(epoch),
-        News::Shown { offset } => WireNews::Shown(offset),
+        GossipEvent::Suspected { epoch, round } => {
+            WireNews::Suspected(WireSuspected { epoch, round })
+        }
+        GossipEvent::Alive { epoch } => WireNews::Alive(epoch),
+        GossipEvent::Applied { offset } => WireNews::Shown(offset),
     }
 }
 
-fn news(wire: WireNews) -> News {
+fn news(wire: WireNews) -> GossipEvent {
     match wire {
-        WireNews::Suspected(WireSuspected { epoch, round }) => News::Suspected { epoch, round },
-        WireNews::Alive(epoch) => News::Alive { epoch },
-        WireNews::Shown(offset) => News::Shown { offset },
+        WireNews::Suspected(WireSuspected { epoch, round }) => {
+            GossipEvent::Suspected { epoch, round }
+        }
+        WireNews::Alive(epoch) => GossipEvent::Alive { epoch },
+        WireNews::Shown(offset) => GossipEvent::Applied { offset },
     }
 }
--- a/components/protocol/src/slots.rs
+++ b/components/protocol/src/slots.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use coordination::slots::message::{
-    Demand, Estate, EstateLease, Handed, LeaseKey, Reason, Returned, Seen, SlotBody, SlotKey,
-    SlotMessage, Stamp,
+    CallStats, Demand, EndpointHandoff, HandoffLease, LeaseKey, Reason, ReturnedLease, SlotBody,
+    SlotKey, SlotMessage, Stamp, TransferredLease,
 };
-use coordination::slots::terms::{FENCE, TERM};
+use coordination::slots::timing::{FENCE_DURATION, LEASE_TERM};
 use state::{EndpointKey, HostKey, ServiceKey};
 
 use crate::peer::ProtocolError;
@@ -20,7 +20,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireSlots {
     #[prost(fixed64, tag = "1")]
-    life: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "2")]
     clock: u64,
     #[prost(oneof = "WireKind", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11")]
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 struct WireStamp {
     #[prost(fixed64, tag = "1")]
-    life: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "2")]
     clock: u64,
 }
@@ -74,7 +74,7 @@
     #[prost(message, repeated, tag = "1")]
     leases: Vec<WireLease>,
     #[prost(message, repeated, tag = "2")]
-    seen: Vec<WireSeen>,
+    stats: Vec<WireSeen>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -106,7 +106,7 @@
     #[prost(message, repeated, tag = "1")]
     leases: Vec<WireReturned>,
     #[prost(message, repeated, tag = "2")]
-    seen: Vec<WireSeen>,
+    stats: Vec<WireSeen>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -114,7 +114,7 @@
     #[prost(fixed64, tag = "1")]
     endpoint: u64,
     #[prost(uint32, tag = "2")]
-    over: u32,
+    slow: u32,
     #[prost(uint32, tag = "3")]
     total: u32,
 }
@@ -126,7 +126,7 @@
     #[prost(uint64, tag = "2")]
     left_us: u64,
     #[prost(bool, tag = "3")]
-    once: bool,
+    single_use: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -152,7 +152,7 @@
     #[prost(uint32, tag = "6")]
     idle: u32,
     #[prost(uint32, tag = "7")]
-    got: u32,
+    received: u32,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -174,7 +174,7 @@
     #[prost(fixed64, tag = "1")]
     service: u64,
     #[prost(bool, tag = "2")]
-    hungry: bool,
+    active: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -210,7 +210,7 @@
 impl From<&SlotMessage> for WireSlots {
     fn from(message: &SlotMessage) -> WireSlots {
         WireSlots {
-            life: message.stamp.life,
+            incarnation: message.stamp.incarnation,
             clock: message.stamp.clock,
             kind: Some(WireKind::from(&message.body)),
         }
@@ -220,9 +220,9 @@
 impl From<&SlotBody> for WireKind {
     fn from(body: &SlotBody) -> WireKind {
         match body {
-            SlotBody::Renew { leases, seen } => WireKind::Renew(WireRenew {
+            SlotBody::Renew { leases, stats } => WireKind::Renew(WireRenew {
                 leases: leases.iter().map(WireLease::from).collect(),
-                seen: seen.iter().map(WireSeen::from).collect(),
+                stats: stats.iter().map(WireSeen::from).collect(),
             }),
             SlotBody::Renewed {
                 echo,
@@ -236,16 +236,16 @@
             SlotBody::Recall(leases) => WireKind::Recall(WireRecall {
                 leases: leases.iter().map(WireLease::from).collect(),
             }),
-            SlotBody::Return { leases, seen } => WireKind::Return(WireReturn {
+            SlotBody::Return { leases, stats } => WireKind::Return(WireReturn {
                 leases: leases.iter().map(WireReturned::from).collect(),
-                seen: seen.iter().map(WireSeen::from).collect(),
+                stats: stats.iter().map(WireSeen::from).collect(),
             }),
-            SlotBody::Hand { echo, leases } => WireKind::Hand(WireHand {
+            SlotBody::Transfer { echo, leases } => WireKind::Hand(WireHand {
                 echo: Some(echo.into()),
                 leases: leases.iter().map(WireHanded::from).collect(),
             }),
             SlotBody::Demand(demand) => WireKind::Demand(demand.into()),
-            SlotBody::Yield {
+            SlotBody::TransferRequest {
                 service,
                 to,
                 echo,
@@ -258,9 +258,9 @@
                 count: *count,
                 oldest_us: micros(*oldest),
             }),
-            SlotBody::Pulse { service, hungry } => WireKind::Pulse(WirePulse {
+            SlotBody::Shortage { service, active } => WireKind::Pulse(WirePulse {
                 service: service.0,
-                hungry: *hungry,
+                active: *active,
             }),
             SlotBody::Handoff(estates) => WireKind::Handoff(WireHandoff {
                 estates: estates.iter().map(WireEstate::from).collect(),
@@ -272,7 +272,7 @@
 impl From<&Stamp> for WireStamp {
     fn from(stamp: &Stamp) -> WireStamp {
         WireStamp {
-            life: stamp.life,
+            incarnation: stamp.incarnation,
             clock: stamp.clock,
         }
     }
@@ -289,18 +289,18 @@
     }
 }
 
-impl From<&Seen> for WireSeen {
-    fn from(seen: &Seen) -> WireSeen {
+impl From<&CallStats> for WireSeen {
+    fn from(stats: &CallStats) -> WireSeen {
         WireSeen {
-            endpoint: seen.endpoint.0,
-            over: seen.over,
-            total: seen.total,
+            endpoint: stats.endpoint.0,
+            slow: stats.slow,
+            total: stats.total,
         }
     }
 }
 
-impl From<&Returned> for WireReturned {
-    fn from(returned: &Returned) -> WireReturned {
+impl From<&ReturnedLease> for WireReturned {
+    fn from(returned: &ReturnedLease) -> WireReturned {
         let reason = match returned.reason {
             Reason::Idle => 0,
             Reason::Shed => 1,
@@ -313,12 +313,12 @@
     }
 }
 
-impl From<&Handed> for WireHanded {
-    fn from(handed: &Handed) -> WireHanded {
+impl From<&TransferredLease> for WireHanded {
+    fn from(handed: &TransferredLease) -> WireHanded {
         WireHanded {
             lease: Some((&handed.lease).into()),
             left_us: micros(handed.left),
-            once: handed.once,
+            single_use: handed.single_use,
         }
     }
 }
@@ -332,13 +332,13 @@
             spare: demand.spare,
             held: demand.held,
             idle: demand.idle,
-            got: demand.got,
+            received: demand.received,
         }
     }
 }
 
-impl From<&Estate> for WireEstate {
-    fn from(estate: &Estate) -> WireEstate {
+impl From<&EndpointHandoff> for WireEstate {
+    fn from(estate: &EndpointHandoff) -> WireEstate {
         let leases = estate.leases.iter().map(|entry| WireEstateLease {
             lease: Some((&entry.lease).into()),
             holder: entry.holder.0,
@@ -361,7 +361,7 @@
         let kind = wire.kind.ok_or(ProtocolError::Missing("kind"))?;
         Ok(SlotMessage {
             stamp: Stamp {
-                life: wire.life,
+                incarnation: wire.incarnation,
                 clock: wire.clock,
             },
             body: kind.try_into()?,
@@ -376,7 +376,7 @@
         Ok(match kind {
             WireKind::Renew(w) => SlotBody::Renew {
                 leases: list(w.leases)?,
-                seen: list(w.seen)?,
+                stats: list(w.stats)?,
             },
             WireKind::Renewed(w) => SlotBody::Renewed {
                 echo: stamp(w.echo)?,
@@ -386,23 +386,23 @@
             WireKind::Recall(w) => SlotBody::Recall(list(w.leases)?),
             WireKind::Return(w) => SlotBody::Return {
                 leases: list(w.leases)?,
-                seen: list(w.seen)?,
+                stats: list(w.stats)?,
             },
-            WireKind::Hand(w) => SlotBody::Hand {
+            WireKind::Hand(w) => SlotBody::Transfer {
                 echo: stamp(w.echo)?,
                 leases: list(w.leases)?,
             },
             WireKind::Demand(w) => SlotBody::Demand(w.into()),
-            WireKind::Yield(w) => SlotBody::Yield {
+            WireKind::Yield(w) => SlotBody::TransferRequest {
                 service: ServiceKey(w.service),
                 to: HostKey(w.to),
                 echo: stamp(w.echo)?,
                 count: w.count.min(NUMBER),
                 oldest: Duration::from_micros(w.oldest_us),
             },
-            WireKind::Pulse(w) => SlotBody::Pulse {
+            WireKind::Pulse(w) => SlotBody::Shortage {
                 service: ServiceKey(w.service),
-                hungry: w.hungry,
+                active: w.active,
             },
             WireKind::Handoff(w) => SlotBody::Handoff(list(w.estates)?),
         })
@@ -427,22 +427,22 @@
     }
 }
 
-impl TryFrom<WireSeen> for Seen {
+impl TryFrom<WireSeen> for CallStats {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireSeen) -> Result<Seen, ProtocolError> {
-        Ok(Seen {
+    fn try_from(wire: WireSeen) -> Result<CallStats, ProtocolError> {
+        Ok(CallStats {
             endpoint: EndpointKey(wire.endpoint),
-            over: wire.over.min(wire.total),
+            slow: wire.slow.min(wire.total),
             total: wire.total,
         })
     }
 }
 
-impl TryFrom<WireReturned> for Returned {
+impl TryFrom<WireReturned> for ReturnedLease {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireReturned) -> Result<Returned, ProtocolError> {
+    fn try_from(wire: WireReturned) -> Result<ReturnedLease, ProtocolError> {
         let reason = match wire.reason {
             0 => Reason::Idle,
             1 => Reason::Shed,
@@ -450,44 +450,44 @@
             _ => return Err(ProtocolError::Missing("reason")),
         };
         let lease = lease(wire.lease)?;
-        Ok(Returned { lease, reason })
+        Ok(ReturnedLease { lease, reason })
     }
 }
 
-impl TryFrom<WireHanded> for Handed {
+impl TryFrom<WireHanded> for TransferredLease {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireHanded) -> Result<Handed, ProtocolError> {
-        Ok(Handed {
+    fn try_from(wire: WireHanded) -> Result<TransferredLease, ProtocolError> {
+        Ok(TransferredLease {
             lease: lease(wire.lease)?,
-            left: Duration::from_micros(wire.left_us).min(TERM),
-            once: wire.once,
+            left: Duration::from_micros(wire.left_us).min(LEASE_TERM),
+            single_use: wire.single_use,
         })
     }
 }
 
-impl TryFrom<WireEstate> for Estate {
+impl TryFrom<WireEstate> for EndpointHandoff {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireEstate) -> Result<Estate, ProtocolError> {
-        Ok(Estate {
+    fn try_from(wire: WireEstate) -> Result<EndpointHandoff, ProtocolError> {
+        Ok(EndpointHandoff {
             endpoint: EndpointKey(wire.endpoint),
             revision: wire.revision,
-            fence: Duration::from_micros(wire.fence_us).min(FENCE),
+            fence: Duration::from_micros(wire.fence_us).min(FENCE_DURATION),
             cap: wire.cap,
             leases: list(wire.leases)?,
         })
     }
 }
 
-impl TryFrom<WireEstateLease> for EstateLease {
+impl TryFrom<WireEstateLease> for HandoffLease {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireEstateLease) -> Result<EstateLease, ProtocolError> {
-        Ok(EstateLease {
+    fn try_from(wire: WireEstateLease) -> Result<HandoffLease, ProtocolError> {
+        Ok(HandoffLease {
             lease: lease(wire.lease)?,
             holder: HostKey(wire.holder),
-            left: Duration::from_micros(wire.left_us).min(TERM),
+            left: Duration::from_micros(wire.left_us).min(LEASE_TERM),
         })
     }
 }
@@ -501,7 +501,7 @@
             spare: wire.spare,
             held: wire.held,
             idle: wire.idle,
-            got: wire.got,
+            received: wire.received,
         }
     }
 }
@@ -519,7 +519,7 @@
 fn stamp(wire: Option<WireStamp>) -> Result<Stamp, ProtocolError> {
     let wire = wire.ok_or(ProtocolError::Missing("stamp"))?;
     Ok(Stamp {
-        life: wire.life,
+        incarnation: wire.incarnation,
         clock: wire.clock,
     })
 }
--- a/components/protocol/tests/bad_bytes.rs
+++ b/components/protocol/tests/bad_bytes.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use coordination::claims::{
-    Answer as ClaimAnswer, Ask, Batch, ClaimId, ClaimKey, ClaimMessage, Ending, Entry, KeptAnswer,
-    Outcome,
+    Answer as ClaimAnswer, Batch, CachedAnswer, ClaimId, ClaimKey, ClaimMessage, Ending, Entry,
+    KeyRequest, Outcome,
 };
-use coordination::members::{Answer, Beat, MemberMessage, News, Rumour};
+use coordination::members::{Gossip, GossipEvent, Heartbeat, HeartbeatAck, MemberMessage};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use protocol::claim::{decode_batch, encode_batch};
@@ -24,8 +24,8 @@
     })
 }
 
-fn kept() -> KeptAnswer {
-    KeptAnswer {
+fn kept() -> CachedAnswer {
+    CachedAnswer {
         status: 201,
         fields: vec![("etag".into(), Bytes::from_static(b"7"))],
         body: Bytes::from_static(b"taken"),
@@ -34,21 +34,21 @@
 
 fn claims() -> Vec<ClaimMessage> {
     let (id, key) = (ClaimId(u128::MAX), ClaimKey(1 << 64));
-    let keep = Duration::from_secs(7_200);
-    let ask = Ask {
+    let ttl = Duration::from_secs(7_200);
+    let ask = KeyRequest {
         id,
         key,
         digest: 3,
-        keep,
+        ttl,
     };
     vec![
-        ClaimMessage::Ask(ask, Duration::from_millis(9)),
-        ClaimMessage::Got(id),
+        ClaimMessage::Request(ask, Duration::from_millis(9)),
+        ClaimMessage::RequestAck(id),
         ClaimMessage::Answer(id, ClaimAnswer::Known(kept())),
         ClaimMessage::Answer(id, ClaimAnswer::NotRun(Duration::from_secs(1))),
         ClaimMessage::End(id, key, Ending::Answered(kept())),
         ClaimMessage::End(id, key, Ending::GivenUp),
-        ClaimMessage::Noted(id),
+        ClaimMessage::EndAck(id),
     ]
 }
 
@@ -60,7 +60,7 @@
                 id,
                 key,
                 digest: 9,
-                keep: 8,
+                ttl_ms: 8,
             },
             Entry::Ended {
                 id,
@@ -71,7 +71,7 @@
                 id,
                 key,
                 digest: 9,
-                keep: 8,
+                ttl_ms: 8,
                 age: 7,
             },
             Entry::Expired { id, key },
@@ -87,22 +87,22 @@
 fn members() -> Vec<PeerMessage> {
     vec![
         hello(),
-        PeerMessage::Member(MemberMessage::Beat(Beat {
+        PeerMessage::Member(MemberMessage::Heartbeat(Heartbeat {
             incarnation: u64::MAX,
             sequence: 1,
             epoch: 2,
             offset: 3,
-            asks: true,
+            wants_ack: true,
         })),
-        PeerMessage::Member(MemberMessage::Answer(Answer {
+        PeerMessage::Member(MemberMessage::HeartbeatAck(HeartbeatAck {
             sequence: 1,
             offset: 3,
             suspected: Some(0),
         })),
-        PeerMessage::Member(MemberMessage::Rumour(Rumour {
+        PeerMessage::Member(MemberMessage::Gossip(Gossip {
             host: HostKey(4),
             incarnation: 5,
-            news: News::Suspected { epoch: 0, round: 1 },
+            event: GossipEvent::Suspected { epoch: 0, round: 1 },
         })),
     ]
 }
--- a/components/protocol/tests/slot_messages.rs
+++ b/components/protocol/tests/slot_messages.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use coordination::slots::message::{
-    Demand, Estate, EstateLease, Handed, LeaseKey, Reason, Returned, Seen, SlotBody, SlotKey,
-    SlotMessage, Stamp,
+    CallStats, Demand, EndpointHandoff, HandoffLease, LeaseKey, Reason, ReturnedLease, SlotBody,
+    SlotKey, SlotMessage, Stamp, TransferredLease,
 };
-use coordination::slots::terms::TERM;
+use coordination::slots::timing::LEASE_TERM;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use protocol::PeerMessage;
@@ -15,7 +15,7 @@
 use state::{EndpointKey, HostKey, ServiceKey};
 
 const STAMP: Stamp = Stamp {
-    life: u64::MAX,
+    incarnation: u64::MAX,
     clock: 12_345_678,
 };
 
@@ -30,25 +30,25 @@
     }
 }
 
-fn seen() -> Vec<Seen> {
-    vec![Seen {
+fn stats() -> Vec<CallStats> {
+    vec![CallStats {
         endpoint: EndpointKey(0xfeed),
-        over: 1,
+        slow: 1,
         total: 9,
     }]
 }
 
 #[rstest]
-#[case(SlotBody::Renew { leases: vec![lease(0), lease(1)], seen: seen() })]
+#[case(SlotBody::Renew { leases: vec![lease(0), lease(1)], stats: stats() })]
 #[case(SlotBody::Renewed { echo: STAMP, ended: vec![lease(2)], pending: vec![lease(3)] })]
 #[case(SlotBody::Recall(vec![lease(4)]))]
 #[case(SlotBody::Return {
-    leases: vec![Returned { lease: lease(5), reason: Reason::Shed }],
-    seen: seen(),
+    leases: vec![ReturnedLease { lease: lease(5), reason: Reason::Shed }],
+    stats: stats(),
 })]
-#[case(SlotBody::Hand {
+#[case(SlotBody::Transfer {
     echo: STAMP,
-    leases: vec![Handed { lease: lease(5), left: TERM, once: true }],
+    leases: vec![TransferredLease { lease: lease(5), left: LEASE_TERM, single_use: true }],
 })]
 #[case(SlotBody::Demand(Demand {
     service: ServiceKey(3),
@@ -57,16 +57,16 @@
     spare: 1,
     held: 6,
     idle: 2,
-    got: 99,
+    received: 99,
 }))]
-#[case(SlotBody::Yield { service: ServiceKey(3), to: HostKey(4), echo: STAMP, count: 2, oldest: TERM })]
-#[case(SlotBody::Pulse { service: ServiceKey(3), hungry: true })]
-#[case(SlotBody::Handoff(vec![Estate {
+#[case(SlotBody::TransferRequest { service: ServiceKey(3), to: HostKey(4), echo: STAMP, count: 2, oldest: LEASE_TERM })]
+#[case(SlotBody::Shortage { service: ServiceKey(3), active: true })]
+#[case(SlotBody::Handoff(vec![EndpointHandoff {
     endpoint: EndpointKey(1),
     revision: 12,
     fence: Duration::from_millis(5),
     cap: 3,
-    leases: vec![EstateLease { lease: lease(0), holder: HostKey(8), left: TERM }],
+    leases: vec![HandoffLease { lease: lease(0), holder: HostKey(8), left: LEASE_TERM }],
 }]))]
 fn there_and_back(#[case] body: SlotBody) {
     let message = PeerMessage::Slots(SlotMessage { stamp: STAMP, body });
@@ -77,29 +77,29 @@
 // its word, its slot would be held by two hosts; it lasts one term at most.
 #[test]
 fn long_lease_cut() {
-    let body = SlotBody::Hand {
+    let body = SlotBody::Transfer {
         echo: STAMP,
-        leases: vec![Handed {
+        leases: vec![TransferredLease {
             lease: lease(0),
-            left: TERM * 1_000,
-            once: false,
+            left: LEASE_TERM * 1_000,
+            single_use: false,
         }],
     };
     let message = PeerMessage::Slots(SlotMessage { stamp: STAMP, body });
     let PeerMessage::Slots(read) = PeerMessage::decode(message.encode()).unwrap() else {
         panic!("another kind");
     };
-    let SlotBody::Hand { leases, .. } = read.body else {
+    let SlotBody::Transfer { leases, .. } = read.body else {
         panic!("another kind");
     };
-    assert_eq!(leases[0].left, TERM);
+    assert_eq!(leases[0].left, LEASE_TERM);
 }
 
 #[test]
 fn damaged_bytes() {
     let body = SlotBody::Renew {
         leases: vec![lease(0), lease(1)],
-        seen: seen(),
+        stats: stats(),
     };
     let whole = PeerMessage::Slots(SlotMessage { stamp: STAMP, body }).encode();
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
--- a/components/transport/src/claims/entry.rs
+++ b/components/transport/src/claims/entry.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use coordination::claims::{
-    Answer, Ask, ClaimId, ClaimKey, ClaimMessage, Reply, may_go, remembered,
+    Answer, ClaimId, ClaimKey, ClaimMessage, KeyRequest, Reply, key_ttl, may_start,
 };
 use coordination::members::LiveView;
 use protocol::PeerMessage;
@@ -19,7 +19,7 @@
 
 use super::steward::{Steward, home_of};
 use super::worker::{Order, WorkerOptions};
-use super::{ClaimEnding, ClaimRequest, ClaimTicket, KEPT_ANSWER, Verdict};
+use super::{CACHED_ANSWER_LIMIT, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 use crate::edge::KeyClaims;
 use crate::log::LogClient;
@@ -81,7 +81,7 @@
 /// A claim under way. However its wait ends, the claim is either run or given up.
 struct Claim<'a> {
     claims: &'a Claims,
-    ask: Ask,
+    ask: KeyRequest,
     /// Where it was asked.
     homes: Vec<HostKey>,
     words: UnboundedReceiver<Word>,
@@ -115,11 +115,11 @@
     /// [`Claims::end`]. Dropping the future gives the claim up.
     pub async fn claim(&self, request: ClaimRequest) -> Verdict {
         let started = clock::now();
-        let ask = Ask {
+        let ask = KeyRequest {
             id: ClaimId(rand::rng().random()),
             key: key_of(&request),
             digest: narrow(&request.digest),
-            keep: remembered(request.keep, started.until(request.deadline)),
+            ttl: key_ttl(request.keep, started.until(request.deadline)),
         };
         let until = request.deadline - MARGIN;
         let deadline = Instant::now() + started.until(until);
@@ -142,7 +142,9 @@
     /// Tells how a claimed call ended. Never blocks.
     pub fn end(&self, ticket: ClaimTicket, ending: ClaimEnding) {
         let ending = match ending {
-            ClaimEnding::Answered(kept) if kept.size() > KEPT_ANSWER => ClaimEnding::AnsweredLarge,
+            ClaimEnding::Answered(kept) if kept.size() > CACHED_ANSWER_LIMIT => {
+                ClaimEnding::AnsweredLarge
+            }
             ending => ending,
         };
         self.tell(ticket.id, ticket.key, ending);
@@ -151,23 +153,23 @@
     /// Takes a message of another host.
     pub fn receive(&self, from: HostKey, message: ClaimMessage) {
         match message {
-            ClaimMessage::Ask(ask, wait) => {
+            ClaimMessage::Request(ask, wait) => {
                 self.links
-                    .send(from, &PeerMessage::Claim(ClaimMessage::Got(ask.id)));
+                    .send(from, &PeerMessage::Claim(ClaimMessage::RequestAck(ask.id)));
                 let until = clock::now() + wait;
                 let key = ask.key;
                 self.steward
                     .order(&self.this, key, Order::Ask(from, ask, until));
             }
-            ClaimMessage::Got(id) => self.say(id, Word::Got),
+            ClaimMessage::RequestAck(id) => self.say(id, Word::Got),
             ClaimMessage::Answer(id, answer) => self.say(id, Word::Answer(answer)),
             ClaimMessage::End(id, key, ending) => {
                 self.links
-                    .send(from, &PeerMessage::Claim(ClaimMessage::Noted(id)));
+                    .send(from, &PeerMessage::Claim(ClaimMessage::EndAck(id)));
                 self.steward
                     .order(&self.this, key, Order::End(id, key, ending));
             }
-            ClaimMessage::Noted(id) => {
+            ClaimMessage::EndAck(id) => {
                 lock(&self.untold).remove(&id);
             }
         }
@@ -265,7 +267,7 @@
             return;
         }
         let wait = clock::now().until(until);
-        let message = ClaimMessage::Ask(self.ask.clone(), wait);
+        let message = ClaimMessage::Request(self.ask.clone(), wait);
         if !claims.links.send(home, &PeerMessage::Claim(message)) {
             self.ask_at(claims.me, until);
         }
@@ -282,7 +284,7 @@
                 biased;
                 word = timeout_at(limit, self.words.recv()) => match word {
                     Ok(Some(Word::Got)) => quick = None,
-                    Ok(Some(Word::Answer(Answer::Waits))) => {
+                    Ok(Some(Word::Answer(Answer::InProgress))) => {
                         quick = None;
                         self.waits = true;
                         deadline = deadline.min(Instant::now() + REPEAT_WAIT);
@@ -313,8 +315,8 @@
         let taken = now.since(started);
         metrics::histogram!("cardamomvale_claims_seconds").record(taken.as_secs_f64());
         let verdict = match answer {
-            Some(Answer::Go) if !may_go(now, until) => Verdict::NotRun(RETRY),
-            Some(Answer::Go) => Verdict::Go(ClaimTicket {
+            Some(Answer::Granted) if !may_start(now, until) => Verdict::NotRun(RETRY),
+            Some(Answer::Granted) => Verdict::Go(ClaimTicket {
                 id: self.ask.id,
                 key: self.ask.key,
             }),
@@ -323,8 +325,8 @@
             Some(Answer::Mismatch) => Verdict::Mismatch,
             Some(Answer::NotRun(retry)) => Verdict::NotRun(retry),
             // The first call with the key may have run by now.
-            Some(Answer::Waits) | None if self.waits => Verdict::Started,
-            Some(Answer::Waits) | None => Verdict::NotRun(RETRY),
+            Some(Answer::InProgress) | None if self.waits => Verdict::Started,
+            Some(Answer::InProgress) | None => Verdict::NotRun(RETRY),
         };
         self.decided = match verdict {
             Verdict::Go(_) => true,
--- a/components/transport/src/claims/mod.rs
+++ b/components/transport/src/claims/mod.rs
@@ -14,7 +14,7 @@
 use derives::{tag, value};
 use state::{Moment, ServiceKey};
 
-pub use coordination::claims::{Ending as ClaimEnding, KEPT_ANSWER, KeptAnswer};
+pub use coordination::claims::{CACHED_ANSWER_LIMIT, CachedAnswer, Ending as ClaimEnding};
 pub use entry::{Claims, ClaimsOptions, key_of};
 pub use steward::home_of;
 pub use worker::WorkerOptions;
@@ -40,7 +40,7 @@
     /// The key is this call's: send it once.
     Go(ClaimTicket),
     /// The first call with this key is answered: this is its kept answer.
-    Known(KeptAnswer),
+    Known(CachedAnswer),
     /// The first call with this key was started and its outcome is not known here.
     Started,
     /// The key was used for another request.
--- a/components/transport/src/claims/worker.rs
+++ b/components/transport/src/claims/worker.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use coordination::claims::{
-    Ask, Batch, Budget, CARRY_AFTER, ClaimId, ClaimKey, Ending, Home, Reply,
+    AppendBudget, Batch, CARRY_AFTER, ClaimId, ClaimKey, Ending, Home, KeyRequest, Reply,
 };
 use derives::value;
 use protocol::ProtocolError;
@@ -50,7 +50,7 @@
 /// What a worker is told.
 pub enum Order {
     /// A host asks for a key and waits until this moment.
-    Ask(HostKey, Ask, Moment),
+    Ask(HostKey, KeyRequest, Moment),
     /// A call under a claim ended.
     End(ClaimId, ClaimKey, Ending),
     /// An entry host is lost.
@@ -118,7 +118,7 @@
     setup: WorkerSetup,
     stream: String,
     home: Home,
-    budget: Budget,
+    budget: AppendBudget,
     used: Moment,
     written: Moment,
     read: Moment,
@@ -134,7 +134,7 @@
         Run {
             stream: format!("claims-{}", setup.stream),
             home: Home::new(setup.options.carry_after),
-            budget: Budget::new(setup.options.rate, setup.options.burst, now),
+            budget: AppendBudget::new(setup.options.rate, setup.options.burst, now),
             used: now,
             written: now,
             read: now,
@@ -177,11 +177,11 @@
             // While the log is out of reach a caller is told so at once: waiting
             // would only make its "not run" late.
             Order::Ask(from, ask, until) if self.is_out(now) => {
-                self.home.ask_offline(from, ask, until, now);
+                self.home.request_offline(from, ask, until, now);
             }
-            Order::Ask(from, ask, until) => self.home.ask(from, ask, until, now),
-            Order::End(id, key, ending) => self.home.end(id, key, ending, now),
-            Order::Lost(host) => self.home.lost(host),
+            Order::Ask(from, ask, until) => self.home.request(from, ask, until, now),
+            Order::End(id, key, ending) => self.home.end_call(id, key, ending, now),
+            Order::Lost(host) => self.home.host_lost(host),
         }
     }
 
@@ -238,7 +238,7 @@
             Ok(offset) if offset == self.home.table().next() => {
                 let now = clock::now();
                 self.home.fold(offset, Some(&batch), now);
-                self.home.settle(true, now);
+                self.home.complete_append(true, now);
                 self.note_success();
             }
             Ok(offset) => self.settle(Some(offset)),
@@ -260,7 +260,7 @@
         match self.catch_up() {
             Ok(()) => {
                 let landed = offset.is_some_and(|o| o < self.home.table().next());
-                self.home.settle(landed, clock::now());
+                self.home.complete_append(landed, clock::now());
             }
             Err(trouble) => self.give_up(&trouble),
         }
@@ -333,7 +333,7 @@
                 self.stream
             );
         }
-        self.home.fail(refused);
+        self.home.fail_append(refused);
         self.out_until = Some(clock::now() + self.setup.options.pause);
     }
 
--- a/components/transport/src/dispatch/mod.rs
+++ b/components/transport/src/dispatch/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 pub use coordination::slots::Refusal;
-use coordination::slots::Standing;
+use coordination::slots::ServiceStatus;
 use coordination::slots::message::{LeaseKey, SlotMessage};
 use derives::{tag, value};
 use state::policy::Policy;
@@ -127,9 +127,9 @@
     }
 
     /// Takes over this host's incarnation, where it has joined anew.
-    pub fn renew_life(&self, incarnation: u64) {
+    pub fn renew_incarnation(&self, incarnation: u64) {
         if let Way::Shared(shared) = &self.way {
-            shared.renew_life(incarnation);
+            shared.renew_incarnation(incarnation);
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Returns how a service stands at this host, for `status`.
-    pub fn standing(&self, service: ServiceKey) -> Option<Standing> {
+    pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
         match &self.way {
             Way::Naive(naive) => naive.standing(service),
             Way::Shared(shared) => shared.standing(service),
--- a/components/transport/src/dispatch/naive.rs
+++ b/components/transport/src/dispatch/naive.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use coordination::slots::Standing;
+use coordination::slots::ServiceStatus;
 use state::keys::rendezvous;
 use state::policy::{Choice, Policy};
 use state::{Config, EndpointKey, HostKey, ServiceKey};
@@ -107,14 +107,14 @@
     }
 
     /// Returns how a service stands.
-    pub fn standing(&self, service: ServiceKey) -> Option<Standing> {
+    pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
         let board = self.board();
         let targets = board.services.get(&service)?;
         let running = targets
             .iter()
             .filter_map(|t| board.running.get(&t.endpoint))
             .sum();
-        Some(Standing {
+        Some(ServiceStatus {
             waiting: 0,
             held: running,
             idle: 0,
--- a/components/transport/src/dispatch/shared.rs
+++ b/components/transport/src/dispatch/shared.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use coordination::slots::message::{LeaseKey, SlotMessage};
-use coordination::slots::{self, Arrival, Effect, Identity, Slots, Standing};
+use coordination::slots::{self, Arrival, Effect, Identity, ServiceStatus, SlotManager};
 use state::queue::CallKey;
 use state::warmth::LoadReport;
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
@@ -26,7 +26,7 @@
 }
 
 struct Core {
-    slots: Slots,
+    slots: SlotManager,
     config: Option<Config>,
     alive: BTreeSet<HostKey>,
     waiting: BTreeMap<CallKey, oneshot::Sender<Verdict>>,
@@ -54,11 +54,11 @@
         let now = clock::now();
         let me = Identity {
             host: setup.host,
-            life: setup.incarnation,
+            incarnation: setup.incarnation,
             centre: DataCentreKey::named(&setup.data_centre),
         };
         let core = Core {
-            slots: Slots::new(me, now),
+            slots: SlotManager::new(me, now),
             config: None,
             alive: BTreeSet::new(),
             waiting: BTreeMap::new(),
@@ -99,8 +99,8 @@
     }
 
     /// Takes over this host's incarnation, where it has joined anew.
-    pub fn renew_life(self: &Arc<Self>, incarnation: u64) {
-        self.act(|core, _| core.slots.renew_life(incarnation));
+    pub fn renew_incarnation(self: &Arc<Self>, incarnation: u64) {
+        self.act(|core, _| core.slots.renew_incarnation(incarnation));
     }
 
     /// Notes that this host may act as an owner now.
@@ -119,8 +119,8 @@
     }
 
     /// Returns how a service stands.
-    pub fn standing(self: &Arc<Self>, service: ServiceKey) -> Option<Standing> {
-        self.act(|core, _| core.slots.standing(service))
+    pub fn standing(self: &Arc<Self>, service: ServiceKey) -> Option<ServiceStatus> {
+        self.act(|core, _| core.slots.status(service))
     }
 
     /// Returns how the owned endpoints stand.
@@ -131,9 +131,9 @@
                 .map(|(endpoint, owned)| EndpointStanding {
                     endpoint: *endpoint,
                     cap: owned.warmth.cap(),
-                    out: owned.ledger.out(),
+                    out: owned.lease_table.leased(),
                     doubted: owned.warmth.doubt().is_some(),
-                    fenced: !owned.ledger.is_open(now),
+                    fenced: !owned.lease_table.is_open(now),
                     report_age: core.reports.get(endpoint).map(|at| now.since(*at)),
                 })
                 .collect()
@@ -198,7 +198,7 @@
     fn act<R>(self: &Arc<Self>, step: impl FnOnce(&mut Core, Moment) -> R) -> R {
         let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         let result = step(&mut core, clock::now());
-        for effect in core.slots.drain() {
+        for effect in core.slots.take_effects() {
             self.carry_out(&mut core, effect);
         }
         if core.slots.next_wake().0 < self.due.load(Ordering::Relaxed) {
@@ -235,9 +235,9 @@
             }
             Effect::Probe(endpoint, address) => {
                 let shared = Arc::downgrade(self);
-                let site = core.slots.map().sites.get(&endpoint);
-                let plan = site.and_then(|s| core.slots.map().plans.get(&s.service));
-                let cost = plan.map_or(Duration::ZERO, |p| p.probe);
+                let site = core.slots.roles().endpoints.get(&endpoint);
+                let plan = site.and_then(|s| core.slots.roles().services.get(&s.service));
+                let cost = plan.map_or(Duration::ZERO, |p| p.probe_cost);
                 self.runtime.spawn(async move {
                     let report = probe::ask(address).await;
                     counters::probed(cost, report.is_some());
@@ -268,11 +268,11 @@
         });
     }
 
-    fn totals(&self) -> Standing {
+    fn totals(&self) -> ServiceStatus {
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        let services = core.slots.map().plans.keys();
-        let standings = services.filter_map(|s| core.slots.standing(*s));
-        standings.fold(Standing::default(), |sum, s| Standing {
+        let services = core.slots.roles().services.keys();
+        let standings = services.filter_map(|s| core.slots.status(*s));
+        standings.fold(ServiceStatus::default(), |sum, s| ServiceStatus {
             waiting: sum.waiting + s.waiting,
             held: sum.held + s.held,
             idle: sum.idle + s.idle,
--- a/components/transport/src/edge/keyed.rs
+++ b/components/transport/src/edge/keyed.rs
@@ -16,7 +16,7 @@
 use super::answer::AnswerBody;
 use super::fault::Fault;
 use super::outcome::{OUTCOME, Outcome};
-use crate::claims::{ClaimEnding, ClaimRequest, ClaimTicket, KeptAnswer, Verdict};
+use crate::claims::{CachedAnswer, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 
 /// The largest body of an answer that is kept for repeats of its key.
@@ -171,7 +171,7 @@
     pub fn finish(mut self) {
         let ending = match self.large {
             true => ClaimEnding::AnsweredLarge,
-            false => ClaimEnding::Answered(KeptAnswer {
+            false => ClaimEnding::Answered(CachedAnswer {
                 status: self.status,
                 fields: std::mem::take(&mut self.fields),
                 body: self.body.split().freeze(),
@@ -190,7 +190,7 @@
 }
 
 /// Returns a kept answer as it was first given.
-fn replay(kept: KeptAnswer) -> Response<AnswerBody> {
+fn replay(kept: CachedAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::line(kept.body));
     *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     for (name, value) in kept.fields {
--- a/components/transport/src/entry/mod.rs
+++ b/components/transport/src/entry/mod.rs
@@ -324,7 +324,7 @@
     let mut ticks = interval(CONFIRM_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while let Some(members) = members.upgrade() {
-        dispatcher.renew_life(members.me().incarnation);
+        dispatcher.renew_incarnation(members.me().incarnation);
         if let Some(shown) = members.current_at() {
             dispatcher.confirm(shown);
         }
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use coordination::config::Change;
-use coordination::members::joining::{Joining, Step};
-use coordination::members::{Action, Detector, MemberId, Settled, gone};
+use coordination::members::membership::{Membership, Step};
+use coordination::members::{Action, Detector, MemberId, OwnerStatus, unlisted_members};
 use protocol::PeerMessage;
 use protocol::peer::{ConfigOffer, MESSAGE_LIMIT};
 use protocol::record::encode_snapshot;
@@ -49,7 +49,7 @@
 pub struct Members {
     links: Arc<Links>,
     detector: Mutex<Detector>,
-    joining: Mutex<Joining>,
+    joining: Mutex<Membership>,
     options: MembersOptions,
     receive: Arc<dyn Receive>,
     stop: CancellationToken,
@@ -68,7 +68,7 @@
         let members = Arc::new(Members {
             links,
             detector: Mutex::new(Detector::new(id, now)),
-            joining: Mutex::new(Joining::new(now)),
+            joining: Mutex::new(Membership::new(now)),
             options,
             receive,
             stop: CancellationToken::new(),
@@ -95,8 +95,8 @@
     }
 
     /// Returns what is known of a previous owner after the change at offset `change`.
-    pub fn settled(&self, owner: MemberId, change: u64) -> Settled {
-        self.detector().settled(owner, change)
+    pub fn settled(&self, owner: MemberId, change: u64) -> OwnerStatus {
+        self.detector().owner_status(owner, change)
     }
 
     /// Asks `host` how far it has folded the configuration; the view shows the answer.
@@ -172,7 +172,7 @@
             let read = progress.borrow_and_update().end_seen;
             self.with_detector(|d| {
                 if let Some(asked) = read {
-                    d.read_log(asked);
+                    d.note_log_end(asked);
                 }
                 d.tick(clock::now());
             });
@@ -263,8 +263,8 @@
             };
             let live = live_names(list);
             let me = self.links.identity().name;
-            let gone = gone(&live, &me, &self.config());
-            self.detector().list(gone);
+            let gone = unlisted_members(&live, &me, &self.config());
+            self.detector().set_unlisted(gone);
         }
     }
 
@@ -351,7 +351,7 @@
         let now = clock::now();
         match message {
             PeerMessage::Hello(h) => {
-                self.with_detector(|d| d.met(from, h.incarnation, h.offset, now));
+                self.with_detector(|d| d.peer_connected(from, h.incarnation, h.offset, now));
             }
             PeerMessage::Member(m) => self.with_detector(|d| d.receive(from, &m, now)),
             // The refusing host may know of a removal that this host does not.
--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -8,12 +8,12 @@
 use coordination::claims::ClaimKey;
 use entry_hosts::{Host, Site, request, until};
 use stand_ins::log::{Loss, Outage};
-use transport::claims::{ClaimEnding, ClaimTicket, KeptAnswer, Verdict, WorkerOptions};
+use transport::claims::{CachedAnswer, ClaimEnding, ClaimTicket, Verdict, WorkerOptions};
 
 const PATIENCE: Duration = Duration::from_secs(15);
 
-fn answer() -> KeptAnswer {
-    KeptAnswer {
+fn answer() -> CachedAnswer {
+    CachedAnswer {
         status: 201,
         fields: vec![("content-type".into(), Bytes::from_static(b"text/plain"))],
         body: Bytes::from_static(b"deposit taken"),
--- a/components/transport/tests/peer_links.rs
+++ b/components/transport/tests/peer_links.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::members::{Beat, MemberMessage};
+use coordination::members::{Heartbeat, MemberMessage};
 use protocol::PeerMessage;
 use protocol::peer::{ConfigOffer, Hello, RefusedReason};
 use rstest::rstest;
@@ -105,15 +105,15 @@
     }
 }
 
-fn beat(sequence: u64) -> PeerMessage {
-    let beat = Beat {
+fn heartbeat(sequence: u64) -> PeerMessage {
+    let heartbeat = Heartbeat {
         incarnation: 1,
         sequence,
         epoch: 0,
         offset: 9,
-        asks: false,
+        wants_ack: false,
     };
-    PeerMessage::Member(MemberMessage::Beat(beat))
+    PeerMessage::Member(MemberMessage::Heartbeat(heartbeat))
 }
 
 fn framed(body: &[u8]) -> Vec<u8> {
@@ -146,8 +146,8 @@
     for host in &hosts {
         until(|| host.links.linked() == 3).await;
     }
-    assert!(hosts[0].links.send(hosts[3].links.me(), &beat(5)));
-    hosts[3].has(|m| *m == beat(5)).await;
+    assert!(hosts[0].links.send(hosts[3].links.me(), &heartbeat(5)));
+    hosts[3].has(|m| *m == heartbeat(5)).await;
 }
 
 // At letter 1's size nobody keeps a link to all the others: the first message
@@ -159,21 +159,21 @@
     let (a, b) = (&hosts[0], &hosts[1]);
     assert_eq!(a.links.linked(), 0);
     for sequence in 0..50 {
-        a.links.send(b.links.me(), &beat(sequence));
-        b.links.send(a.links.me(), &beat(sequence));
+        a.links.send(b.links.me(), &heartbeat(sequence));
+        b.links.send(a.links.me(), &heartbeat(sequence));
         tokio::task::yield_now().await;
     }
     until(|| a.links.is_linked(b.links.me()) && b.links.is_linked(a.links.me())).await;
     until(|| {
-        a.links.send(b.links.me(), &beat(99));
-        b.links.send(a.links.me(), &beat(99));
+        a.links.send(b.links.me(), &heartbeat(99));
+        b.links.send(a.links.me(), &heartbeat(99));
         [a, b].iter().all(|h| {
             h.inbox
                 .0
                 .lock()
                 .unwrap()
                 .iter()
-                .any(|(_, m)| *m == beat(99))
+                .any(|(_, m)| *m == heartbeat(99))
         })
     })
     .await;
@@ -203,7 +203,7 @@
 #[rstest]
 #[case::garbage(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec())]
 #[case::oversized(vec![0x7f, 0xff, 0xff, 0xff, 1, 2, 3])]
-#[case::no_hello(framed(&beat(1).encode()))]
+#[case::no_hello(framed(&heartbeat(1).encode()))]
 #[case::version(framed(&[8, 9, 18, 0]))]
 #[case::damaged(framed(&[255; 40]))]
 #[tokio::test]
@@ -214,14 +214,14 @@
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest).await;
     until(|| hosts[0].links.linked() == 1).await;
-    assert!(hosts[1].links.send(hosts[0].links.me(), &beat(7)));
-    hosts[0].has(|m| *m == beat(7)).await;
+    assert!(hosts[1].links.send(hosts[0].links.me(), &heartbeat(7)));
+    hosts[0].has(|m| *m == heartbeat(7)).await;
 }
 
 // A member's link is cut in the middle of a message, or a fault in its release
 // makes it send rubbish. Its link ends; it may dial again.
 #[rstest]
-#[case::cut(framed(&beat(1).encode())[..6].to_vec())]
+#[case::cut(framed(&heartbeat(1).encode())[..6].to_vec())]
 #[case::oversized(vec![0x10, 0, 0, 0])]
 #[case::damaged(framed(&[255; 40]))]
 #[tokio::test]
@@ -305,11 +305,11 @@
     }
     one.links.hang_up(other.links.me());
     until(|| {
-        one.links.send(other.links.me(), &beat(42));
-        other.links.send(one.links.me(), &beat(42));
+        one.links.send(other.links.me(), &heartbeat(42));
+        other.links.send(one.links.me(), &heartbeat(42));
         [one, other].iter().all(|h| {
             let inbox = h.inbox.0.lock().unwrap();
-            inbox.iter().any(|(_, m)| *m == beat(42))
+            inbox.iter().any(|(_, m)| *m == heartbeat(42))
         })
     })
     .await;
