--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use coordination::config::{Applied, Change, Command, CommandId, Fold, Record, parse_preset};
-use protocol::record::{decode_record, encode_command, encode_snapshot};
+use protocol::config_record::{decode_record, encode_command, encode_snapshot};
 use stand_ins::log::{Behaviour, LogStandIn, Outage};
 use transport::log::{
     CommandRequest, Follower, FollowerOptions, LogClient, Outcome, PATIENCE, Submission,
--- a/components/protocol/src/crashes.rs
+++ b/components/protocol/src/crash_report.rs
@@ -9,18 +9,18 @@
 
 /// Runs that ended with their endpoint, or requests that are quarantined or cleared.
 #[value]
-pub struct Crashes {
+pub struct CrashReport {
     /// Whether the receiver is to tell the hosts of its data centre.
-    pub abroad: bool,
+    pub cross_centre: bool,
     /// Runs that ended with their endpoint.
-    pub ended: Vec<Ended>,
+    pub runs: Vec<CrashedRun>,
     /// Requests that are quarantined, or were lately.
     pub findings: Vec<Finding>,
 }
 
 /// A run that ended with its endpoint, in times that any host can read.
 #[value]
-pub struct Ended {
+pub struct CrashedRun {
     /// The request that ran.
     pub request: Fingerprints,
     /// How long it ran.
@@ -61,27 +61,27 @@
     age_ms: u32,
 }
 
-impl From<&Crashes> for WireCrashes {
-    fn from(crashes: &Crashes) -> WireCrashes {
+impl From<&CrashReport> for WireCrashes {
+    fn from(crashes: &CrashReport) -> WireCrashes {
         WireCrashes {
-            ended: crashes.ended.iter().map(WireEnded::from).collect(),
+            ended: crashes.runs.iter().map(WireEnded::from).collect(),
             findings: crashes.findings.iter().map(WireFinding::from).collect(),
         }
     }
 }
 
 impl WireCrashes {
-    pub(crate) fn read(self, abroad: bool) -> Crashes {
-        Crashes {
-            abroad,
-            ended: self.ended.iter().map(WireEnded::read).collect(),
+    pub(crate) fn read(self, cross_centre: bool) -> CrashReport {
+        CrashReport {
+            cross_centre,
+            runs: self.ended.iter().map(WireEnded::read).collect(),
             findings: self.findings.iter().map(WireFinding::read).collect(),
         }
     }
 }
 
-impl From<&Ended> for WireEnded {
-    fn from(ended: &Ended) -> WireEnded {
+impl From<&CrashedRun> for WireEnded {
+    fn from(ended: &CrashedRun) -> WireEnded {
         WireEnded {
             content: ended.request.content.0,
             request: ended.request.request.0,
@@ -92,8 +92,8 @@
 }
 
 impl WireEnded {
-    fn read(&self) -> Ended {
-        Ended {
+    fn read(&self) -> CrashedRun {
+        CrashedRun {
             request: Fingerprints {
                 content: Fingerprint(self.content),
                 request: Fingerprint(self.request),
--- a/components/protocol/src/lib.rs
+++ b/components/protocol/src/lib.rs
@@ -4,12 +4,12 @@
 //! another version or of an unknown kind is an error and never a panic.
 
 pub mod claim;
-pub mod crashes;
+pub mod config_record;
+pub mod crash_report;
 pub mod heartbeat;
-pub mod limits;
-pub mod news;
+pub mod limit_report;
+pub mod neighbour;
 pub mod peer;
-pub mod record;
 pub mod slots;
 
 pub use peer::{PeerMessage, ProtocolError};
--- a/components/protocol/src/limits.rs
+++ b/components/protocol/src/limit_report.rs
@@ -6,9 +6,9 @@
 
 /// Limits that endpoints have named, or name no more.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
+pub struct LimitReport {
     /// Whether the receiver is to tell the hosts of its data centre.
-    pub abroad: bool,
+    pub cross_centre: bool,
     /// One entry an endpoint.
     pub advice: Vec<Advice>,
 }
@@ -28,8 +28,8 @@
     rate: Option<f64>,
 }
 
-impl From<&Limits> for WireLimits {
-    fn from(limits: &Limits) -> WireLimits {
+impl From<&LimitReport> for WireLimits {
+    fn from(limits: &LimitReport) -> WireLimits {
         let advice = limits.advice.iter().map(|advice| WireAdvice {
             endpoint: advice.endpoint.0,
             rate: advice.rate,
@@ -42,15 +42,15 @@
 
 impl WireLimits {
     /// Reads the message; a limit that is no number of requests is left out.
-    pub(crate) fn read(self, abroad: bool) -> Limits {
+    pub(crate) fn read(self, cross_centre: bool) -> LimitReport {
         let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
         let advice = self.advice.into_iter();
         let advice = advice.filter(|a| a.rate.is_none_or(sound)).map(|a| Advice {
             endpoint: EndpointKey(a.endpoint),
             rate: a.rate,
         });
-        Limits {
-            abroad,
+        LimitReport {
+            cross_centre,
             advice: advice.collect(),
         }
     }
--- a/components/protocol/src/news.rs
+++ b/components/protocol/src/neighbour.rs
@@ -12,8 +12,8 @@
 use prost::Message;
 use thiserror::Error;
 
-use crate::crashes::{Crashes, WireCrashes};
-use crate::limits::{Limits, WireLimits};
+use crate::crash_report::{CrashReport, WireCrashes};
+use crate::limit_report::{LimitReport, WireLimits};
 
 /// The version of this protocol; others are refused.
 const VERSION: u8 = 3;
@@ -32,21 +32,21 @@
 
 /// One message between neighbours.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Neighbourly {
+pub enum NeighbourMessage {
     /// The sender is here.
     Hello(Hello),
     /// The sender has read the store.
-    News(News),
+    Update(RecordUpdate),
     /// The sender has begun to read this topic by itself.
-    Reading(Topic),
+    ReadStarted(Topic),
     /// The sender could not read this topic.
-    Trouble(Topic),
+    ReadFailed(Topic),
     /// The sender knows nothing of this topic and can't read it.
-    Wanted(Topic),
+    SnapshotRequest(Topic),
     /// All that the sender knows of a topic, in answer to the former.
-    Held(Held),
+    Snapshot(TopicSnapshot),
     /// The sender lacks the records of a topic from this offset on.
-    Missing(Topic, u64),
+    RecordsRequest(Topic, u64),
     /// A piece of a message about a topic that fits into no datagram.
     Fragment(Topic, Fragment),
     /// The sender lacks fragments of a message about a topic.
@@ -54,20 +54,20 @@
     /// The sender may ask endpoints hardly any more questions; each request has a number.
     Borrow(u32),
     /// Questions that the receiver may ask in the sender's place.
-    Lend(Loan),
+    Lend(ProbeLoan),
     /// Requests that crash endpoints.
-    Crashes(Crashes),
+    CrashReport(CrashReport),
     /// Rate limits that endpoints advertise.
-    Limits(Limits),
+    LimitReport(LimitReport),
 }
 
 /// Questions lent in answer to a request.
 #[tag]
-pub struct Loan {
+pub struct ProbeLoan {
     /// The request's number.
-    pub number: u32,
+    pub request_id: u32,
     /// How many questions.
-    pub questions: u32,
+    pub probes: u32,
 }
 
 /// A greeting.
@@ -76,7 +76,7 @@
     /// The sender's data centre.
     pub centre: String,
     /// Whether the sender asks whom the other knows.
-    pub seeks: bool,
+    pub wants_hosts: bool,
     /// The hosts there that the sender knows, in answer to one that asks.
     pub neighbours: Vec<SocketAddr>,
     /// A few hosts of other data centres, in answer to one that asks.
@@ -85,7 +85,7 @@
 
 /// All that a neighbour knows of a topic.
 #[value]
-pub struct Held {
+pub struct TopicSnapshot {
     /// The topic.
     pub topic: Topic,
     /// Where to read on.
@@ -98,15 +98,15 @@
 
 /// Records that a neighbour has read.
 #[value]
-pub struct News {
+pub struct RecordUpdate {
     /// The topic.
     pub topic: Topic,
     /// The host that read them; nobody's address in a message that goes in fragments.
     pub reader: SocketAddr,
     /// The host that tells its data centre first, the reader or one that heard of it.
-    pub teller: SocketAddr,
+    pub relay_root: SocketAddr,
     /// Whether the reader is of another data centre, and the receiver to tell its own.
-    pub abroad: bool,
+    pub cross_centre: bool,
     /// The offset of the first record.
     pub from: u64,
     /// The records, as they lie in the store.
@@ -115,7 +115,7 @@
 
 /// Why a datagram can't be understood.
 #[derive(Debug, Error)]
-pub enum NewsError {
+pub enum DatagramError {
     /// It is empty or of another version.
     #[error("the datagram is of another version")]
     OtherVersion,
@@ -153,7 +153,7 @@
     reader: String,
     /// Whether the sender of a hello asks whom the other knows.
     #[prost(bool, tag = "8")]
-    seeks: bool,
+    wants_hosts: bool,
     /// Whether all that is known of the topic is asked for.
     #[prost(bool, tag = "9")]
     wanted: bool,
@@ -174,9 +174,9 @@
     questions: u32,
     /// The teller's address, as text.
     #[prost(string, tag = "17")]
-    teller: String,
+    relay_root: String,
     #[prost(bool, tag = "18")]
-    abroad: bool,
+    cross_centre: bool,
     #[prost(message, repeated, tag = "19")]
     contacts: Vec<WireContact>,
     /// Whether the sender has begun to read the topic.
@@ -235,15 +235,15 @@
 const CRASHES: u32 = 5;
 const LIMITS: u32 = 6;
 
-impl News {
+impl RecordUpdate {
     /// Returns these news as any host that read the same would tell them.
     ///
     /// Large news are named by what they hold, so the reader must not be in them.
-    pub fn anonymous(self) -> News {
+    pub fn without_addresses(self) -> RecordUpdate {
         let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
-        News {
+        RecordUpdate {
             reader: nobody,
-            teller: nobody,
+            relay_root: nobody,
             ..self
         }
     }
@@ -251,10 +251,10 @@
     /// Returns these news for a host of another data centre.
     ///
     /// It reads by itself what fits into no datagram.
-    pub fn for_abroad(&self) -> News {
+    pub fn for_other_centres(&self) -> RecordUpdate {
         let fits = self.size() <= DATAGRAM_LIMIT;
-        News {
-            abroad: true,
+        RecordUpdate {
+            cross_centre: true,
             from: if fits { self.from } else { self.next() },
             records: if fits {
                 self.records.clone()
@@ -276,59 +276,59 @@
     }
 }
 
-impl Neighbourly {
+impl NeighbourMessage {
     /// Returns the name of this kind of message, for counts.
     pub fn kind(&self) -> &'static str {
         match self {
-            Neighbourly::Hello(hello) if hello.neighbours.is_empty() => "greeting",
-            Neighbourly::Hello(_) => "hosts",
-            Neighbourly::News(news) if news.abroad => "news_abroad",
-            Neighbourly::News(news) if news.records.is_empty() => "news_empty",
-            Neighbourly::News(_) => "news",
-            Neighbourly::Reading(_) => "reading",
-            Neighbourly::Trouble(_) => "trouble",
-            Neighbourly::Wanted(_) => "wanted",
-            Neighbourly::Held(_) => "held",
-            Neighbourly::Missing(..) => "missing",
-            Neighbourly::Fragment(..) => "fragment",
-            Neighbourly::FragmentRequest(..) => "lacking",
-            Neighbourly::Borrow(_) | Neighbourly::Lend(_) => "loan",
-            Neighbourly::Crashes(_) => "crashes",
-            Neighbourly::Limits(_) => "limits",
+            NeighbourMessage::Hello(hello) if hello.neighbours.is_empty() => "greeting",
+            NeighbourMessage::Hello(_) => "hosts",
+            NeighbourMessage::Update(news) if news.cross_centre => "news_abroad",
+            NeighbourMessage::Update(news) if news.records.is_empty() => "news_empty",
+            NeighbourMessage::Update(_) => "news",
+            NeighbourMessage::ReadStarted(_) => "reading",
+            NeighbourMessage::ReadFailed(_) => "trouble",
+            NeighbourMessage::SnapshotRequest(_) => "wanted",
+            NeighbourMessage::Snapshot(_) => "held",
+            NeighbourMessage::RecordsRequest(..) => "missing",
+            NeighbourMessage::Fragment(..) => "fragment",
+            NeighbourMessage::FragmentRequest(..) => "lacking",
+            NeighbourMessage::Borrow(_) | NeighbourMessage::Lend(_) => "loan",
+            NeighbourMessage::CrashReport(_) => "crashes",
+            NeighbourMessage::LimitReport(_) => "limits",
         }
     }
 
     /// Returns the datagram.
     pub fn encode(&self) -> Vec<u8> {
         let wire = match self {
-            Neighbourly::Hello(hello) => WireNews {
+            NeighbourMessage::Hello(hello) => WireNews {
                 centre: hello.centre.clone(),
-                seeks: hello.seeks,
+                wants_hosts: hello.wants_hosts,
                 neighbours: hello.neighbours.iter().map(SocketAddr::to_string).collect(),
                 contacts: hello.contacts.iter().map(WireContact::from).collect(),
                 ..WireNews::default()
             },
-            Neighbourly::News(news) => WireNews {
+            NeighbourMessage::Update(news) => WireNews {
                 topic: number(news.topic),
                 reader: news.reader.to_string(),
-                teller: news.teller.to_string(),
-                abroad: news.abroad,
+                relay_root: news.relay_root.to_string(),
+                cross_centre: news.cross_centre,
                 from: news.from,
                 records: news.records.clone(),
                 ..WireNews::default()
             },
-            Neighbourly::Wanted(topic) => WireNews {
+            NeighbourMessage::SnapshotRequest(topic) => WireNews {
                 topic: number(*topic),
                 wanted: true,
                 ..WireNews::default()
             },
-            Neighbourly::Missing(topic, from) => WireNews {
+            NeighbourMessage::RecordsRequest(topic, from) => WireNews {
                 topic: number(*topic),
                 from: *from,
                 missing: true,
                 ..WireNews::default()
             },
-            Neighbourly::Held(held) => WireNews {
+            NeighbourMessage::Snapshot(held) => WireNews {
                 topic: number(held.topic),
                 from: held.next,
                 held: true,
@@ -336,12 +336,12 @@
                 records: held.records.clone(),
                 ..WireNews::default()
             },
-            Neighbourly::Fragment(topic, fragment) => WireNews {
+            NeighbourMessage::Fragment(topic, fragment) => WireNews {
                 topic: number(*topic),
                 fragment: Some(WireFragment::from(fragment)),
                 ..WireNews::default()
             },
-            Neighbourly::FragmentRequest(topic, lacking) => WireNews {
+            NeighbourMessage::FragmentRequest(topic, lacking) => WireNews {
                 topic: number(*topic),
                 lacking: Some(WireLacking {
                     digest: lacking.message.digest,
@@ -350,35 +350,35 @@
                 }),
                 ..WireNews::default()
             },
-            Neighbourly::Borrow(number) => WireNews {
+            NeighbourMessage::Borrow(number) => WireNews {
                 topic: BORROW,
                 number: *number,
                 ..WireNews::default()
             },
-            Neighbourly::Lend(loan) => WireNews {
+            NeighbourMessage::Lend(loan) => WireNews {
                 topic: LEND,
-                number: loan.number,
-                questions: loan.questions,
+                number: loan.request_id,
+                questions: loan.probes,
                 ..WireNews::default()
             },
-            Neighbourly::Crashes(crashes) => WireNews {
+            NeighbourMessage::CrashReport(crashes) => WireNews {
                 topic: CRASHES,
-                abroad: crashes.abroad,
+                cross_centre: crashes.cross_centre,
                 crashes: Some(WireCrashes::from(crashes)),
                 ..WireNews::default()
             },
-            Neighbourly::Limits(limits) => WireNews {
+            NeighbourMessage::LimitReport(limits) => WireNews {
                 topic: LIMITS,
-                abroad: limits.abroad,
+                cross_centre: limits.cross_centre,
                 limits: Some(WireLimits::from(limits)),
                 ..WireNews::default()
             },
-            Neighbourly::Reading(topic) => WireNews {
+            NeighbourMessage::ReadStarted(topic) => WireNews {
                 topic: number(*topic),
                 reading: true,
                 ..WireNews::default()
             },
-            Neighbourly::Trouble(topic) => WireNews {
+            NeighbourMessage::ReadFailed(topic) => WireNews {
                 topic: number(*topic),
                 failed: true,
                 ..WireNews::default()
@@ -394,47 +394,51 @@
     /// # Errors
     ///
     /// Says why it can't be understood.
-    pub fn decode(datagram: &[u8]) -> Result<Neighbourly, NewsError> {
+    pub fn decode(datagram: &[u8]) -> Result<NeighbourMessage, DatagramError> {
         let body = match datagram.split_first() {
             Some((&VERSION, body)) => body,
-            _ => return Err(NewsError::OtherVersion),
+            _ => return Err(DatagramError::OtherVersion),
         };
         let wire = WireNews::decode(body)?;
         let topic = match wire.topic {
             HELLO => {
-                return Ok(Neighbourly::Hello(Hello {
+                return Ok(NeighbourMessage::Hello(Hello {
                     neighbours: addresses(&wire.neighbours)?,
                     contacts: contacts(wire.contacts)?,
-                    seeks: wire.seeks,
+                    wants_hosts: wire.wants_hosts,
                     centre: wire.centre,
                 }));
             }
-            BORROW => return Ok(Neighbourly::Borrow(wire.number)),
+            BORROW => return Ok(NeighbourMessage::Borrow(wire.number)),
             LEND => {
-                return Ok(Neighbourly::Lend(Loan {
-                    number: wire.number,
-                    questions: wire.questions,
+                return Ok(NeighbourMessage::Lend(ProbeLoan {
+                    request_id: wire.number,
+                    probes: wire.questions,
                 }));
             }
             CRASHES => {
                 let crashes = wire.crashes.unwrap_or_default();
-                return Ok(Neighbourly::Crashes(crashes.read(wire.abroad)));
+                return Ok(NeighbourMessage::CrashReport(
+                    crashes.read(wire.cross_centre),
+                ));
             }
             LIMITS => {
                 let limits = wire.limits.unwrap_or_default();
-                return Ok(Neighbourly::Limits(limits.read(wire.abroad)));
+                return Ok(NeighbourMessage::LimitReport(
+                    limits.read(wire.cross_centre),
+                ));
             }
             OPERATORS => Topic::Operators,
             ENDPOINTS => Topic::Endpoints,
-            _ => return Err(NewsError::UnknownTopic),
+            _ => return Err(DatagramError::UnknownTopic),
         };
         match wire {
-            _ if wire.reading => return Ok(Neighbourly::Reading(topic)),
-            _ if wire.failed => return Ok(Neighbourly::Trouble(topic)),
-            _ if wire.missing => return Ok(Neighbourly::Missing(topic, wire.from)),
-            _ if wire.wanted => return Ok(Neighbourly::Wanted(topic)),
+            _ if wire.reading => return Ok(NeighbourMessage::ReadStarted(topic)),
+            _ if wire.failed => return Ok(NeighbourMessage::ReadFailed(topic)),
+            _ if wire.missing => return Ok(NeighbourMessage::RecordsRequest(topic, wire.from)),
+            _ if wire.wanted => return Ok(NeighbourMessage::SnapshotRequest(topic)),
             _ if wire.held => {
-                return Ok(Neighbourly::Held(Held {
+                return Ok(NeighbourMessage::Snapshot(TopicSnapshot {
                     topic,
                     next: wire.from,
                     records: wire.records,
@@ -444,16 +448,16 @@
             _ => {}
         }
         if let Some(fragment) = wire.fragment {
-            return Ok(Neighbourly::Fragment(topic, fragment.read()?));
+            return Ok(NeighbourMessage::Fragment(topic, fragment.read()?));
         }
         if let Some(lacking) = wire.lacking {
-            return Ok(Neighbourly::FragmentRequest(topic, lacking.read()));
+            return Ok(NeighbourMessage::FragmentRequest(topic, lacking.read()));
         }
-        Ok(Neighbourly::News(News {
+        Ok(NeighbourMessage::Update(RecordUpdate {
             topic,
             reader: address(&wire.reader)?,
-            teller: address(&wire.teller)?,
-            abroad: wire.abroad,
+            relay_root: address(&wire.relay_root)?,
+            cross_centre: wire.cross_centre,
             from: wire.from,
             records: wire.records,
         }))
@@ -483,7 +487,7 @@
 }
 
 impl WireFragment {
-    fn read(self) -> Result<Fragment, NewsError> {
+    fn read(self) -> Result<Fragment, DatagramError> {
         Ok(Fragment {
             message: MessageKey {
                 digest: self.digest,
@@ -516,11 +520,11 @@
     }
 }
 
-fn addresses(texts: &[String]) -> Result<Vec<SocketAddr>, NewsError> {
+fn addresses(texts: &[String]) -> Result<Vec<SocketAddr>, DatagramError> {
     texts.iter().map(|t| address(t)).collect()
 }
 
-fn contacts(wire: Vec<WireContact>) -> Result<Vec<Contact>, NewsError> {
+fn contacts(wire: Vec<WireContact>) -> Result<Vec<Contact>, DatagramError> {
     let read = wire.into_iter().map(|contact| {
         Ok(Contact {
             address: address(&contact.address)?,
@@ -530,7 +534,7 @@
     read.collect()
 }
 
-fn address(text: &str) -> Result<SocketAddr, NewsError> {
+fn address(text: &str) -> Result<SocketAddr, DatagramError> {
     text.parse()
-        .map_err(|_| NewsError::NoAddress(text.to_owned()))
+        .map_err(|_| DatagramError::NoAddress(text.to_owned()))
 }
--- a/components/protocol/tests/config_record.rs
+++ b/components/protocol/tests/config_record.rs
@@ -4,7 +4,7 @@
 use coordination::config::{Change, Command, CommandId, Fold, Record, Unreadable};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use protocol::record::{decode_record, encode_begin, encode_command, encode_snapshot};
+use protocol::config_record::{decode_record, encode_begin, encode_command, encode_snapshot};
 use rstest::rstest;
 use state::HostKey;
 
--- a/components/protocol/tests/news_messages.rs
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -6,20 +6,20 @@
 use coordination::fragments::{Fragment, FragmentRequest, MessageKey};
 use coordination::neighbours::Contact;
 use proptest::prelude::*;
-use protocol::crashes::{Crashes, Ended};
-use protocol::limits::Limits;
-use protocol::news::{Held, Hello, Loan, Neighbourly, News, Topic};
+use protocol::crash_report::{CrashReport, CrashedRun};
+use protocol::limit_report::LimitReport;
+use protocol::neighbour::{Hello, NeighbourMessage, ProbeLoan, RecordUpdate, Topic, TopicSnapshot};
 use state::EndpointKey;
 use state::fleet::quarantine::Finding;
 use state::fleet::rate_limit::Advice;
 use state::fleet::{Fingerprint, Fingerprints};
 
-fn news(records: Vec<Vec<u8>>) -> News {
-    News {
+fn news(records: Vec<Vec<u8>>) -> RecordUpdate {
+    RecordUpdate {
         topic: Topic::Endpoints,
         reader: "10.1.2.4:7540".parse().expect("an address"),
-        teller: "10.1.2.5:7540".parse().expect("an address"),
-        abroad: true,
+        relay_root: "10.1.2.5:7540".parse().expect("an address"),
+        cross_centre: true,
         from: 40,
         records: records.into_iter().map(Bytes::from).collect(),
     }
@@ -32,21 +32,21 @@
     }
 }
 
-fn limits() -> Limits {
+fn limits() -> LimitReport {
     let advice = [Some(1.5), None].map(|rate| Advice {
         endpoint: EndpointKey(u64::MAX),
         rate,
     });
-    Limits {
-        abroad: true,
+    LimitReport {
+        cross_centre: true,
         advice: advice.to_vec(),
     }
 }
 
-fn crashes() -> Crashes {
-    Crashes {
-        abroad: true,
-        ended: vec![Ended {
+fn crashes() -> CrashReport {
+    CrashReport {
+        cross_centre: true,
+        runs: vec![CrashedRun {
             request: Fingerprints {
                 content: Fingerprint(u64::MAX),
                 request: Fingerprint(1),
@@ -66,34 +66,34 @@
 #[test]
 fn there_and_back() {
     let messages = [
-        Neighbourly::Crashes(crashes()),
-        Neighbourly::Limits(limits()),
-        Neighbourly::Hello(Hello {
+        NeighbourMessage::CrashReport(crashes()),
+        NeighbourMessage::LimitReport(limits()),
+        NeighbourMessage::Hello(Hello {
             centre: "trent".to_owned(),
-            seeks: true,
+            wants_hosts: true,
             neighbours: vec!["10.1.2.3:7540".parse().expect("an address")],
             contacts: vec![Contact {
                 centre: "soar".to_owned(),
                 address: "10.3.2.3:7540".parse().expect("an address"),
             }],
         }),
-        Neighbourly::News(news(vec![b"one".to_vec(), Vec::new()])),
-        Neighbourly::Trouble(Topic::Operators),
-        Neighbourly::Wanted(Topic::Endpoints),
-        Neighbourly::Missing(Topic::Endpoints, 41),
-        Neighbourly::Held(Held {
+        NeighbourMessage::Update(news(vec![b"one".to_vec(), Vec::new()])),
+        NeighbourMessage::ReadFailed(Topic::Operators),
+        NeighbourMessage::SnapshotRequest(Topic::Endpoints),
+        NeighbourMessage::RecordsRequest(Topic::Endpoints, 41),
+        NeighbourMessage::Snapshot(TopicSnapshot {
             topic: Topic::Operators,
             next: 9,
             records: vec![Bytes::from_static(b"one")],
             shared: true,
         }),
-        Neighbourly::Reading(Topic::Endpoints),
-        Neighbourly::Borrow(8),
-        Neighbourly::Lend(Loan {
-            number: 8,
-            questions: 77,
+        NeighbourMessage::ReadStarted(Topic::Endpoints),
+        NeighbourMessage::Borrow(8),
+        NeighbourMessage::Lend(ProbeLoan {
+            request_id: 8,
+            probes: 77,
         }),
-        Neighbourly::Fragment(
+        NeighbourMessage::Fragment(
             Topic::Operators,
             Fragment {
                 message: message(),
@@ -103,7 +103,7 @@
                 bytes: Bytes::from_static(b"one"),
             },
         ),
-        Neighbourly::FragmentRequest(
+        NeighbourMessage::FragmentRequest(
             Topic::Endpoints,
             FragmentRequest {
                 message: message(),
@@ -112,25 +112,25 @@
         ),
     ];
     for message in messages {
-        let read = Neighbourly::decode(&message.encode()).expect("it is whole");
+        let read = NeighbourMessage::decode(&message.encode()).expect("it is whole");
         assert_eq!(read, message);
     }
 }
 
 #[test]
 fn bad_datagrams() {
-    assert!(Neighbourly::decode(&[]).is_err());
-    assert!(Neighbourly::decode(&[9, 1, 2]).is_err());
-    assert!(Neighbourly::decode(&[3, 8, 77]).is_err());
-    let hello = Neighbourly::Trouble(Topic::Operators).encode();
-    assert!(Neighbourly::decode(&[&hello[..], &[0xff]].concat()).is_err());
+    assert!(NeighbourMessage::decode(&[]).is_err());
+    assert!(NeighbourMessage::decode(&[9, 1, 2]).is_err());
+    assert!(NeighbourMessage::decode(&[3, 8, 77]).is_err());
+    let hello = NeighbourMessage::ReadFailed(Topic::Operators).encode();
+    assert!(NeighbourMessage::decode(&[&hello[..], &[0xff]].concat()).is_err());
 }
 
 proptest! {
     #[test]
     fn any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         // Whatever comes, it is read or refused.
-        let _ = Neighbourly::decode(&bytes);
+        let _ = NeighbourMessage::decode(&bytes);
     }
 }
 
@@ -142,11 +142,12 @@
         endpoint: EndpointKey(1),
         rate: Some(rate),
     });
-    let message = Neighbourly::Limits(Limits {
-        abroad: false,
+    let message = NeighbourMessage::LimitReport(LimitReport {
+        cross_centre: false,
         advice: advice.to_vec(),
     });
-    let Ok(Neighbourly::Limits(read)) = Neighbourly::decode(&message.encode()) else {
+    let Ok(NeighbourMessage::LimitReport(read)) = NeighbourMessage::decode(&message.encode())
+    else {
         panic!("it is read");
     };
     assert_eq!(read.advice, advice[3..]);
@@ -155,19 +156,17 @@
 /// Reports go to all hosts, so that their size counts hundreds of times.
 #[test]
 fn small_reports() {
-    let Crashes {
-        ended, findings, ..
-    } = crashes();
-    let size = |ended: &[Ended], findings: &[Finding]| {
-        let crashes = Crashes {
-            abroad: true,
-            ended: ended.to_vec(),
+    let CrashReport { runs, findings, .. } = crashes();
+    let size = |runs: &[CrashedRun], findings: &[Finding]| {
+        let crashes = CrashReport {
+            cross_centre: true,
+            runs: runs.to_vec(),
             findings: findings.to_vec(),
         };
-        Neighbourly::Crashes(crashes).encode().len()
+        NeighbourMessage::CrashReport(crashes).encode().len()
     };
-    assert!(size(&ended, &[]) <= 40);
+    assert!(size(&runs, &[]) <= 40);
     assert!(size(&[], &findings) <= 40);
     assert!(size(&[], &findings.repeat(32)) <= 800);
-    assert!(Neighbourly::Limits(limits()).encode().len() <= 48);
+    assert!(NeighbourMessage::LimitReport(limits()).encode().len() <= 48);
 }
--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -7,7 +7,7 @@
 
 use coordination::config::{Answer, Applied, Change, Command, CommandId, Fold, Record, Refusal};
 use derives::value;
-use protocol::record::decode_record;
+use protocol::config_record::decode_record;
 use state::Config;
 use transport::log::{CommandRequest, Outcome};
 
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coordination::config::{Change, Command, CommandId};
-use protocol::record::encode_command;
+use protocol::config_record::encode_command;
 use rstest::rstest;
 use stand_ins::config_run::{Broken, History, RunOptions, Shown, Told, check, run};
 use state::Config;
--- a/components/transport/src/gateway/ask.rs
+++ b/components/transport/src/gateway/ask.rs
@@ -7,7 +7,7 @@
 
 use hyper::header::{HOST, HeaderValue};
 use hyper::{HeaderMap, Request, StatusCode};
-use protocol::news::{Loan, Neighbourly};
+use protocol::neighbour::{NeighbourMessage, ProbeLoan};
 use state::fleet::look::Look;
 use state::fleet::outcome::Outcome;
 use state::fleet::placing::{self, Knowledge, Refusal, Step};
@@ -107,32 +107,35 @@
         let left = asks.is_left();
         let wanted = asks.borrow(now);
         drop(asks);
-        if let Some(number) = wanted {
-            self.borrow_questions(number);
+        if let Some(request_id) = wanted {
+            self.borrow_questions(request_id);
         }
         left
     }
 
     /// Asks one neighbour for questions that it doesn't need.
-    fn borrow_questions(&self, number: u32) {
+    fn borrow_questions(&self, request_id: u32) {
         let draw = self.draw();
         let neighbour = self.neighbours.borrow().any(draw);
         if let Some(neighbour) = neighbour {
-            self.tell(neighbour, &Neighbourly::Borrow(number));
+            self.tell(neighbour, &NeighbourMessage::Borrow(request_id));
         }
     }
 
     /// Lends a neighbour questions that this host doesn't need.
-    pub(super) fn lend_questions(&self, to: SocketAddr, number: u32) {
+    pub(super) fn lend_questions(&self, to: SocketAddr, request_id: u32) {
         let rate = self.live.borrow().bounds.ask_rate;
         let endpoints = self.registry.borrow().len();
         let mut asks = self.asks.borrow_mut();
         asks.fill(rate, endpoints, self.share.get(), clock::now());
-        let questions = asks.lend();
+        let probes = asks.lend();
         drop(asks);
-        if questions > 0 {
-            log::debug!("E0140 questions-lent to={to} questions={questions}");
-            self.tell(to, &Neighbourly::Lend(Loan { number, questions }));
+        if probes > 0 {
+            log::debug!("E0140 questions-lent to={to} questions={probes}");
+            self.tell(
+                to,
+                &NeighbourMessage::Lend(ProbeLoan { request_id, probes }),
+            );
         }
     }
 
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -12,7 +12,7 @@
 use platform::endpoint;
 use platform::operator::{self, Subject};
 use platform::store::Record;
-use protocol::news::{Neighbourly, News, Topic};
+use protocol::neighbour::{NeighbourMessage, RecordUpdate, Topic};
 use state::fleet::Entry;
 use state::{DataCentreKey, ServiceKey};
 use tokio::time::timeout;
@@ -32,7 +32,7 @@
                 (feed.next(), feed.is_reader())
             });
             if !reads {
-                self.tell_all(&Neighbourly::Reading(topic));
+                self.tell_all(&NeighbourMessage::ReadStarted(topic));
             }
             let result = match next {
                 None => self.read_all(&mut store, topic).await,
@@ -81,7 +81,7 @@
         if failures == 1 {
             log::warn!("E0301 log-unreadable topic={topic:?} error={error:?}");
         }
-        self.tell_all(&Neighbourly::Trouble(topic));
+        self.tell_all(&NeighbourMessage::ReadFailed(topic));
         self.want(topic);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what a host of another data centre has read, for this whole one.
-    pub(super) fn take_abroad(self: &Rc<Self>, news: News, teller: SocketAddr) {
+    pub(super) fn take_abroad(self: &Rc<Self>, news: RecordUpdate, teller: SocketAddr) {
         let topic = news.topic;
         let Some(next) = self.feed(topic, |feed| feed.next()) else {
             return;
@@ -114,9 +114,9 @@
         let stale = self.feed(topic, |feed| feed.is_stale(clock::now()));
         let new = self.take_news(&news, teller);
         if new || stale {
-            let news = News {
-                teller: self.settings.peers,
-                abroad: false,
+            let news = RecordUpdate {
+                relay_root: self.settings.peers,
+                cross_centre: false,
                 ..news
             };
             self.tell_news(news, true);
@@ -154,11 +154,11 @@
         self.note_return(topic, back);
         let skip = usize::try_from(known.saturating_sub(from)).unwrap_or(usize::MAX);
         self.take_records(topic, known, read.records.iter().skip(skip));
-        let news = News {
+        let news = RecordUpdate {
             topic,
             reader: self.settings.peers,
-            teller: self.settings.peers,
-            abroad: false,
+            relay_root: self.settings.peers,
+            cross_centre: false,
             from,
             records: read.records,
         };
@@ -174,7 +174,7 @@
     ///
     /// Where records before it are missing, `teller` is asked for them, unless
     /// they are on their way.
-    pub(super) fn take_news(self: &Rc<Self>, news: &News, teller: SocketAddr) -> bool {
+    pub(super) fn take_news(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
         let ahead = |next: u64| news.from > next;
         if self.awaits(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
             self.put_off(news, teller);
@@ -193,7 +193,7 @@
             UpdateOutcome::Known => return false,
             UpdateOutcome::Gap => {
                 if let Some(from) = self.feed(news.topic, |feed| feed.next()) {
-                    self.tell(teller, &Neighbourly::Missing(news.topic, from));
+                    self.tell(teller, &NeighbourMessage::RecordsRequest(news.topic, from));
                 }
                 return false;
             }
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -10,7 +10,7 @@
 use coordination::fragments::{
     self, Fragment, FragmentRequest, Inserted, KEEP_TIME, MessageKey, Reassembly, RequestTarget,
 };
-use protocol::news::{DATAGRAM_LIMIT, Neighbourly, News, Topic};
+use protocol::neighbour::{DATAGRAM_LIMIT, NeighbourMessage, RecordUpdate, Topic};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -32,13 +32,18 @@
     /// Messages of which fragments are awaited.
     awaited: BTreeMap<MessageKey, Topic>,
     /// News that follow on records in a message that is awaited, and who told them.
-    pending: VecDeque<(News, SocketAddr)>,
+    pending: VecDeque<(RecordUpdate, SocketAddr)>,
     outbox: FragmentQueue<Topic>,
 }
 
 impl Gateway {
     /// Tells one neighbour, in fragments where the message is too large for a datagram.
-    pub(super) fn tell_whole(self: &Rc<Self>, to: SocketAddr, topic: Topic, message: &Neighbourly) {
+    pub(super) fn tell_whole(
+        self: &Rc<Self>,
+        to: SocketAddr,
+        topic: Topic,
+        message: &NeighbourMessage,
+    ) {
         let encoded = Bytes::from(message.encode());
         if encoded.len() <= DATAGRAM_LIMIT {
             self.tell(to, message);
@@ -59,7 +64,7 @@
     }
 
     /// Tells all neighbours: each gets some fragments and passes them on to the others.
-    pub(super) fn spread(self: &Rc<Self>, topic: Topic, message: &Neighbourly) {
+    pub(super) fn spread(self: &Rc<Self>, topic: Topic, message: &NeighbourMessage) {
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let encoded = Bytes::from(message.encode());
         let fragments = self.cut(&encoded);
@@ -114,7 +119,7 @@
                 self.fragments_wait.notified().await;
                 continue;
             };
-            self.tell(to, &Neighbourly::Fragment(topic, fragment));
+            self.tell(to, &NeighbourMessage::Fragment(topic, fragment));
             let pause = self.large.borrow_mut().outbox.pause();
             if let Some(pause) = pause {
                 sleep(pause).await;
@@ -205,7 +210,7 @@
             RequestTarget::Any => self.neighbours.borrow().any(draw),
         };
         if let Some(to) = to {
-            self.tell(to, &Neighbourly::FragmentRequest(topic, lacking));
+            self.tell(to, &NeighbourMessage::FragmentRequest(topic, lacking));
         }
     }
 
@@ -221,16 +226,16 @@
     }
 
     fn take_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
-        match Neighbourly::decode(message) {
-            Ok(Neighbourly::News(news)) => {
-                let news = News {
+        match NeighbourMessage::decode(message) {
+            Ok(NeighbourMessage::Update(news)) => {
+                let news = RecordUpdate {
                     reader: origin,
-                    teller: origin,
+                    relay_root: origin,
                     ..news
                 };
                 self.take_news(&news, origin);
             }
-            Ok(Neighbourly::Held(held)) => self.take_held(held),
+            Ok(NeighbourMessage::Snapshot(held)) => self.take_held(held),
             Ok(_) => log::warn!("E0405 datagram-refused from={origin} error=no large message"),
             Err(error) => log::warn!("E0405 datagram-refused from={origin} error={error}"),
         }
@@ -242,7 +247,7 @@
     }
 
     /// Keeps news until what lies before them has come.
-    pub(super) fn put_off(&self, news: &News, teller: SocketAddr) {
+    pub(super) fn put_off(&self, news: &RecordUpdate, teller: SocketAddr) {
         let mut large = self.large.borrow_mut();
         if large.pending.len() == PENDING_LIMIT {
             // The store is read for what follows on a gap.
--- a/components/transport/src/gateway/held.rs
+++ b/components/transport/src/gateway/held.rs
@@ -13,7 +13,7 @@
 use coordination::read_schedule::GREETING_WAIT;
 use coordination::recent_records::RecentRecords;
 use platform::store::Record;
-use protocol::news::{Held, Neighbourly, News, Topic};
+use protocol::neighbour::{NeighbourMessage, RecordUpdate, Topic, TopicSnapshot};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -71,7 +71,7 @@
         }
         let draw = self.draw();
         if let Some(address) = self.neighbours.borrow().any(draw) {
-            self.tell(address, &Neighbourly::Wanted(topic));
+            self.tell(address, &NeighbourMessage::SnapshotRequest(topic));
         }
     }
 
@@ -144,12 +144,12 @@
             return;
         };
         let held = self.held(topic, next, false);
-        self.tell_whole(to, topic, &Neighbourly::Held(held));
+        self.tell_whole(to, topic, &NeighbourMessage::Snapshot(held));
     }
 
-    fn held(&self, topic: Topic, next: u64, shared: bool) -> Held {
+    fn held(&self, topic: Topic, next: u64, shared: bool) -> TopicSnapshot {
         let records = self.shelves.borrow_mut().of(topic).records.clone();
-        Held {
+        TopicSnapshot {
             topic,
             next,
             shared,
@@ -168,7 +168,7 @@
         let lacking = !askers.is_empty() || first && self.knows_neighbours();
         if let (true, Some(next)) = (lacking, next) {
             let held = self.held(topic, next, true);
-            self.spread(topic, &Neighbourly::Held(held));
+            self.spread(topic, &NeighbourMessage::Snapshot(held));
         }
     }
 
@@ -184,19 +184,19 @@
             self.hand_over(to, topic);
             return;
         };
-        let news = News {
+        let news = RecordUpdate {
             topic,
             reader: self.settings.peers,
-            teller: self.settings.peers,
-            abroad: false,
+            relay_root: self.settings.peers,
+            cross_centre: false,
             from,
             records,
         };
-        self.tell_whole(to, topic, &Neighbourly::News(news));
+        self.tell_whole(to, topic, &NeighbourMessage::Update(news));
     }
 
     /// Takes in what a neighbour hands over.
-    pub(super) fn take_held(self: &Rc<Self>, held: Held) {
+    pub(super) fn take_held(self: &Rc<Self>, held: TopicSnapshot) {
         let (topic, next) = (held.topic, held.next);
         if self
             .feed(topic, |feed| feed.next())
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -1,8 +1,8 @@
 //! Learns the rate limits that endpoints advertise, from them and from other hosts.
 
 use hyper::HeaderMap;
-use protocol::limits::Limits;
-use protocol::news::Neighbourly;
+use protocol::limit_report::LimitReport;
+use protocol::neighbour::NeighbourMessage;
 use state::EndpointKey;
 use state::fleet::rate_limit::{Advice, Source};
 
@@ -35,9 +35,9 @@
         drop(registry);
         let granted = |_: &Advice| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
         if let Some(advice) = advice.filter(granted) {
-            self.tell_site(|abroad| {
-                Neighbourly::Limits(Limits {
-                    abroad,
+            self.tell_site(|cross_centre| {
+                NeighbourMessage::LimitReport(LimitReport {
+                    cross_centre,
                     advice: vec![advice],
                 })
             });
@@ -45,15 +45,15 @@
     }
 
     /// Takes in what another host has heard of endpoints' rate limits.
-    pub(super) fn hear_limits(&self, limits: Limits) {
+    pub(super) fn hear_limits(&self, limits: LimitReport) {
         let mut registry = self.registry.borrow_mut();
         for advice in &limits.advice {
             registry.hear_limit(advice);
         }
         drop(registry);
-        if limits.abroad {
-            self.tell_all(&Neighbourly::Limits(Limits {
-                abroad: false,
+        if limits.cross_centre {
+            self.tell_all(&NeighbourMessage::LimitReport(LimitReport {
+                cross_centre: false,
                 ..limits
             }));
         }
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -35,7 +35,7 @@
 
 use coordination::neighbours::Neighbours;
 use coordination::read_schedule::ReadSchedule;
-use protocol::news::Topic;
+use protocol::neighbour::Topic;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use state::fleet::repeats::RepeatBounds;
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -7,7 +7,7 @@
 
 use coordination::neighbours::{self, Contact, GreetingEffect};
 use coordination::relay;
-use protocol::news::{DATAGRAM_LIMIT, Hello, Neighbourly, News, Topic};
+use protocol::neighbour::{DATAGRAM_LIMIT, Hello, NeighbourMessage, RecordUpdate, Topic};
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval, sleep};
@@ -87,9 +87,9 @@
     }
 
     /// Tells other data centres what this host has read.
-    pub(super) fn tell_abroad(self: &Rc<Self>, news: &News) {
+    pub(super) fn tell_abroad(self: &Rc<Self>, news: &RecordUpdate) {
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
-        let message = Neighbourly::News(news.for_abroad());
+        let message = NeighbourMessage::Update(news.for_other_centres());
         let mut seconds = Vec::new();
         for hosts in contacts {
             let mut hosts = hosts.into_iter();
@@ -132,9 +132,9 @@
             known.add_remote(contact.clone(), now);
         }
         drop(known);
-        self.tell_all(&Neighbourly::Hello(Hello {
+        self.tell_all(&NeighbourMessage::Hello(Hello {
             centre: self.settings.data_centre.clone(),
-            seeks: false,
+            wants_hosts: false,
             neighbours: hosts,
             contacts: neighbours::sample_by_centre(others, draw),
         }));
@@ -153,22 +153,25 @@
     ///
     /// Where many read something large at the same moment, only one that `spreads` it
     /// tells them, and none that is hearing it: the links would be filled twice.
-    pub(super) fn tell_news(self: &Rc<Self>, news: News, spreads: bool) {
+    pub(super) fn tell_news(self: &Rc<Self>, news: RecordUpdate, spreads: bool) {
         match news.size() {
-            n if n <= SMALL => self.tell_all(&Neighbourly::News(news)),
+            n if n <= SMALL => self.tell_all(&NeighbourMessage::Update(news)),
             n if n <= DATAGRAM_LIMIT => self.pass_on(&news),
             _ if spreads && !self.awaits(news.topic) => {
-                self.spread(news.topic, &Neighbourly::News(news.anonymous()));
+                self.spread(
+                    news.topic,
+                    &NeighbourMessage::Update(news.without_addresses()),
+                );
             }
             _ => {}
         }
     }
 
     /// Passes on what a neighbour, or this host, has read.
-    fn pass_on(&self, news: &News) {
+    fn pass_on(&self, news: &RecordUpdate) {
         let known = self.neighbours.borrow_mut().current(clock::now());
-        let message = Neighbourly::News(news.clone());
-        for hop in relay::next_hops(self.settings.peers, news.teller, &known) {
+        let message = NeighbourMessage::Update(news.clone());
+        for hop in relay::next_hops(self.settings.peers, news.relay_root, &known) {
             self.tell(hop, &message);
         }
     }
@@ -190,7 +193,7 @@
     }
 
     fn take_datagram(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
-        let message = match Neighbourly::decode(datagram) {
+        let message = match NeighbourMessage::decode(datagram) {
             Ok(message) => message,
             Err(error) => {
                 log::warn!("E0405 datagram-refused from={from} error={error}");
@@ -199,46 +202,46 @@
         };
         self.traffic.borrow_mut().received(&message, datagram.len());
         match message {
-            Neighbourly::News(news) if news.abroad => self.take_abroad(news, from),
-            Neighbourly::News(news) => {
+            NeighbourMessage::Update(news) if news.cross_centre => self.take_abroad(news, from),
+            NeighbourMessage::Update(news) => {
                 let new = self.take_news(&news, from);
                 let further = self.passes_on(&news);
                 if (new || further) && news.size() > SMALL {
                     self.pass_on(&news);
                 }
             }
-            Neighbourly::Reading(topic) => {
+            NeighbourMessage::ReadStarted(topic) => {
                 self.meet(from);
                 self.take_reading(topic);
             }
-            Neighbourly::Trouble(topic) => self.take_trouble(topic),
-            Neighbourly::Wanted(topic) => {
+            NeighbourMessage::ReadFailed(topic) => self.take_trouble(topic),
+            NeighbourMessage::SnapshotRequest(topic) => {
                 self.meet(from);
                 self.hand_over(from, topic);
             }
-            Neighbourly::Held(held) => self.take_held(held),
-            Neighbourly::Missing(topic, next) => self.send_again(from, topic, next),
-            Neighbourly::Fragment(topic, fragment) => self.take_fragment(topic, &fragment),
-            Neighbourly::FragmentRequest(topic, r) => self.take_lacking(from, topic, &r),
-            Neighbourly::Hello(hello) => self.take_hello(from, hello),
-            Neighbourly::Crashes(crashes) => self.learn_crashes(crashes),
-            Neighbourly::Limits(limits) => self.hear_limits(limits),
-            Neighbourly::Borrow(number) => self.lend_questions(from, number),
-            Neighbourly::Lend(loan) => {
+            NeighbourMessage::Snapshot(held) => self.take_held(held),
+            NeighbourMessage::RecordsRequest(topic, next) => self.send_again(from, topic, next),
+            NeighbourMessage::Fragment(topic, fragment) => self.take_fragment(topic, &fragment),
+            NeighbourMessage::FragmentRequest(topic, r) => self.take_lacking(from, topic, &r),
+            NeighbourMessage::Hello(hello) => self.take_hello(from, hello),
+            NeighbourMessage::CrashReport(crashes) => self.learn_crashes(crashes),
+            NeighbourMessage::LimitReport(limits) => self.hear_limits(limits),
+            NeighbourMessage::Borrow(number) => self.lend_questions(from, number),
+            NeighbourMessage::Lend(loan) => {
                 let mut asks = self.asks.borrow_mut();
-                asks.borrowed(loan.number, loan.questions);
+                asks.borrowed(loan.request_id, loan.probes);
             }
         }
     }
 
     /// Returns whether news are yet to be passed on, and notes that they are.
-    fn passes_on(&self, news: &News) -> bool {
+    fn passes_on(&self, news: &RecordUpdate) -> bool {
         let mut neighbours = self.neighbours.borrow_mut();
         let passed = match news.topic {
             Topic::Operators => &mut neighbours.operators,
             Topic::Endpoints => &mut neighbours.endpoints,
         };
-        passed.mark(news.teller, news.next())
+        passed.mark(news.relay_root, news.next())
     }
 
     fn take_hello(&self, from: SocketAddr, hello: Hello) {
@@ -248,7 +251,7 @@
             .borrow_mut()
             .greeting_received(from, &hello.centre, now);
         match greeted {
-            _ if hello.seeks => {
+            _ if hello.wants_hosts => {
                 self.tell(from, &self.list(&hello.centre));
                 if let Some(crashes) = self.known_crashes() {
                     self.tell(from, &crashes);
@@ -268,11 +271,11 @@
         }
     }
 
-    /// Returns the greeting; `seeks` asks whom the other knows.
-    fn hello(&self, seeks: bool) -> Neighbourly {
-        Neighbourly::Hello(Hello {
+    /// Returns the greeting; `wants_hosts` asks whom the other knows.
+    fn hello(&self, wants_hosts: bool) -> NeighbourMessage {
+        NeighbourMessage::Hello(Hello {
             centre: self.settings.data_centre.clone(),
-            seeks,
+            wants_hosts,
             neighbours: Vec::new(),
             contacts: Vec::new(),
         })
@@ -282,19 +285,19 @@
     ///
     /// Were they named in every greeting, the bytes would grow with the square
     /// of the hosts: 250 KB a second and host where a data centre has a hundred.
-    fn list(&self, centre: &str) -> Neighbourly {
+    fn list(&self, centre: &str) -> NeighbourMessage {
         let now = clock::now();
         let mut known = self.neighbours.borrow_mut();
-        Neighbourly::Hello(Hello {
+        NeighbourMessage::Hello(Hello {
             centre: self.settings.data_centre.clone(),
-            seeks: false,
+            wants_hosts: false,
             neighbours: known.hosts_of(centre, now),
             contacts: known.remote_sample(now),
         })
     }
 
     /// Tells all neighbours.
-    pub(super) fn tell_all(&self, message: &Neighbourly) {
+    pub(super) fn tell_all(&self, message: &NeighbourMessage) {
         let addresses = self.neighbours.borrow_mut().current(clock::now());
         for address in addresses {
             self.tell(address, message);
@@ -304,7 +307,7 @@
     /// Tells all hosts: the neighbours, and some elsewhere that tell theirs.
     ///
     /// `message` makes the message, by whether it goes to another data centre.
-    pub(super) fn tell_site(&self, message: impl Fn(bool) -> Neighbourly) {
+    pub(super) fn tell_site(&self, message: impl Fn(bool) -> NeighbourMessage) {
         self.tell_all(&message(false));
         let abroad = message(true);
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
@@ -314,7 +317,7 @@
     }
 
     /// Tells one neighbour.
-    pub(super) fn tell(&self, address: SocketAddr, message: &Neighbourly) {
+    pub(super) fn tell(&self, address: SocketAddr, message: &NeighbourMessage) {
         let datagram = message.encode();
         self.traffic.borrow_mut().sent(message, datagram.len());
         send(&self.socket, address, &datagram);
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use hyper::HeaderMap;
-use protocol::crashes::{Crashes, Ended};
-use protocol::news::Neighbourly;
+use protocol::crash_report::{CrashReport, CrashedRun};
+use protocol::neighbour::NeighbourMessage;
 use state::fleet::quarantine::{Admission, Crash, Finding, Witness};
 use state::fleet::{Fingerprints, Quarantine};
 use state::{EndpointKey, Moment};
@@ -147,20 +147,20 @@
         let told = suspects.reports.take(runs.len(), now);
         drop(suspects);
         findings.iter().for_each(log_finding);
-        let ended = runs.iter().take(told).map(|run| Ended {
+        let ended = runs.iter().take(told).map(|run| CrashedRun {
             request: run.request,
             ran: run.at.since(run.sent),
             age: now.since(run.at),
         });
-        let ended: Vec<Ended> = ended.collect();
+        let ended: Vec<CrashedRun> = ended.collect();
         self.tell_crashes(&ended, &findings);
     }
 
     /// Takes in what another host tells of such requests.
-    pub(super) fn learn_crashes(&self, crashes: Crashes) {
+    pub(super) fn learn_crashes(&self, crashes: CrashReport) {
         let now = clock::now();
         let mut suspects = self.suspects.borrow_mut();
-        for ended in &crashes.ended {
+        for ended in &crashes.runs {
             let at = now - ended.age;
             let crash = Crash {
                 request: ended.request,
@@ -176,16 +176,16 @@
             }
         }
         drop(suspects);
-        if crashes.abroad {
-            self.tell_all(&Neighbourly::Crashes(Crashes {
-                abroad: false,
+        if crashes.cross_centre {
+            self.tell_all(&NeighbourMessage::CrashReport(CrashReport {
+                cross_centre: false,
                 ..crashes
             }));
         }
     }
 
     /// Returns what a host that has just started is to know, nothing where there is nothing.
-    pub(super) fn known_crashes(&self) -> Option<Neighbourly> {
+    pub(super) fn known_crashes(&self) -> Option<NeighbourMessage> {
         let suspects = self.suspects.borrow();
         let findings = suspects.quarantine.findings(clock::now());
         (!findings.is_empty()).then(|| message(false, Vec::new(), findings))
@@ -213,17 +213,17 @@
     }
 
     /// Tells all hosts of runs that ended with their endpoint, and of what that led to.
-    fn tell_crashes(&self, ended: &[Ended], findings: &[Finding]) {
+    fn tell_crashes(&self, ended: &[CrashedRun], findings: &[Finding]) {
         if !ended.is_empty() || !findings.is_empty() {
-            self.tell_site(|abroad| message(abroad, ended.to_vec(), findings.to_vec()));
+            self.tell_site(|cross_centre| message(cross_centre, ended.to_vec(), findings.to_vec()));
         }
     }
 }
 
-fn message(abroad: bool, ended: Vec<Ended>, findings: Vec<Finding>) -> Neighbourly {
-    Neighbourly::Crashes(Crashes {
-        abroad,
-        ended,
+fn message(cross_centre: bool, runs: Vec<CrashedRun>, findings: Vec<Finding>) -> NeighbourMessage {
+    NeighbourMessage::CrashReport(CrashReport {
+        cross_centre,
+        runs,
         findings,
     })
 }
--- a/components/transport/src/gateway/traffic.rs
+++ b/components/transport/src/gateway/traffic.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use protocol::news::Neighbourly;
+use protocol::neighbour::NeighbourMessage;
 use tokio::time::sleep;
 
 use super::Gateway;
@@ -42,12 +42,12 @@
 
 impl Traffic {
     /// Counts a datagram that was sent.
-    pub fn sent(&mut self, message: &Neighbourly, bytes: usize) {
+    pub fn sent(&mut self, message: &NeighbourMessage, bytes: usize) {
         self.sent.entry(message.kind()).or_default().add(bytes);
     }
 
     /// Counts a datagram that came.
-    pub fn received(&mut self, message: &Neighbourly, bytes: usize) {
+    pub fn received(&mut self, message: &NeighbourMessage, bytes: usize) {
         self.received.entry(message.kind()).or_default().add(bytes);
     }
 }
--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use coordination::config::{Answer, CommandId, Fold, Position, Record, Snapshot, SnapshotPolicy};
 use derives::value;
-use protocol::record::{decode_record, encode_snapshot};
+use protocol::config_record::{decode_record, encode_snapshot};
 use state::{Config, Moment};
 use tokio::sync::{broadcast, watch};
 
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -6,7 +6,7 @@
 
 use coordination::config::{Answer, Applied, Fold, LogView, Record, SnapshotTimer, Unreadable};
 use platform::store::Read;
-use protocol::record::{decode_record, encode_snapshot};
+use protocol::config_record::{decode_record, encode_snapshot};
 use rand::Rng;
 use state::Moment;
 
--- a/components/transport/src/log/submit.rs
+++ b/components/transport/src/log/submit.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use coordination::config::{Answer, Applied, Change, Command, CommandId, Fold, Record};
 use derives::value;
-use protocol::record::{encode_begin, encode_command};
+use protocol::config_record::{encode_begin, encode_command};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use state::Config;
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use coordination::config::{Change, CommandId, SnapshotPolicy};
-use protocol::record::encode_command;
+use protocol::config_record::encode_command;
 use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
 use stand_ins::proxy::{Fault, Proxy};
 use state::Config;
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -6,7 +6,7 @@
 
 use common::Rig;
 use coordination::config::Record;
-use protocol::record::decode_record;
+use protocol::config_record::decode_record;
 use stand_ins::history::{Order, Outcome};
 use transport::log::{CONFIG_STREAM, LogClient, PATIENCE};
 
