--- a/components/transport/src/gateway/ask.rs
+++ b/components/transport/src/gateway/ask.rs
@@ -254,7 +254,7 @@
         let Some(state) = registry.get_mut(key) else {
             return false;
         };
-        let other = platform::fields::answered_by(fields)
+        let other = platform::headers::instance_id(fields)
             .is_some_and(|name| name != state.endpoint.instance);
         if other {
             log::debug!(
@@ -263,8 +263,8 @@
             );
             return false;
         }
-        state.note_cold(platform::fields::cold_left(fields), now);
-        let told = platform::fields::load(fields, well, now);
+        state.note_cold(platform::headers::warmup_remaining(fields), now);
+        let told = platform::headers::load_report(fields, well, now);
         state.see(told.unwrap_or_else(|| untold(state.running, state.endpoint.slots, well, now)));
         registry.answered(key);
         drop(registry);
@@ -282,7 +282,7 @@
         let mut room = None;
         with_state(&mut self.registry.borrow_mut(), key, |state| {
             let well = state.look.is_none_or(|l| l.well);
-            if let Some(look) = platform::fields::load(fields, well, now) {
+            if let Some(look) = platform::headers::load_report(fields, well, now) {
                 state.see(look);
                 room = state.is_good(now).then_some(state.endpoint.service);
             }
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -175,7 +175,7 @@
         // This host has answered an expectation by reading the body.
         fields.remove(EXPECT);
         let left = clock::now().until(self.request.deadline);
-        platform::fields::address_request(&mut fields, &endpoint.instance, left);
+        platform::headers::set_request_headers(&mut fields, &endpoint.instance, left);
         *request.headers_mut() = fields;
         Some(request)
     }
@@ -188,7 +188,7 @@
         mut incoming: Incoming,
         (sent, pace): (Moment, f64),
     ) -> Ending {
-        if !platform::fields::belongs(&self.parts.headers, &parts.headers) {
+        if !platform::headers::matches_request(&self.parts.headers, &parts.headers) {
             return Ending::Lost("the answer belongs to another request");
         }
         let mut start = BytesMut::new();
@@ -226,7 +226,7 @@
     fn sort(&self, answer: Box<Answer>) -> Ending {
         let fields = &answer.parts.headers;
         match answer.parts.status {
-            status if platform::fields::says_not_run(fields) => {
+            status if platform::headers::is_not_run(fields) => {
                 self.hide();
                 match status {
                     StatusCode::MISDIRECTED_REQUEST => {
@@ -239,7 +239,7 @@
                 self.hide();
                 Ending::Rejected("another endpoint is there")
             }
-            _ if !platform::fields::is_signed(fields) => Ending::Lost("the answer is not signed"),
+            _ if !platform::headers::is_signed(fields) => Ending::Lost("the answer is not signed"),
             _ if fields.contains_key(CONTENT_ENCODING) => {
                 Ending::Lost("the answer's body is encoded")
             }
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -138,7 +138,7 @@
     let service = route
         .part(gateway.draw())
         .ok_or(Denial::NotRun("the route has no service", SOON))?;
-    let patience = platform::fields::time_left(&parts.headers).unwrap_or(route.timeout);
+    let patience = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
         gateway,
         parts,
@@ -202,7 +202,7 @@
     /// back to another host that has just started, and callers come back once or
     /// twice only.
     async fn await_knowledge(&self, parts: &Parts) {
-        let left = platform::fields::time_left(&parts.headers).unwrap_or(START_LIMIT);
+        let left = platform::headers::time_remaining(&parts.headers).unwrap_or(START_LIMIT);
         let last = Instant::now() + left.mul_f64(START_SHARE).min(START_LIMIT);
         while !self.knows_all() {
             if timeout_at(last, self.known.notified()).await.is_err() {
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -14,8 +14,8 @@
     ///
     /// A rejection may leave it out, and ends none.
     pub(super) fn learn_limit(&self, key: EndpointKey, fields: &HeaderMap, source: Source) {
-        let rate = match platform::fields::rate_limit(fields) {
-            Ok(None) if platform::fields::says_not_run(fields) => return,
+        let rate = match platform::headers::rate_limit(fields) {
+            Ok(None) if platform::headers::is_not_run(fields) => return,
             Ok(rate) => rate,
             Err(error) => {
                 log::debug!("E0145 limit-unreadable error={error}");
--- a/components/transport/src/gateway/pool.rs
+++ b/components/transport/src/gateway/pool.rs
@@ -97,7 +97,7 @@
 impl Gateway {
     /// Keeps a connection whose last answer had these fields and was read whole.
     pub(super) fn keep(&self, connection: Connection, fields: &HeaderMap) {
-        let limit = platform::fields::idle_limit(fields);
+        let limit = platform::headers::keep_alive_timeout(fields);
         let most = self.kept_limit(connection.endpoint);
         self.pool
             .borrow_mut()
--- a/components/transport/src/gateway/refusal.rs
+++ b/components/transport/src/gateway/refusal.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue};
 use hyper::{HeaderMap, Response, StatusCode};
-use platform::fields::REQUEST_ID;
+use platform::headers::ATTEMPT_ID;
 use thiserror::Error;
 
 use super::answer::AnswerBody;
@@ -72,11 +72,11 @@
         *response.status_mut() = self.status();
         let fields = response.headers_mut();
         fields.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(id) = request.get(REQUEST_ID) {
-            fields.insert(REQUEST_ID, id.clone());
+        if let Some(id) = request.get(ATTEMPT_ID) {
+            fields.insert(ATTEMPT_ID, id.clone());
         }
         if let Some(time) = self.retry_after() {
-            platform::fields::set_retry_after(fields, time);
+            platform::headers::set_retry_after(fields, time);
         }
         if matches!(self, Denial::Body(_)) {
             // What is left of the body can't be told from the next request.
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -138,6 +138,6 @@
 }
 
 fn id(fields: &HeaderMap) -> &str {
-    let id = fields.get(platform::fields::REQUEST_ID);
+    let id = fields.get(platform::headers::ATTEMPT_ID);
     id.and_then(|v| v.to_str().ok()).unwrap_or("-")
 }
