--- a/components/stand_ins/src/log/groups.rs
+++ b/components/stand_ins/src/log/groups.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use platform::served::{Join, Owned};
+use platform::store_server::{Join, PartitionOwner};
 
 /// Topics of a group whose partitions are dealt; the platform's store passes over the rest.
 const TOPICS: usize = 20;
@@ -29,7 +29,7 @@
 
 impl Groups {
     /// Takes a member in, or keeps it; returns the generation and its partitions.
-    pub fn join(&mut self, join: Join) -> (u64, Vec<Owned>) {
+    pub fn join(&mut self, join: Join) -> (u64, Vec<PartitionOwner>) {
         let group = self.0.entry(join.group).or_default();
         group.lapse();
         if group.topics != join.topics {
@@ -48,7 +48,7 @@
     }
 
     /// Returns who holds each partition of a group.
-    pub fn owners(&mut self, group: &str) -> Vec<Owned> {
+    pub fn owners(&mut self, group: &str) -> Vec<PartitionOwner> {
         let Some(group) = self.0.get_mut(group) else {
             return Vec::new();
         };
@@ -68,17 +68,19 @@
     }
 
     /// Deals the partitions to the members in turn.
-    fn owned(&self) -> impl Iterator<Item = Owned> {
+    fn owned(&self) -> impl Iterator<Item = PartitionOwner> {
         let parts = self
             .topics
             .iter()
             .take(TOPICS)
             .flat_map(|t| (0..PARTS).map(move |p| (t.clone(), p)));
         let members = self.members.keys().cycle();
-        parts.zip(members).map(|((topic, part), member)| Owned {
-            topic,
-            part,
-            member: member.clone(),
-        })
+        parts
+            .zip(members)
+            .map(|((topic, partition), member)| PartitionOwner {
+                topic,
+                partition,
+                member: member.clone(),
+            })
     }
 }
--- a/components/stand_ins/src/log/server.rs
+++ b/components/stand_ins/src/log/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use platform::served::{self, Call};
+use platform::store_server::{self, Call};
 use serde::Serialize;
 use socket2::SockRef;
 use tiny_http::{Method, Request, Response, Server};
@@ -176,7 +176,7 @@
         Method::Post => body(request)?,
         _ => Vec::new(),
     };
-    served::call(path, Bytes::from(body))
+    store_server::parse_call(path, Bytes::from(body))
 }
 
 type Answer = Response<io::Cursor<Vec<u8>>>;
@@ -192,7 +192,7 @@
             Ok(appended) => match appended.loss {
                 Some(Loss::Silence) => return None,
                 Some(Loss::Gateway) => return Some(refuse(504)),
-                None => Ok(served::append_answer(appended.offset, appended.end)),
+                None => Ok(store_server::append_answer(appended.offset, appended.end)),
             },
             Err(refused) => Err(refused),
         },
@@ -203,20 +203,24 @@
             wait,
         } => store
             .read(&topic, from, bytes, wait)
-            .map(|read| served::read_answer(read.first, read.end, &read.records)),
+            .map(|read| store_server::read_answer(read.first, read.end, &read.records)),
         Call::Trim { topic, before } => {
             store.trim(&topic, before);
             Ok(b"{}".to_vec())
         }
         Call::Newest { topic, after } => {
             let page = store.newest(&topic, after.as_deref());
-            Ok(served::newest_answer(&page.records, page.more, page.end))
+            Ok(store_server::newest_answer(
+                &page.records,
+                page.more,
+                page.end,
+            ))
         }
         Call::Join(join) => {
             let (generation, parts) = store.join(join);
-            Ok(served::join_answer(generation, &parts))
+            Ok(store_server::join_answer(generation, &parts))
         }
-        Call::Owners { group } => Ok(served::owners_answer(&store.owners(&group))),
+        Call::Owners { group } => Ok(store_server::owners_answer(&store.owners(&group))),
     };
     Some(match result {
         Ok(body) => Response::from_data(body),
@@ -229,10 +233,10 @@
         Refused::Down => refuse(503),
         Refused::Budget => refuse(429),
         Refused::Moved(end) => {
-            Response::from_data(served::append_answer(*end, *end)).with_status_code(412)
+            Response::from_data(store_server::append_answer(*end, *end)).with_status_code(412)
         }
         Refused::Gone(first) => {
-            Response::from_data(served::forgotten_answer(*first)).with_status_code(410)
+            Response::from_data(store_server::trimmed_answer(*first)).with_status_code(410)
         }
     }
 }
--- a/components/stand_ins/src/log/store.rs
+++ b/components/stand_ins/src/log/store.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use derives::{tag, value};
-use platform::served::{Call, Join, Owned};
-use platform::store::{Read, Record, encode, record};
+use platform::store::{ReadAnswer, Record, decode_record, encode_record};
+use platform::store_server::{Call, Join, PartitionOwner};
 use serde::{Deserialize, Serialize};
 use transport::peers::host_list::HostEntry;
 
@@ -127,7 +127,7 @@
     /// Notes what stands under the key of a record of a topic with keys.
     fn note_newest(&mut self, data: &Bytes) {
         let offset = self.end();
-        match record(data.clone()) {
+        match decode_record(data.clone()) {
             Some(Record {
                 key,
                 value: Some(value),
@@ -159,7 +159,7 @@
     }
 
     /// Returns records of at most `bytes`, but always one where there is one.
-    fn read(&self, from: u64, bytes: usize) -> Read {
+    fn read(&self, from: u64, bytes: usize) -> ReadAnswer {
         let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
         let mut taken = 0;
         let mut records = Vec::new();
@@ -170,7 +170,7 @@
             }
             records.push(kept.data.clone());
         }
-        Read {
+        ReadAnswer {
             records,
             from,
             first: self.first,
@@ -387,7 +387,7 @@
             key: key.to_owned(),
             value,
         };
-        let Some(data) = encode(&record) else {
+        let Some(data) = encode_record(&record) else {
             log::error!("E0903 key-too-long key={key:?}");
             return;
         };
@@ -419,7 +419,7 @@
         from: u64,
         bytes: usize,
         wait: Duration,
-    ) -> Result<Read, Refused> {
+    ) -> Result<ReadAnswer, Refused> {
         let nothing_new = |i: &mut Inner| {
             let end = i.topics.get(name).map_or(0, Topic::end);
             !i.stopped && i.behaviour.outage.is_none() && end <= from
@@ -471,11 +471,11 @@
         }
     }
 
-    pub(super) fn join(&self, join: Join) -> (u64, Vec<Owned>) {
+    pub(super) fn join(&self, join: Join) -> (u64, Vec<PartitionOwner>) {
         self.lock().groups.join(join)
     }
 
-    pub(super) fn owners(&self, group: &str) -> Vec<Owned> {
+    pub(super) fn owners(&self, group: &str) -> Vec<PartitionOwner> {
         self.lock().groups.owners(group)
     }
 
@@ -486,5 +486,5 @@
 
 /// Returns whether a topic's records have keys.
 fn has_keys(topic: &str) -> bool {
-    topic.starts_with(platform::store::WITH_KEYS)
+    topic.starts_with(platform::store::KEYED_PREFIX)
 }
--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/log_calls.rs
@@ -88,16 +88,16 @@
     let topics = ["hosts-0".to_owned(), "hosts-1".to_owned()];
     let body = |member, timeout| platform::store::join_body("g", member, &topics, timeout, 0);
     let alone = store.join(body("one", 60.0)).await.unwrap();
-    assert_eq!(alone.parts, 24);
+    assert_eq!(alone.partitions, 24);
     let second = other.join(body("two", 60.0)).await.unwrap();
-    assert_eq!(second.parts, 12);
+    assert_eq!(second.partitions, 12);
     assert!(second.generation > alone.generation);
     let owners = store.owners("g").await.unwrap();
     assert_eq!(owners, BTreeSet::from(["one".to_owned(), "two".to_owned()]));
     // It is kept no longer than this very call.
     other.join(body("two", 0.0)).await.unwrap();
     let again = store.join(body("one", 60.0)).await.unwrap();
-    assert_eq!(again.parts, 24);
+    assert_eq!(again.partitions, 24);
 }
 
 /// Partitions that hosts divide by but the store deals to nobody are a part of each bound
@@ -108,7 +108,7 @@
     let topics = group_joins::group_topics();
     let body = platform::store::join_body("g", "one", &topics, 60.0, 0);
     let alone = store.join(body).await.unwrap();
-    assert_eq!(alone.parts, group_joins::GROUP_TOPICS * 12);
+    assert_eq!(alone.partitions, group_joins::GROUP_TOPICS * 12);
 }
 
 /// More reads come in a second than the store grants: the rest is refused, and
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -211,7 +211,7 @@
             let mut shelves = self.shelves.borrow_mut();
             shelves.of(topic).recent.push(offset, bytes.clone());
             drop(shelves);
-            let Some(record) = platform::store::record(bytes.clone()) else {
+            let Some(record) = platform::store::decode_record(bytes.clone()) else {
                 log::error!("E0304 record-skipped topic={topic:?} error=damaged");
                 continue;
             };
@@ -274,7 +274,7 @@
     fn take_all_orders(&self, records: &[Record]) {
         let named: BTreeSet<DataCentreKey> = records
             .iter()
-            .filter_map(|r| match operator::subject(&r.key) {
+            .filter_map(|r| match operator::classify_key(&r.key) {
                 Subject::Leaving(centre) => Some(centre),
                 _ => None,
             })
@@ -289,7 +289,7 @@
     }
 
     fn take_order(&self, record: &Record) {
-        match (operator::subject(&record.key), &record.value) {
+        match (operator::classify_key(&record.key), &record.value) {
             (Subject::Leaving(centre), value) => self.set_leaving(centre, value.is_some()),
             (Subject::Catalogue, Some(value)) => self.take_catalogue(value),
             (Subject::Catalogue, None) => {
@@ -384,5 +384,5 @@
     if let Err(error) = &result {
         log::warn!("E0304 record-skipped key={:?} error={error:?}", record.key);
     }
-    Some(endpoint::entry(result))
+    Some(endpoint::registry_entry(result))
 }
--- a/components/transport/src/gateway/held.rs
+++ b/components/transport/src/gateway/held.rs
@@ -56,7 +56,7 @@
     /// Takes in all that the store holds.
     pub fn replace(&mut self, records: &[Record]) {
         let encoded = records.iter().filter_map(|r| {
-            let bytes = platform::store::encode(r)?;
+            let bytes = platform::store::encode_record(r)?;
             Some((r.key.clone(), bytes))
         });
         self.records = encoded.collect();
@@ -207,7 +207,7 @@
         let records: Vec<Record> = held
             .records
             .into_iter()
-            .filter_map(platform::store::record)
+            .filter_map(platform::store::decode_record)
             .collect();
         log::info!(
             "E0317 topic-handed-over topic={topic:?} records={}",
--- a/components/transport/src/gateway/share.rs
+++ b/components/transport/src/gateway/share.rs
@@ -96,8 +96,8 @@
         let body = platform::store::join_body(GROUP, member, topics, timeout, generation);
         match store.join(body).await {
             Ok(membership) => {
-                self.set_share(membership.parts);
-                joins.join_succeeded(membership.generation, membership.parts)
+                self.set_share(membership.partitions);
+                joins.join_succeeded(membership.generation, membership.partitions)
             }
             Err(error) => {
                 log::warn!("E0315 share-not-renewed error={error:?}");
--- a/components/transport/src/log/client.rs
+++ b/components/transport/src/log/client.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use derives::value;
-use platform::store::Read;
+use platform::store::ReadAnswer;
 use tokio::runtime;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{LocalSet, spawn_local};
@@ -53,7 +53,7 @@
         kilobytes: Option<u32>,
         wait: Duration,
         limit: Duration,
-        answer: SyncSender<Result<Read, StoreError>>,
+        answer: SyncSender<Result<ReadAnswer, StoreError>>,
     },
 }
 
@@ -134,7 +134,7 @@
         from: u64,
         kilobytes: Option<u32>,
         wait: Duration,
-    ) -> Result<Read, ReadError> {
+    ) -> Result<ReadAnswer, ReadError> {
         let (answer, answered) = sync_channel(1);
         let call = Call::Read {
             topic: topic.to_owned(),
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coordination::config::{Answer, Applied, Fold, LogView, Record, SnapshotTimer, Unreadable};
-use platform::store::Read;
+use platform::store::ReadAnswer;
 use protocol::config_record::{decode_record, encode_snapshot};
 use rand::Rng;
 use state::Moment;
@@ -36,7 +36,7 @@
 pub(super) struct ReadEnd {
     from: u64,
     sent: Moment,
-    page: Result<Read, ReadError>,
+    page: Result<ReadAnswer, ReadError>,
 }
 
 /// Reads page after page, and a second time where the first read is silent.
@@ -138,7 +138,7 @@
         }
     }
 
-    fn fold(&mut self, page: &Read, sent: Moment) {
+    fn fold(&mut self, page: &ReadAnswer, sent: Moment) {
         let mut fold = lock(&self.shared.fold);
         fold.log_trimmed(page.first);
         for (offset, record) in (page.from..).zip(&page.records) {
@@ -170,7 +170,7 @@
 
     /// Appends a snapshot where one is due, on a thread of its own: a log that
     /// does not answer must not hold up reading.
-    fn append_snapshot(&mut self, page: &Read) {
+    fn append_snapshot(&mut self, page: &ReadAnswer) {
         let Some(timer) = &mut self.timer else {
             return;
         };
@@ -257,7 +257,7 @@
 }
 
 /// Says why the configuration is missing or old, for readiness and status.
-fn trouble(fold: &Fold, page: &Read) -> Option<String> {
+fn trouble(fold: &Fold, page: &ReadAnswer) -> Option<String> {
     match fold.skipped_newer() {
         _ if fold.is_behind() => Some(format!(
             "the log's records before {} are gone and no snapshot has come yet",
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use platform::store::{Membership, Newest, Read, StoreFormatError};
+use platform::store::{GroupMembership, NewestPage, ReadAnswer, StoreFormatError};
 use state::EndpointKey;
 use thiserror::Error;
 use tokio::time::{Instant, timeout};
@@ -126,7 +126,7 @@
         let answer = self
             .call(Method::POST, &path, body, self.answer_limit)
             .await?;
-        Ok(platform::store::appended(&answer)?)
+        Ok(platform::store::parse_append(&answer)?)
     }
 
     /// Returns a page of the newest records of a topic.
@@ -134,12 +134,16 @@
     /// # Errors
     ///
     /// Says why the call brought nothing.
-    pub async fn newest(&mut self, topic: &str, after: Option<&str>) -> Result<Newest, StoreError> {
+    pub async fn newest(
+        &mut self,
+        topic: &str,
+        after: Option<&str>,
+    ) -> Result<NewestPage, StoreError> {
         let path = platform::store::newest_path(topic, after);
         let body = self
             .call(Method::GET, &path, Bytes::new(), self.answer_limit)
             .await?;
-        Ok(platform::store::newest(&body)?)
+        Ok(platform::store::parse_newest(&body)?)
     }
 
     /// Reads a topic from an offset, and waits up to `wait` for a record.
@@ -155,12 +159,12 @@
         from: u64,
         wait: Duration,
         kilobytes: Option<u32>,
-    ) -> Result<Read, StoreError> {
+    ) -> Result<ReadAnswer, StoreError> {
         let millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let path = platform::store::read_path(topic, from, millis, kilobytes);
         let limit = wait + self.answer_limit;
         let body = self.call(Method::GET, &path, Bytes::new(), limit).await?;
-        Ok(platform::store::records(body, from)?)
+        Ok(platform::store::parse_read(body, from)?)
     }
 
     /// Joins a group, or stays in it.
@@ -168,12 +172,12 @@
     /// # Errors
     ///
     /// Says why the call brought nothing; it may have been carried out.
-    pub async fn join(&mut self, body: Vec<u8>) -> Result<Membership, StoreError> {
+    pub async fn join(&mut self, body: Vec<u8>) -> Result<GroupMembership, StoreError> {
         let path = platform::store::JOIN_PATH;
         let answer = self
             .call(Method::POST, path, Bytes::from(body), self.answer_limit)
             .await?;
-        Ok(platform::store::joined(&answer)?)
+        Ok(platform::store::parse_join(&answer)?)
     }
 
     /// Returns the members of a group that hold a partition.
@@ -186,7 +190,7 @@
         let body = self
             .call(Method::GET, &path, Bytes::new(), self.answer_limit)
             .await?;
-        Ok(platform::store::owners(&body)?)
+        Ok(platform::store::parse_owners(&body)?)
     }
 
     async fn call(
@@ -208,7 +212,7 @@
             StatusCode::OK => Ok(body),
             StatusCode::GONE => {
                 // Forgotten all the same where the rest of the answer makes no sense.
-                let first = platform::store::first_kept(&body)
+                let first = platform::store::parse_trimmed(&body)
                     .inspect_err(|e| log::warn!("E0319 log-answer-unclear error={e:?}"));
                 Err(StoreError::Forgotten(first.ok()))
             }
