--- a/benches/slots/world.rs
+++ b/benches/slots/world.rs
@@ -7,10 +7,10 @@
 use coordination::slots::message::{LeaseKey, SlotBody, SlotMessage};
 use coordination::slots::{Arrival, Effect, Ending, Identity, SlotManager};
 use protocol::PeerMessage;
+use state::capacity::{LoadReport, Readiness};
 use state::config::Member;
 use state::preset::{DataCentre, Endpoint, Preset, Service};
 use state::queue::CallKey;
-use state::warmth::{LoadReport, Mood};
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
 
 use crate::outcome::{Meter, Outcome};
@@ -233,7 +233,7 @@
             Event::Report(host, endpoint) => {
                 let report = LoadReport {
                     boot: "a".to_owned(),
-                    mood: Mood::Warm,
+                    readiness: Readiness::Warm,
                     running: 0,
                 };
                 self.step(host, |s, now| s.probed(endpoint, Some(&report), now))
--- a/components/coordination/src/slots/assignment.rs
+++ b/components/coordination/src/slots/assignment.rs
@@ -32,7 +32,7 @@
         if let Some(pool) = self.pools.get_mut(&service)
             && pool.queue.is_empty()
         {
-            pool.gate.note_empty(now);
+            pool.admission.note_empty(now);
         }
     }
 
@@ -50,7 +50,7 @@
             pool.queue.push_front(waiting);
             return false;
         };
-        pool.gate.note_start(pool.queue.len(), now);
+        pool.admission.note_start(pool.queue.len(), now);
         self.effects.push(Effect::Start {
             call: waiting.call,
             lease,
--- a/components/coordination/src/slots/calls.rs
+++ b/components/coordination/src/slots/calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use state::admission::Admission;
-use state::queue::{CallKey, Waiting};
+use state::queue::{CallKey, WaitingCall};
 use state::{EndpointKey, HostKey, Moment, ServiceKey};
 
 use super::held::{Freed, Usage};
@@ -213,7 +213,7 @@
                     .push(Effect::Refuse(waiting.call, Refusal::Expired));
             }
             if pool.queue.is_empty() {
-                pool.gate.note_empty(now);
+                pool.admission.note_empty(now);
             }
             let surplus = pool.take_surplus(now);
             if broker {
@@ -299,7 +299,7 @@
             .iter()
             .any(|e| !arrival.tried.contains(e));
         pool.note_arrival();
-        match pool.gate.decide(
+        match pool.admission.decide(
             pool.queue.len(),
             pool.queue.is_full(),
             now.until(arrival.deadline),
@@ -314,7 +314,7 @@
             }
             _ => {}
         }
-        pool.queue.push(Waiting {
+        pool.queue.push(WaitingCall {
             call: arrival.call,
             arrived: now,
             deadline: arrival.deadline,
@@ -394,9 +394,9 @@
             return;
         };
         let slow = match ending {
-            Ending::Answered => pool.norm.record(took),
+            Ending::Answered => pool.latency.record(took),
             Ending::Broken => true,
-            Ending::Cancelled if pool.norm.is_over(took) => true,
+            Ending::Cancelled if pool.latency.is_slow(took) => true,
             Ending::Cancelled | Ending::Unused | Ending::Shed | Ending::Unreachable => return,
         };
         if !flagged {
--- a/components/coordination/src/slots/mod.rs
+++ b/components/coordination/src/slots/mod.rs
@@ -25,8 +25,8 @@
 use std::time::Duration;
 
 use derives::{tag, value};
+use state::capacity::LoadReport;
 use state::queue::CallKey;
-use state::warmth::LoadReport;
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
 
 use broker::Broker;
@@ -302,7 +302,7 @@
     /// Takes in what a probe found, none where it got no answer.
     pub fn probed(&mut self, endpoint: EndpointKey, report: Option<&LoadReport>, now: Moment) {
         if let (Some(owned), Some(report)) = (self.owned.get_mut(&endpoint), report) {
-            owned.warmth.note_report(report, now);
+            owned.capacity.note_report(report, now);
             self.lease_out(endpoint, now);
         }
         self.finish_step(now);
--- a/components/coordination/src/slots/owned_endpoint.rs
+++ b/components/coordination/src/slots/owned_endpoint.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use state::capacity::Capacity;
 use state::probe::ProbeBudget;
-use state::warmth::Warmth;
 use state::{EndpointKey, HostKey, Moment};
 
 use super::lease_table::{GrantedLease, LeaseTable};
@@ -16,7 +16,7 @@
     /// The slots that are out.
     pub lease_table: LeaseTable,
     /// How much it bears.
-    pub warmth: Warmth,
+    pub capacity: Capacity,
     budget: ProbeBudget,
     urgent: bool,
     last_recall: Moment,
@@ -46,17 +46,17 @@
         handoff: Option<&EndpointHandoff>,
         now: Moment,
     ) -> OwnedEndpoint {
-        let mut warmth = Warmth::unknown(service_roles.slots, service_roles.cold_slots, now);
+        let mut capacity = Capacity::unknown(service_roles.slots, service_roles.cold_slots, now);
         let lease_table = match handoff {
             Some(handoff) => {
-                warmth.inherit(handoff.cap);
+                capacity.inherit(handoff.cap);
                 LeaseTable::from_handoff(handoff, service_roles.slots, now)
             }
             None => LeaseTable::with_fence(endpoint, service_roles.slots, now),
         };
         OwnedEndpoint {
             lease_table,
-            warmth,
+            capacity,
             budget: ProbeBudget::new(service_roles.slots, service_roles.probe_cost, now),
             urgent: true,
             last_recall: Moment(0),
@@ -74,7 +74,7 @@
     /// Takes over the sizes of a new configuration.
     pub fn resize(&mut self, service_roles: &ServiceRoles, now: Moment) {
         self.lease_table.resize(service_roles.slots);
-        self.warmth
+        self.capacity
             .resize(service_roles.slots, service_roles.cold_slots);
         if self.budget.cost() != service_roles.probe_cost {
             self.budget = ProbeBudget::new(service_roles.slots, service_roles.probe_cost, now);
@@ -95,7 +95,7 @@
 
     /// Leases the next slot to `broker`, as far as the cap allows.
     pub fn grant(&mut self, broker: HostKey, serial: u64, now: Moment) -> Option<Grant> {
-        if self.lease_table.leased() < self.warmth.cap() {
+        if self.lease_table.leased() < self.capacity.cap() {
             let lease = self.lease_table.grant(broker, serial, now)?;
             return Some(Grant {
                 lease,
@@ -103,7 +103,7 @@
             });
         }
         let idle = self.lease_table.leased() == 0 && self.lease_table.is_open(now);
-        if !idle || !self.warmth.take_trial(now) {
+        if !idle || !self.capacity.take_trial(now) {
             return None;
         }
         let lease = self.lease_table.grant(broker, serial, now)?;
@@ -116,7 +116,7 @@
 
     /// Returns the leases to call back: those above the cap.
     pub fn leases_to_recall(&mut self, leaving: bool, now: Moment) -> Vec<GrantedLease> {
-        let cap = if leaving { 0 } else { self.warmth.cap() };
+        let cap = if leaving { 0 } else { self.capacity.cap() };
         let above = self.lease_table.leased().saturating_sub(cap) as usize;
         if above == 0 || now.since(self.last_recall) < RECALL_INTERVAL {
             return Vec::new();
--- a/components/coordination/src/slots/owner.rs
+++ b/components/coordination/src/slots/owner.rs
@@ -61,8 +61,8 @@
             owned.lease_table.give_back(returned.lease);
             match returned.reason {
                 Reason::Idle => {}
-                Reason::Shed => owned.warmth.note_shed(now),
-                Reason::Unreachable => owned.warmth.note_unreachable(now),
+                Reason::Shed => owned.capacity.note_shed(now),
+                Reason::Unreachable => owned.capacity.note_unreachable(now),
             }
             if returned.reason != Reason::Idle {
                 owned.request_probe();
@@ -177,7 +177,7 @@
         for endpoint in endpoints {
             if let Some(owned) = self.owned.get_mut(&endpoint) {
                 owned.lease_table.expire(now);
-                owned.warmth.grow(now);
+                owned.capacity.grow(now);
             }
             self.recall(endpoint, now);
             self.lease_out(endpoint, now);
@@ -237,8 +237,8 @@
             let Some(owned) = self.owned.get_mut(&entry.endpoint) else {
                 continue;
             };
-            owned.warmth.note_answers(entry.slow, entry.total, now);
-            if owned.warmth.doubt().is_some() {
+            owned.capacity.note_answers(entry.slow, entry.total, now);
+            if owned.capacity.degradation().is_some() {
                 self.recall(entry.endpoint, now);
             }
         }
@@ -294,7 +294,7 @@
             if let Some(next) = endpoints.get(endpoint).and_then(|s| s.owner) {
                 let handoff = owned
                     .lease_table
-                    .handoff(owned.warmth.reached(), revision, now);
+                    .handoff(owned.capacity.base_cap(), revision, now);
                 if !owned.lease_table.is_untouched(now) {
                     recently_leased.insert(*endpoint, now);
                 }
--- a/components/coordination/src/slots/pool.rs
+++ b/components/coordination/src/slots/pool.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use derives::value;
-use state::admission::Gate;
-use state::norm::Norm;
+use state::admission::AdmissionControl;
+use state::latency::LatencyBaseline;
 use state::queue::Queue;
 use state::{HostKey, Moment, ServiceKey};
 
@@ -32,9 +32,9 @@
     /// The calls that wait.
     pub queue: Queue,
     /// Decides who may wait.
-    pub gate: Gate,
+    pub admission: AdmissionControl,
     /// What calls usually take.
-    pub norm: Norm,
+    pub latency: LatencyBaseline,
     /// Idle slots.
     pub idle: Vec<SlotKey>,
     /// Slots held, idle or not.
@@ -83,8 +83,8 @@
     pub fn new(limit: usize, now: Moment) -> SlotPool {
         SlotPool {
             queue: Queue::new(limit),
-            gate: Gate::new(now),
-            norm: Norm::default(),
+            admission: AdmissionControl::new(now),
+            latency: LatencyBaseline::default(),
             idle: Vec::new(),
             held: 0,
             received: 0,
--- a/components/coordination/src/slots/renewals.rs
+++ b/components/coordination/src/slots/renewals.rs
@@ -162,7 +162,7 @@
             .filter(|h| match h.usage {
                 Usage::Busy(since, false) => pools
                     .get(&h.service)
-                    .is_some_and(|d| d.norm.blames(now.since(since))),
+                    .is_some_and(|d| d.latency.is_endpoint_slow(now.since(since))),
                 _ => false,
             })
             .map(|h| h.lease.slot)
--- a/components/coordination/tests/slot_faults.rs
+++ b/components/coordination/tests/slot_faults.rs
@@ -5,10 +5,10 @@
 use coordination::slots::message::{LeaseKey, SlotMessage};
 use coordination::slots::timing::LEASE_TERM;
 use coordination::slots::{Arrival, Effect, Ending, Identity, Refusal, SlotManager};
+use state::capacity::{LoadReport, Readiness};
 use state::config::Member;
 use state::preset::{DataCentre, Endpoint, Preset, Service};
 use state::queue::CallKey;
-use state::warmth::{LoadReport, Mood};
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment};
 
 const SLOTS: u32 = 6;
@@ -193,7 +193,7 @@
                 self.probes += 1;
                 let report = LoadReport {
                     boot: self.boot.clone(),
-                    mood: Mood::Warm,
+                    readiness: Readiness::Warm,
                     running: 0,
                 };
                 self.act(n, |s, now| s.probed(endpoint, Some(&report), now));
--- a/components/coordination/tests/slot_safety.rs
+++ b/components/coordination/tests/slot_safety.rs
@@ -9,10 +9,10 @@
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use state::capacity::{LoadReport, Readiness};
 use state::config::Member;
 use state::preset::{DataCentre, Endpoint, Preset, Service};
 use state::queue::CallKey;
-use state::warmth::{LoadReport, Mood};
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
 
 const HOSTS: u64 = 4;
@@ -259,7 +259,7 @@
         {
             let report = LoadReport {
                 boot: "a".to_owned(),
-                mood: Mood::Warm,
+                readiness: Readiness::Warm,
                 running: 0,
             };
             self.hosts[n].slots.probed(endpoint, Some(&report), now);
--- a/components/protocol/src/crash_report.rs
+++ b/components/protocol/src/crash_report.rs
@@ -4,7 +4,7 @@
 
 use derives::value;
 use prost::Message;
-use state::fleet::quarantine::Finding;
+use state::fleet::quarantine::QuarantineUpdate;
 use state::fleet::{Fingerprint, Fingerprints};
 
 /// Runs that ended with their endpoint, or requests that are quarantined or cleared.
@@ -15,7 +15,7 @@
     /// Runs that ended with their endpoint.
     pub runs: Vec<CrashedRun>,
     /// Requests that are quarantined, or were lately.
-    pub findings: Vec<Finding>,
+    pub findings: Vec<QuarantineUpdate>,
 }
 
 /// A run that ended with its endpoint, in times that any host can read.
@@ -104,23 +104,23 @@
     }
 }
 
-impl From<&Finding> for WireFinding {
-    fn from(finding: &Finding) -> WireFinding {
+impl From<&QuarantineUpdate> for WireFinding {
+    fn from(finding: &QuarantineUpdate) -> WireFinding {
         WireFinding {
             request: finding.request.0,
             crashes: finding.crashes,
-            left_ms: millis(finding.left),
+            left_ms: millis(finding.remaining),
             age_ms: millis(finding.age),
         }
     }
 }
 
 impl WireFinding {
-    fn read(&self) -> Finding {
-        Finding {
+    fn read(&self) -> QuarantineUpdate {
+        QuarantineUpdate {
             request: Fingerprint(self.request),
             crashes: self.crashes,
-            left: Duration::from_millis(self.left_ms.into()),
+            remaining: Duration::from_millis(self.left_ms.into()),
             age: Duration::from_millis(self.age_ms.into()),
         }
     }
--- a/components/protocol/src/limit_report.rs
+++ b/components/protocol/src/limit_report.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use state::EndpointKey;
-use state::fleet::rate_limit::Advice;
+use state::fleet::rate_limit::RateLimitUpdate;
 
 /// Limits that endpoints have named, or name no more.
 #[derive(Clone, Debug, PartialEq)]
@@ -10,7 +10,7 @@
     /// Whether the receiver is to tell the hosts of its data centre.
     pub cross_centre: bool,
     /// One entry an endpoint.
-    pub advice: Vec<Advice>,
+    pub advice: Vec<RateLimitUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -45,10 +45,12 @@
     pub(crate) fn read(self, cross_centre: bool) -> LimitReport {
         let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
         let advice = self.advice.into_iter();
-        let advice = advice.filter(|a| a.rate.is_none_or(sound)).map(|a| Advice {
-            endpoint: EndpointKey(a.endpoint),
-            rate: a.rate,
-        });
+        let advice = advice
+            .filter(|a| a.rate.is_none_or(sound))
+            .map(|a| RateLimitUpdate {
+                endpoint: EndpointKey(a.endpoint),
+                rate: a.rate,
+            });
         LimitReport {
             cross_centre,
             advice: advice.collect(),
--- a/components/protocol/tests/neighbour_messages.rs
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -10,8 +10,8 @@
 use protocol::limit_report::LimitReport;
 use protocol::neighbour::{Hello, NeighbourMessage, ProbeLoan, RecordUpdate, Topic, TopicSnapshot};
 use state::EndpointKey;
-use state::fleet::quarantine::Finding;
-use state::fleet::rate_limit::Advice;
+use state::fleet::quarantine::QuarantineUpdate;
+use state::fleet::rate_limit::RateLimitUpdate;
 use state::fleet::{Fingerprint, Fingerprints};
 
 fn news(records: Vec<Vec<u8>>) -> RecordUpdate {
@@ -33,7 +33,7 @@
 }
 
 fn limits() -> LimitReport {
-    let advice = [Some(1.5), None].map(|rate| Advice {
+    let advice = [Some(1.5), None].map(|rate| RateLimitUpdate {
         endpoint: EndpointKey(u64::MAX),
         rate,
     });
@@ -54,10 +54,10 @@
             ran: Duration::from_millis(60),
             age: Duration::from_millis(2),
         }],
-        findings: vec![Finding {
+        findings: vec![QuarantineUpdate {
             request: Fingerprint(7),
             crashes: 3,
-            left: Duration::from_secs(10),
+            remaining: Duration::from_secs(10),
             age: Duration::ZERO,
         }],
     }
@@ -138,7 +138,7 @@
 #[test]
 fn senseless_limits() {
     let rates = [f64::NAN, f64::INFINITY, -1.0, 2.0];
-    let advice = rates.map(|rate| Advice {
+    let advice = rates.map(|rate| RateLimitUpdate {
         endpoint: EndpointKey(1),
         rate: Some(rate),
     });
@@ -157,7 +157,7 @@
 #[test]
 fn small_reports() {
     let CrashReport { runs, findings, .. } = crashes();
-    let size = |runs: &[CrashedRun], findings: &[Finding]| {
+    let size = |runs: &[CrashedRun], findings: &[QuarantineUpdate]| {
         let crashes = CrashReport {
             cross_centre: true,
             runs: runs.to_vec(),
--- a/components/state/src/admission.rs
+++ b/components/state/src/admission.rs
@@ -31,7 +31,7 @@
 ///   shorter than [`STANDING`] is queued whole, and a busy spell of a few
 ///   seconds below full load still costs no call.
 #[value]
-pub struct Gate {
+pub struct AdmissionControl {
     interval: Duration,
     samples: u32,
     started: Option<Moment>,
@@ -48,10 +48,10 @@
 /// The weight of the newest interval is one in this many.
 const WEIGHT: u32 = 16;
 
-impl Gate {
+impl AdmissionControl {
     /// Returns a gate that has seen nothing yet.
-    pub fn new(now: Moment) -> Gate {
-        Gate {
+    pub fn new(now: Moment) -> AdmissionControl {
+        AdmissionControl {
             interval: Duration::ZERO,
             samples: 0,
             started: None,
--- a/components/state/src/warmth.rs
+++ b/components/state/src/capacity.rs
@@ -4,12 +4,12 @@
 
 use derives::{tag, value};
 
+use crate::latency::SlowRate;
 use crate::moment::Moment;
-use crate::norm::Tempo;
 
 /// Why an endpoint gets only trials.
 #[tag]
-pub enum Doubt {
+pub enum Degradation {
     /// Its answers are far slower than its service's.
     Slow,
     /// It can't be reached.
@@ -24,14 +24,14 @@
     /// Drawn anew by the backend server at each start.
     pub boot: String,
     /// What it says of itself.
-    pub mood: Mood,
+    pub readiness: Readiness,
     /// Calls it says it runs.
     pub running: u32,
 }
 
 /// What a backend server says of itself.
 #[tag]
-pub enum Mood {
+pub enum Readiness {
     /// It has just started and bears only a little.
     Cold,
     /// It bears all its slots.
@@ -46,14 +46,14 @@
 /// by itself past what answers have proven, since reports are stale, frozen or
 /// wrong at times. Sheds count more than any report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Warmth {
+pub struct Capacity {
     slots: u32,
     cold: u32,
     cap: u32,
     boot: Option<String>,
-    mood: Option<Mood>,
-    doubt: Option<Doubt>,
-    tempo: Tempo,
+    readiness: Option<Readiness>,
+    degradation: Option<Degradation>,
+    tempo: SlowRate,
     answered: u32,
     shed: bool,
     grown: Moment,
@@ -74,17 +74,17 @@
 /// Good trials that end a doubt.
 const PROOFS: u32 = 3;
 
-impl Warmth {
+impl Capacity {
     /// Returns the warmth of an endpoint nothing is known of: as if cold.
-    pub fn unknown(slots: u32, cold: u32, now: Moment) -> Warmth {
-        Warmth {
+    pub fn unknown(slots: u32, cold: u32, now: Moment) -> Capacity {
+        Capacity {
             slots,
             cold: cold.clamp(1, slots.max(1)),
             cap: cold.clamp(1, slots.max(1)),
             boot: None,
-            mood: None,
-            doubt: None,
-            tempo: Tempo::default(),
+            readiness: None,
+            degradation: None,
+            tempo: SlowRate::default(),
             answered: 0,
             shed: false,
             grown: now,
@@ -108,25 +108,27 @@
 
     /// Returns how many slots may be out now.
     pub fn cap(&self) -> u32 {
-        match (self.doubt, self.mood) {
-            (_, Some(Mood::Draining)) | (Some(_), _) => 0,
+        match (self.degradation, self.readiness) {
+            (_, Some(Readiness::Draining)) | (Some(_), _) => 0,
             _ => self.cap,
         }
     }
 
     /// Returns the cap without regard to doubts, for the next owner.
-    pub fn reached(&self) -> u32 {
+    pub fn base_cap(&self) -> u32 {
         self.cap
     }
 
     /// Returns why it gets only trials, if it does.
-    pub fn doubt(&self) -> Option<Doubt> {
-        self.doubt
+    pub fn degradation(&self) -> Option<Degradation> {
+        self.degradation
     }
 
     /// Returns whether a single slot may go out as a trial, and counts it.
     pub fn take_trial(&mut self, now: Moment) -> bool {
-        let due = self.doubt.is_some() && self.mood != Some(Mood::Draining) && self.trial <= now;
+        let due = self.degradation.is_some()
+            && self.readiness != Some(Readiness::Draining)
+            && self.trial <= now;
         if due {
             self.trial = now + TRIAL;
         }
@@ -144,24 +146,24 @@
         self.shed = true;
         self.chill(now);
         if least {
-            self.suspect(Doubt::Shedding, now);
+            self.suspect(Degradation::Shedding, now);
         }
     }
 
     /// Takes in that no connection could be opened.
     pub fn note_unreachable(&mut self, now: Moment) {
         self.chill(now);
-        self.suspect(Doubt::Down, now);
+        self.suspect(Degradation::Down, now);
     }
 
     /// Takes in what an entry host saw of its answers.
     pub fn note_answers(&mut self, over: u32, total: u32, now: Moment) {
         self.answered = self.answered.saturating_add(total);
         self.tempo.note(over, total);
-        match self.doubt {
+        match self.degradation {
             Some(_) if over > 0 => self.proofs = 0,
             Some(_) if total > 0 => self.prove(now),
-            None if self.tempo.is_slow() => self.suspect(Doubt::Slow, now),
+            None if self.tempo.is_slow() => self.suspect(Degradation::Slow, now),
             _ => {}
         }
     }
@@ -171,26 +173,26 @@
         let first = self.boot.is_none();
         let restarted = self.boot.as_ref().is_some_and(|b| *b != report.boot);
         self.boot = Some(report.boot.clone());
-        self.mood = Some(report.mood);
-        match report.mood {
-            Mood::Cold => self.chill(now),
+        self.readiness = Some(report.readiness);
+        match report.readiness {
+            Readiness::Cold => self.chill(now),
             _ if restarted => self.chill(now),
             // Calls may be answered before the first report comes. Were the
             // report then not believed, each start of a site under load would
             // serve a fraction of its slots for seconds and refuse the rest.
-            Mood::Warm if first && !self.shed && self.doubt.is_none() => {
+            Readiness::Warm if first && !self.shed && self.degradation.is_none() => {
                 self.cap = self.slots;
             }
             _ => {}
         }
-        if self.doubt == Some(Doubt::Down) {
+        if self.degradation == Some(Degradation::Down) {
             self.trial = self.trial.min(now);
         }
     }
 
     /// Lets the cap grow where the slots out have proven themselves.
     pub fn grow(&mut self, now: Moment) {
-        let held = self.mood == Some(Mood::Cold);
+        let held = self.readiness == Some(Readiness::Cold);
         let proven = self.answered >= self.cap && now.since(self.grown) >= GROWTH;
         if held || !proven || self.cap >= self.slots {
             return;
@@ -206,8 +208,8 @@
         self.grown = now;
     }
 
-    fn suspect(&mut self, doubt: Doubt, now: Moment) {
-        self.doubt = Some(doubt);
+    fn suspect(&mut self, degradation: Degradation, now: Moment) {
+        self.degradation = Some(degradation);
         self.proofs = 0;
         self.trial = now + TRIAL;
     }
@@ -218,7 +220,7 @@
         if self.proofs < PROOFS {
             return;
         }
-        self.doubt = None;
-        self.tempo = Tempo::default();
+        self.degradation = None;
+        self.tempo = SlowRate::default();
     }
 }
--- a/components/state/src/fleet/endpoint.rs
+++ b/components/state/src/fleet/endpoint.rs
@@ -6,8 +6,8 @@
 use derives::value;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::look::{GOOD, Look};
-use super::outcome::Record;
+use super::load_sample::{GOOD, LoadSample};
+use super::outcome::PassiveHealth;
 use crate::{DataCentreKey, EndpointKey, Moment, ServiceKey};
 
 /// One life of a backend server, as it registered itself.
@@ -16,7 +16,7 @@
     /// The name of this life; another server at its address rejects it.
     pub instance: String,
     /// When it started, in milliseconds of the time of day; 0 where not told.
-    pub born: u64,
+    pub started_ms: u64,
     /// The service it serves.
     pub service: ServiceKey,
     /// Where it listens.
@@ -37,7 +37,7 @@
     /// Who it is.
     pub endpoint: Endpoint,
     /// The newest look at it.
-    pub look: Option<Look>,
+    pub sample: Option<LoadSample>,
     /// Requests sent there since that look.
     pub sent: u32,
     /// Requests of this host running there.
@@ -47,7 +47,7 @@
     /// When it joined, none where it was there before this host knew any.
     pub joined: Option<Moment>,
     /// What this host's requests met there.
-    pub record: Record,
+    pub health: PassiveHealth,
 }
 
 /// How long an endpoint counts as new.
@@ -59,7 +59,7 @@
     /// Returns the key of this life: one that starts again is another endpoint.
     pub fn key(&self) -> EndpointKey {
         EndpointKey(xxh3_64(
-            format!("{}/{}", self.instance, self.born).as_bytes(),
+            format!("{}/{}", self.instance, self.started_ms).as_bytes(),
         ))
     }
 }
@@ -70,18 +70,18 @@
         let cold_until = (!endpoint.cold.is_zero()).then(|| now + endpoint.cold);
         EndpointState {
             endpoint,
-            look: None,
+            sample: None,
             sent: 0,
             running: 0,
             cold_until,
             joined: Some(now),
-            record: Record::default(),
+            health: PassiveHealth::default(),
         }
     }
 
     /// Takes in a look.
-    pub fn see(&mut self, look: Look) {
-        self.look = Some(look);
+    pub fn set_sample(&mut self, sample: LoadSample) {
+        self.sample = Some(sample);
         self.sent = 0;
     }
 
@@ -109,17 +109,17 @@
     /// Returns whether it joined lately and this host hasn't asked it yet.
     pub fn is_newcomer(&self, now: Moment) -> bool {
         let lately = self.joined.is_some_and(|at| now.since(at) < NEWCOMER);
-        lately && self.look.is_none()
+        lately && self.sample.is_none()
     }
 
     /// Returns whether a fresh look says that work takes about as long as usual here.
     pub fn is_good(&self, now: Moment) -> bool {
-        self.pace(now).is_some_and(|p| p <= GOOD)
+        self.slowdown(now).is_some_and(|p| p <= GOOD)
     }
 
     /// Returns the pace that a look fresh enough promises.
-    pub fn pace(&self, now: Moment) -> Option<f64> {
-        let look = self.look.filter(|l| l.is_fresh(now))?;
-        Some(look.pace(self.sent))
+    pub fn slowdown(&self, now: Moment) -> Option<f64> {
+        let sample = self.sample.filter(|l| l.is_fresh(now))?;
+        Some(sample.slowdown(self.sent))
     }
 }
--- a/components/state/src/fleet/look.rs
+++ b/components/state/src/fleet/load_sample.rs
@@ -8,7 +8,7 @@
 
 /// What an endpoint said of its load, and when.
 #[tag]
-pub struct Look {
+pub struct LoadSample {
     /// When it was heard.
     pub at: Moment,
     /// Requests running.
@@ -20,9 +20,9 @@
     /// How long work takes there at this moment, in hundredths of the usual.
     pub slowness: u32,
     /// Whether the endpoint called itself healthy.
-    pub well: bool,
+    pub healthy: bool,
     /// Whether the endpoint told its load; else the figures are this host's own.
-    pub told: bool,
+    pub reported: bool,
 }
 
 /// How long a look may be acted on.
@@ -57,17 +57,17 @@
 /// full ones (1.7 times); below it lies what the usual spread hides anyway.
 pub const GOOD: f64 = 1.35;
 
-impl Look {
+impl LoadSample {
     /// Returns whether it may still be acted on.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        let limit = if self.told { FRESH } else { BLIND_FRESH };
+        let limit = if self.reported { FRESH } else { BLIND_FRESH };
         now.since(self.at) <= limit
     }
 
     /// Returns how long one more request would take, 1 for as long as usual.
     ///
     /// `sent` counts the requests that this host sent there since the look.
-    pub fn pace(&self, sent: u32) -> f64 {
+    pub fn slowdown(&self, sent: u32) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let slow = f64::from(self.slowness) / 100.0;
         let knee = if self.is_loaded(sent) {
@@ -76,7 +76,7 @@
             1.0
         };
         let queue = (f64::from(self.taken(sent)) + 1.0 - slots).max(0.0) / slots;
-        let ill = if self.well { 1.0 } else { ILL_FACTOR };
+        let ill = if self.healthy { 1.0 } else { ILL_FACTOR };
         slow * knee * ill * (1.0 + queue)
     }
 
--- a/components/state/src/fleet/mod.rs
+++ b/components/state/src/fleet/mod.rs
@@ -2,32 +2,32 @@
 //!
 //! Endpoints share machines with others. At any moment a quarter to a third of
 //! them take four times as long, drawn anew every few hundred milliseconds, so
-//! nothing known of an endpoint stays true for long: see [`look`].
+//! nothing known of an endpoint stays true for long: see [`load_sample`].
 
-pub mod asks;
-pub mod comeback;
 pub mod endpoint;
 pub mod fingerprint;
-pub mod line;
-pub mod look;
+pub mod load_sample;
 pub mod outcome;
-pub mod placing;
+pub mod placement;
+pub mod probe_budget;
 pub mod quarantine;
 pub mod rate_limit;
-pub mod reach;
+pub mod reachability;
 pub mod registry;
-pub mod repeats;
-pub mod tempo;
+pub mod retry_after;
+pub mod retry_budget;
+pub mod service_time;
 pub mod token_buckets;
+pub mod wait_queue;
 
-pub use asks::AskBudget;
 pub use endpoint::{Endpoint, EndpointState};
 pub use fingerprint::{Fingerprint, Fingerprints};
-pub use line::{Line, Ticket};
-pub use look::Look;
-pub use placing::{Placing, Step};
+pub use load_sample::LoadSample;
+pub use placement::{Placement, Step};
+pub use probe_budget::HostProbeBudget;
 pub use quarantine::Quarantine;
 pub use rate_limit::RateLimit;
 pub use registry::{Entry, Registry};
-pub use repeats::RepeatBudget;
+pub use retry_budget::WindowedRetryBudget;
 pub use token_buckets::TokenBuckets;
+pub use wait_queue::{Ticket, WaitQueue};
--- a/components/state/src/fleet/outcome.rs
+++ b/components/state/src/fleet/outcome.rs
@@ -30,7 +30,7 @@
 /// on, so a host judges by its own outcomes: each failure weighs, and each good
 /// answer halves what has gathered.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Record {
+pub struct PassiveHealth {
     badness: f64,
     avoid_until: Option<Moment>,
     spells: u32,
@@ -63,7 +63,7 @@
     }
 }
 
-impl Record {
+impl PassiveHealth {
     /// Takes in one outcome.
     ///
     /// `shedding` is the share of requests that endpoints of its service shed all
@@ -102,14 +102,14 @@
 /// Judged each by itself, most of them would be avoided, and the few that are left
 /// get all requests until they are full.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shedding {
+pub struct ShedRate {
     share: f64,
 }
 
 /// The weight of one outcome in the share: twenty settle it.
 const WEIGHT: f64 = 0.05;
 
-impl Shedding {
+impl ShedRate {
     /// Takes in one outcome.
     pub fn note(&mut self, outcome: Outcome) {
         let shed = f64::from(u8::from(outcome == Outcome::Shed));
--- a/components/state/src/fleet/placing.rs
+++ b/components/state/src/fleet/placement.rs
@@ -12,10 +12,10 @@
 use derives::tag;
 
 use super::endpoint::EndpointState;
-use super::look::GOOD;
+use super::load_sample::GOOD;
 use super::registry::Registry;
 use super::token_buckets::Quota;
-use crate::places::{Distance, Places};
+use crate::topology::{Distance, Topology};
 use crate::{DataCentreKey, EndpointKey, Moment, RegionKey, ServiceKey};
 
 /// Endpoints asked in one round.
@@ -51,7 +51,7 @@
     /// When its answer is worth nothing.
     pub deadline: Moment,
     /// How long its work takes on an undisturbed endpoint.
-    pub usual: Duration,
+    pub service_time: Duration,
     /// The rank of its route, 0 before all others.
     pub priority: u32,
 }
@@ -60,7 +60,7 @@
 #[tag]
 pub enum Step {
     /// Ask this endpoint how it does, then come back.
-    Ask(EndpointKey),
+    Probe(EndpointKey),
     /// Send the request to this endpoint.
     Place(EndpointKey),
     /// Wait this long, then come back.
@@ -84,7 +84,7 @@
 
 /// The placing of one request.
 #[derive(Clone, Debug, Default)]
-pub struct Placing {
+pub struct Placement {
     asked: BTreeSet<EndpointKey>,
     tried: BTreeSet<EndpointKey>,
     dead: BTreeSet<EndpointKey>,
@@ -112,34 +112,34 @@
 }
 
 /// What one host knows at the moment of placing.
-pub struct Knowledge<'a> {
+pub struct Context<'a> {
     /// All endpoints.
     pub registry: &'a mut Registry,
     /// Data centres whose endpoints get no request.
-    pub left: &'a BTreeSet<DataCentreKey>,
+    pub leaving_centres: &'a BTreeSet<DataCentreKey>,
     /// Where data centres lie.
-    pub places: &'a Places,
+    pub topology: &'a Topology,
     /// The regions that the request must not leave, none where it may go anywhere.
     pub regions: &'a BTreeSet<RegionKey>,
     /// This host's quota at cold endpoints of the service.
     pub cold: Quota,
     /// Whether a connection to an endpoint lies idle.
-    pub kept: &'a dyn Fn(EndpointKey) -> bool,
+    pub is_connected: &'a dyn Fn(EndpointKey) -> bool,
     /// Whether it is this request's turn to ask; else it goes by what is known.
-    pub turn: bool,
+    pub is_first: bool,
     /// Whether this host may ask at all; else it takes what it expects to be good.
-    pub asks: bool,
+    pub may_probe: bool,
 }
 
-impl Placing {
+impl Placement {
     /// Notes that the request was sent to `key`, so that it goes elsewhere next time.
-    pub fn tried(&mut self, key: EndpointKey) {
+    pub fn note_tried(&mut self, key: EndpointKey) {
         self.tried.insert(key);
         self.asked.clear();
     }
 
     /// Notes that `key` gave no answer when asked.
-    pub fn unanswered(&mut self, key: EndpointKey) {
+    pub fn note_unanswered(&mut self, key: EndpointKey) {
         self.dead.insert(key);
     }
 
@@ -149,47 +149,47 @@
     /// tries, repeats and second copies.
     pub fn next(
         &mut self,
-        knowledge: &mut Knowledge<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
-        let share = knowledge.cold.share();
-        let exhausted = knowledge.registry.limits_mut().exhausted(share, now, draw);
-        let step = self.decide(knowledge, &exhausted, request, now, draw);
+        let share = context.cold.share();
+        let exhausted = context.registry.limits_mut().exhausted(share, now, draw);
+        let step = self.decide(context, &exhausted, request, now, draw);
         if let Step::Place(key) = step {
-            knowledge.registry.limits_mut().count(key, share, now);
+            context.registry.limits_mut().count(key, share, now);
         }
         step
     }
 
     fn decide(
         &mut self,
-        knowledge: &mut Knowledge<'_>,
+        context: &mut Context<'_>,
         exhausted: &BTreeMap<EndpointKey, Moment>,
         request: &Request,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
         let left = now.until(request.deadline);
-        if left < request.usual.mul_f64(LEAST) {
+        if left < request.service_time.mul_f64(LEAST) {
             return Step::Refuse(Refusal::TooLate);
         }
-        let registry = &*knowledge.registry;
+        let registry = &*context.registry;
         let allowed = || {
             let all = registry.of(request.service);
-            all.filter(|(key, s)| self.may_use(*key, s, knowledge))
+            all.filter(|(key, s)| self.may_use(*key, s, context))
         };
         let usable: Vec<Candidate<'_>> = allowed()
             .filter(|(key, _)| !exhausted.contains_key(key))
             .map(|(key, state)| Candidate {
                 key,
                 state,
-                distance: knowledge
-                    .places
+                distance: context
+                    .topology
                     .distance(request.home, state.endpoint.centre),
-                kept: (knowledge.kept)(key),
-                limited: registry.limits().holds(key),
+                kept: (context.is_connected)(key),
+                limited: registry.limits().contains(key),
             })
             .collect();
         if usable.is_empty() {
@@ -202,16 +202,16 @@
         let warm: Vec<&Candidate<'_>> = usable.iter().filter(|c| !c.state.is_cold(now)).collect();
         if warm.is_empty() {
             let keys = usable.iter().map(|c| c.key).collect();
-            return self.place_cold(knowledge, keys, request, now, draw);
+            return self.place_cold(context, keys, request, now, draw);
         }
         let sound: Vec<&Candidate<'_>> = warm
             .iter()
             .copied()
-            .filter(|c| !c.state.record.is_avoided(now))
+            .filter(|c| !c.state.health.is_avoided(now))
             .filter(|c| !registry.is_unreachable(c.state.endpoint.centre, now))
             .collect();
         let chosen = if sound.is_empty() { warm } else { sound };
-        let turn = match (knowledge.turn, knowledge.asks) {
+        let turn = match (context.is_first, context.may_probe) {
             (false, _) => Turn::Others,
             (true, true) => Turn::Asks,
             (true, false) => Turn::Guesses,
@@ -219,7 +219,7 @@
         let step = self.choose(&chosen, request, turn, now, draw);
         let settled = match step {
             _ if turn != Turn::Asks => true,
-            Step::Ask(_) => true,
+            Step::Probe(_) => true,
             Step::Place(key) => chosen.iter().any(|c| c.key == key && c.state.is_good(now)),
             Step::Wait(_) | Step::Refuse(_) => false,
         };
@@ -228,10 +228,10 @@
         }
         let cold: Vec<EndpointKey> = usable
             .iter()
-            .filter(|c| c.state.is_cold(now) && !c.state.record.is_avoided(now))
+            .filter(|c| c.state.is_cold(now) && !c.state.health.is_avoided(now))
             .map(|c| c.key)
             .collect();
-        self.try_cold(knowledge, &cold, now, draw).unwrap_or(step)
+        self.try_cold(context, &cold, now, draw).unwrap_or(step)
     }
 
     /// Sends the request to a cold endpoint, within this host's share of its rate.
@@ -241,36 +241,37 @@
     /// work takes twice as long, which is still in time.
     fn try_cold(
         &mut self,
-        knowledge: &mut Knowledge<'_>,
+        context: &mut Context<'_>,
         keys: &[EndpointKey],
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Option<Step> {
-        let quota = knowledge.cold;
-        let registry = &mut *knowledge.registry;
+        let quota = context.cold;
+        let registry = &mut *context.registry;
         for key in keys {
-            if !registry.cold_mut().has(*key, quota, draw(), now) {
+            if !registry.cold_buckets_mut().has(*key, quota, draw(), now) {
                 continue;
             }
-            let pace = registry.get(*key).and_then(|s| s.pace(now));
+            let pace = registry.get(*key).and_then(|s| s.slowdown(now));
             match pace {
                 Some(pace)
-                    if pace <= GOOD && registry.cold_mut().take(*key, quota, draw(), now) =>
+                    if pace <= GOOD
+                        && registry.cold_buckets_mut().take(*key, quota, draw(), now) =>
                 {
                     return Some(Step::Place(*key));
                 }
-                None if self.asked.insert(*key) => return Some(Step::Ask(*key)),
+                None if self.asked.insert(*key) => return Some(Step::Probe(*key)),
                 _ => {}
             }
         }
         None
     }
 
-    fn may_use(&self, key: EndpointKey, state: &EndpointState, knowledge: &Knowledge<'_>) -> bool {
+    fn may_use(&self, key: EndpointKey, state: &EndpointState, context: &Context<'_>) -> bool {
         let centre = state.endpoint.centre;
         !state.endpoint.draining
-            && !knowledge.left.contains(&centre)
-            && knowledge.places.may_go(knowledge.regions, centre)
+            && !context.leaving_centres.contains(&centre)
+            && context.topology.is_allowed(context.regions, centre)
             && !self.tried.contains(&key)
             && !self.dead.contains(&key)
     }
@@ -290,19 +291,19 @@
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
-        let near = at(candidates, Distance::Same);
+        let near = at(candidates, Distance::SameCentre);
         if let Some(step) = self.good_or_ask(&near, turn, now, draw) {
             return step;
         }
         let slack = now.until(request.objective);
-        let spare = slack.saturating_sub(request.usual.mul_f64(SPREAD));
+        let spare = slack.saturating_sub(request.service_time.mul_f64(SPREAD));
         let patient = spare > PAUSE;
         let disturbed = near.iter().any(|c| is_disturbed(c.state, now));
         let loaded = near.iter().any(|c| is_loaded(c.state, now));
         if turn == Turn::Asks && patient && disturbed && !loaded {
             return self.wait(PAUSE);
         }
-        for distance in [Distance::Region, Distance::Beyond] {
+        for distance in [Distance::SameRegion, Distance::OtherRegion] {
             let far = at(candidates, distance);
             if let Some(step) = self.good_or_ask(&far, turn, now, draw) {
                 return step;
@@ -345,33 +346,33 @@
         }
         let key = candidates
             .iter()
-            .filter(|c| !self.asked.contains(&c.key) && c.state.pace(now).is_none())
+            .filter(|c| !self.asked.contains(&c.key) && c.state.slowdown(now).is_none())
             .map(|c| (expectation(c, now) + draw() * TIE, c.key))
             .min_by(|a, b| a.0.total_cmp(&b.0))?
             .1;
         self.asked.insert(key);
         Some(match turn {
             Turn::Guesses => Step::Place(key),
-            Turn::Asks | Turn::Others => Step::Ask(key),
+            Turn::Asks | Turn::Others => Step::Probe(key),
         })
     }
 
     /// Places a request where all endpoints are cold: within this host's share.
     fn place_cold(
         &mut self,
-        knowledge: &mut Knowledge<'_>,
+        context: &mut Context<'_>,
         keys: Vec<EndpointKey>,
         request: &Request,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
         for key in keys {
-            let buckets = knowledge.registry.cold_mut();
-            if buckets.take(key, knowledge.cold, draw(), now) {
+            let buckets = context.registry.cold_buckets_mut();
+            if buckets.take(key, context.cold, draw(), now) {
                 return Step::Place(key);
             }
         }
-        match now.until(request.deadline) > request.usual.mul_f64(SPREAD) + PAUSE {
+        match now.until(request.deadline) > request.service_time.mul_f64(SPREAD) + PAUSE {
             true => Step::Wait(PAUSE),
             false => Step::Refuse(Refusal::Full),
         }
@@ -383,7 +384,7 @@
 /// Made for a service most of whose endpoints advertise one, under more load than they
 /// take: requests whose token would come too late are rejected at once.
 fn wait_for_token(token: Moment, request: &Request, now: Moment) -> Step {
-    let done = token + request.usual.mul_f64(SPREAD);
+    let done = token + request.service_time.mul_f64(SPREAD);
     match done <= request.objective {
         true => Step::Wait(now.until(token)),
         false => Step::Refuse(Refusal::Limited),
@@ -420,10 +421,10 @@
     let first = candidate.kept || candidate.limited || state.is_newcomer(now);
     let kept = if first { KEPT } else { 0.0 };
     let busy = f64::from(state.running) / f64::from(state.endpoint.slots.max(1));
-    let old = match state.look {
+    let old = match state.sample {
         Some(look) if now.since(look.at) < MEMORY => {
             let age = now.since(look.at).as_secs_f64() / MEMORY.as_secs_f64();
-            (look.pace(state.sent) - 1.5) * (1.0 - age)
+            (look.slowdown(state.sent) - 1.5) * (1.0 - age)
         }
         _ => 0.0,
     };
@@ -433,14 +434,14 @@
 /// Returns whether an endpoint is disturbed rather than loaded.
 fn is_disturbed(state: &EndpointState, now: Moment) -> bool {
     state
-        .look
+        .sample
         .is_some_and(|l| l.is_fresh(now) && !l.is_loaded(state.sent))
 }
 
 /// Returns whether an endpoint was seen nearly full.
 fn is_loaded(state: &EndpointState, now: Moment) -> bool {
     state
-        .look
+        .sample
         .is_some_and(|l| l.is_fresh(now) && l.is_loaded(state.sent))
 }
 
@@ -449,7 +450,7 @@
     candidates
         .iter()
         .filter(|c| c.state.is_good(now))
-        .map(|c| (c.state.look.map_or(0.0, |l| l.load(c.state.sent)), c.key))
+        .map(|c| (c.state.sample.map_or(0.0, |l| l.load(c.state.sent)), c.key))
         .min_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, key)| key)
 }
@@ -463,8 +464,8 @@
 fn best(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
     candidates
         .iter()
-        .filter(|c| c.state.look.is_some_and(|l| l.is_idle(c.state.sent)))
-        .filter_map(|c| Some((c.state.pace(now)?, c.key)))
+        .filter(|c| c.state.sample.is_some_and(|l| l.is_idle(c.state.sent)))
+        .filter_map(|c| Some((c.state.slowdown(now)?, c.key)))
         .min_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, key)| key)
 }
--- a/components/state/src/fleet/asks.rs
+++ b/components/state/src/fleet/probe_budget.rs
@@ -51,7 +51,7 @@
 /// lack. They lend them to each other: what one gives away it has no more, so
 /// the sum stays the same, and is smaller where a message gets lost.
 #[derive(Clone, Debug)]
-pub struct AskBudget {
+pub struct HostProbeBudget {
     saved: f64,
     /// How much of its share it has saved to begin with.
     start: Duration,
@@ -72,10 +72,10 @@
     open: bool,
 }
 
-impl AskBudget {
+impl HostProbeBudget {
     /// Returns the budget of a host that started at `now`, with its whole site.
-    pub fn new(now: Moment) -> AskBudget {
-        AskBudget {
+    pub fn new(now: Moment) -> HostProbeBudget {
+        HostProbeBudget {
             saved: FIRST,
             start: START,
             granted: None,
@@ -85,10 +85,10 @@
     }
 
     /// Returns the budget of a host that started again at `now`.
-    pub fn restarted(now: Moment) -> AskBudget {
-        AskBudget {
+    pub fn restarted(now: Moment) -> HostProbeBudget {
+        HostProbeBudget {
             start: RESTART,
-            ..AskBudget::new(now)
+            ..HostProbeBudget::new(now)
         }
     }
 
@@ -97,7 +97,7 @@
     /// `rate` is how many questions a second one endpoint may get from all hosts
     /// together, `endpoints` how many there are, `share` this host's part of all
     /// hosts, 0 to 1, nought until it knows.
-    pub fn fill(&mut self, rate: f64, endpoints: usize, share: f64, now: Moment) {
+    pub fn refill(&mut self, rate: f64, endpoints: usize, share: f64, now: Moment) {
         let mine = rate * endpoints as f64 * share * SAFETY;
         if self.granted.is_none() && mine > 0.0 {
             self.saved += mine * self.start.as_secs_f64() - FIRST;
@@ -115,7 +115,7 @@
     }
 
     /// Returns whether a question may be asked.
-    pub fn is_left(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.saved >= 1.0
     }
 
@@ -152,7 +152,7 @@
     /// Takes in what a neighbour lends in answer to the request with this number.
     ///
     /// Each request is answered once: a datagram that comes twice counts once.
-    pub fn borrowed(&mut self, number: u32, questions: u32) {
+    pub fn receive_loan(&mut self, number: u32, questions: u32) {
         if self.loan.open && number == self.loan.number {
             self.loan.open = false;
             self.saved += f64::from(questions);
--- a/components/state/src/fleet/quarantine.rs
+++ b/components/state/src/fleet/quarantine.rs
@@ -57,33 +57,33 @@
 
 /// Who saw a crash.
 #[tag]
-pub enum Witness {
+pub enum Reporter {
     /// This host.
-    Own,
+    ThisHost,
     /// Another host, whose report took a moment.
-    Other,
+    OtherHost,
 }
 
 /// What one host tells others of a request.
 #[tag]
-pub struct Finding {
+pub struct QuarantineUpdate {
     /// The request.
     pub request: Fingerprint,
     /// Crashes since it was last answered; none where it was cleared.
     pub crashes: u32,
     /// How much longer it is quarantined.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How long ago its last crash, trial or answer was.
     pub age: Duration,
 }
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum Decision {
     /// It may.
     Pass,
     /// It may, as the one trial after its quarantine; others are to be told.
-    Trial(Vec<Finding>),
+    Trial(Vec<QuarantineUpdate>),
     /// It may not for as long.
     Reject(Duration),
 }
@@ -126,11 +126,11 @@
         self.until.is_some() || cleared
     }
 
-    fn finding(&self, request: Fingerprint, now: Moment) -> Finding {
-        Finding {
+    fn finding(&self, request: Fingerprint, now: Moment) -> QuarantineUpdate {
+        QuarantineUpdate {
             request,
             crashes: self.crashes,
-            left: self.until.map_or(Duration::ZERO, |u| now.until(u)),
+            remaining: self.until.map_or(Duration::ZERO, |u| now.until(u)),
             age: now.since(self.changed),
         }
     }
@@ -152,7 +152,7 @@
 
 impl Quarantine {
     /// Takes in a crash, and returns what other hosts are to be told.
-    pub fn crashed(&mut self, crash: &Crash, witness: Witness) -> Vec<Finding> {
+    pub fn note_crash(&mut self, crash: &Crash, witness: Reporter) -> Vec<QuarantineUpdate> {
         let Fingerprints { content, request } = crash.request;
         let names = [(request, None), (content, Some(request))];
         names
@@ -167,11 +167,11 @@
         name: Fingerprint,
         caller: Option<Fingerprint>,
         crash: &Crash,
-        witness: Witness,
-    ) -> Option<Finding> {
+        witness: Reporter,
+    ) -> Option<QuarantineUpdate> {
         let delay = match witness {
-            Witness::Own => Duration::ZERO,
-            Witness::Other => REPORT_DELAY,
+            Reporter::ThisHost => Duration::ZERO,
+            Reporter::OtherHost => REPORT_DELAY,
         };
         self.make_room(name);
         let suspect = self
@@ -192,7 +192,7 @@
     }
 
     /// Returns how much longer a request is quarantined, nothing where it may be sent.
-    pub fn left(&self, request: Fingerprints, now: Moment) -> Option<Duration> {
+    pub fn remaining(&self, request: Fingerprints, now: Moment) -> Option<Duration> {
         let names = [request.request, request.content];
         let ends = names.iter().filter_map(|n| self.suspects.get(n)?.until);
         ends.filter(|end| now < *end)
@@ -204,9 +204,9 @@
     ///
     /// The first after a quarantine is a trial. It renews the quarantine before it is
     /// sent, so that only its answer, and not the lack of one, ends it.
-    pub fn admit(&mut self, request: Fingerprints, now: Moment) -> Admission {
-        if let Some(left) = self.left(request, now) {
-            return Admission::Reject(left);
+    pub fn admit(&mut self, request: Fingerprints, now: Moment) -> Decision {
+        if let Some(left) = self.remaining(request, now) {
+            return Decision::Reject(left);
         }
         let mut told = Vec::new();
         for name in [request.request, request.content] {
@@ -218,13 +218,13 @@
             }
         }
         match told.is_empty() {
-            true => Admission::Pass,
-            false => Admission::Trial(told),
+            true => Decision::Pass,
+            false => Decision::Trial(told),
         }
     }
 
     /// Takes in that an endpoint answered a request, and returns what others are to be told.
-    pub fn answered(&mut self, request: Fingerprints, now: Moment) -> Vec<Finding> {
+    pub fn note_answer(&mut self, request: Fingerprints, now: Moment) -> Vec<QuarantineUpdate> {
         let mut told = Vec::new();
         for name in [request.request, request.content] {
             let suspected = self.suspects.get_mut(&name).filter(|s| s.crashes > 0);
@@ -241,7 +241,7 @@
     /// Takes in what another host found; true where that changes whether a request is sent.
     ///
     /// A report that was delayed must not undo a later answer.
-    pub fn learn(&mut self, finding: &Finding, now: Moment) -> bool {
+    pub fn apply(&mut self, finding: &QuarantineUpdate, now: Moment) -> bool {
         let at = now - finding.age;
         let known = self.suspects.get(&finding.request).copied();
         let accepted = match known {
@@ -259,7 +259,7 @@
         let learned = Suspect {
             crashes: finding.crashes,
             changed: at,
-            until: (finding.crashes > 0).then(|| now + finding.left),
+            until: (finding.crashes > 0).then(|| now + finding.remaining),
             caller: None,
         };
         self.suspects.insert(finding.request, learned);
@@ -267,9 +267,10 @@
     }
 
     /// Returns what another host is to know: quarantines, and those that ended lately.
-    pub fn findings(&self, now: Moment) -> Vec<Finding> {
+    pub fn updates(&self, now: Moment) -> Vec<QuarantineUpdate> {
         let told = self.suspects.iter().filter(|(_, s)| s.is_told(now));
-        let mut found: Vec<Finding> = told.map(|(name, s)| s.finding(*name, now)).collect();
+        let mut found: Vec<QuarantineUpdate> =
+            told.map(|(name, s)| s.finding(*name, now)).collect();
         found.sort_by_key(|f| f.age);
         found.truncate(TOLD);
         found
--- a/components/state/src/fleet/rate_limit.rs
+++ b/components/state/src/fleet/rate_limit.rs
@@ -67,7 +67,7 @@
 
 /// What one host tells others of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Advice {
+pub struct RateLimitUpdate {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// The limit that it advertises, none where it advertises none any more.
@@ -103,17 +103,17 @@
 
 impl RateLimits {
     /// Takes in an endpoint's answer, and returns what other hosts are to be told.
-    pub fn learn(
+    pub fn observe(
         &mut self,
         endpoint: EndpointKey,
         rate: Option<f64>,
         source: Source,
-    ) -> Option<Advice> {
+    ) -> Option<RateLimitUpdate> {
         let known = self.limits.get(&endpoint).copied();
         let limit = RateLimit::after(known.map(|k| k.limit), rate, source);
         let Some(limit) = limit else {
             self.forget(endpoint);
-            let ended = Advice {
+            let ended = RateLimitUpdate {
                 endpoint,
                 rate: None,
             };
@@ -124,11 +124,11 @@
         let news = known.is_none_or(|k| k.is_outdated(limit.rate));
         let told = known.filter(|_| !news).map_or(limit.rate, |k| k.told);
         self.limits.insert(endpoint, Known { limit, told });
-        news.then_some(Advice { endpoint, rate })
+        news.then_some(RateLimitUpdate { endpoint, rate })
     }
 
     /// Takes in what another host has heard of an endpoint.
-    pub fn hear(&mut self, advice: &Advice) {
+    pub fn apply(&mut self, advice: &RateLimitUpdate) {
         let Some(rate) = advice.rate else {
             self.forget(advice.endpoint);
             return;
@@ -143,7 +143,7 @@
     }
 
     /// Returns whether an endpoint is known to advertise a limit.
-    pub fn holds(&self, endpoint: EndpointKey) -> bool {
+    pub fn contains(&self, endpoint: EndpointKey) -> bool {
         self.limits.contains_key(&endpoint)
     }
 
--- a/components/state/src/fleet/reach.rs
+++ b/components/state/src/fleet/reachability.rs
@@ -24,16 +24,16 @@
 /// waited for. Judged one by one, they would use up the time of every request, though
 /// endpoints elsewhere could serve it.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     failed: BTreeSet<EndpointKey>,
     avoid_until: Option<Moment>,
     spells: u32,
 }
 
-impl Reach {
+impl Reachability {
     /// Takes in that an endpoint answered, whatever it said.
     pub fn answered(&mut self) {
-        *self = Reach::default();
+        *self = Reachability::default();
     }
 
     /// Takes in what a request met at an endpoint.
--- a/components/state/src/fleet/registry.rs
+++ b/components/state/src/fleet/registry.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use super::endpoint::{Endpoint, EndpointState};
-use super::outcome::{Outcome, Shedding};
-use super::rate_limit::{Advice, RateLimits, Source};
-use super::reach::Reach;
+use super::outcome::{Outcome, ShedRate};
+use super::rate_limit::{RateLimitUpdate, RateLimits, Source};
+use super::reachability::Reachability;
 use super::token_buckets::TokenBuckets;
 use crate::{DataCentreKey, EndpointKey, Moment, ServiceKey};
 
@@ -36,8 +36,8 @@
     grace_until: Option<Moment>,
     cold: TokenBuckets,
     limits: RateLimits,
-    shedding: BTreeMap<ServiceKey, Shedding>,
-    reach: BTreeMap<DataCentreKey, Reach>,
+    shedding: BTreeMap<ServiceKey, ShedRate>,
+    reach: BTreeMap<DataCentreKey, Reachability>,
 }
 
 impl Registry {
@@ -72,7 +72,7 @@
     }
 
     /// Notes that the store can be read again after it could not be.
-    pub fn store_back(&mut self, now: Moment) {
+    pub fn start_lapse_grace(&mut self, now: Moment) {
         self.grace_until = Some(now + LAPSE_GRACE);
     }
 
@@ -80,7 +80,7 @@
     ///
     /// To be asked before each placing: the next word of the store may come a
     /// second after their time.
-    pub fn settle(&mut self, now: Moment) {
+    pub fn expire_lapsed(&mut self, now: Moment) {
         if self.lapsed.is_empty() {
             return;
         }
@@ -97,7 +97,7 @@
     }
 
     /// Forgets what was sent to endpoints that are cold no more.
-    pub fn forget_warm(&mut self, now: Moment) {
+    pub fn forget_warm_buckets(&mut self, now: Moment) {
         let endpoints = &self.endpoints;
         self.cold
             .retain(|key| endpoints.get(&key).is_some_and(|s| s.is_cold(now)));
@@ -107,7 +107,7 @@
     ///
     /// Endpoints that got nothing for a while may have turned cold; they are
     /// asked before they are relied on again.
-    pub fn chill(
+    pub fn mark_cold(
         &mut self,
         centre: DataCentreKey,
         now: Moment,
@@ -116,13 +116,13 @@
         for state in self.endpoints.values_mut() {
             if state.endpoint.centre == centre {
                 state.note_cold(warmup(state.endpoint.service), now);
-                state.look = None;
+                state.sample = None;
             }
         }
     }
 
     /// Takes in what a request met; true where its endpoint is avoided from now on.
-    pub fn note(&mut self, key: EndpointKey, outcome: Outcome, now: Moment) -> bool {
+    pub fn note_outcome(&mut self, key: EndpointKey, outcome: Outcome, now: Moment) -> bool {
         // An endpoint that has left meanwhile has nothing to be noted of.
         let Some(state) = self.endpoints.get_mut(&key) else {
             return false;
@@ -131,13 +131,13 @@
         reach.note(key, outcome, now);
         let shedding = self.shedding.entry(state.endpoint.service).or_default();
         shedding.note(outcome);
-        let before = state.record.is_avoided(now);
-        state.record.note(outcome, shedding.share(), now);
-        !before && state.record.is_avoided(now)
+        let before = state.health.is_avoided(now);
+        state.health.note(outcome, shedding.share(), now);
+        !before && state.health.is_avoided(now)
     }
 
     /// Takes in that an endpoint answered a question.
-    pub fn answered(&mut self, key: EndpointKey) {
+    pub fn note_answer(&mut self, key: EndpointKey) {
         let centre = self.endpoints.get(&key).map(|s| s.endpoint.centre);
         if let Some(reach) = centre.and_then(|c| self.reach.get_mut(&c)) {
             reach.answered();
@@ -150,7 +150,7 @@
     }
 
     /// Returns what this host has sent to cold endpoints, to be asked and counted.
-    pub fn cold_mut(&mut self) -> &mut TokenBuckets {
+    pub fn cold_buckets_mut(&mut self) -> &mut TokenBuckets {
         &mut self.cold
     }
 
@@ -161,23 +161,23 @@
 
     /// Takes in an endpoint's answer that names a rate limit or none, and returns what
     /// other hosts are to be told.
-    pub fn learn_limit(
+    pub fn observe_limit(
         &mut self,
         key: EndpointKey,
         rate: Option<f64>,
         source: Source,
-    ) -> Option<Advice> {
+    ) -> Option<RateLimitUpdate> {
         self.endpoints.get(&key)?;
-        self.limits.learn(key, rate, source)
+        self.limits.observe(key, rate, source)
     }
 
     /// Takes in what another host has heard of an endpoint's rate limit.
     ///
     /// One that this host doesn't know has left, or is told of later: kept for it, limits
     /// of endpoints that are gone would gather for ever.
-    pub fn hear_limit(&mut self, advice: &Advice) {
+    pub fn apply_limit_update(&mut self, advice: &RateLimitUpdate) {
         if self.endpoints.contains_key(&advice.endpoint) {
-            self.limits.hear(advice);
+            self.limits.apply(advice);
         }
     }
 
--- a/components/state/src/fleet/comeback.rs
+++ b/components/state/src/fleet/retry_after.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::placing::Request;
+use super::placement::Request;
 use crate::Moment;
 
 /// The shortest time after which coming back makes sense.
@@ -27,7 +27,7 @@
 /// Made for endpoints that reject a part of their requests at random while their
 /// health checks are good: waiting makes the next try no likelier to be served,
 /// only later.
-pub fn soon(draw: f64) -> Duration {
+pub fn short_delay(draw: f64) -> Duration {
     AT_ONCE.mul_f64(0.2 + 0.8 * draw)
 }
 
@@ -41,7 +41,7 @@
 pub fn retry_after(request: &Request, draw: f64, now: Moment) -> Duration {
     let slack = now
         .until(request.objective)
-        .saturating_sub(request.usual.mul_f64(1.2));
+        .saturating_sub(request.service_time.mul_f64(1.2));
     let left = now.until(request.deadline).mul_f64(LEFT_SHARE);
     let span = if slack > SHORTEST * 2 { slack } else { left };
     span.mul_f64(0.4 + 0.6 * draw).max(SHORTEST)
--- a/components/state/src/fleet/repeats.rs
+++ b/components/state/src/fleet/retry_budget.rs
@@ -13,7 +13,7 @@
 
 /// The bounds that operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatBounds {
+pub struct RetryBounds {
     /// Repeats granted for each request.
     pub ratio: f64,
     /// Repeats granted to all hosts together besides, in each window.
@@ -30,17 +30,17 @@
 /// of its own requests and its share of the slack, and such parts add up to the
 /// whole whatever the hosts know of each other.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
-    bounds: RepeatBounds,
+pub struct WindowedRetryBudget {
+    bounds: RetryBounds,
     began: Moment,
     requests: VecDeque<Moment>,
     repeats: VecDeque<Moment>,
 }
 
-impl RepeatBudget {
+impl WindowedRetryBudget {
     /// Returns the budget of a host that started at `began`.
-    pub fn new(bounds: RepeatBounds, began: Moment) -> RepeatBudget {
-        RepeatBudget {
+    pub fn new(bounds: RetryBounds, began: Moment) -> WindowedRetryBudget {
+        WindowedRetryBudget {
             bounds,
             began,
             requests: VecDeque::new(),
@@ -49,7 +49,7 @@
     }
 
     /// Sets what operators grant from now on; what was sent before still counts.
-    pub fn set_bounds(&mut self, bounds: RepeatBounds) {
+    pub fn set_bounds(&mut self, bounds: RetryBounds) {
         self.bounds = bounds;
     }
 
--- a/components/state/src/fleet/tempo.rs
+++ b/components/state/src/fleet/service_time.rs
@@ -14,14 +14,14 @@
 
 /// The usual time of one route's work, learned from answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Tempo {
+pub struct ServiceTime {
     mean: f64,
 }
 
-impl Tempo {
+impl ServiceTime {
     /// Returns what is assumed of a route with this objective.
-    pub fn new(objective: Duration) -> Tempo {
-        Tempo {
+    pub fn new(objective: Duration) -> ServiceTime {
+        ServiceTime {
             mean: objective.as_secs_f64() * FIRST_SHARE,
         }
     }
@@ -36,7 +36,7 @@
     }
 
     /// Returns the usual time.
-    pub fn usual(&self) -> Duration {
+    pub fn estimate(&self) -> Duration {
         Duration::from_secs_f64(self.mean)
     }
 }
--- a/components/state/src/fleet/line.rs
+++ b/components/state/src/fleet/wait_queue.rs
@@ -26,14 +26,14 @@
 
 /// The requests of one host that wait for one service.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct WaitQueue {
     waiters: BTreeSet<Ticket>,
     taken: u64,
 }
 
-impl Line {
+impl WaitQueue {
     /// Takes in a request of a route with this rank, 0 before all others.
-    pub fn join(&mut self, priority: u32, objective: Moment) -> Ticket {
+    pub fn push(&mut self, priority: u32, objective: Moment) -> Ticket {
         let ticket = Ticket {
             priority,
             objective,
@@ -45,7 +45,7 @@
     }
 
     /// Lets a request go; returns who is first then, where that was not so before.
-    pub fn leave(&mut self, ticket: Ticket) -> Option<Ticket> {
+    pub fn remove(&mut self, ticket: Ticket) -> Option<Ticket> {
         let was_first = self.first() == Some(ticket);
         self.waiters.remove(&ticket);
         self.first().filter(|_| was_first)
--- a/components/state/src/norm.rs
+++ b/components/state/src/latency.rs
@@ -16,15 +16,15 @@
 /// and half as long again. Long work is over everywhere and seldom; at a slow
 /// backend server nearly every call is over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Norm {
+pub struct LatencyBaseline {
     counts: Vec<u32>,
     total: u32,
     over: f32,
 }
 
-impl Default for Norm {
-    fn default() -> Norm {
-        Norm {
+impl Default for LatencyBaseline {
+    fn default() -> LatencyBaseline {
+        LatencyBaseline {
             counts: vec![0; BUCKETS],
             total: 0,
             over: 0.0,
@@ -38,10 +38,10 @@
 /// behind them) would shut out every one of them.
 const SHARED: f32 = 0.3;
 
-impl Norm {
+impl LatencyBaseline {
     /// Takes in one call and returns whether it tells against its endpoint.
     pub fn record(&mut self, took: Duration) -> bool {
-        let over = self.is_over(took);
+        let over = self.is_slow(took);
         self.over += (f32::from(u8::from(over)) - self.over) / 64.0;
         if self.total >= WINDOW {
             self.counts.iter_mut().for_each(|c| *c /= 2);
@@ -53,13 +53,13 @@
     }
 
     /// Returns whether a call that took (or has been running for) this long is over.
-    pub fn is_over(&self, took: Duration) -> bool {
+    pub fn is_slow(&self, took: Duration) -> bool {
         self.limit().is_some_and(|limit| took > limit)
     }
 
     /// Returns whether a running call tells against its endpoint.
-    pub fn blames(&self, runs: Duration) -> bool {
-        self.over < SHARED && self.is_over(runs)
+    pub fn is_endpoint_slow(&self, runs: Duration) -> bool {
+        self.over < SHARED && self.is_slow(runs)
     }
 
     /// Returns the time above which a call is over, once enough is known.
@@ -88,7 +88,7 @@
 
 /// How an endpoint's answers compare with its service's, over all entry hosts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tempo {
+pub struct SlowRate {
     share: f32,
     seen: u32,
 }
@@ -96,7 +96,7 @@
 /// Calls that must be seen before an endpoint is called slow.
 const EVIDENCE: u32 = 6;
 
-impl Tempo {
+impl SlowRate {
     /// Takes in what an entry host saw: `over` calls out of `total`.
     pub fn note(&mut self, over: u32, total: u32) {
         if total == 0 {
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -5,20 +5,20 @@
 //! decision runs in a test as it runs in production.
 
 pub mod admission;
+pub mod capacity;
 pub mod config;
 pub mod fleet;
 pub mod keys;
+pub mod latency;
 pub mod moment;
-pub mod norm;
-pub mod pace;
-pub mod places;
 pub mod policy;
 pub mod preset;
 pub mod probe;
 pub mod queue;
 pub mod retry;
 pub mod routing;
-pub mod warmth;
+pub mod stall;
+pub mod topology;
 
 pub use config::Config;
 pub use keys::{DataCentreKey, EndpointKey, HostKey, RegionKey, ServiceKey};
--- a/components/state/src/queue.rs
+++ b/components/state/src/queue.rs
@@ -14,7 +14,7 @@
 
 /// A call that waits for a slot.
 #[value]
-pub struct Waiting {
+pub struct WaitingCall {
     /// The call.
     pub call: CallKey,
     /// When it arrived.
@@ -32,7 +32,7 @@
 #[value]
 pub struct Queue {
     limit: usize,
-    calls: VecDeque<Waiting>,
+    calls: VecDeque<WaitingCall>,
     soonest: Moment,
 }
 
@@ -77,19 +77,19 @@
     }
 
     /// Appends a call.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: WaitingCall) {
         self.soonest = self.soonest.min(waiting.deadline);
         self.calls.push_back(waiting);
     }
 
     /// Puts a call back that was taken and could not be started.
-    pub fn push_front(&mut self, waiting: Waiting) {
+    pub fn push_front(&mut self, waiting: WaitingCall) {
         self.soonest = self.soonest.min(waiting.deadline);
         self.calls.push_front(waiting);
     }
 
     /// Takes the oldest call that may use a slot of `endpoint`.
-    pub fn take(&mut self, endpoint: EndpointKey) -> Option<Waiting> {
+    pub fn take(&mut self, endpoint: EndpointKey) -> Option<WaitingCall> {
         let index = self
             .calls
             .iter()
@@ -107,7 +107,7 @@
     /// Removes and returns the calls whose deadline has passed.
     ///
     /// Costs nothing until the first deadline is reached.
-    pub fn expire(&mut self, now: Moment) -> Vec<Waiting> {
+    pub fn expire(&mut self, now: Moment) -> Vec<WaitingCall> {
         if self.soonest > now {
             return Vec::new();
         }
@@ -123,7 +123,7 @@
     }
 
     /// Removes and returns every call.
-    pub fn clear(&mut self) -> Vec<Waiting> {
+    pub fn clear(&mut self) -> Vec<WaitingCall> {
         self.soonest = Moment(u64::MAX);
         self.calls.drain(..).collect()
     }
--- a/components/state/src/routing.rs
+++ b/components/state/src/routing.rs
@@ -18,7 +18,7 @@
     /// All routes.
     pub routes: RouteTable,
     /// The services that routes lead to.
-    pub services: BTreeMap<ServiceKey, ServicePlan>,
+    pub services: BTreeMap<ServiceKey, ServiceConfig>,
     /// What callers may send.
     pub limits: CallerLimits,
 }
@@ -82,14 +82,14 @@
     /// Endpoints that one request may be sent to.
     pub attempts: u32,
     /// The services that share the route's requests.
-    pub parts: Vec<Part>,
+    pub weighted_services: Vec<WeightedService>,
     /// The regions that its requests must not leave, none where they may go anywhere.
     pub regions: BTreeSet<RegionKey>,
 }
 
 /// A service's share of a route.
 #[value]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceKey,
     /// Its weight among the route's parts.
@@ -98,7 +98,7 @@
 
 /// What operators say of one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServicePlan {
+pub struct ServiceConfig {
     /// The service's name, for logs.
     pub name: String,
     /// The path that tells an endpoint's health and load.
@@ -126,11 +126,11 @@
 
 /// Everything that the operators say at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Orders {
+pub struct OperatorConfig {
     /// The catalogue in force, none before the first.
     pub catalogue: Option<Catalogue>,
     /// Data centres whose endpoints get no request.
-    pub left: BTreeSet<DataCentreKey>,
+    pub leaving_centres: BTreeSet<DataCentreKey>,
 }
 
 impl Catalogue {
@@ -153,13 +153,13 @@
     /// The draw is made anew for each request and never again for its repeats:
     /// a part short of room rejects its share rather than pressing it on the
     /// others, whose operators have planned for their own.
-    pub fn part(&self, draw: u64) -> Option<ServiceKey> {
-        let total: u64 = self.parts.iter().map(|p| p.weight).sum();
+    pub fn pick_service(&self, draw: u64) -> Option<ServiceKey> {
+        let total: u64 = self.weighted_services.iter().map(|p| p.weight).sum();
         if total == 0 {
             return None;
         }
         let mut at = draw % total;
-        for part in &self.parts {
+        for part in &self.weighted_services {
             if at < part.weight {
                 return Some(part.service);
             }
@@ -169,7 +169,7 @@
     }
 }
 
-impl Orders {
+impl OperatorConfig {
     /// Takes over `catalogue` where it is newer than what is in force.
     ///
     /// The store may hand out records that it had forgotten, or a write that it
--- a/components/state/tests/endpoint_health.rs
+++ b/components/state/tests/endpoint_health.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use state::Moment;
-use state::norm::{Norm, Tempo};
+use state::capacity::{Capacity, Degradation, LoadReport, Readiness};
+use state::latency::{LatencyBaseline, SlowRate};
 use state::probe::ProbeBudget;
-use state::warmth::{Doubt, LoadReport, Mood, Warmth};
 
 const SLOTS: u32 = 6;
 
@@ -13,23 +13,23 @@
     Moment::from_millis(millis)
 }
 
-fn report(boot: &str, mood: Mood) -> LoadReport {
+fn report(boot: &str, readiness: Readiness) -> LoadReport {
     LoadReport {
         boot: boot.to_owned(),
-        mood,
+        readiness,
         running: 0,
     }
 }
 
-fn warm() -> Warmth {
-    let mut warmth = Warmth::unknown(SLOTS, 1, at(0));
-    warmth.note_report(&report("a", Mood::Warm), at(0));
+fn warm() -> Capacity {
+    let mut warmth = Capacity::unknown(SLOTS, 1, at(0));
+    warmth.note_report(&report("a", Readiness::Warm), at(0));
     assert_eq!(warmth.cap(), SLOTS);
     warmth
 }
 
 /// Answers enough calls that the cap may grow, again and again.
-fn prove(warmth: &mut Warmth, from: u64, millis: u64) {
+fn prove(warmth: &mut Capacity, from: u64, millis: u64) {
     for now in (from..from + millis).step_by(50) {
         warmth.note_answers(0, 20, at(now));
         warmth.grow(at(now));
@@ -38,7 +38,7 @@
 
 #[test]
 fn unknown_is_cold() {
-    let warmth = Warmth::unknown(SLOTS, 1, at(0));
+    let warmth = Capacity::unknown(SLOTS, 1, at(0));
     assert_eq!(warmth.cap(), 1);
 }
 
@@ -50,7 +50,7 @@
     let mut warmth = warm();
     warmth.note_shed(at(1_000));
     assert_eq!(warmth.cap(), 1);
-    warmth.note_report(&report("a", Mood::Warm), at(1_100));
+    warmth.note_report(&report("a", Readiness::Warm), at(1_100));
     warmth.grow(at(2_000));
     assert_eq!(warmth.cap(), 1);
     prove(&mut warmth, 2_000, 500);
@@ -62,7 +62,7 @@
 #[test]
 fn restart_chills() {
     let mut warmth = warm();
-    warmth.note_report(&report("b", Mood::Warm), at(1_000));
+    warmth.note_report(&report("b", Readiness::Warm), at(1_000));
     assert_eq!(warmth.cap(), 1);
 }
 
@@ -89,29 +89,29 @@
 // seconds while five of six slots stood idle.
 #[test]
 fn answers_before_report() {
-    let mut warmth = Warmth::unknown(6, 1, at(0));
+    let mut warmth = Capacity::unknown(6, 1, at(0));
     warmth.note_answers(0, 1, at(5));
-    warmth.note_report(&report("a", Mood::Warm), at(10));
+    warmth.note_report(&report("a", Readiness::Warm), at(10));
     assert_eq!(warmth.cap(), 6);
 }
 
 // A first report that says warm after a shed is a stale one.
 #[test]
 fn shed_before_report() {
-    let mut warmth = Warmth::unknown(6, 1, at(0));
+    let mut warmth = Capacity::unknown(6, 1, at(0));
     warmth.note_shed(at(5));
-    warmth.note_report(&report("a", Mood::Warm), at(10));
+    warmth.note_report(&report("a", Readiness::Warm), at(10));
     assert_eq!(warmth.cap(), 0);
-    assert_eq!(warmth.reached(), 1);
+    assert_eq!(warmth.base_cap(), 1);
 }
 
 #[test]
 fn cold_stays_low() {
     let mut warmth = warm();
-    warmth.note_report(&report("b", Mood::Cold), at(1_000));
+    warmth.note_report(&report("b", Readiness::Cold), at(1_000));
     prove(&mut warmth, 1_000, 5_000);
     assert_eq!(warmth.cap(), 1);
-    warmth.note_report(&report("b", Mood::Warm), at(6_000));
+    warmth.note_report(&report("b", Readiness::Warm), at(6_000));
     prove(&mut warmth, 6_000, 3_000);
     assert_eq!(warmth.cap(), SLOTS);
 }
@@ -119,7 +119,7 @@
 #[test]
 fn draining_gets_none() {
     let mut warmth = warm();
-    warmth.note_report(&report("a", Mood::Draining), at(1_000));
+    warmth.note_report(&report("a", Readiness::Draining), at(1_000));
     assert_eq!(warmth.cap(), 0);
     assert!(!warmth.take_trial(at(9_000)));
 }
@@ -132,9 +132,9 @@
     for n in 0..8 {
         warmth.note_answers(1, 1, at(n));
     }
-    assert_eq!(warmth.doubt(), Some(Doubt::Slow));
+    assert_eq!(warmth.degradation(), Some(Degradation::Slow));
     assert_eq!(warmth.cap(), 0);
-    warmth.note_report(&report("a", Mood::Warm), at(100));
+    warmth.note_report(&report("a", Readiness::Warm), at(100));
     assert_eq!(warmth.cap(), 0);
     assert!(!warmth.take_trial(at(500)));
     assert!(warmth.take_trial(at(1_100)));
@@ -142,7 +142,7 @@
     for n in 0..3 {
         warmth.note_answers(0, 1, at(2_000 + n));
     }
-    assert_eq!(warmth.doubt(), None);
+    assert_eq!(warmth.degradation(), None);
     assert!(warmth.cap() > 0);
 }
 
@@ -150,15 +150,15 @@
 fn unreachable_gets_trials() {
     let mut warmth = warm();
     warmth.note_unreachable(at(10));
-    assert_eq!(warmth.doubt(), Some(Doubt::Down));
+    assert_eq!(warmth.degradation(), Some(Degradation::Down));
     assert_eq!(warmth.cap(), 0);
-    warmth.note_report(&report("b", Mood::Cold), at(300));
+    warmth.note_report(&report("b", Readiness::Cold), at(300));
     assert!(warmth.take_trial(at(300)));
 }
 
 /// Feeds the mix: 99 calls of 1 ms to one of 2 s.
-fn mixed() -> Norm {
-    let mut norm = Norm::default();
+fn mixed() -> LatencyBaseline {
+    let mut norm = LatencyBaseline::default();
     for n in 0..500 {
         let millis = if n % 100 == 99 { 2_000 } else { 1 };
         norm.record(Duration::from_millis(millis));
@@ -171,7 +171,7 @@
 #[test]
 fn long_work_is_rare() {
     let mut norm = mixed();
-    let mut tempo = Tempo::default();
+    let mut tempo = SlowRate::default();
     for n in 0..1_000 {
         let millis = if n % 100 == 99 { 2_000 } else { 1 };
         let over = norm.record(Duration::from_millis(millis));
@@ -183,8 +183,8 @@
 #[test]
 fn slow_server_shows() {
     let norm = mixed();
-    assert!(norm.is_over(Duration::from_millis(20)));
-    assert!(!norm.is_over(Duration::from_millis(1)));
+    assert!(norm.is_slow(Duration::from_millis(20)));
+    assert!(!norm.is_slow(Duration::from_millis(1)));
 }
 
 // Everything behind a service becomes slow at once. No endpoint is to blame,
@@ -196,7 +196,7 @@
         .filter(|_| norm.record(Duration::from_millis(50)))
         .count();
     assert!(blamed < 50, "{blamed}");
-    assert!(!norm.is_over(Duration::from_millis(50)));
+    assert!(!norm.is_slow(Duration::from_millis(50)));
 }
 
 #[test]
--- a/components/state/tests/fleet_placing.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -6,13 +6,13 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use state::fleet::comeback;
 use state::fleet::outcome::Outcome;
-use state::fleet::placing::{Knowledge, Refusal, Request};
+use state::fleet::placement::{Context, Refusal, Request};
 use state::fleet::rate_limit::Source;
+use state::fleet::retry_after;
 use state::fleet::token_buckets::Quota;
-use state::fleet::{Endpoint, Entry, Look, Placing, Registry, Step};
-use state::places::Places;
+use state::fleet::{Endpoint, Entry, LoadSample, Placement, Registry, Step};
+use state::topology::Topology;
 use state::{DataCentreKey, EndpointKey, Moment, RegionKey, ServiceKey};
 
 const USUAL: Duration = Duration::from_millis(200);
@@ -20,19 +20,19 @@
 
 struct Fleet {
     registry: Registry,
-    left: BTreeSet<DataCentreKey>,
+    leaving_centres: BTreeSet<DataCentreKey>,
     kept: BTreeSet<EndpointKey>,
-    places: Places,
+    topology: Topology,
     regions: BTreeSet<RegionKey>,
     random: StdRng,
     share: f64,
-    asks: bool,
+    may_probe: bool,
 }
 
 fn endpoint(name: &str, centre: &str) -> Endpoint {
     Endpoint {
         instance: name.to_owned(),
-        born: 1,
+        started_ms: 1,
         service: ServiceKey::named("svc"),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         centre: DataCentreKey::named(centre),
@@ -46,15 +46,15 @@
     endpoint(name, "near").key()
 }
 
-fn look(slowness: u32, running: u32, waiting: u32, at: Moment) -> Look {
-    Look {
+fn look(slowness: u32, running: u32, waiting: u32, at: Moment) -> LoadSample {
+    LoadSample {
         at,
         running,
         waiting,
         slots: 6,
         slowness,
-        well: true,
-        told: true,
+        healthy: true,
+        reported: true,
     }
 }
 
@@ -64,7 +64,7 @@
         home: DataCentreKey::named("near"),
         objective: START + Duration::from_millis(objective),
         deadline: START + Duration::from_millis(2_000),
-        usual: USUAL,
+        service_time: USUAL,
         priority: 0,
     }
 }
@@ -86,13 +86,13 @@
         }
         Fleet {
             registry,
-            left: BTreeSet::new(),
+            leaving_centres: BTreeSet::new(),
             kept: BTreeSet::new(),
-            places: Places::default(),
+            topology: Topology::default(),
             regions: BTreeSet::new(),
             random: StdRng::seed_from_u64(7),
             share: 0.1,
-            asks: true,
+            may_probe: true,
         }
     }
 
@@ -101,27 +101,30 @@
         &mut self,
         request: &Request,
         now: &mut Moment,
-        answer: impl Fn(EndpointKey, Moment) -> Look,
+        answer: impl Fn(EndpointKey, Moment) -> LoadSample,
     ) -> Result<EndpointKey, Refusal> {
-        let mut placing = Placing::default();
+        let mut placement = Placement::default();
         loop {
-            let mut knowledge = Knowledge {
+            let mut context = Context {
                 registry: &mut self.registry,
-                kept: &|key| self.kept.contains(&key),
-                turn: true,
-                asks: self.asks,
-                left: &self.left,
-                places: &self.places,
+                is_connected: &|key| self.kept.contains(&key),
+                is_first: true,
+                may_probe: self.may_probe,
+                leaving_centres: &self.leaving_centres,
+                topology: &self.topology,
                 regions: &self.regions,
                 cold: Quota::cold(6.0, self.share),
             };
             let random = &mut self.random;
             let mut draw = || random.random::<f64>();
-            match placing.next(&mut knowledge, request, *now, &mut draw) {
-                Step::Ask(key) => {
+            match placement.next(&mut context, request, *now, &mut draw) {
+                Step::Probe(key) => {
                     *now = *now + Duration::from_millis(1);
                     let look = answer(key, *now);
-                    self.registry.get_mut(key).expect("it is known").see(look);
+                    self.registry
+                        .get_mut(key)
+                        .expect("it is known")
+                        .set_sample(look);
                 }
                 Step::Place(key) => return Ok(key),
                 Step::Wait(time) => *now = *now + time,
@@ -167,7 +170,7 @@
     let there = [("a", "near"), ("b", "near"), ("c", "far")];
     let there = there.map(|(n, c)| (n.to_owned(), Entry::Endpoint(endpoint(n, c))));
     fleet.registry.replace(there.into(), START);
-    fleet.asks = false;
+    fleet.may_probe = false;
     fleet.kept = BTreeSet::from([key("b")]);
     let mut now = START;
     let mut met = BTreeSet::new();
@@ -251,13 +254,13 @@
 fn spread_return() {
     let mut random = StdRng::seed_from_u64(5);
     let mut times: Vec<Duration> = (0..200)
-        .map(|_| comeback::retry_after(&request(600), random.random(), START))
+        .map(|_| retry_after::retry_after(&request(600), random.random(), START))
         .collect();
     times.sort();
     assert!(times[199] - times[0] > Duration::from_millis(150));
     assert!(times[199] <= Duration::from_millis(400));
     let late = START + Duration::from_millis(600);
-    assert!(comeback::retry_after(&request(600), 0.5, late) > Duration::from_millis(200));
+    assert!(retry_after::retry_after(&request(600), 0.5, late) > Duration::from_millis(200));
 }
 
 /// Endpoints reject half of their requests at random, full or not. A caller told
@@ -265,7 +268,9 @@
 #[test]
 fn return_at_once() {
     let mut random = StdRng::seed_from_u64(5);
-    let mut times: Vec<Duration> = (0..200).map(|_| comeback::soon(random.random())).collect();
+    let mut times: Vec<Duration> = (0..200)
+        .map(|_| retry_after::short_delay(random.random()))
+        .collect();
     times.sort();
     assert!(times[199] <= Duration::from_millis(20));
     assert!(times[199] - times[0] > Duration::from_millis(10));
@@ -279,7 +284,7 @@
         fleet.random = StdRng::seed_from_u64(seed);
         let liar = fleet.registry.get_mut(key("a")).expect("it is known");
         for _ in 0..2 {
-            liar.record.note(Outcome::Failed, 0.0, START);
+            liar.health.note(Outcome::Failed, 0.0, START);
         }
         let mut now = START + Duration::from_millis(500);
         let chosen = fleet.place(&request(3_000), &mut now, |_, at| look(100, 0, 0, at));
@@ -294,7 +299,7 @@
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "near")]);
     for name in ["a", "b"] {
         let state = fleet.registry.get_mut(key(name)).expect("it is known");
-        state.record.note(Outcome::Silent, 0.0, START);
+        state.health.note(Outcome::Silent, 0.0, START);
     }
     let mut now = START;
     let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
@@ -317,9 +322,9 @@
             true => Outcome::Shed,
             false => Outcome::Answered,
         };
-        fleet.registry.note(key(name), outcome, now);
+        fleet.registry.note_outcome(key(name), outcome, now);
         let state = names.map(|n| fleet.registry.get(key(n)).expect("it is known"));
-        avoided += state.iter().filter(|s| s.record.is_avoided(now)).count();
+        avoided += state.iter().filter(|s| s.health.is_avoided(now)).count();
     }
     let mean = avoided as f64 / 2_000.0;
     assert!(mean < 2.0, "{mean} of 8 endpoints are avoided");
@@ -338,7 +343,7 @@
             "a" => Outcome::Shed,
             _ => Outcome::Answered,
         };
-        avoided |= fleet.registry.note(key(name), outcome, now);
+        avoided |= fleet.registry.note_outcome(key(name), outcome, now);
     }
     assert!(avoided);
 }
@@ -353,7 +358,7 @@
     fleet
         .registry
         .apply("a", Some(Entry::Endpoint(leaving)), START);
-    fleet.left.insert(DataCentreKey::named("far"));
+    fleet.leaving_centres.insert(DataCentreKey::named("far"));
     let mut now = START;
     let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
     assert_eq!(chosen, Err(Refusal::NoEndpoint));
@@ -401,14 +406,14 @@
         for fleet in &mut fleets {
             let state = fleet.registry.get_mut(key("a")).expect("it is known");
             state.note_cold(Duration::from_secs(3), now);
-            let mut placing = Placing::default();
-            let mut knowledge = Knowledge {
+            let mut placement = Placement::default();
+            let mut context = Context {
                 registry: &mut fleet.registry,
-                kept: &|_| false,
-                turn: true,
-                asks: true,
-                left: &fleet.left,
-                places: &fleet.places,
+                is_connected: &|_| false,
+                is_first: true,
+                may_probe: true,
+                leaving_centres: &fleet.leaving_centres,
+                topology: &fleet.topology,
                 regions: &fleet.regions,
                 cold: Quota::cold(6.0, fleet.share),
             };
@@ -419,7 +424,7 @@
             };
             let random = &mut fleet.random;
             let mut draw = || random.random::<f64>();
-            if let Step::Place(_) = placing.next(&mut knowledge, &wanted, now, &mut draw) {
+            if let Step::Place(_) = placement.next(&mut context, &wanted, now, &mut draw) {
                 sent.push(now);
             }
         }
@@ -442,14 +447,14 @@
         ("c", "abroad"),
         ("d", "new"),
     ]);
-    fleet.places = Places::new([("near", "home"), ("beside", "home"), ("abroad", "away")]);
+    fleet.topology = Topology::new([("near", "home"), ("beside", "home"), ("abroad", "away")]);
     fleet.regions = BTreeSet::from([RegionKey::named("home")]);
     let well = |_, now| look(100, 0, 0, now);
     let mut now = START;
     assert_eq!(fleet.place(&request(600), &mut now, well), Ok(key("a")));
-    fleet.left.insert(DataCentreKey::named("near"));
+    fleet.leaving_centres.insert(DataCentreKey::named("near"));
     assert_eq!(fleet.place(&request(600), &mut now, well), Ok(key("b")));
-    fleet.left.insert(DataCentreKey::named("beside"));
+    fleet.leaving_centres.insert(DataCentreKey::named("beside"));
     let refused = fleet.place(&request(600), &mut now, well);
     assert_eq!(refused, Err(Refusal::NoEndpoint));
     fleet.regions = BTreeSet::from([RegionKey::named("away")]);
@@ -462,7 +467,7 @@
 #[test]
 fn nearest_region() {
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "beside"), ("c", "abroad")]);
-    fleet.places = Places::new([("near", "home"), ("beside", "home"), ("abroad", "away")]);
+    fleet.topology = Topology::new([("near", "home"), ("beside", "home"), ("abroad", "away")]);
     let near_full = |k: EndpointKey, now| match k == key("a") {
         true => look(100, 6, 4, now),
         false => look(100, 0, 0, now),
@@ -530,7 +535,7 @@
     fleet.share = 0.01;
     for name in ["a", "b"] {
         let limits = fleet.registry.limits_mut();
-        limits.learn(key(name), Some(1.0), Source::Request);
+        limits.observe(key(name), Some(1.0), Source::Request);
     }
     for _ in 0..20 {
         let mut now = START;
@@ -547,7 +552,7 @@
     fleet.share = 0.01;
     for name in ["a", "b"] {
         let limits = fleet.registry.limits_mut();
-        limits.learn(key(name), Some(1.0), Source::Request);
+        limits.observe(key(name), Some(1.0), Source::Request);
     }
     let mut now = START;
     let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
@@ -560,7 +565,7 @@
     let mut fleet = Fleet::of(&[("a", "near")]);
     fleet.share = 1.0;
     let limits = fleet.registry.limits_mut();
-    limits.learn(key("a"), Some(4.0), Source::Request);
+    limits.observe(key("a"), Some(4.0), Source::Request);
     let mut now = START;
     for _ in 0..3 {
         let wanted = request_at(now);
--- a/components/state/tests/fleet_registry.rs
+++ b/components/state/tests/fleet_registry.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use state::fleet::rate_limit::{Advice, Source};
+use state::fleet::rate_limit::{RateLimitUpdate, Source};
 use state::fleet::{Endpoint, Entry, Registry};
 use state::{DataCentreKey, Moment, ServiceKey};
 
-fn endpoint(name: &str, born: u64) -> Endpoint {
+fn endpoint(name: &str, started_ms: u64) -> Endpoint {
     Endpoint {
         instance: name.to_owned(),
-        born,
+        started_ms,
         service: ServiceKey::named("svc"),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         centre: DataCentreKey::named("here"),
@@ -35,15 +35,15 @@
 fn lapsed_leases() {
     let mut registry = with(&["a", "b"]);
     let back = Moment::from_millis(30_000);
-    registry.store_back(back);
+    registry.start_lapse_grace(back);
     registry.apply("a", None, back);
     registry.apply("b", None, back);
     assert_eq!(registry.len(), 2);
     let again = back + Duration::from_millis(1_500);
     registry.apply("a", Some(Entry::Endpoint(endpoint("a", 1))), again);
-    registry.settle(back + Duration::from_millis(1_999));
+    registry.expire_lapsed(back + Duration::from_millis(1_999));
     assert_eq!(registry.len(), 2);
-    registry.settle(back + Duration::from_millis(2_000));
+    registry.expire_lapsed(back + Duration::from_millis(2_000));
     assert_eq!(registry.len(), 1);
     assert!(registry.get(endpoint("a", 1).key()).is_some());
 }
@@ -83,7 +83,7 @@
 fn taken_back() {
     let mut registry = with(&["a"]);
     let now = Moment::from_millis(5_000);
-    registry.chill(DataCentreKey::named("here"), now, |_| {
+    registry.mark_cold(DataCentreKey::named("here"), now, |_| {
         Duration::from_secs(3)
     });
     let state = registry
@@ -100,15 +100,18 @@
 fn limits_of_gone() {
     let mut registry = with(&["a"]);
     let key = endpoint("a", 1).key();
-    let advice = Advice {
+    let advice = RateLimitUpdate {
         endpoint: key,
         rate: Some(1.5),
     };
-    registry.hear_limit(&advice);
-    assert!(registry.limits().holds(key));
+    registry.apply_limit_update(&advice);
+    assert!(registry.limits().contains(key));
     registry.apply("a", None, Moment::from_millis(1));
-    assert!(!registry.limits().holds(key));
-    registry.hear_limit(&advice);
-    assert_eq!(registry.learn_limit(key, Some(1.5), Source::Request), None);
-    assert!(!registry.limits().holds(key));
+    assert!(!registry.limits().contains(key));
+    registry.apply_limit_update(&advice);
+    assert_eq!(
+        registry.observe_limit(key, Some(1.5), Source::Request),
+        None
+    );
+    assert!(!registry.limits().contains(key));
 }
--- a/components/state/tests/ask_budget.rs
+++ b/components/state/tests/host_probe_budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use state::Moment;
-use state::fleet::AskBudget;
+use state::fleet::HostProbeBudget;
 
 const RATE: f64 = 60.0;
 const ENDPOINTS: usize = 37;
@@ -13,13 +13,13 @@
 fn asked(hosts: usize, seconds: u64) -> f64 {
     let start = Moment::from_millis(1_000);
     let share = 1.0 / hosts as f64;
-    let mut budget = AskBudget::new(start);
+    let mut budget = HostProbeBudget::new(start);
     let mut asked = 0;
     for millis in 0..seconds * 1_000 {
         let now = start + Duration::from_millis(millis);
-        budget.fill(RATE, ENDPOINTS, share, now);
+        budget.refill(RATE, ENDPOINTS, share, now);
         for _ in 0..2 {
-            if budget.is_left() {
+            if budget.is_available() {
                 budget.spend();
                 asked += 1;
             }
@@ -48,12 +48,12 @@
 fn short_flood() {
     for (hosts, endpoints) in [(13, 25), (18, 37), (133, 240), (1_000, 280)] {
         let start = Moment::from_millis(1_000);
-        let mut budget = AskBudget::new(start);
+        let mut budget = HostProbeBudget::new(start);
         let mut asked = 0;
         for millis in 0..58_000 {
             let now = start + Duration::from_millis(millis);
-            budget.fill(RATE, endpoints, 1.0 / f64::from(hosts), now);
-            if budget.is_left() {
+            budget.refill(RATE, endpoints, 1.0 / f64::from(hosts), now);
+            if budget.is_available() {
                 budget.spend();
                 asked += 1;
             }
@@ -73,10 +73,10 @@
 #[test]
 fn burst_granted() {
     let start = Moment::from_millis(1_000);
-    let mut budget = AskBudget::new(start);
-    budget.fill(RATE, ENDPOINTS, 0.05, start + Duration::from_secs(600));
+    let mut budget = HostProbeBudget::new(start);
+    budget.refill(RATE, ENDPOINTS, 0.05, start + Duration::from_secs(600));
     let mut asked = 0;
-    while budget.is_left() {
+    while budget.is_available() {
         budget.spend();
         asked += 1;
     }
@@ -91,9 +91,9 @@
 #[test]
 fn share_unknown() {
     let start = Moment::from_millis(1_000);
-    let mut budget = AskBudget::new(start);
-    budget.fill(RATE, ENDPOINTS, 0.0, start + Duration::from_secs(1));
-    assert!(budget.is_left());
+    let mut budget = HostProbeBudget::new(start);
+    budget.refill(RATE, ENDPOINTS, 0.0, start + Duration::from_secs(1));
+    assert!(budget.is_available());
 }
 
 /// A host whose callers ask for more than its share, and one that has some to spare: what
@@ -101,10 +101,10 @@
 #[test]
 fn lent_once() {
     let start = Moment::from_millis(1_000);
-    let [mut busy, mut calm] = [AskBudget::new(start), AskBudget::new(start)];
+    let [mut busy, mut calm] = [HostProbeBudget::new(start), HostProbeBudget::new(start)];
     let now = start + Duration::from_secs(30);
     for budget in [&mut busy, &mut calm] {
-        budget.fill(RATE, ENDPOINTS, 0.05, now);
+        budget.refill(RATE, ENDPOINTS, 0.05, now);
     }
     assert_eq!(busy.borrow(now), None, "it has enough");
     let own = left(&mut busy);
@@ -112,8 +112,8 @@
     assert_eq!(busy.borrow(now), None, "it asks again at once");
     let lent = calm.lend();
     assert!(lent > 500, "{lent} lent of what was saved in half a minute");
-    busy.borrowed(number, lent);
-    busy.borrowed(number, lent);
+    busy.receive_loan(number, lent);
+    busy.receive_loan(number, lent);
     assert_eq!(
         left(&mut busy),
         lent as usize,
@@ -128,9 +128,9 @@
 #[test]
 fn reserve_kept() {
     let start = Moment::from_millis(1_000);
-    let mut budget = AskBudget::new(start);
+    let mut budget = HostProbeBudget::new(start);
     let now = start + Duration::from_secs(1);
-    budget.fill(RATE, ENDPOINTS, 0.05, now);
+    budget.refill(RATE, ENDPOINTS, 0.05, now);
     for _ in 0..20 {
         budget.lend();
     }
@@ -138,9 +138,9 @@
 }
 
 /// Returns how many questions may still be asked, and asks them.
-fn left(budget: &mut AskBudget) -> usize {
+fn left(budget: &mut HostProbeBudget) -> usize {
     let mut asked = 0;
-    while budget.is_left() {
+    while budget.is_available() {
         budget.spend();
         asked += 1;
     }
--- a/components/state/tests/quarantine.rs
+++ b/components/state/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use state::Moment;
-use state::fleet::quarantine::{Admission, Crash, Finding, Quarantine, Witness};
+use state::fleet::quarantine::{Crash, Decision, Quarantine, QuarantineUpdate, Reporter};
 use state::fleet::{Fingerprint, Fingerprints};
 
 /// The first caller's request that crashes endpoints.
@@ -33,16 +33,16 @@
 fn quarantined() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for millis in [200, 600, 1_000] {
-        quarantine.crashed(&crash(FATAL, millis), Witness::Own);
+        quarantine.note_crash(&crash(FATAL, millis), Reporter::ThisHost);
     }
     quarantine
 }
 
-fn finding(crashes: u32, left: u64, age: u64) -> Finding {
-    Finding {
+fn finding(crashes: u32, remaining: u64, age: u64) -> QuarantineUpdate {
+    QuarantineUpdate {
         request: FATAL.request,
         crashes,
-        left: Duration::from_millis(left),
+        remaining: Duration::from_millis(remaining),
         age: Duration::from_millis(age),
     }
 }
@@ -51,14 +51,17 @@
 fn third_crash() {
     let mut quarantine = Quarantine::default();
     for millis in [200, 600] {
-        let told = quarantine.crashed(&crash(FATAL, millis), Witness::Other);
-        assert_eq!((told, quarantine.left(FATAL, at(millis))), (vec![], None));
+        let told = quarantine.note_crash(&crash(FATAL, millis), Reporter::OtherHost);
+        assert_eq!(
+            (told, quarantine.remaining(FATAL, at(millis))),
+            (vec![], None)
+        );
     }
-    let told = quarantine.crashed(&crash(FATAL, 1_000), Witness::Own);
+    let told = quarantine.note_crash(&crash(FATAL, 1_000), Reporter::ThisHost);
     assert_eq!(told, [finding(3, 10_000, 0)]);
     assert_eq!(
         quarantine.admit(FATAL, at(1_001)),
-        Admission::Reject(Duration::from_millis(9_999))
+        Decision::Reject(Duration::from_millis(9_999))
     );
 }
 
@@ -66,8 +69,8 @@
 #[test]
 fn one_caller() {
     let mut quarantine = quarantined();
-    assert_eq!(quarantine.admit(sent_by(1, 11), at(1_001)), Admission::Pass);
-    assert_eq!(quarantine.admit(sent_by(2, 10), at(1_001)), Admission::Pass);
+    assert_eq!(quarantine.admit(sent_by(1, 11), at(1_001)), Decision::Pass);
+    assert_eq!(quarantine.admit(sent_by(2, 10), at(1_001)), Decision::Pass);
 }
 
 /// A request that crashes endpoints must not go on because each time another caller sends it.
@@ -76,10 +79,10 @@
     let mut quarantine = Quarantine::default();
     for caller in 1..=3 {
         let request = sent_by(1, caller);
-        quarantine.crashed(&crash(request, 400 * caller), Witness::Other);
+        quarantine.note_crash(&crash(request, 400 * caller), Reporter::OtherHost);
     }
-    let left = quarantine.left(sent_by(1, 99), at(1_300));
-    assert_eq!(left, Some(Duration::from_millis(9_900)));
+    let remaining = quarantine.remaining(sent_by(1, 99), at(1_300));
+    assert_eq!(remaining, Some(Duration::from_millis(9_900)));
 }
 
 /// A popular request must not be quarantined because many endpoints end at one moment.
@@ -87,10 +90,10 @@
 fn mass_crash() {
     let mut quarantine = Quarantine::default();
     for millis in [1_000, 1_001, 1_010, 1_030, 1_059] {
-        quarantine.crashed(&crash(FATAL, millis), Witness::Own);
-        quarantine.crashed(&crash(FATAL, millis + 1), Witness::Other);
+        quarantine.note_crash(&crash(FATAL, millis), Reporter::ThisHost);
+        quarantine.note_crash(&crash(FATAL, millis + 1), Reporter::OtherHost);
     }
-    assert_eq!(quarantine.left(FATAL, at(1_070)), None);
+    assert_eq!(quarantine.remaining(FATAL, at(1_070)), None);
 }
 
 /// A popular request must not be quarantined because it often runs beside a fatal one.
@@ -98,9 +101,9 @@
 fn answered_between() {
     let mut quarantine = Quarantine::default();
     for millis in (200..10_000).step_by(200) {
-        quarantine.crashed(&crash(FATAL, millis), Witness::Own);
-        quarantine.answered(FATAL, at(millis + 100));
-        assert_eq!(quarantine.left(FATAL, at(millis + 101)), None);
+        quarantine.note_crash(&crash(FATAL, millis), Reporter::ThisHost);
+        quarantine.note_answer(FATAL, at(millis + 100));
+        assert_eq!(quarantine.remaining(FATAL, at(millis + 101)), None);
     }
 }
 
@@ -110,13 +113,13 @@
     let mut quarantine = quarantined();
     let mut trials = Vec::new();
     for millis in (1_000..600_000).step_by(50) {
-        if matches!(quarantine.admit(FATAL, at(millis)), Admission::Trial(_)) {
+        if matches!(quarantine.admit(FATAL, at(millis)), Decision::Trial(_)) {
             trials.push(millis);
             assert_eq!(
                 quarantine.admit(FATAL, at(millis + 1)),
-                Admission::Reject(Duration::from_millis(9_999))
+                Decision::Reject(Duration::from_millis(9_999))
             );
-            quarantine.crashed(&crash(FATAL, millis + 60), Witness::Own);
+            quarantine.note_crash(&crash(FATAL, millis + 60), Reporter::ThisHost);
         }
     }
     assert_eq!(trials, [11_000, 51_100, 211_200]);
@@ -128,32 +131,32 @@
     let mut quarantine = quarantined();
     assert!(matches!(
         quarantine.admit(FATAL, at(11_000)),
-        Admission::Trial(_)
+        Decision::Trial(_)
     ));
-    let told = quarantine.answered(FATAL, at(11_200));
+    let told = quarantine.note_answer(FATAL, at(11_200));
     assert!(told.contains(&finding(0, 0, 0)));
-    assert_eq!(quarantine.admit(FATAL, at(11_201)), Admission::Pass);
+    assert_eq!(quarantine.admit(FATAL, at(11_201)), Decision::Pass);
 }
 
 /// A host that was away must learn what the others have quarantined, and what they cleared.
 #[test]
 fn learned() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.learn(&finding(3, 8_000, 2_000), at(5_000)));
-    assert!(!quarantine.learn(&finding(3, 8_000, 2_000), at(5_010)));
-    let left = quarantine.left(FATAL, at(5_000));
-    assert_eq!(left, Some(Duration::from_millis(8_000)));
-    assert!(quarantine.learn(&finding(0, 0, 100), at(6_000)));
-    assert_eq!(quarantine.left(FATAL, at(6_000)), None);
+    assert!(quarantine.apply(&finding(3, 8_000, 2_000), at(5_000)));
+    assert!(!quarantine.apply(&finding(3, 8_000, 2_000), at(5_010)));
+    let remaining = quarantine.remaining(FATAL, at(5_000));
+    assert_eq!(remaining, Some(Duration::from_millis(8_000)));
+    assert!(quarantine.apply(&finding(0, 0, 100), at(6_000)));
+    assert_eq!(quarantine.remaining(FATAL, at(6_000)), None);
 }
 
 /// A reminder that was held up must not quarantine a request that was answered since.
 #[test]
 fn late_reminder() {
     let mut quarantine = quarantined();
-    quarantine.answered(FATAL, at(2_000));
-    assert!(!quarantine.learn(&finding(3, 9_000, 1_100), at(2_100)));
-    assert_eq!(quarantine.left(FATAL, at(2_100)), None);
+    quarantine.note_answer(FATAL, at(2_000));
+    assert!(!quarantine.apply(&finding(3, 9_000, 1_100), at(2_100)));
+    assert_eq!(quarantine.remaining(FATAL, at(2_100)), None);
 }
 
 /// An outage in which thousands of requests fail must not push out the one that comes again.
@@ -162,14 +165,14 @@
     let mut quarantine = Quarantine::default();
     for number in 0..10_000 {
         let millis = 100 + number * 6;
-        quarantine.crashed(&crash(sent_by(2 + number, 1), millis), Witness::Other);
+        quarantine.note_crash(&crash(sent_by(2 + number, 1), millis), Reporter::OtherHost);
         if number % 300 == 0 {
-            quarantine.crashed(&crash(FATAL, millis), Witness::Other);
+            quarantine.note_crash(&crash(FATAL, millis), Reporter::OtherHost);
         }
     }
     assert!(quarantine.len() <= 4_096);
-    assert!(quarantine.left(FATAL, at(60_000)).is_some());
-    let told = quarantine.findings(at(60_000));
+    assert!(quarantine.remaining(FATAL, at(60_000)).is_some());
+    let told = quarantine.updates(at(60_000));
     assert!(told.iter().any(|f| f.request == FATAL.request));
 }
 
--- a/components/state/tests/quarantine_fleet.rs
+++ b/components/state/tests/quarantine_fleet.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 use state::Moment;
-use state::fleet::quarantine::{Admission, Crash, Finding, Quarantine, Witness};
+use state::fleet::quarantine::{Crash, Decision, Quarantine, QuarantineUpdate, Reporter};
 use state::fleet::{Fingerprint, Fingerprints};
 
 /// How long an endpoint runs the request before it crashes.
@@ -51,7 +51,7 @@
     },
     Findings {
         to: usize,
-        findings: Vec<Finding>,
+        findings: Vec<QuarantineUpdate>,
     },
     Reminders,
     Restart {
@@ -99,7 +99,7 @@
         }
     }
 
-    fn tell_all(&mut self, from: usize, millis: u64, crash: Crash, findings: &[Finding]) {
+    fn tell_all(&mut self, from: usize, millis: u64, crash: Crash, findings: &[QuarantineUpdate]) {
         for to in (0..self.hosts.len()).filter(|to| *to != from) {
             self.send(millis, Event::Report { to, crash });
             if !findings.is_empty() {
@@ -123,7 +123,7 @@
         let now = Moment::from_millis(millis);
         match event {
             Event::Arrives { host, attempt } => {
-                if matches!(self.hosts[host].admit(FATAL, now), Admission::Reject(_)) {
+                if matches!(self.hosts[host].admit(FATAL, now), Decision::Reject(_)) {
                     return;
                 }
                 if millis >= self.started[host] + SETTLED {
@@ -147,7 +147,7 @@
                     sent,
                     at: now,
                 };
-                let findings = self.hosts[host].crashed(&crash, Witness::Own);
+                let findings = self.hosts[host].note_crash(&crash, Reporter::ThisHost);
                 self.tell_all(host, millis, crash, &findings);
                 if attempt < ATTEMPTS {
                     let attempt = attempt + 1;
@@ -161,16 +161,16 @@
                     at: crash.at + late,
                     ..crash
                 };
-                self.hosts[to].crashed(&crash, Witness::Other);
+                self.hosts[to].note_crash(&crash, Reporter::OtherHost);
             }
             Event::Findings { to, findings } => {
                 for finding in &findings {
-                    self.hosts[to].learn(finding, now);
+                    self.hosts[to].apply(finding, now);
                 }
             }
             Event::Reminders => {
                 for host in 0..self.hosts.len() {
-                    let findings = self.hosts[host].findings(now);
+                    let findings = self.hosts[host].updates(now);
                     let to = self.random.random_range(0..self.hosts.len());
                     self.send(millis, Event::Findings { to, findings });
                 }
@@ -180,7 +180,7 @@
                 self.hosts[host] = Quarantine::default();
                 self.started[host] = millis;
                 let other = (host + 1) % self.hosts.len();
-                let findings = self.hosts[other].findings(now);
+                let findings = self.hosts[other].updates(now);
                 self.send(millis + DELAY, Event::Findings { to: host, findings });
             }
         }
--- a/components/state/tests/rate_limits.rs
+++ b/components/state/tests/rate_limits.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use state::fleet::rate_limit::{Advice, RateLimit, RateLimits, Source};
+use state::fleet::rate_limit::{RateLimit, RateLimitUpdate, RateLimits, Source};
 use state::{EndpointKey, Moment};
 
 const ENDPOINT: EndpointKey = EndpointKey(7);
@@ -62,7 +62,7 @@
     /// Has the endpoint tell all hosts its limit.
     fn tell(&mut self, rate: f64) {
         for host in &mut self.hosts {
-            host.learn(ENDPOINT, Some(rate), Source::Request);
+            host.observe(ENDPOINT, Some(rate), Source::Request);
         }
     }
 
@@ -93,7 +93,7 @@
             let at = self.random.random_range(0..self.hosts.len());
             let host = &mut self.hosts[at];
             let random = &mut self.random;
-            let chosen = host.holds(ENDPOINT) || random.random_ratio(1, 100);
+            let chosen = host.contains(ENDPOINT) || random.random_ratio(1, 100);
             let exhausted = host.exhausted(share, self.now, &mut || random.random());
             if chosen && !exhausted.contains_key(&ENDPOINT) {
                 host.count(ENDPOINT, share, self.now);
@@ -101,18 +101,18 @@
                 if at == 0 {
                     self.first.push(self.now);
                 }
-                let advice = host.learn(ENDPOINT, rate(at), Source::Request);
+                let advice = host.observe(ENDPOINT, rate(at), Source::Request);
                 self.tell_others(at, advice);
             }
             self.now = self.now + Duration::from_millis(1);
         }
     }
 
-    fn tell_others(&mut self, from: usize, advice: Option<Advice>) {
+    fn tell_others(&mut self, from: usize, advice: Option<RateLimitUpdate>) {
         let others = self.hosts.iter_mut().enumerate();
         for (_, host) in others.filter(|(at, _)| *at != from) {
             if let Some(advice) = &advice {
-                host.hear(advice);
+                host.apply(advice);
             }
         }
     }
@@ -196,7 +196,7 @@
 }
 
 fn learned(limits: &mut RateLimits, rate: Option<f64>) -> Option<Option<f64>> {
-    let advice = limits.learn(ENDPOINT, rate, Source::Request);
+    let advice = limits.observe(ENDPOINT, rate, Source::Request);
     advice.map(|a| a.rate)
 }
 
@@ -210,7 +210,7 @@
     assert_eq!(learned(&mut limits, Some(2.2)), None);
     assert_eq!(learned(&mut limits, Some(3.0)), Some(Some(3.0)));
     assert_eq!(learned(&mut limits, None), Some(None));
-    assert!(!limits.holds(ENDPOINT));
+    assert!(!limits.contains(ENDPOINT));
 }
 
 /// An endpoint that names its limit to one host only must not get too much from that host
@@ -232,11 +232,11 @@
 fn ended_elsewhere() {
     let mut limits = RateLimits::default();
     learned(&mut limits, Some(1.5));
-    limits.hear(&Advice {
+    limits.apply(&RateLimitUpdate {
         endpoint: ENDPOINT,
         rate: None,
     });
-    assert!(!limits.holds(ENDPOINT));
+    assert!(!limits.contains(ENDPOINT));
 }
 
 /// Hundreds of hosts send an endpoint a request in minutes each. It must not get them all
@@ -250,5 +250,5 @@
     let all = fleet.sent.len();
     assert!(all >= 40, "{all} requests in a minute");
     fleet.requests(Duration::from_secs(10), |_| None);
-    assert!(fleet.hosts.iter().all(|host| !host.holds(ENDPOINT)));
+    assert!(fleet.hosts.iter().all(|host| !host.contains(ENDPOINT)));
 }
--- a/components/state/tests/route_choice.rs
+++ b/components/state/tests/route_choice.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 use state::ServiceKey;
-use state::routing::{CallerLimits, Catalogue, Orders, Part, Route, RouteTable};
+use state::routing::{CallerLimits, Catalogue, OperatorConfig, Route, RouteTable, WeightedService};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
@@ -19,13 +19,13 @@
         objective: Duration::from_millis(500),
         priority: 0,
         attempts: 2,
-        parts: vec![part("svc", 1)],
+        weighted_services: vec![part("svc", 1)],
         regions: BTreeSet::new(),
     }
 }
 
-fn part(service: &str, weight: u64) -> Part {
-    Part {
+fn part(service: &str, weight: u64) -> WeightedService {
+    WeightedService {
         service: ServiceKey::named(service),
         weight,
     }
@@ -93,11 +93,11 @@
 #[test]
 fn weighted_parts() {
     let mut route = route("split", "a.example", "/");
-    route.parts = vec![part("new", 100), part("old", 900), part("none", 0)];
+    route.weighted_services = vec![part("new", 100), part("old", 900), part("none", 0)];
     let mut random = StdRng::seed_from_u64(3);
     let mut shares = BTreeMap::new();
     for _ in 0..10_000 {
-        let service = route.part(random.random()).expect("it has parts");
+        let service = route.pick_service(random.random()).expect("it has parts");
         *shares.entry(service).or_insert(0) += 1;
     }
     assert!((900..1_100).contains(&shares[&ServiceKey::named("new")]));
@@ -109,7 +109,7 @@
 /// callers by routes that their operators have dropped.
 #[test]
 fn never_back() {
-    let mut orders = Orders::default();
+    let mut orders = OperatorConfig::default();
     assert!(orders.adopt(catalogue(7)));
     assert!(!orders.adopt(catalogue(5)));
     assert!(!orders.adopt(catalogue(7)));
--- a/components/state/tests/slow_peers.rs
+++ b/components/state/tests/slow_peers.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use state::pace::{LEAST_RATE, PATIENCE, Pace};
+use state::stall::{MIN_RATE, STALL_TIMEOUT, StallTimer};
 
 /// Returns how many seconds a peer is borne that moves `bytes` each second.
 fn borne(bytes: u64) -> u64 {
-    let mut pace = Pace::default();
+    let mut pace = StallTimer::default();
     for second in 0..3_600 {
-        if pace.left() < Duration::from_secs(1) {
+        if pace.remaining() < Duration::from_secs(1) {
             return second;
         }
-        pace.waited(Duration::from_secs(1));
-        pace.moved(bytes);
+        pace.note_wait(Duration::from_secs(1));
+        pace.note_bytes(bytes);
     }
     3_600
 }
@@ -20,24 +20,24 @@
 /// A thousand callers move a byte a second, and each holds on for hours.
 #[test]
 fn trickle_ends() {
-    assert!(borne(1) <= PATIENCE.as_secs());
+    assert!(borne(1) <= STALL_TIMEOUT.as_secs());
 }
 
 #[test]
 fn half_rate_ends() {
-    assert!(borne(LEAST_RATE / 2) <= 2 * PATIENCE.as_secs());
+    assert!(borne(MIN_RATE / 2) <= 2 * STALL_TIMEOUT.as_secs());
 }
 
 /// A slow line that is still fit for use carries a long upload to its end.
 #[test]
 fn least_rate_is_borne() {
-    assert_eq!(borne(LEAST_RATE), 3_600);
+    assert_eq!(borne(MIN_RATE), 3_600);
 }
 
 /// A fast beginning must not buy hours of silence.
 #[test]
 fn no_credit_for_the_past() {
-    let mut pace = Pace::default();
-    pace.moved(1 << 40);
-    assert_eq!(pace.left(), PATIENCE);
+    let mut pace = StallTimer::default();
+    pace.note_bytes(1 << 40);
+    assert_eq!(pace.remaining(), STALL_TIMEOUT);
 }
--- a/components/state/tests/lost_centre.rs
+++ b/components/state/tests/unreachable_centre.rs
@@ -7,10 +7,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::fleet::outcome::Outcome;
-use state::fleet::placing::{Knowledge, Request};
+use state::fleet::placement::{Context, Request};
 use state::fleet::token_buckets::Quota;
-use state::fleet::{Endpoint, Entry, Look, Placing, Registry, Step};
-use state::places::Places;
+use state::fleet::{Endpoint, Entry, LoadSample, Placement, Registry, Step};
+use state::topology::Topology;
 use state::{DataCentreKey, EndpointKey, Moment, ServiceKey};
 
 const START: Moment = Moment::from_millis(10_000);
@@ -33,7 +33,7 @@
 fn endpoint(centre: &str, number: usize) -> Endpoint {
     Endpoint {
         instance: format!("{centre}-{number}"),
-        born: 1,
+        started_ms: 1,
         service: ServiceKey::named("svc"),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         centre: DataCentreKey::named(centre),
@@ -74,18 +74,18 @@
             home: DataCentreKey::named("near"),
             objective: began + Duration::from_millis(1_200),
             deadline: began + Duration::from_millis(2_000),
-            usual: Duration::from_millis(450),
+            service_time: Duration::from_millis(450),
             priority: 0,
         };
-        let mut placing = Placing::default();
+        let mut placement = Placement::default();
         loop {
-            match self.step(&mut placing, &request) {
-                Step::Ask(key) if self.cut && self.is_near(key) => {
+            match self.step(&mut placement, &request) {
+                Step::Probe(key) if self.cut && self.is_near(key) => {
                     self.now = self.now + SILENCE;
-                    self.registry.note(key, Outcome::Broken, self.now);
-                    placing.unanswered(key);
+                    self.registry.note_outcome(key, Outcome::Broken, self.now);
+                    placement.note_unanswered(key);
                 }
-                Step::Ask(key) => self.answer(key),
+                Step::Probe(key) => self.answer(key),
                 Step::Place(key) => return (Some(key), self.now.since(began)),
                 Step::Wait(time) => self.now = self.now + time,
                 Step::Refuse(_) => return (None, self.now.since(began)),
@@ -93,35 +93,35 @@
         }
     }
 
-    fn step(&mut self, placing: &mut Placing, request: &Request) -> Step {
-        let mut knowledge = Knowledge {
+    fn step(&mut self, placement: &mut Placement, request: &Request) -> Step {
+        let mut context = Context {
             registry: &mut self.registry,
-            kept: &|_| false,
-            turn: true,
-            asks: true,
-            left: &BTreeSet::new(),
-            places: &Places::default(),
+            is_connected: &|_| false,
+            is_first: true,
+            may_probe: true,
+            leaving_centres: &BTreeSet::new(),
+            topology: &Topology::default(),
             regions: &BTreeSet::new(),
             cold: Quota::cold(3.0, 0.1),
         };
         let random = &mut self.random;
         let mut draw = || random.random::<f64>();
-        placing.next(&mut knowledge, request, self.now, &mut draw)
+        placement.next(&mut context, request, self.now, &mut draw)
     }
 
     fn answer(&mut self, key: EndpointKey) {
         self.now = self.now + Duration::from_millis(3);
         let state = self.registry.get_mut(key).expect("it is known");
-        state.see(Look {
+        state.set_sample(LoadSample {
             at: self.now,
             running: 0,
             waiting: 0,
             slots: 6,
             slowness: 100,
-            well: true,
-            told: true,
+            healthy: true,
+            reported: true,
         });
-        self.registry.answered(key);
+        self.registry.note_answer(key);
     }
 }
 
--- a/components/state/tests/waiting_line.rs
+++ b/components/state/tests/wait_queue.rs
@@ -6,10 +6,10 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use state::fleet::placing::{Knowledge, Request};
+use state::fleet::placement::{Context, Request};
 use state::fleet::token_buckets::Quota;
-use state::fleet::{Endpoint, Entry, Line, Look, Placing, Registry, Step, Ticket};
-use state::places::Places;
+use state::fleet::{Endpoint, Entry, LoadSample, Placement, Registry, Step, Ticket, WaitQueue};
+use state::topology::Topology;
 use state::{DataCentreKey, EndpointKey, Moment, ServiceKey};
 
 const START: Moment = Moment::from_millis(10_000);
@@ -22,7 +22,7 @@
 /// One host whose requests all wait for the same few endpoints.
 struct Host {
     registry: Registry,
-    line: Line,
+    queue: WaitQueue,
     waiting: Vec<Waiting>,
     random: StdRng,
     /// Requests that endpoints run for other hosts.
@@ -34,7 +34,7 @@
 struct Waiting {
     number: usize,
     request: Request,
-    placing: Placing,
+    placement: Placement,
     ticket: Option<Ticket>,
     due: Moment,
     asking: Option<EndpointKey>,
@@ -43,7 +43,7 @@
 fn endpoint(name: &str) -> Endpoint {
     Endpoint {
         instance: name.to_owned(),
-        born: 1,
+        started_ms: 1,
         service: ServiceKey::named("svc"),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         centre: DataCentreKey::named("near"),
@@ -65,7 +65,7 @@
         }
         Host {
             registry,
-            line: Line::default(),
+            queue: WaitQueue::default(),
             waiting: Vec::new(),
             random: StdRng::seed_from_u64(3),
             taken,
@@ -80,14 +80,14 @@
             home: DataCentreKey::named("near"),
             objective: now + Duration::from_millis(600),
             deadline: now + Duration::from_millis(2_000),
-            usual: Duration::from_millis(60),
+            service_time: Duration::from_millis(60),
             priority,
         };
-        let ticket = (!self.line.is_empty()).then(|| self.line.join(priority, request.objective));
+        let ticket = (!self.queue.is_empty()).then(|| self.queue.push(priority, request.objective));
         self.waiting.push(Waiting {
             number,
             request,
-            placing: Placing::default(),
+            placement: Placement::default(),
             ticket,
             due: now,
             asking: None,
@@ -109,25 +109,25 @@
         if let Some(key) = waiting.asking.take() {
             self.see(key, now);
         }
-        let turn = waiting.ticket.is_none_or(|t| self.line.first() == Some(t));
+        let is_first = waiting.ticket.is_none_or(|t| self.queue.first() == Some(t));
         let random = &mut self.random;
         let mut draw = || random.random::<f64>();
-        let mut knowledge = Knowledge {
+        let mut context = Context {
             registry: &mut self.registry,
-            kept: &|_| false,
-            left: &BTreeSet::new(),
-            places: &Places::default(),
+            is_connected: &|_| false,
+            leaving_centres: &BTreeSet::new(),
+            topology: &Topology::default(),
             regions: &BTreeSet::new(),
             cold: Quota::cold(0.0, 0.0),
-            turn,
-            asks: true,
+            is_first,
+            may_probe: true,
         };
         let request = &waiting.request;
         match waiting
-            .placing
-            .next(&mut knowledge, request, now, &mut draw)
+            .placement
+            .next(&mut context, request, now, &mut draw)
         {
-            Step::Ask(key) => {
+            Step::Probe(key) => {
                 self.asks += 1;
                 waiting.asking = Some(key);
                 waiting.due = now + ANSWER;
@@ -143,7 +143,7 @@
                 let rank = (request.priority, request.objective);
                 waiting
                     .ticket
-                    .get_or_insert_with(|| self.line.join(rank.0, rank.1));
+                    .get_or_insert_with(|| self.queue.push(rank.0, rank.1));
                 waiting.due = now + time;
                 true
             }
@@ -153,21 +153,24 @@
 
     /// Lets a request leave the line, and calls who is first then.
     fn called(&mut self, ticket: Option<Ticket>, now: Moment) {
-        let next = ticket.and_then(|t| self.line.leave(t));
+        let next = ticket.and_then(|t| self.queue.remove(t));
         self.wake(next, now);
     }
 
     fn see(&mut self, key: EndpointKey, now: Moment) {
-        let look = Look {
+        let look = LoadSample {
             at: now,
             running: self.taken[&key],
             waiting: 0,
             slots: SLOTS,
             slowness: 100,
-            well: true,
-            told: true,
+            healthy: true,
+            reported: true,
         };
-        self.registry.get_mut(key).expect("it is known").see(look);
+        self.registry
+            .get_mut(key)
+            .expect("it is known")
+            .set_sample(look);
     }
 
     /// Has a request of this host end at an endpoint, which tells its load.
@@ -175,7 +178,7 @@
         let key = endpoint(name).key();
         self.taken.insert(key, left);
         self.see(key, now);
-        self.wake(self.line.first(), now);
+        self.wake(self.queue.first(), now);
     }
 
     fn wake(&mut self, ticket: Option<Ticket>, now: Moment) {
@@ -250,12 +253,12 @@
 /// would stand until its time is over.
 #[test]
 fn next_is_called() {
-    let mut line = Line::default();
-    let first = line.join(1, START);
-    let second = line.join(1, START + TICK);
-    let third = line.join(1, START + TICK);
-    assert_eq!(line.leave(third), None);
-    assert_eq!(line.leave(first), Some(second));
-    assert_eq!(line.leave(second), None);
-    assert!(line.is_empty());
+    let mut queue = WaitQueue::default();
+    let first = queue.push(1, START);
+    let second = queue.push(1, START + TICK);
+    let third = queue.push(1, START + TICK);
+    assert_eq!(queue.remove(third), None);
+    assert_eq!(queue.remove(first), Some(second));
+    assert_eq!(queue.remove(second), None);
+    assert!(queue.is_empty());
 }
--- a/components/state/tests/waiting_calls.rs
+++ b/components/state/tests/waiting_calls.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use state::admission::{Admission, Gate, STANDING, TARGET};
-use state::queue::{CallKey, Queue, Waiting};
+use state::admission::{Admission, AdmissionControl, STANDING, TARGET};
+use state::queue::{CallKey, Queue, WaitingCall};
 use state::{EndpointKey, Moment};
 
-fn waiting(call: u64, arrived: u64, deadline: u64) -> Waiting {
-    Waiting {
+fn waiting(call: u64, arrived: u64, deadline: u64) -> WaitingCall {
+    WaitingCall {
         call: CallKey(call),
         arrived: Moment::from_millis(arrived),
         deadline: Moment::from_millis(deadline),
@@ -58,8 +58,8 @@
 }
 
 /// Returns a gate that has seen a waiting call start each `interval`.
-fn fed(interval: u64, starts: u64) -> Gate {
-    let mut gate = Gate::new(Moment(0));
+fn fed(interval: u64, starts: u64) -> AdmissionControl {
+    let mut gate = AdmissionControl::new(Moment(0));
     for n in 0..starts {
         gate.note_start(10, Moment::from_millis(n * interval));
     }
--- a/components/state/tests/repeat_budget.rs
+++ b/components/state/tests/windowed_retry_budget.rs
@@ -5,10 +5,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::Moment;
-use state::fleet::RepeatBudget;
-use state::fleet::repeats::RepeatBounds;
+use state::fleet::WindowedRetryBudget;
+use state::fleet::retry_budget::RetryBounds;
 
-const BOUNDS: RepeatBounds = RepeatBounds {
+const BOUNDS: RetryBounds = RetryBounds {
     ratio: 0.2,
     slack: 56.0,
     window: Duration::from_secs(10),
@@ -22,15 +22,15 @@
     for seed in 0..20 {
         let mut random = StdRng::seed_from_u64(seed);
         let hosts = 13;
-        let mut budgets: Vec<RepeatBudget> = (0..hosts)
-            .map(|_| RepeatBudget::new(BOUNDS, Moment(0)))
+        let mut budgets: Vec<WindowedRetryBudget> = (0..hosts)
+            .map(|_| WindowedRetryBudget::new(BOUNDS, Moment(0)))
             .collect();
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
         for step in 0..40_000u64 {
             let now = Moment::from_millis(step);
             if step == 20_000 {
-                budgets = vec![RepeatBudget::new(BOUNDS, now); hosts];
+                budgets = vec![WindowedRetryBudget::new(BOUNDS, now); hosts];
             }
             if !random.random_bool(0.1) {
                 continue;
@@ -67,7 +67,7 @@
 /// A host that has served nothing has nothing to send again, but its share.
 #[test]
 fn idle_host() {
-    let mut budget = RepeatBudget::new(BOUNDS, Moment(0));
+    let mut budget = WindowedRetryBudget::new(BOUNDS, Moment(0));
     assert!(!budget.take(0.1, Moment::from_millis(1)));
     assert!(budget.take(0.1, Moment::from_millis(10_001)));
 }
--- a/components/transport/src/dispatch/probe.rs
+++ b/components/transport/src/dispatch/probe.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONNECTION, HOST};
 use hyper_util::rt::TokioIo;
 use serde::Deserialize;
-use state::warmth::{LoadReport, Mood};
+use state::capacity::{LoadReport, Readiness};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
@@ -62,15 +62,15 @@
 /// Reads a report; distrusts all of it.
 fn read(body: &[u8]) -> Option<LoadReport> {
     let report: Report = serde_json::from_slice(body).ok()?;
-    let mood = match report.state.as_str() {
-        "cold" => Mood::Cold,
-        "warm" => Mood::Warm,
-        "draining" => Mood::Draining,
+    let readiness = match report.state.as_str() {
+        "cold" => Readiness::Cold,
+        "warm" => Readiness::Warm,
+        "draining" => Readiness::Draining,
         _ => return None,
     };
     Some(LoadReport {
         boot: report.boot,
-        mood,
+        readiness,
         running: report.running,
     })
 }
--- a/components/transport/src/dispatch/shared.rs
+++ b/components/transport/src/dispatch/shared.rs
@@ -7,8 +7,8 @@
 
 use coordination::slots::message::{LeaseKey, SlotMessage};
 use coordination::slots::{self, Arrival, Effect, Identity, ServiceStatus, SlotManager};
+use state::capacity::LoadReport;
 use state::queue::CallKey;
-use state::warmth::LoadReport;
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
 use tokio::runtime::Handle;
 use tokio::sync::{Notify, oneshot};
@@ -130,9 +130,9 @@
             owned
                 .map(|(endpoint, owned)| EndpointStanding {
                     endpoint: *endpoint,
-                    cap: owned.warmth.cap(),
+                    cap: owned.capacity.cap(),
                     out: owned.lease_table.leased(),
-                    doubted: owned.warmth.doubt().is_some(),
+                    doubted: owned.capacity.degradation().is_some(),
                     fenced: !owned.lease_table.is_open(now),
                     report_age: core.reports.get(endpoint).map(|at| now.since(*at)),
                 })
--- a/components/transport/src/edge/body.rs
+++ b/components/transport/src/edge/body.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
-use state::pace::Pace;
+use state::stall::StallTimer;
 use thiserror::Error;
 use tokio::time::{Sleep, timeout};
 
@@ -46,7 +46,7 @@
     incoming: Incoming,
     limit: u64,
     taken: u64,
-    pace: Pace,
+    stall: StallTimer,
     waiting: Option<Waiting>,
 }
 
@@ -76,7 +76,7 @@
                 incoming,
                 limit,
                 taken: 0,
-                pace: Pace::default(),
+                stall: StallTimer::default(),
                 waiting: None,
             }),
         }
@@ -146,9 +146,9 @@
 
     fn count(&mut self, data: Bytes) -> Result<Bytes, BodyError> {
         if let Some(waiting) = self.waiting.take() {
-            self.pace.waited(waiting.since.elapsed());
+            self.stall.note_wait(waiting.since.elapsed());
         }
-        self.pace.moved(data.len() as u64);
+        self.stall.note_bytes(data.len() as u64);
         self.taken += data.len() as u64;
         match self.taken > self.limit {
             true => Err(BodyError::TooLarge(self.limit)),
@@ -157,7 +157,7 @@
     }
 
     fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        let left = self.pace.left();
+        let left = self.stall.remaining();
         let waiting = self.waiting.get_or_insert_with(|| Waiting {
             since: Instant::now(),
             timer: Box::pin(tokio::time::sleep(left)),
--- a/components/transport/src/edge/caller.rs
+++ b/components/transport/src/edge/caller.rs
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-use state::pace::Pace;
+use state::stall::StallTimer;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
@@ -62,7 +62,7 @@
 pub struct CallerStream {
     stream: TcpStream,
     state: Arc<CallerState>,
-    pace: Pace,
+    stall: StallTimer,
     waiting: Option<Waiting>,
 }
 
@@ -77,7 +77,7 @@
         CallerStream {
             stream,
             state,
-            pace: Pace::default(),
+            stall: StallTimer::default(),
             waiting: None,
         }
     }
@@ -95,9 +95,9 @@
         match result {
             Poll::Ready(Ok(n)) => {
                 if let Some(waiting) = self.waiting.take() {
-                    self.pace.waited(waiting.since.elapsed());
+                    self.stall.note_wait(waiting.since.elapsed());
                 }
-                self.pace.moved(n as u64);
+                self.stall.note_bytes(n as u64);
                 Poll::Ready(Ok(n))
             }
             Poll::Ready(Err(e)) => Poll::Ready(Err(e)),
@@ -106,7 +106,7 @@
     }
 
     fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let left = self.pace.left();
+        let left = self.stall.remaining();
         let waiting = self.waiting.get_or_insert_with(|| Waiting {
             since: Instant::now(),
             timer: Box::pin(tokio::time::sleep(left)),
--- a/components/transport/src/gateway/ask.rs
+++ b/components/transport/src/gateway/ask.rs
@@ -8,12 +8,12 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::{HeaderMap, Request, StatusCode};
 use protocol::neighbour::{NeighbourMessage, ProbeLoan};
-use state::fleet::look::Look;
+use state::fleet::load_sample::LoadSample;
 use state::fleet::outcome::Outcome;
-use state::fleet::placing::{self, Knowledge, Refusal, Step};
+use state::fleet::placement::{self, Context, Refusal, Step};
 use state::fleet::rate_limit::Source;
 use state::fleet::token_buckets::Quota;
-use state::fleet::{Placing, Registry};
+use state::fleet::{Placement, Registry};
 use state::{EndpointKey, Moment, RegionKey};
 use tokio::time::timeout;
 
@@ -59,8 +59,8 @@
     /// it is known to be alive, which an idle one may not be.
     pub(super) async fn find(
         &self,
-        placing: &RefCell<Placing>,
-        request: &placing::Request,
+        placement: &RefCell<Placement>,
+        request: &placement::Request,
         regions: &BTreeSet<RegionKey>,
     ) -> Result<(EndpointKey, Connection), Refusal> {
         let mut asked = Asked {
@@ -71,20 +71,20 @@
             .anyone_waits(request.service)
             .then(|| self.stand(request));
         loop {
-            let turn = standing.as_ref().is_none_or(Standing::is_first);
-            let step = self.step(&mut placing.borrow_mut(), request, regions, turn);
+            let is_first = standing.as_ref().is_none_or(Standing::is_first);
+            let step = self.step(&mut placement.borrow_mut(), request, regions, is_first);
             match step {
-                Step::Ask(key) => match self.ask(key).await {
+                Step::Probe(key) => match self.ask(key).await {
                     Some(answered) => {
                         asked.connections.insert(key, answered);
                     }
-                    None => placing.borrow_mut().unanswered(key),
+                    None => placement.borrow_mut().note_unanswered(key),
                 },
                 Step::Place(key) => {
                     let given = asked.connections.remove(&key).map(|(c, _)| c);
                     match self.connect(key, given).await {
                         Some(connection) => return Ok((key, connection)),
-                        None => placing.borrow_mut().unanswered(key),
+                        None => placement.borrow_mut().note_unanswered(key),
                     }
                 }
                 Step::Wait(time) => {
@@ -103,8 +103,8 @@
         let endpoints = self.registry.borrow().len();
         let now = clock::now();
         let mut asks = self.asks.borrow_mut();
-        asks.fill(rate, endpoints, self.share.get(), now);
-        let left = asks.is_left();
+        asks.refill(rate, endpoints, self.share.get(), now);
+        let left = asks.is_available();
         let wanted = asks.borrow(now);
         drop(asks);
         if let Some(request_id) = wanted {
@@ -127,7 +127,7 @@
         let rate = self.live.borrow().bounds.ask_rate;
         let endpoints = self.registry.borrow().len();
         let mut asks = self.asks.borrow_mut();
-        asks.fill(rate, endpoints, self.share.get(), clock::now());
+        asks.refill(rate, endpoints, self.share.get(), clock::now());
         let probes = asks.lend();
         drop(asks);
         if probes > 0 {
@@ -141,32 +141,32 @@
 
     fn step(
         &self,
-        placing: &mut Placing,
-        request: &placing::Request,
+        placement: &mut Placement,
+        request: &placement::Request,
         regions: &BTreeSet<RegionKey>,
-        turn: bool,
+        is_first: bool,
     ) -> Step {
-        let asks = self.may_ask();
+        let may_probe = self.may_ask();
         let orders = self.orders.borrow();
         let plan = orders
             .catalogue
             .as_ref()
             .and_then(|c| c.services.get(&request.service));
         let mut registry = self.registry.borrow_mut();
-        registry.settle(clock::now());
+        registry.expire_lapsed(clock::now());
         let pool = self.pool.borrow();
-        let mut knowledge = Knowledge {
+        let mut context = Context {
             registry: &mut registry,
-            kept: &|key| pool.holds(key),
-            turn,
-            asks,
-            left: &orders.left,
-            places: &self.settings.places,
+            is_connected: &|key| pool.holds(key),
+            is_first,
+            may_probe,
+            leaving_centres: &orders.leaving_centres,
+            topology: &self.settings.topology,
             regions,
             cold: Quota::cold(plan.map_or(0.0, |p| p.cold_rate), self.share.get()),
         };
         let mut draw = || self.draw_share();
-        placing.next(&mut knowledge, request, clock::now(), &mut draw)
+        placement.next(&mut context, request, clock::now(), &mut draw)
     }
 
     /// Returns a connection to an endpoint: the given one, an idle one, or a new one.
@@ -229,8 +229,8 @@
                 return None;
             }
         }
-        let well = parts.status == StatusCode::OK;
-        self.learn(key, well, &parts.headers)
+        let healthy = parts.status == StatusCode::OK;
+        self.learn(key, healthy, &parts.headers)
             .then_some((connection, parts.headers))
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Takes in what an endpoint says of itself; false where another has its address.
-    fn learn(&self, key: EndpointKey, well: bool, fields: &HeaderMap) -> bool {
+    fn learn(&self, key: EndpointKey, healthy: bool, fields: &HeaderMap) -> bool {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let Some(state) = registry.get_mut(key) else {
@@ -264,9 +264,11 @@
             return false;
         }
         state.note_cold(platform::headers::warmup_remaining(fields), now);
-        let told = platform::headers::load_report(fields, well, now);
-        state.see(told.unwrap_or_else(|| untold(state.running, state.endpoint.slots, well, now)));
-        registry.answered(key);
+        let told = platform::headers::load_report(fields, healthy, now);
+        state.set_sample(
+            told.unwrap_or_else(|| untold(state.running, state.endpoint.slots, healthy, now)),
+        );
+        registry.note_answer(key);
         drop(registry);
         self.learn_limit(key, fields, Source::Probe);
         true
@@ -281,9 +283,9 @@
         let now = clock::now();
         let mut room = None;
         with_state(&mut self.registry.borrow_mut(), key, |state| {
-            let well = state.look.is_none_or(|l| l.well);
-            if let Some(look) = platform::headers::load_report(fields, well, now) {
-                state.see(look);
+            let healthy = state.sample.is_none_or(|l| l.healthy);
+            if let Some(look) = platform::headers::load_report(fields, healthy, now) {
+                state.set_sample(look);
                 room = state.is_good(now).then_some(state.endpoint.service);
             }
         });
@@ -296,7 +298,7 @@
     pub(super) fn note(&self, key: EndpointKey, outcome: Outcome) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
-        if registry.note(key, outcome, now) {
+        if registry.note_outcome(key, outcome, now) {
             let endpoint = registry.get(key).map(|s| &s.endpoint);
             let instance = endpoint.map(|e| e.instance.as_str());
             log::info!(
@@ -320,14 +322,14 @@
 }
 
 /// Returns the look at an endpoint that doesn't tell its load.
-fn untold(running: u32, slots: u32, well: bool, at: Moment) -> Look {
-    Look {
+fn untold(running: u32, slots: u32, healthy: bool, at: Moment) -> LoadSample {
+    LoadSample {
         at,
         running,
         waiting: 0,
         slots,
         slowness: 100,
-        well,
-        told: false,
+        healthy,
+        reported: false,
     }
 }
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -10,8 +10,8 @@
 use hyper::http::response::Parts as AnswerParts;
 use hyper::{Request, StatusCode, Version};
 use state::fleet::outcome::Outcome;
-use state::fleet::placing::{self, Refusal};
-use state::fleet::{Fingerprints, Placing};
+use state::fleet::placement::{self, Refusal};
+use state::fleet::{Fingerprints, Placement};
 use state::{EndpointKey, Moment};
 
 use super::Gateway;
@@ -35,13 +35,13 @@
     /// The caller's request, without its body.
     pub parts: &'a RequestParts,
     /// How it is placed.
-    pub request: placing::Request,
+    pub request: placement::Request,
     /// The route's name, for what is learned of its work.
     pub route: &'a state::routing::Route,
     /// The request's names, the same whenever it comes again.
     pub fingerprints: Fingerprints,
     /// Endpoints that the request was sent to.
-    pub placing: &'a RefCell<Placing>,
+    pub placement: &'a RefCell<Placement>,
     /// Requests sent that may have run.
     pub exposed: &'a Cell<u32>,
 }
@@ -114,7 +114,7 @@
     pub async fn run(&self, body: RequestBody) -> Ending {
         let found = self
             .gateway
-            .find(self.placing, &self.request, &self.route.regions)
+            .find(self.placement, &self.request, &self.route.regions)
             .await;
         let (key, mut connection) = match found {
             Ok(found) => found,
@@ -126,9 +126,9 @@
         let Some(request) = self.request_to(key, body) else {
             return Ending::Unsent("the endpoint has left");
         };
-        self.placing.borrow_mut().tried(key);
+        self.placement.borrow_mut().note_tried(key);
         let began = clock::now();
-        let pace = self.pace(key, began);
+        let pace = self.slowdown(key, began);
         let _running = Running::start(self.gateway, key);
         self.exposed.set(self.exposed.get() + 1);
         match connection.send(request).await {
@@ -158,9 +158,12 @@
         self.exposed.set(self.exposed.get() - 1);
     }
 
-    fn pace(&self, key: EndpointKey, now: Moment) -> f64 {
+    fn slowdown(&self, key: EndpointKey, now: Moment) -> f64 {
         let registry = self.gateway.registry.borrow();
-        registry.get(key).and_then(|s| s.pace(now)).unwrap_or(1.0)
+        registry
+            .get(key)
+            .and_then(|s| s.slowdown(now))
+            .unwrap_or(1.0)
     }
 
     fn request_to(&self, key: EndpointKey, body: RequestBody) -> Option<Request<RequestBody>> {
@@ -261,7 +264,10 @@
         let outcome = match ending {
             Ending::Answered(_) => {
                 self.gateway.note_answered(self.fingerprints);
-                let usual = self.request.usual.mul_f64(pace.max(1.0) * SLOW_FACTOR);
+                let usual = self
+                    .request
+                    .service_time
+                    .mul_f64(pace.max(1.0) * SLOW_FACTOR);
                 self.gateway
                     .with_tempo(self.route, |tempo| tempo.note(time, pace));
                 match time > usual {
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -12,10 +12,10 @@
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
-use state::fleet::Placing;
-use state::fleet::comeback;
+use state::fleet::Placement;
 use state::fleet::fingerprint::{Content, Fingerprints};
-use state::fleet::placing::{self, Refusal};
+use state::fleet::placement::{self, Refusal};
+use state::fleet::retry_after;
 use state::routing::Route;
 use state::{Moment, ServiceKey};
 use tokio::time::{Instant, sleep_until, timeout_at};
@@ -136,7 +136,7 @@
         }
     };
     let service = route
-        .part(gateway.draw())
+        .pick_service(gateway.draw())
         .ok_or(Denial::NotRun("the route has no service", SOON))?;
     let patience = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
@@ -220,7 +220,7 @@
         if let Some(left) = self.gateway.quarantined(self.fingerprints) {
             return Err(Denial::Quarantined(left));
         }
-        let placing = RefCell::new(Placing::default());
+        let placement = RefCell::new(Placement::default());
         let exposed = Cell::new(0);
         let attempt = Attempt {
             gateway: self.gateway,
@@ -228,7 +228,7 @@
             request: self.placing_request(),
             route: self.route,
             fingerprints: self.fingerprints,
-            placing: &placing,
+            placement: &placement,
             exposed: &exposed,
         };
         let whole = match &body {
@@ -287,9 +287,9 @@
     fn come_back(&self, last: Option<Last>) -> Duration {
         let draw = self.gateway.draw_share();
         if let Some(Last::Rejected(_) | Last::Unsent(_)) = last {
-            return comeback::soon(draw);
+            return retry_after::short_delay(draw);
         }
-        comeback::retry_after(&self.placing_request(), draw, clock::now())
+        retry_after::retry_after(&self.placing_request(), draw, clock::now())
     }
 
     fn log_repeat(&self, why: &str) {
@@ -297,14 +297,16 @@
             .log_repeat(&self.parts.headers, why, self.arrived);
     }
 
-    fn placing_request(&self) -> placing::Request {
-        let usual = self.gateway.with_tempo(self.route, |tempo| tempo.usual());
-        placing::Request {
+    fn placing_request(&self) -> placement::Request {
+        let service_time = self
+            .gateway
+            .with_tempo(self.route, |tempo| tempo.estimate());
+        placement::Request {
             service: self.service,
             home: self.gateway.home,
             objective: self.arrived + self.route.objective,
             deadline: self.deadline,
-            usual,
+            service_time,
             priority: self.route.priority,
         }
     }
@@ -317,9 +319,11 @@
         if !self.route.idempotent || !whole || self.route.attempts < 2 {
             return None;
         }
-        let usual = self.gateway.with_tempo(self.route, |tempo| tempo.usual());
-        let at = usual.mul_f64(SECOND_AFTER);
-        (at + usual <= self.route.objective).then(|| self.arrived + at)
+        let service_time = self
+            .gateway
+            .with_tempo(self.route, |tempo| tempo.estimate());
+        let at = service_time.mul_f64(SECOND_AFTER);
+        (at + service_time <= self.route.objective).then(|| self.arrived + at)
     }
 
     /// Waits for the first of: an attempt's end, the time for a second, the deadline.
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -41,7 +41,7 @@
             if let Err(error) = result {
                 self.note_trouble(topic, &error);
             }
-            self.registry.borrow_mut().forget_warm(clock::now());
+            self.registry.borrow_mut().forget_warm_buckets(clock::now());
         }
     }
 
@@ -130,7 +130,7 @@
         }
         log::info!("E0310 log-readable-again topic={topic:?}");
         if topic == Topic::Endpoints {
-            self.registry.borrow_mut().store_back(clock::now());
+            self.registry.borrow_mut().start_lapse_grace(clock::now());
         }
     }
 
@@ -279,7 +279,7 @@
                 _ => None,
             })
             .collect();
-        let left = self.orders.borrow().left.clone();
+        let left = self.orders.borrow().leaving_centres.clone();
         for centre in left.difference(&named) {
             self.set_leaving(*centre, false);
         }
@@ -332,8 +332,8 @@
     fn set_leaving(&self, centre: DataCentreKey, leaving: bool) {
         let mut orders = self.orders.borrow_mut();
         let changed = match leaving {
-            true => orders.left.insert(centre),
-            false => orders.left.remove(&centre),
+            true => orders.leaving_centres.insert(centre),
+            false => orders.leaving_centres.remove(&centre),
         };
         if !changed {
             return;
@@ -350,7 +350,7 @@
             };
             self.registry
                 .borrow_mut()
-                .chill(centre, clock::now(), warmup);
+                .mark_cold(centre, clock::now(), warmup);
         }
     }
 }
--- a/components/transport/src/gateway/held.rs
+++ b/components/transport/src/gateway/held.rs
@@ -119,7 +119,7 @@
     /// Where all hosts start at once it has been greeted by a few of them only.
     pub(super) fn expected_neighbours(&self) -> usize {
         let share = self.share.get();
-        let centres = self.settings.places.count() as f64;
+        let centres = self.settings.topology.count() as f64;
         match share > 0.0 {
             true => (1.0 / share / centres) as usize,
             false => 0,
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -4,7 +4,7 @@
 use protocol::limit_report::LimitReport;
 use protocol::neighbour::NeighbourMessage;
 use state::EndpointKey;
-use state::fleet::rate_limit::{Advice, Source};
+use state::fleet::rate_limit::{RateLimitUpdate, Source};
 
 use super::Gateway;
 use crate::clock;
@@ -23,9 +23,9 @@
             }
         };
         let mut registry = self.registry.borrow_mut();
-        let held = registry.limits().holds(key);
-        let advice = registry.learn_limit(key, rate, source);
-        if held != registry.limits().holds(key) {
+        let held = registry.limits().contains(key);
+        let advice = registry.observe_limit(key, rate, source);
+        if held != registry.limits().contains(key) {
             let instance = registry.get(key).map(|s| s.endpoint.instance.as_str());
             log::info!(
                 "E0144 limit-advertised instance={} rate={rate:?} source={source:?}",
@@ -33,7 +33,8 @@
             );
         }
         drop(registry);
-        let granted = |_: &Advice| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
+        let granted =
+            |_: &RateLimitUpdate| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
         if let Some(advice) = advice.filter(granted) {
             self.tell_site(|cross_centre| {
                 NeighbourMessage::LimitReport(LimitReport {
@@ -48,7 +49,7 @@
     pub(super) fn hear_limits(&self, limits: LimitReport) {
         let mut registry = self.registry.borrow_mut();
         for advice in &limits.advice {
-            registry.hear_limit(advice);
+            registry.apply_limit_update(advice);
         }
         drop(registry);
         if limits.cross_centre {
--- a/components/transport/src/gateway/line.rs
+++ b/components/transport/src/gateway/line.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use state::ServiceKey;
-use state::fleet::placing::Request;
-use state::fleet::{Line, Ticket};
+use state::fleet::placement::Request;
+use state::fleet::{Ticket, WaitQueue};
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
@@ -20,7 +20,7 @@
 
 #[derive(Default)]
 struct Waiters {
-    line: Line,
+    line: WaitQueue,
     calls: BTreeMap<Ticket, Rc<Notify>>,
 }
 
@@ -60,7 +60,7 @@
         let mut lines = self.gateway.lines.borrow_mut();
         if let Some(waiters) = lines.services.get_mut(&self.service) {
             waiters.calls.remove(&self.ticket);
-            let next = waiters.line.leave(self.ticket);
+            let next = waiters.line.remove(self.ticket);
             waiters.wake(next);
         }
     }
@@ -78,7 +78,7 @@
     pub(super) fn stand(&self, request: &Request) -> Standing<'_> {
         let mut lines = self.lines.borrow_mut();
         let waiters = lines.services.entry(request.service).or_default();
-        let ticket = waiters.line.join(request.priority, request.objective);
+        let ticket = waiters.line.push(request.priority, request.objective);
         let call = Rc::new(Notify::new());
         waiters.calls.insert(ticket, Rc::clone(&call));
         Standing {
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -38,10 +38,10 @@
 use protocol::neighbour::Topic;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use state::fleet::repeats::RepeatBounds;
-use state::fleet::tempo::Tempo;
-use state::fleet::{AskBudget, Registry, RepeatBudget};
-use state::routing::{Orders, Route};
+use state::fleet::retry_budget::RetryBounds;
+use state::fleet::service_time::ServiceTime;
+use state::fleet::{HostProbeBudget, Registry, WindowedRetryBudget};
+use state::routing::{OperatorConfig, Route};
 use state::{DataCentreKey, Moment, ServiceKey};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
@@ -104,7 +104,7 @@
     live: RefCell<Live>,
     home: DataCentreKey,
     started: Moment,
-    orders: RefCell<Orders>,
+    orders: RefCell<OperatorConfig>,
     registry: RefCell<Registry>,
     listed: Cell<bool>,
     feeds: RefCell<Feeds>,
@@ -120,9 +120,9 @@
     /// Wakes the task that sends fragments.
     fragments_wait: Notify,
     pool: RefCell<Pool>,
-    budgets: RefCell<BTreeMap<ServiceKey, RepeatBudget>>,
-    tempos: RefCell<BTreeMap<String, Tempo>>,
-    asks: RefCell<AskBudget>,
+    budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
+    tempos: RefCell<BTreeMap<String, ServiceTime>>,
+    asks: RefCell<HostProbeBudget>,
     lines: RefCell<Lines>,
     share: Cell<f64>,
     random: RefCell<SmallRng>,
@@ -175,8 +175,8 @@
         let feeds = Feeds::new(settings.first_start, random.random(), clock::now());
         let neighbours = Neighbours::new(settings.peers, &settings.data_centre);
         let asks = match settings.first_start {
-            true => AskBudget::new(clock::now()),
-            false => AskBudget::restarted(clock::now()),
+            true => HostProbeBudget::new(clock::now()),
+            false => HostProbeBudget::restarted(clock::now()),
         };
         Gateway {
             home: DataCentreKey::named(&settings.data_centre),
@@ -243,10 +243,14 @@
     }
 
     /// Changes the repeat budget of a service.
-    fn with_budget<R>(&self, service: ServiceKey, act: impl FnOnce(&mut RepeatBudget) -> R) -> R {
+    fn with_budget<R>(
+        &self,
+        service: ServiceKey,
+        act: impl FnOnce(&mut WindowedRetryBudget) -> R,
+    ) -> R {
         let bounds = {
             let bounds = &self.live.borrow().bounds;
-            RepeatBounds {
+            RetryBounds {
                 ratio: bounds.repeat_ratio,
                 slack: bounds.repeat_slack,
                 window: bounds.repeat_window,
@@ -255,17 +259,17 @@
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets
             .entry(service)
-            .or_insert_with(|| RepeatBudget::new(bounds, self.started));
+            .or_insert_with(|| WindowedRetryBudget::new(bounds, self.started));
         budget.set_bounds(bounds);
         act(budget)
     }
 
     /// Changes what is known of how long a route's work takes.
-    fn with_tempo<R>(&self, route: &Route, act: impl FnOnce(&mut Tempo) -> R) -> R {
+    fn with_tempo<R>(&self, route: &Route, act: impl FnOnce(&mut ServiceTime) -> R) -> R {
         let mut tempos = self.tempos.borrow_mut();
         let tempo = tempos
             .entry(route.name.clone())
-            .or_insert_with(|| Tempo::new(route.objective));
+            .or_insert_with(|| ServiceTime::new(route.objective));
         act(tempo)
     }
 }
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -229,7 +229,7 @@
             NeighbourMessage::Borrow(number) => self.lend_questions(from, number),
             NeighbourMessage::Lend(loan) => {
                 let mut asks = self.asks.borrow_mut();
-                asks.borrowed(loan.request_id, loan.probes);
+                asks.receive_loan(loan.request_id, loan.probes);
             }
         }
     }
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -12,7 +12,7 @@
 use hyper::HeaderMap;
 use protocol::crash_report::{CrashReport, CrashedRun};
 use protocol::neighbour::NeighbourMessage;
-use state::fleet::quarantine::{Admission, Crash, Finding, Witness};
+use state::fleet::quarantine::{Crash, Decision, QuarantineUpdate, Reporter};
 use state::fleet::{Fingerprints, Quarantine};
 use state::{EndpointKey, Moment};
 use tokio::task::spawn_local;
@@ -49,7 +49,7 @@
     /// Returns how much longer a request is quarantined, nothing where it may be sent.
     pub(super) fn quarantined(&self, request: Fingerprints) -> Option<Duration> {
         let suspects = self.suspects.borrow();
-        suspects.quarantine.left(request, clock::now())
+        suspects.quarantine.remaining(request, clock::now())
     }
 
     /// Decides whether a request may be sent to an endpoint now.
@@ -61,9 +61,9 @@
         let now = clock::now();
         let admission = self.suspects.borrow_mut().quarantine.admit(request, now);
         match admission {
-            Admission::Pass => Ok(()),
-            Admission::Reject(left) => Err(left),
-            Admission::Trial(findings) => {
+            Decision::Pass => Ok(()),
+            Decision::Reject(left) => Err(left),
+            Decision::Trial(findings) => {
                 log::info!("E0142 quarantine-trial content={:016x}", request.content.0);
                 self.tell_crashes(&[], &findings);
                 Ok(())
@@ -94,7 +94,7 @@
     pub(super) fn note_answered(&self, request: Fingerprints) {
         let now = clock::now();
         let mut suspects = self.suspects.borrow_mut();
-        let cleared = suspects.quarantine.answered(request, now);
+        let cleared = suspects.quarantine.note_answer(request, now);
         let told = suspects.reports.take(cleared.len(), now);
         drop(suspects);
         if told > 0 {
@@ -142,7 +142,7 @@
         let mut suspects = self.suspects.borrow_mut();
         let mut findings = Vec::new();
         for run in runs {
-            findings.extend(suspects.quarantine.crashed(run, Witness::Own));
+            findings.extend(suspects.quarantine.note_crash(run, Reporter::ThisHost));
         }
         let told = suspects.reports.take(runs.len(), now);
         drop(suspects);
@@ -167,11 +167,11 @@
                 sent: at - ended.ran,
                 at,
             };
-            let findings = suspects.quarantine.crashed(&crash, Witness::Other);
+            let findings = suspects.quarantine.note_crash(&crash, Reporter::OtherHost);
             findings.iter().for_each(log_finding);
         }
         for finding in &crashes.findings {
-            if suspects.quarantine.learn(finding, now) {
+            if suspects.quarantine.apply(finding, now) {
                 log_finding(finding);
             }
         }
@@ -187,7 +187,7 @@
     /// Returns what a host that has just started is to know, nothing where there is nothing.
     pub(super) fn known_crashes(&self) -> Option<NeighbourMessage> {
         let suspects = self.suspects.borrow();
-        let findings = suspects.quarantine.findings(clock::now());
+        let findings = suspects.quarantine.updates(clock::now());
         (!findings.is_empty()).then(|| message(false, Vec::new(), findings))
     }
 
@@ -213,14 +213,18 @@
     }
 
     /// Tells all hosts of runs that ended with their endpoint, and of what that led to.
-    fn tell_crashes(&self, ended: &[CrashedRun], findings: &[Finding]) {
+    fn tell_crashes(&self, ended: &[CrashedRun], findings: &[QuarantineUpdate]) {
         if !ended.is_empty() || !findings.is_empty() {
             self.tell_site(|cross_centre| message(cross_centre, ended.to_vec(), findings.to_vec()));
         }
     }
 }
 
-fn message(cross_centre: bool, runs: Vec<CrashedRun>, findings: Vec<Finding>) -> NeighbourMessage {
+fn message(
+    cross_centre: bool,
+    runs: Vec<CrashedRun>,
+    findings: Vec<QuarantineUpdate>,
+) -> NeighbourMessage {
     NeighbourMessage::CrashReport(CrashReport {
         cross_centre,
         runs,
@@ -228,11 +232,11 @@
     })
 }
 
-fn log_finding(finding: &Finding) {
+fn log_finding(finding: &QuarantineUpdate) {
     log::info!(
         "E0141 request-quarantined fingerprint={:016x} crashes={} left_ms={}",
         finding.request.0,
         finding.crashes,
-        finding.left.as_millis()
+        finding.remaining.as_millis()
     );
 }
--- a/components/transport/src/gateway/settings.rs
+++ b/components/transport/src/gateway/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use state::places::Places;
+use state::topology::Topology;
 
 /// Checked settings of one entry host.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,7 +13,7 @@
     /// The data centre the host stands in.
     pub data_centre: String,
     /// Where the data centres lie.
-    pub places: Places,
+    pub topology: Topology,
     /// Where callers reach it.
     pub callers: SocketAddr,
     /// Where the platform's balancer asks whether it is ready.
--- a/src/host_file.rs
+++ b/src/host_file.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use state::places::Places;
+use state::topology::Topology;
 use transport::gateway::{Bounds, Live, Settings};
 
 /// The environment variable that names the settings file.
@@ -167,7 +167,7 @@
             Ok(Settings {
                 name: file.name,
                 data_centre: file.data_centre,
-                places: Places::new(regions),
+                topology: Topology::new(regions),
                 callers,
                 readiness,
                 seeds: seeds
