--- /dev/null
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -0,0 +1,172 @@
+//! What neighbours tell each other, and what is refused.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use coordination::fragments::{Fragment, FragmentRequest, MessageKey};
+use coordination::neighbours::Contact;
+use proptest::prelude::*;
+use protocol::crash_report::{CrashReport, CrashedRun};
+use protocol::limit_report::LimitReport;
+use protocol::neighbour::{Hello, NeighbourMessage, ProbeLoan, RecordUpdate, Topic, TopicSnapshot};
+use state::EndpointKey;
+use state::fleet::quarantine::QuarantineUpdate;
+use state::fleet::rate_limit::RateLimitUpdate;
+use state::fleet::{Fingerprint, Fingerprints};
+
+fn news(records: Vec<Vec<u8>>) -> RecordUpdate {
+    RecordUpdate {
+        topic: Topic::Endpoints,
+        reader: "10.1.2.4:7540".parse().expect("an address"),
+        relay_root: "10.1.2.5:7540".parse().expect("an address"),
+        cross_centre: true,
+        from: 40,
+        records: records.into_iter().map(Bytes::from).collect(),
+    }
+}
+
+fn message() -> MessageKey {
+    MessageKey {
+        digest: u64::MAX,
+        count: 9,
+    }
+}
+
+fn limits() -> LimitReport {
+    let advice = [Some(1.5), None].map(|rate| RateLimitUpdate {
+        endpoint: EndpointKey(u64::MAX),
+        rate,
+    });
+    LimitReport {
+        cross_centre: true,
+        advice: advice.to_vec(),
+    }
+}
+
+fn crashes() -> CrashReport {
+    CrashReport {
+        cross_centre: true,
+        runs: vec![CrashedRun {
+            request: Fingerprints {
+                content: Fingerprint(u64::MAX),
+                request: Fingerprint(1),
+            },
+            ran: Duration::from_millis(60),
+            age: Duration::from_millis(2),
+        }],
+        findings: vec![QuarantineUpdate {
+            request: Fingerprint(7),
+            crashes: 3,
+            remaining: Duration::from_secs(10),
+            age: Duration::ZERO,
+        }],
+    }
+}
+
+#[test]
+fn there_and_back() {
+    let messages = [
+        NeighbourMessage::CrashReport(crashes()),
+        NeighbourMessage::LimitReport(limits()),
+        NeighbourMessage::Hello(Hello {
+            centre: "trent".to_owned(),
+            wants_hosts: true,
+            neighbours: vec!["10.1.2.3:7540".parse().expect("an address")],
+            contacts: vec![Contact {
+                centre: "soar".to_owned(),
+                address: "10.3.2.3:7540".parse().expect("an address"),
+            }],
+        }),
+        NeighbourMessage::Update(news(vec![b"one".to_vec(), Vec::new()])),
+        NeighbourMessage::ReadFailed(Topic::Operators),
+        NeighbourMessage::SnapshotRequest(Topic::Endpoints),
+        NeighbourMessage::RecordsRequest(Topic::Endpoints, 41),
+        NeighbourMessage::Snapshot(TopicSnapshot {
+            topic: Topic::Operators,
+            next: 9,
+            records: vec![Bytes::from_static(b"one")],
+            shared: true,
+        }),
+        NeighbourMessage::ReadStarted(Topic::Endpoints),
+        NeighbourMessage::Borrow(8),
+        NeighbourMessage::Lend(ProbeLoan {
+            request_id: 8,
+            probes: 77,
+        }),
+        NeighbourMessage::Fragment(
+            Topic::Operators,
+            Fragment {
+                message: message(),
+                origin: "10.1.2.3:7540".parse().expect("an address"),
+                number: 4,
+                relay: true,
+                bytes: Bytes::from_static(b"one"),
+            },
+        ),
+        NeighbourMessage::FragmentRequest(
+            Topic::Endpoints,
+            FragmentRequest {
+                message: message(),
+                numbers: vec![0, 7],
+            },
+        ),
+    ];
+    for message in messages {
+        let read = NeighbourMessage::decode(&message.encode()).expect("it is whole");
+        assert_eq!(read, message);
+    }
+}
+
+#[test]
+fn bad_datagrams() {
+    assert!(NeighbourMessage::decode(&[]).is_err());
+    assert!(NeighbourMessage::decode(&[9, 1, 2]).is_err());
+    assert!(NeighbourMessage::decode(&[3, 8, 77]).is_err());
+    let hello = NeighbourMessage::ReadFailed(Topic::Operators).encode();
+    assert!(NeighbourMessage::decode(&[&hello[..], &[0xff]].concat()).is_err());
+}
+
+proptest! {
+    #[test]
+    fn any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        // Whatever comes, it is read or refused.
+        let _ = NeighbourMessage::decode(&bytes);
+    }
+}
+
+/// A limit that is no number of requests must not reach what counts by it.
+#[test]
+fn senseless_limits() {
+    let rates = [f64::NAN, f64::INFINITY, -1.0, 2.0];
+    let advice = rates.map(|rate| RateLimitUpdate {
+        endpoint: EndpointKey(1),
+        rate: Some(rate),
+    });
+    let message = NeighbourMessage::LimitReport(LimitReport {
+        cross_centre: false,
+        advice: advice.to_vec(),
+    });
+    let Ok(NeighbourMessage::LimitReport(read)) = NeighbourMessage::decode(&message.encode())
+    else {
+        panic!("it is read");
+    };
+    assert_eq!(read.advice, advice[3..]);
+}
+
+/// Reports go to all hosts, so that their size counts hundreds of times.
+#[test]
+fn small_reports() {
+    let CrashReport { runs, findings, .. } = crashes();
+    let size = |runs: &[CrashedRun], findings: &[QuarantineUpdate]| {
+        let crashes = CrashReport {
+            cross_centre: true,
+            runs: runs.to_vec(),
+            findings: findings.to_vec(),
+        };
+        NeighbourMessage::CrashReport(crashes).encode().len()
+    };
+    assert!(size(&runs, &[]) <= 40);
+    assert!(size(&[], &findings) <= 40);
+    assert!(size(&[], &findings.repeat(32)) <= 800);
+    assert!(NeighbourMessage::LimitReport(limits()).encode().len() <= 48);
+}
--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/log_calls.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::joins;
+use coordination::group_joins;
 use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
-use transport::store::{Store, StoreError};
+use transport::store::{StoreClient, StoreError};
 
-fn started() -> (LogStandIn, Store) {
+fn started() -> (LogStandIn, StoreClient) {
     let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let store = Store::new(log.address());
+    let store = StoreClient::new(log.address());
     (log, store)
 }
 
@@ -84,20 +84,20 @@
 #[tokio::test]
 async fn even_parts() {
     let (log, mut store) = started();
-    let mut other = Store::new(log.address());
+    let mut other = StoreClient::new(log.address());
     let topics = ["hosts-0".to_owned(), "hosts-1".to_owned()];
     let body = |member, timeout| platform::store::join_body("g", member, &topics, timeout, 0);
     let alone = store.join(body("one", 60.0)).await.unwrap();
-    assert_eq!(alone.parts, 24);
+    assert_eq!(alone.partitions, 24);
     let second = other.join(body("two", 60.0)).await.unwrap();
-    assert_eq!(second.parts, 12);
+    assert_eq!(second.partitions, 12);
     assert!(second.generation > alone.generation);
     let owners = store.owners("g").await.unwrap();
     assert_eq!(owners, BTreeSet::from(["one".to_owned(), "two".to_owned()]));
     // It is kept no longer than this very call.
     other.join(body("two", 0.0)).await.unwrap();
     let again = store.join(body("one", 60.0)).await.unwrap();
-    assert_eq!(again.parts, 24);
+    assert_eq!(again.partitions, 24);
 }
 
 /// Partitions that hosts divide by but the store deals to nobody are a part of each bound
@@ -105,10 +105,10 @@
 #[tokio::test]
 async fn all_parts() {
     let (_log, mut store) = started();
-    let topics = joins::topics();
+    let topics = group_joins::group_topics();
     let body = platform::store::join_body("g", "one", &topics, 60.0, 0);
     let alone = store.join(body).await.unwrap();
-    assert_eq!(alone.parts, joins::TOPICS * 12);
+    assert_eq!(alone.partitions, group_joins::GROUP_TOPICS * 12);
 }
 
 /// More reads come in a second than the store grants: the rest is refused, and
@@ -120,15 +120,15 @@
     let mut refused = 0;
     for _ in 0..12 {
         let read = store.read("claims-0", 0, Duration::ZERO, None).await;
-        refused += u32::from(read.is_err_and(|e| e.is_refusal()));
+        refused += u32::from(read.is_err_and(|e| e.is_not_applied()));
     }
     assert!(refused > 0);
     log.change(|b| b.outage = Some(Outage::Refusing));
     let record = Bytes::from_static(b"x");
     let down = store.append("claims-0", &record).await;
-    assert!(down.is_err_and(|e| e.is_refusal()));
+    assert!(down.is_err_and(|e| e.is_not_applied()));
     log.change(|b| (b.outage, b.loss, b.losses) = (None, Some(Loss::Gateway), 1));
     let lost = store.append("claims-0", &record).await;
-    assert!(lost.is_err_and(|e| !e.is_refusal()));
+    assert!(lost.is_err_and(|e| !e.is_not_applied()));
     assert_eq!(log.counts().appends, 1);
 }
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -12,10 +12,10 @@
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
-use state::fleet::Placing;
-use state::fleet::comeback;
+use state::fleet::Placement;
 use state::fleet::fingerprint::{Content, Fingerprints};
-use state::fleet::placing::{self, Refusal};
+use state::fleet::placement::{self, Refusal};
+use state::fleet::retry_after;
 use state::routing::Route;
 use state::{Moment, ServiceKey};
 use tokio::time::{Instant, sleep_until, timeout_at};
@@ -129,16 +129,16 @@
     };
     let fingerprints = Fingerprints::new(content(parts, &body.start, length), caller);
     let body = match body.rest {
-        None => RequestBody::Whole(body.start),
+        None => RequestBody::Buffered(body.start),
         Some(more) => {
             let more = rest.get_or_init(|| SharedBody::new(more));
             RequestBody::Streamed(body.start, more.clone())
         }
     };
     let service = route
-        .part(gateway.draw())
+        .pick_service(gateway.draw())
         .ok_or(Denial::NotRun("the route has no service", SOON))?;
-    let patience = platform::fields::time_left(&parts.headers).unwrap_or(route.timeout);
+    let patience = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
         gateway,
         parts,
@@ -202,7 +202,7 @@
     /// back to another host that has just started, and callers come back once or
     /// twice only.
     async fn await_knowledge(&self, parts: &Parts) {
-        let left = platform::fields::time_left(&parts.headers).unwrap_or(START_LIMIT);
+        let left = platform::headers::time_remaining(&parts.headers).unwrap_or(START_LIMIT);
         let last = Instant::now() + left.mul_f64(START_SHARE).min(START_LIMIT);
         while !self.knows_all() {
             if timeout_at(last, self.known.notified()).await.is_err() {
@@ -220,7 +220,7 @@
         if let Some(left) = self.gateway.quarantined(self.fingerprints) {
             return Err(Denial::Quarantined(left));
         }
-        let placing = RefCell::new(Placing::default());
+        let placement = RefCell::new(Placement::default());
         let exposed = Cell::new(0);
         let attempt = Attempt {
             gateway: self.gateway,
@@ -228,11 +228,11 @@
             request: self.placing_request(),
             route: self.route,
             fingerprints: self.fingerprints,
-            placing: &placing,
+            placement: &placement,
             exposed: &exposed,
         };
         let whole = match &body {
-            RequestBody::Whole(bytes) => Some(bytes.clone()),
+            RequestBody::Buffered(bytes) => Some(bytes.clone()),
             RequestBody::Streamed(..) => None,
         };
         self.race(&attempt, body, whole).await
@@ -247,7 +247,7 @@
         first: RequestBody,
         whole: Option<Bytes>,
     ) -> Result<Box<Answer>, Denial> {
-        let again = || attempt.run(RequestBody::Whole(whole.clone().unwrap_or_default()));
+        let again = || attempt.run(RequestBody::Buffered(whole.clone().unwrap_or_default()));
         let mut racers: Vec<Racer<'a>> = vec![Box::pin(attempt.run(first))];
         let mut progress = Progress {
             attempts: 1,
@@ -287,9 +287,9 @@
     fn come_back(&self, last: Option<Last>) -> Duration {
         let draw = self.gateway.draw_share();
         if let Some(Last::Rejected(_) | Last::Unsent(_)) = last {
-            return comeback::soon(draw);
+            return retry_after::short_delay(draw);
         }
-        comeback::retry_after(&self.placing_request(), draw, clock::now())
+        retry_after::retry_after(&self.placing_request(), draw, clock::now())
     }
 
     fn log_repeat(&self, why: &str) {
@@ -297,14 +297,16 @@
             .log_repeat(&self.parts.headers, why, self.arrived);
     }
 
-    fn placing_request(&self) -> placing::Request {
-        let usual = self.gateway.with_tempo(self.route, |tempo| tempo.usual());
-        placing::Request {
+    fn placing_request(&self) -> placement::Request {
+        let service_time = self
+            .gateway
+            .with_tempo(self.route, |tempo| tempo.estimate());
+        placement::Request {
             service: self.service,
             home: self.gateway.home,
             objective: self.arrived + self.route.objective,
             deadline: self.deadline,
-            usual,
+            service_time,
             priority: self.route.priority,
         }
     }
@@ -317,9 +319,11 @@
         if !self.route.idempotent || !whole || self.route.attempts < 2 {
             return None;
         }
-        let usual = self.gateway.with_tempo(self.route, |tempo| tempo.usual());
-        let at = usual.mul_f64(SECOND_AFTER);
-        (at + usual <= self.route.objective).then(|| self.arrived + at)
+        let service_time = self
+            .gateway
+            .with_tempo(self.route, |tempo| tempo.estimate());
+        let at = service_time.mul_f64(SECOND_AFTER);
+        (at + service_time <= self.route.objective).then(|| self.arrived + at)
     }
 
     /// Waits for the first of: an attempt's end, the time for a second, the deadline.
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -1,6 +1,6 @@
 //! Keeps the operators' orders and the list of endpoints in step with the store.
 //!
-//! `coordination::feed` decides when this host reads; what it reads it tells
+//! `coordination::read_schedule` decides when this host reads; what it reads it tells
 //! its neighbours.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,31 +8,31 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use coordination::feed::{Feed, Told};
+use coordination::read_schedule::{ReadSchedule, UpdateOutcome};
 use platform::endpoint;
 use platform::operator::{self, Subject};
 use platform::store::Record;
-use protocol::news::{Neighbourly, News, Topic};
+use protocol::neighbour::{NeighbourMessage, RecordUpdate, Topic};
 use state::fleet::Entry;
 use state::{DataCentreKey, ServiceKey};
 use tokio::time::timeout;
 
 use super::Gateway;
 use crate::clock;
-use crate::store::{Store, StoreError};
+use crate::store::{StoreClient, StoreError};
 
 impl Gateway {
     /// Follows one topic, for ever.
     pub(super) async fn follow(self: Rc<Self>, topic: Topic) {
-        let mut store = Store::new(self.settings.log);
+        let mut store = StoreClient::new(self.settings.log);
         loop {
             self.wait_due(topic).await;
             let (next, reads) = self.feed(topic, |feed| {
-                feed.ask();
+                feed.begin_read();
                 (feed.next(), feed.is_reader())
             });
             if !reads {
-                self.tell_all(&Neighbourly::Reading(topic));
+                self.tell_all(&NeighbourMessage::ReadStarted(topic));
             }
             let result = match next {
                 None => self.read_all(&mut store, topic).await,
@@ -41,7 +41,7 @@
             if let Err(error) = result {
                 self.note_trouble(topic, &error);
             }
-            self.registry.borrow_mut().forget_warm(clock::now());
+            self.registry.borrow_mut().forget_warm_buckets(clock::now());
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Changes how far this host is with a topic.
-    pub(super) fn feed<R>(&self, topic: Topic, act: impl FnOnce(&mut Feed) -> R) -> R {
+    pub(super) fn feed<R>(&self, topic: Topic, act: impl FnOnce(&mut ReadSchedule) -> R) -> R {
         let mut feeds = self.feeds.borrow_mut();
         match topic {
             Topic::Operators => act(&mut feeds.operators),
@@ -71,34 +71,34 @@
         let now = clock::now();
         let draw = self.draw_share();
         if let StoreError::Forgotten(_) = error {
-            self.feed(topic, |feed| feed.forgotten(now));
+            self.feed(topic, |feed| feed.offset_trimmed(now));
             return;
         }
         let failures = self.feed(topic, |feed| {
-            feed.failed(draw, now);
+            feed.read_failed(draw, now);
             feed.failures()
         });
         if failures == 1 {
             log::warn!("E0301 log-unreadable topic={topic:?} error={error:?}");
         }
-        self.tell_all(&Neighbourly::Trouble(topic));
+        self.tell_all(&NeighbourMessage::ReadFailed(topic));
         self.want(topic);
     }
 
     /// Takes in that a neighbour could not read a topic.
     pub(super) fn take_trouble(&self, topic: Topic) {
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.heard_trouble(draw, clock::now()));
+        self.feed(topic, |feed| feed.neighbour_read_failed(draw, clock::now()));
     }
 
     /// Takes in that a neighbour has begun to read a topic by itself.
     pub(super) fn take_reading(&self, topic: Topic) {
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.heard_read(draw, clock::now()));
+        self.feed(topic, |f| f.neighbour_read_started(draw, clock::now()));
     }
 
     /// Takes in what a host of another data centre has read, for this whole one.
-    pub(super) fn take_abroad(self: &Rc<Self>, news: News, teller: SocketAddr) {
+    pub(super) fn take_abroad(self: &Rc<Self>, news: RecordUpdate, teller: SocketAddr) {
         let topic = news.topic;
         let Some(next) = self.feed(topic, |feed| feed.next()) else {
             return;
@@ -107,16 +107,16 @@
             if self.awaits(topic) {
                 return;
             }
-            self.feed(topic, |feed| feed.lag(clock::now()));
+            self.feed(topic, |feed| feed.mark_lagging(clock::now()));
             self.sooner.notify_waiters();
             return;
         }
         let stale = self.feed(topic, |feed| feed.is_stale(clock::now()));
         let new = self.take_news(&news, teller);
         if new || stale {
-            let news = News {
-                teller: self.settings.peers,
-                abroad: false,
+            let news = RecordUpdate {
+                relay_root: self.settings.peers,
+                cross_centre: false,
                 ..news
             };
             self.tell_news(news, true);
@@ -130,33 +130,35 @@
         }
         log::info!("E0310 log-readable-again topic={topic:?}");
         if topic == Topic::Endpoints {
-            self.registry.borrow_mut().store_back(clock::now());
+            self.registry.borrow_mut().start_lapse_grace(clock::now());
         }
     }
 
     async fn read_on(
         self: &Rc<Self>,
-        store: &mut Store,
+        store: &mut StoreClient,
         topic: Topic,
         from: u64,
     ) -> Result<(), StoreError> {
-        let (wait, lags) = self.feed(topic, |feed| (feed.wait(clock::now()), feed.lags()));
+        let (wait, lags) = self.feed(topic, |feed| {
+            (feed.read_wait(clock::now()), feed.is_lagging())
+        });
         let read = store.read(name(topic), from, wait, None).await?;
         // A neighbour may have told some of it meanwhile.
         let known = self.feed(topic, |feed| feed.next()).unwrap_or(from);
         let alone = self.neighbours.borrow().is_empty();
         let draw = self.draw_share();
         let back = self.feed(topic, |feed| {
-            feed.read(read.next(), alone, draw, clock::now())
+            feed.read_finished(read.next(), alone, draw, clock::now())
         });
         self.note_return(topic, back);
         let skip = usize::try_from(known.saturating_sub(from)).unwrap_or(usize::MAX);
         self.take_records(topic, known, read.records.iter().skip(skip));
-        let news = News {
+        let news = RecordUpdate {
             topic,
             reader: self.settings.peers,
-            teller: self.settings.peers,
-            abroad: false,
+            relay_root: self.settings.peers,
+            cross_centre: false,
             from,
             records: read.records,
         };
@@ -172,7 +174,7 @@
     ///
     /// Where records before it are missing, `teller` is asked for them, unless
     /// they are on their way.
-    pub(super) fn take_news(self: &Rc<Self>, news: &News, teller: SocketAddr) -> bool {
+    pub(super) fn take_news(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
         let ahead = |next: u64| news.from > next;
         if self.awaits(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
             self.put_off(news, teller);
@@ -184,19 +186,19 @@
         let yields = news.reader < self.settings.peers;
         let next = news.next();
         let told = self.feed(news.topic, |feed| {
-            feed.told(news.from, next, yields, draw, now)
+            feed.update_received(news.from, next, yields, draw, now)
         });
-        let (skip, back) = match told {
-            Told::Apply { skip, back } => (skip, back),
-            Told::Known => return false,
-            Told::Gap => {
+        let (skip, recovered) = match told {
+            UpdateOutcome::Apply { skip, recovered } => (skip, recovered),
+            UpdateOutcome::Known => return false,
+            UpdateOutcome::Gap => {
                 if let Some(from) = self.feed(news.topic, |feed| feed.next()) {
-                    self.tell(teller, &Neighbourly::Missing(news.topic, from));
+                    self.tell(teller, &NeighbourMessage::RecordsRequest(news.topic, from));
                 }
                 return false;
             }
         };
-        self.note_return(news.topic, back);
+        self.note_return(news.topic, recovered);
         let known = news.from + skip;
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         self.take_records(news.topic, known, news.records.iter().skip(skip));
@@ -209,7 +211,7 @@
             let mut shelves = self.shelves.borrow_mut();
             shelves.of(topic).recent.push(offset, bytes.clone());
             drop(shelves);
-            let Some(record) = platform::store::record(bytes.clone()) else {
+            let Some(record) = platform::store::decode_record(bytes.clone()) else {
                 log::error!("E0304 record-skipped topic={topic:?} error=damaged");
                 continue;
             };
@@ -230,10 +232,16 @@
     }
 
     /// Reads the newest record of each key: at the start, or where the log forgot.
-    async fn read_all(self: &Rc<Self>, store: &mut Store, topic: Topic) -> Result<(), StoreError> {
+    async fn read_all(
+        self: &Rc<Self>,
+        store: &mut StoreClient,
+        topic: Topic,
+    ) -> Result<(), StoreError> {
         let (records, end) = newest(store, name(topic)).await?;
         let draw = self.draw_share();
-        let back = self.feed(topic, |feed| feed.listed(end, draw, clock::now()));
+        let back = self.feed(topic, |feed| {
+            feed.full_read_finished(end, draw, clock::now())
+        });
         self.note_return(topic, back);
         let first = !self.knows(topic);
         self.take_all(topic, &records);
@@ -266,12 +274,12 @@
     fn take_all_orders(&self, records: &[Record]) {
         let named: BTreeSet<DataCentreKey> = records
             .iter()
-            .filter_map(|r| match operator::subject(&r.key) {
+            .filter_map(|r| match operator::classify_key(&r.key) {
                 Subject::Leaving(centre) => Some(centre),
                 _ => None,
             })
             .collect();
-        let left = self.orders.borrow().left.clone();
+        let left = self.orders.borrow().leaving_centres.clone();
         for centre in left.difference(&named) {
             self.set_leaving(*centre, false);
         }
@@ -281,7 +289,7 @@
     }
 
     fn take_order(&self, record: &Record) {
-        match (operator::subject(&record.key), &record.value) {
+        match (operator::classify_key(&record.key), &record.value) {
             (Subject::Leaving(centre), value) => self.set_leaving(centre, value.is_some()),
             (Subject::Catalogue, Some(value)) => self.take_catalogue(value),
             (Subject::Catalogue, None) => {
@@ -324,8 +332,8 @@
     fn set_leaving(&self, centre: DataCentreKey, leaving: bool) {
         let mut orders = self.orders.borrow_mut();
         let changed = match leaving {
-            true => orders.left.insert(centre),
-            false => orders.left.remove(&centre),
+            true => orders.leaving_centres.insert(centre),
+            false => orders.leaving_centres.remove(&centre),
         };
         if !changed {
             return;
@@ -342,7 +350,7 @@
             };
             self.registry
                 .borrow_mut()
-                .chill(centre, clock::now(), warmup);
+                .mark_cold(centre, clock::now(), warmup);
         }
     }
 }
@@ -358,7 +366,7 @@
 ///
 /// Pages are no snapshot: what is written meanwhile is read again from the end
 /// that the first page tells.
-async fn newest(store: &mut Store, topic: &str) -> Result<(Vec<Record>, u64), StoreError> {
+async fn newest(store: &mut StoreClient, topic: &str) -> Result<(Vec<Record>, u64), StoreError> {
     let mut page = store.newest(topic, None).await?;
     let end = page.end;
     let mut records = page.records;
@@ -376,5 +384,5 @@
     if let Err(error) = &result {
         log::warn!("E0304 record-skipped key={:?} error={error:?}", record.key);
     }
-    Some(endpoint::entry(result))
+    Some(endpoint::registry_entry(result))
 }
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use coordination::fragment_queue::FragmentQueue;
 use coordination::fragments::{
-    self, Fragment, Fragments, KEEP, Lacking, MessageKey, Source, Taken,
+    self, Fragment, FragmentRequest, Inserted, KEEP_TIME, MessageKey, Reassembly, RequestTarget,
 };
-use coordination::outbox::Outbox;
-use protocol::news::{DATAGRAM_LIMIT, Neighbourly, News, Topic};
+use protocol::neighbour::{DATAGRAM_LIMIT, NeighbourMessage, RecordUpdate, Topic};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -28,17 +28,22 @@
 /// Large messages on their way, in and out.
 #[derive(Default)]
 pub(super) struct Large {
-    fragments: Fragments,
+    fragments: Reassembly,
     /// Messages of which fragments are awaited.
     awaited: BTreeMap<MessageKey, Topic>,
     /// News that follow on records in a message that is awaited, and who told them.
-    pending: VecDeque<(News, SocketAddr)>,
-    outbox: Outbox<Topic>,
+    pending: VecDeque<(RecordUpdate, SocketAddr)>,
+    outbox: FragmentQueue<Topic>,
 }
 
 impl Gateway {
     /// Tells one neighbour, in fragments where the message is too large for a datagram.
-    pub(super) fn tell_whole(self: &Rc<Self>, to: SocketAddr, topic: Topic, message: &Neighbourly) {
+    pub(super) fn tell_whole(
+        self: &Rc<Self>,
+        to: SocketAddr,
+        topic: Topic,
+        message: &NeighbourMessage,
+    ) {
         let encoded = Bytes::from(message.encode());
         if encoded.len() <= DATAGRAM_LIMIT {
             self.tell(to, message);
@@ -49,7 +54,7 @@
             return;
         }
         let fragments = self.cut(&encoded);
-        let queued = |f: &Fragment| self.large.borrow().outbox.holds(to, f.message);
+        let queued = |f: &Fragment| self.large.borrow().outbox.contains(to, f.message);
         if fragments.first().is_some_and(queued) {
             // It asked again before its turn came.
             return;
@@ -59,7 +64,7 @@
     }
 
     /// Tells all neighbours: each gets some fragments and passes them on to the others.
-    pub(super) fn spread(self: &Rc<Self>, topic: Topic, message: &Neighbourly) {
+    pub(super) fn spread(self: &Rc<Self>, topic: Topic, message: &NeighbourMessage) {
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let encoded = Bytes::from(message.encode());
         let fragments = self.cut(&encoded);
@@ -69,7 +74,7 @@
             fragments.len(),
             neighbours.len()
         );
-        let pairs = fragments::spread(self.settings.peers, &fragments, &neighbours);
+        let pairs = fragments::assign_relays(self.settings.peers, &fragments, &neighbours);
         self.queue(topic, pairs.into_iter());
     }
 
@@ -77,16 +82,19 @@
     fn cut(self: &Rc<Self>, message: &Bytes) -> Vec<Fragment> {
         let now = clock::now();
         let count = self.neighbours.borrow_mut().current(now).len();
-        let fragments = fragments::cut(self.settings.peers, message, count + 1);
-        self.large.borrow_mut().fragments.keep(&fragments, now);
+        let fragments = fragments::split(self.settings.peers, message, count + 1);
+        self.large
+            .borrow_mut()
+            .fragments
+            .insert_own(&fragments, now);
         spawn_local(Rc::clone(self).forget_later());
         fragments
     }
 
     /// Gives the memory of messages back that nobody asks for any more.
     async fn forget_later(self: Rc<Self>) {
-        sleep(KEEP).await;
-        self.large.borrow_mut().fragments.forget(clock::now());
+        sleep(KEEP_TIME).await;
+        self.large.borrow_mut().fragments.expire(clock::now());
     }
 
     fn queue(&self, topic: Topic, pairs: impl Iterator<Item = (SocketAddr, Fragment)>) {
@@ -111,7 +119,7 @@
                 self.fragments_wait.notified().await;
                 continue;
             };
-            self.tell(to, &Neighbourly::Fragment(topic, fragment));
+            self.tell(to, &NeighbourMessage::Fragment(topic, fragment));
             let pause = self.large.borrow_mut().outbox.pause();
             if let Some(pause) = pause {
                 sleep(pause).await;
@@ -122,17 +130,17 @@
     /// Takes in a fragment, and passes it on where it is asked to.
     pub(super) fn take_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
         let now = clock::now();
-        let taken = self.large.borrow_mut().fragments.take(fragment, now);
-        if taken == Taken::Useless {
+        let taken = self.large.borrow_mut().fragments.insert(fragment, now);
+        if taken == Inserted::Ignored {
             return;
         }
-        if fragment.spread {
+        if fragment.relay {
             self.relay(topic, fragment);
         }
         match taken {
-            Taken::Useless => {}
-            Taken::New => self.await_rest(topic, fragment.message),
-            Taken::Whole(message) => {
+            Inserted::Ignored => {}
+            Inserted::New => self.await_rest(topic, fragment.message),
+            Inserted::Complete(message) => {
                 self.large.borrow_mut().awaited.remove(&fragment.message);
                 log::info!(
                     "E0423 message-whole topic={topic:?} bytes={} origin={}",
@@ -150,7 +158,7 @@
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let hosts = fragments::relay_order(self.settings.peers, fragment.origin, neighbours);
         let copy = Fragment {
-            spread: false,
+            relay: false,
             ..fragment.clone()
         };
         self.queue(topic, hosts.into_iter().map(|h| (h, copy.clone())));
@@ -167,15 +175,19 @@
 
     fn hold_off(&self, topic: Topic) {
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.coming(draw, clock::now()));
+        self.feed(topic, |feed| feed.fragment_received(draw, clock::now()));
     }
 
     /// Asks for what a message lacks until it is whole, or given up.
     async fn gather(self: Rc<Self>, topic: Topic, message: MessageKey) {
-        while self.large.borrow().fragments.awaits(message) {
+        while self.large.borrow().fragments.is_incomplete(message) {
             sleep(SILENCE).await;
             let now = clock::now();
-            let ask = self.large.borrow_mut().fragments.ask(message, SILENCE, now);
+            let ask = self
+                .large
+                .borrow_mut()
+                .fragments
+                .next_request(message, SILENCE, now);
             if let Some((source, lacking)) = ask {
                 self.ask_again(topic, source, lacking);
             }
@@ -190,40 +202,40 @@
         self.forget_later().await;
     }
 
-    fn ask_again(&self, topic: Topic, source: Source, lacking: Lacking) {
+    fn ask_again(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
         self.hold_off(topic);
         let draw = self.draw();
         let to = match source {
-            Source::Origin(origin) => Some(origin),
-            Source::Any => self.neighbours.borrow().any(draw),
+            RequestTarget::Origin(origin) => Some(origin),
+            RequestTarget::Any => self.neighbours.borrow().any(draw),
         };
         if let Some(to) = to {
-            self.tell(to, &Neighbourly::Lacking(topic, lacking));
+            self.tell(to, &NeighbourMessage::FragmentRequest(topic, lacking));
         }
     }
 
     /// Sends the fragments that a neighbour lacks.
-    pub(super) fn take_lacking(&self, from: SocketAddr, topic: Topic, lacking: &Lacking) {
+    pub(super) fn take_lacking(&self, from: SocketAddr, topic: Topic, lacking: &FragmentRequest) {
         let now = clock::now();
         if self.large.borrow().outbox.is_busy() {
             // It asks again soon.
             return;
         }
-        let fragments = self.large.borrow_mut().fragments.again(lacking, now);
+        let fragments = self.large.borrow_mut().fragments.resend(lacking, now);
         self.queue(topic, fragments.into_iter().map(|f| (from, f)));
     }
 
     fn take_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
-        match Neighbourly::decode(message) {
-            Ok(Neighbourly::News(news)) => {
-                let news = News {
+        match NeighbourMessage::decode(message) {
+            Ok(NeighbourMessage::Update(news)) => {
+                let news = RecordUpdate {
                     reader: origin,
-                    teller: origin,
+                    relay_root: origin,
                     ..news
                 };
                 self.take_news(&news, origin);
             }
-            Ok(Neighbourly::Held(held)) => self.take_held(held),
+            Ok(NeighbourMessage::Snapshot(held)) => self.take_held(held),
             Ok(_) => log::warn!("E0405 datagram-refused from={origin} error=no large message"),
             Err(error) => log::warn!("E0405 datagram-refused from={origin} error={error}"),
         }
@@ -235,7 +247,7 @@
     }
 
     /// Keeps news until what lies before them has come.
-    pub(super) fn put_off(&self, news: &News, teller: SocketAddr) {
+    pub(super) fn put_off(&self, news: &RecordUpdate, teller: SocketAddr) {
         let mut large = self.large.borrow_mut();
         if large.pending.len() == PENDING_LIMIT {
             // The store is read for what follows on a gap.
--- a/components/transport/src/gateway/held.rs
+++ b/components/transport/src/gateway/held.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coordination::feed::START_GREETING;
-use coordination::recent::Recent;
+use coordination::read_schedule::GREETING_WAIT;
+use coordination::recent_records::RecentRecords;
 use platform::store::Record;
-use protocol::news::{Held, Neighbourly, News, Topic};
+use protocol::neighbour::{NeighbourMessage, RecordUpdate, Topic, TopicSnapshot};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub(super) struct Shelf {
     /// The last records, for neighbours that missed some.
-    pub recent: Recent,
+    pub recent: RecentRecords,
     /// Neighbours that asked before this host knew anything.
     askers: BTreeSet<SocketAddr>,
     records: BTreeMap<String, Bytes>,
@@ -56,7 +56,7 @@
     /// Takes in all that the store holds.
     pub fn replace(&mut self, records: &[Record]) {
         let encoded = records.iter().filter_map(|r| {
-            let bytes = platform::store::encode(r)?;
+            let bytes = platform::store::encode_record(r)?;
             Some((r.key.clone(), bytes))
         });
         self.records = encoded.collect();
@@ -71,7 +71,7 @@
         }
         let draw = self.draw();
         if let Some(address) = self.neighbours.borrow().any(draw) {
-            self.tell(address, &Neighbourly::Wanted(topic));
+            self.tell(address, &NeighbourMessage::SnapshotRequest(topic));
         }
     }
 
@@ -94,7 +94,7 @@
 
     /// Waits until a neighbour has greeted this host, not for long.
     async fn await_greeting(&self) {
-        let last = clock::now() + START_GREETING;
+        let last = clock::now() + GREETING_WAIT;
         while self.neighbours.borrow().is_empty() && clock::now() < last {
             sleep(SEEK_STEP).await;
         }
@@ -102,13 +102,13 @@
 
     /// Puts this host's own reading off for the neighbours that have greeted it.
     async fn defer_reading(self: Rc<Self>) {
-        sleep(START_GREETING).await;
+        sleep(GREETING_WAIT).await;
         let known = self.neighbours.borrow().len();
         let expected = self.expected_neighbours();
         for topic in [Topic::Operators, Topic::Endpoints] {
             let draw = self.draw_share();
             self.feed(topic, |feed| {
-                feed.greeted(known, expected, draw, clock::now());
+                feed.neighbours_counted(known, expected, draw, clock::now());
             });
         }
         self.sooner.notify_waiters();
@@ -119,7 +119,7 @@
     /// Where all hosts start at once it has been greeted by a few of them only.
     pub(super) fn expected_neighbours(&self) -> usize {
         let share = self.share.get();
-        let centres = self.settings.places.count() as f64;
+        let centres = self.settings.topology.count() as f64;
         match share > 0.0 {
             true => (1.0 / share / centres) as usize,
             false => 0,
@@ -144,12 +144,12 @@
             return;
         };
         let held = self.held(topic, next, false);
-        self.tell_whole(to, topic, &Neighbourly::Held(held));
+        self.tell_whole(to, topic, &NeighbourMessage::Snapshot(held));
     }
 
-    fn held(&self, topic: Topic, next: u64, shared: bool) -> Held {
+    fn held(&self, topic: Topic, next: u64, shared: bool) -> TopicSnapshot {
         let records = self.shelves.borrow_mut().of(topic).records.clone();
-        Held {
+        TopicSnapshot {
             topic,
             next,
             shared,
@@ -168,29 +168,35 @@
         let lacking = !askers.is_empty() || first && self.knows_neighbours();
         if let (true, Some(next)) = (lacking, next) {
             let held = self.held(topic, next, true);
-            self.spread(topic, &Neighbourly::Held(held));
+            self.spread(topic, &NeighbourMessage::Snapshot(held));
         }
     }
 
     /// Sends records again that a neighbour missed; it reads the store where it gets none.
     pub(super) fn send_again(self: &Rc<Self>, to: SocketAddr, topic: Topic, from: u64) {
-        let Some(records) = self.shelves.borrow_mut().of(topic).recent.since(from) else {
+        let Some(records) = self
+            .shelves
+            .borrow_mut()
+            .of(topic)
+            .recent
+            .records_from(from)
+        else {
             self.hand_over(to, topic);
             return;
         };
-        let news = News {
+        let news = RecordUpdate {
             topic,
             reader: self.settings.peers,
-            teller: self.settings.peers,
-            abroad: false,
+            relay_root: self.settings.peers,
+            cross_centre: false,
             from,
             records,
         };
-        self.tell_whole(to, topic, &Neighbourly::News(news));
+        self.tell_whole(to, topic, &NeighbourMessage::Update(news));
     }
 
     /// Takes in what a neighbour hands over.
-    pub(super) fn take_held(self: &Rc<Self>, held: Held) {
+    pub(super) fn take_held(self: &Rc<Self>, held: TopicSnapshot) {
         let (topic, next) = (held.topic, held.next);
         if self
             .feed(topic, |feed| feed.next())
@@ -201,14 +207,14 @@
         let records: Vec<Record> = held
             .records
             .into_iter()
-            .filter_map(platform::store::record)
+            .filter_map(platform::store::decode_record)
             .collect();
         log::info!(
             "E0317 topic-handed-over topic={topic:?} records={}",
             records.len()
         );
         let draw = self.draw_share();
-        self.feed(topic, |feed| feed.handed(next, draw, clock::now()));
+        self.feed(topic, |f| f.snapshot_received(next, draw, clock::now()));
         self.take_all(topic, &records);
         let askers = std::mem::take(&mut self.shelves.borrow_mut().of(topic).askers);
         if !held.shared {
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -1,10 +1,10 @@
 //! Learns the rate limits that endpoints advertise, from them and from other hosts.
 
 use hyper::HeaderMap;
-use protocol::limits::Limits;
-use protocol::news::Neighbourly;
+use protocol::limit_report::LimitReport;
+use protocol::neighbour::NeighbourMessage;
 use state::EndpointKey;
-use state::fleet::rate_limit::{Advice, Source};
+use state::fleet::rate_limit::{RateLimitUpdate, Source};
 
 use super::Gateway;
 use crate::clock;
@@ -14,8 +14,8 @@
     ///
     /// A rejection may leave it out, and ends none.
     pub(super) fn learn_limit(&self, key: EndpointKey, fields: &HeaderMap, source: Source) {
-        let rate = match platform::fields::rate_limit(fields) {
-            Ok(None) if platform::fields::says_not_run(fields) => return,
+        let rate = match platform::headers::rate_limit(fields) {
+            Ok(None) if platform::headers::is_not_run(fields) => return,
             Ok(rate) => rate,
             Err(error) => {
                 log::debug!("E0145 limit-unreadable error={error}");
@@ -23,9 +23,9 @@
             }
         };
         let mut registry = self.registry.borrow_mut();
-        let held = registry.limits().holds(key);
-        let advice = registry.learn_limit(key, rate, source);
-        if held != registry.limits().holds(key) {
+        let held = registry.limits().contains(key);
+        let advice = registry.observe_limit(key, rate, source);
+        if held != registry.limits().contains(key) {
             let instance = registry.get(key).map(|s| s.endpoint.instance.as_str());
             log::info!(
                 "E0144 limit-advertised instance={} rate={rate:?} source={source:?}",
@@ -33,11 +33,12 @@
             );
         }
         drop(registry);
-        let granted = |_: &Advice| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
+        let granted =
+            |_: &RateLimitUpdate| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
         if let Some(advice) = advice.filter(granted) {
-            self.tell_site(|abroad| {
-                Neighbourly::Limits(Limits {
-                    abroad,
+            self.tell_site(|cross_centre| {
+                NeighbourMessage::LimitReport(LimitReport {
+                    cross_centre,
                     advice: vec![advice],
                 })
             });
@@ -45,15 +46,15 @@
     }
 
     /// Takes in what another host has heard of endpoints' rate limits.
-    pub(super) fn hear_limits(&self, limits: Limits) {
+    pub(super) fn hear_limits(&self, limits: LimitReport) {
         let mut registry = self.registry.borrow_mut();
         for advice in &limits.advice {
-            registry.hear_limit(advice);
+            registry.apply_limit_update(advice);
         }
         drop(registry);
-        if limits.abroad {
-            self.tell_all(&Neighbourly::Limits(Limits {
-                abroad: false,
+        if limits.cross_centre {
+            self.tell_all(&NeighbourMessage::LimitReport(LimitReport {
+                cross_centre: false,
                 ..limits
             }));
         }
--- a/components/transport/src/gateway/share.rs
+++ b/components/transport/src/gateway/share.rs
@@ -4,15 +4,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::feed::{self, START_GREETING};
-use coordination::joins::{self, Joins};
+use coordination::group_joins::{self, GroupJoins};
 use coordination::neighbours::Contact;
+use coordination::read_schedule::{self, GREETING_WAIT};
 use state::Moment;
 use tokio::time::sleep;
 
 use super::Gateway;
 use crate::clock;
-use crate::store::{Store, StoreError};
+use crate::store::{StoreClient, StoreError};
 
 /// The group that all entry hosts join.
 const GROUP: &str = "entry-hosts";
@@ -61,10 +61,10 @@
     /// While the store is away the parts can't be dealt anew, so the last one
     /// still adds up with those of the others.
     pub(super) async fn keep_share(self: Rc<Self>) {
-        let mut store = Store::new(self.settings.log);
-        let topics = joins::topics();
+        let mut store = StoreClient::new(self.settings.log);
+        let topics = group_joins::group_topics();
         let member = self.member();
-        let mut joins = Joins::default();
+        let mut joins = GroupJoins::default();
         let mut due = clock::now();
         // When a whole site starts, all hosts are in the group only after a moment.
         let mut search = Search::new(clock::now() + SEARCH_PAUSE);
@@ -86,22 +86,22 @@
     /// Joins the group, and returns how long it is until the next time.
     async fn join(
         &self,
-        store: &mut Store,
+        store: &mut StoreClient,
         member: &str,
         topics: &[String],
-        joins: &mut Joins,
+        joins: &mut GroupJoins,
     ) -> Duration {
-        let timeout = joins.session().as_secs_f64();
+        let timeout = joins.session_timeout().as_secs_f64();
         let generation = joins.generation();
         let body = platform::store::join_body(GROUP, member, topics, timeout, generation);
         match store.join(body).await {
             Ok(membership) => {
-                self.set_share(membership.parts);
-                joins.joined(membership.generation, membership.parts)
+                self.set_share(membership.partitions);
+                joins.join_succeeded(membership.generation, membership.partitions)
             }
             Err(error) => {
                 log::warn!("E0315 share-not-renewed error={error:?}");
-                joins.failed()
+                joins.join_failed()
             }
         }
     }
@@ -111,11 +111,12 @@
     /// Made for the moment at which all hosts lose power, and those that the settings
     /// name are back last: one of many asks, and tells the others of each other.
     fn start_pause(&self) -> Duration {
-        START_GREETING + feed::start_spread(self.expected_neighbours()).mul_f64(self.draw_share())
+        GREETING_WAIT
+            + read_schedule::restart_jitter(self.expected_neighbours()).mul_f64(self.draw_share())
     }
 
     fn set_share(&self, parts: usize) {
-        let total = (joins::TOPICS * self.settings.partitions).max(1);
+        let total = (group_joins::GROUP_TOPICS * self.settings.partitions).max(1);
         let share = parts as f64 / total as f64;
         if (share - self.share.get()).abs() > f64::EPSILON {
             log::info!("E0314 share-changed share={share:.3}");
@@ -124,7 +125,7 @@
     }
 
     /// Asks the store for neighbours where it is time to.
-    async fn search(&self, store: &mut Store, search: &mut Search) {
+    async fn search(&self, store: &mut StoreClient, search: &mut Search) {
         if clock::now() < search.due {
             return;
         }
@@ -143,7 +144,7 @@
     }
 
     /// Greets the hosts of this data centre that hold a part, and learns of others.
-    async fn find_neighbours(&self, store: &mut Store) -> Result<(), StoreError> {
+    async fn find_neighbours(&self, store: &mut StoreClient) -> Result<(), StoreError> {
         let members = store.owners(GROUP).await?;
         let contacts = members.iter().filter_map(|m| contact(m));
         let (here, elsewhere): (Vec<Contact>, Vec<Contact>) =
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use platform::store::{Membership, Newest, Read, StoreFormatError};
+use platform::store::{GroupMembership, NewestPage, ReadAnswer, StoreFormatError};
 use state::EndpointKey;
 use thiserror::Error;
 use tokio::time::{Instant, timeout};
@@ -69,7 +69,7 @@
     ///
     /// Only the store's own words count: 504 and the like may come from
     /// something in between, after the effect.
-    pub fn is_refusal(&self) -> bool {
+    pub fn is_not_applied(&self) -> bool {
         match self {
             StoreError::Connect(_) | StoreError::Wire(WireError::Unsent) => true,
             StoreError::Refused(status) => {
@@ -93,16 +93,16 @@
 ///
 /// Each of the host's loops has its own: a read that waits must not hold up
 /// another, and a connection that fell silent must not take all of them along.
-pub struct Store {
+pub struct StoreClient {
     address: SocketAddr,
     answer_limit: Duration,
     connection: Option<Connection>,
 }
 
-impl Store {
+impl StoreClient {
     /// Returns a client of the store at `address`.
-    pub fn new(address: SocketAddr) -> Store {
-        Store {
+    pub fn new(address: SocketAddr) -> StoreClient {
+        StoreClient {
             address,
             answer_limit: ANSWER_LIMIT,
             connection: None,
@@ -110,7 +110,7 @@
     }
 
     /// Sets how long the store may keep silent where it waits for nothing.
-    pub fn set_limit(&mut self, limit: Duration) {
+    pub fn set_timeout(&mut self, limit: Duration) {
         self.answer_limit = limit;
     }
 
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing; [`StoreError::is_refusal`] tells
+    /// Says why the call brought nothing; [`StoreError::is_not_applied`] tells
     /// whether the record may stand there all the same.
     pub async fn append(&mut self, topic: &str, record: &Bytes) -> Result<u64, StoreError> {
         let path = platform::store::append_path(topic);
@@ -126,7 +126,7 @@
         let answer = self
             .call(Method::POST, &path, body, self.answer_limit)
             .await?;
-        Ok(platform::store::appended(&answer)?)
+        Ok(platform::store::parse_append(&answer)?)
     }
 
     /// Returns a page of the newest records of a topic.
@@ -134,12 +134,16 @@
     /// # Errors
     ///
     /// Says why the call brought nothing.
-    pub async fn newest(&mut self, topic: &str, after: Option<&str>) -> Result<Newest, StoreError> {
+    pub async fn newest(
+        &mut self,
+        topic: &str,
+        after: Option<&str>,
+    ) -> Result<NewestPage, StoreError> {
         let path = platform::store::newest_path(topic, after);
         let body = self
             .call(Method::GET, &path, Bytes::new(), self.answer_limit)
             .await?;
-        Ok(platform::store::newest(&body)?)
+        Ok(platform::store::parse_newest(&body)?)
     }
 
     /// Reads a topic from an offset, and waits up to `wait` for a record.
@@ -155,12 +159,12 @@
         from: u64,
         wait: Duration,
         kilobytes: Option<u32>,
-    ) -> Result<Read, StoreError> {
+    ) -> Result<ReadAnswer, StoreError> {
         let millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let path = platform::store::read_path(topic, from, millis, kilobytes);
         let limit = wait + self.answer_limit;
         let body = self.call(Method::GET, &path, Bytes::new(), limit).await?;
-        Ok(platform::store::records(body, from)?)
+        Ok(platform::store::parse_read(body, from)?)
     }
 
     /// Joins a group, or stays in it.
@@ -168,12 +172,12 @@
     /// # Errors
     ///
     /// Says why the call brought nothing; it may have been carried out.
-    pub async fn join(&mut self, body: Vec<u8>) -> Result<Membership, StoreError> {
+    pub async fn join(&mut self, body: Vec<u8>) -> Result<GroupMembership, StoreError> {
         let path = platform::store::JOIN_PATH;
         let answer = self
             .call(Method::POST, path, Bytes::from(body), self.answer_limit)
             .await?;
-        Ok(platform::store::joined(&answer)?)
+        Ok(platform::store::parse_join(&answer)?)
     }
 
     /// Returns the members of a group that hold a partition.
@@ -186,7 +190,7 @@
         let body = self
             .call(Method::GET, &path, Bytes::new(), self.answer_limit)
             .await?;
-        Ok(platform::store::owners(&body)?)
+        Ok(platform::store::parse_owners(&body)?)
     }
 
     async fn call(
@@ -208,7 +212,7 @@
             StatusCode::OK => Ok(body),
             StatusCode::GONE => {
                 // Forgotten all the same where the rest of the answer makes no sense.
-                let first = platform::store::first_kept(&body)
+                let first = platform::store::parse_trimmed(&body)
                     .inspect_err(|e| log::warn!("E0319 log-answer-unclear error={e:?}"));
                 Err(StoreError::Forgotten(first.ok()))
             }
@@ -267,7 +271,7 @@
     }
 
     fn request(&self, method: Method, path: &str, body: Bytes) -> Request<RequestBody> {
-        let mut request = Request::new(RequestBody::Whole(body));
+        let mut request = Request::new(RequestBody::Buffered(body));
         *request.method_mut() = method;
         if let Ok(uri) = path.parse() {
             *request.uri_mut() = uri;
