--- a/components/coordination/src/config/check.rs
+++ b/components/coordination/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a preset's text whole, so that an operator mends all faults at once.
+//! Checks the whole text of a preset, so that an operator sees all its errors at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,20 +11,20 @@
 
 use super::schema::{PRESET, check_table};
 
-/// The largest text of a preset, in bytes: ten times letter-sized presets, and
-/// small enough for one record of the log.
+/// The largest text of a preset, in bytes: ten times the size of presets for large sites,
+/// and small enough for one record of the log.
 pub const TEXT_LIMIT: usize = 1024 * 1024;
 
-/// One fault of a preset's text.
+/// One error of a preset's text.
 #[value]
 pub struct PresetError {
-    /// The line it stands in, counted from one.
+    /// The number of the line with the error, from one.
     pub line: usize,
-    /// What is wrong and what would mend it.
+    /// What is wrong and how to fix the error.
     pub message: String,
 }
 
-/// All faults of a preset's text, in the order of their lines.
+/// All errors of a preset's text, in line order.
 #[value]
 #[derive(Default)]
 pub struct PresetErrors(pub Vec<PresetError>);
@@ -44,11 +44,11 @@
 
 impl std::error::Error for PresetErrors {}
 
-/// Reads a preset from its TOML text.
+/// Parses a preset from its TOML text.
 ///
 /// # Errors
 ///
-/// Returns every fault with its line; nothing is taken then.
+/// Returns all errors with their lines; a text with errors is rejected as a whole.
 pub fn parse_preset(text: &str) -> Result<Preset, PresetErrors> {
     let mut report = Report::new(text);
     if text.len() > TEXT_LIMIT {
@@ -72,7 +72,7 @@
     })
 }
 
-/// Collects faults by the place in the text.
+/// Collects errors by their byte offset in the text.
 pub(super) struct Report<'a> {
     text: &'a str,
     faults: Vec<PresetError>,
@@ -98,7 +98,7 @@
     }
 }
 
-/// A text found in the tree, and where.
+/// A string value and its byte offset in the text.
 #[derive(Clone, Copy)]
 struct Found<'a> {
     text: &'a str,
@@ -128,8 +128,8 @@
     }
 }
 
-/// Refuses an endpoint in a data centre that the preset doesn't name: it would
-/// stay in use when its data centre leaves.
+/// Rejects an endpoint in a data centre that the preset doesn't define: the endpoint
+/// would stay in use when its data centre leaves.
 fn check_centre(endpoint: &DeTable, centres: &Names, report: &mut Report) {
     match text(endpoint, "data-centre") {
         Some(centre) if !centres.seen.contains(centre.text) => report.at(
@@ -143,27 +143,27 @@
     }
 }
 
-/// Refuses names that can't be the first part of a call's path.
+/// Rejects names that can't be the first segment of a request's path.
 fn check_service_name(name: Found, report: &mut Report) {
     let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let plain = matches!(name.text, "-" | "." | "..");
     if plain || !name.text.chars().all(fits) {
         let message = format!(
-            "service name \"{}\" can't stand in a path: use letters, digits, '-', '_' and '.'",
+            "service name \"{}\" can't be part of a path: use letters, digits, '-', '_' and '.'",
             name.text
         );
         report.at(name.start, message);
     }
 }
 
-/// Refuses limits that contradict each other.
+/// Rejects limits that contradict each other.
 fn check_limits(service: &DeTable, report: &mut Report) {
     let slots = number(service, "slots").map_or(6, |n| n.0);
     let deadline = number(service, "deadline-ms").map_or(10_000, |n| n.0);
     match number(service, "cold-slots") {
         Some((cold, start)) if cold > slots => report.at(
             start,
-            format!("cold-slots {cold} is over slots {slots}: a cold endpoint bears less"),
+            format!("cold-slots {cold} is over slots {slots}: a cold endpoint can bear no more"),
         ),
         _ => {}
     }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Finds names that stand twice, or two names with one key.
+/// Finds duplicate names, and different names with the same key.
 struct Names {
     what: &'static str,
     key: fn(&str) -> u64,
@@ -207,14 +207,14 @@
     fn add(&mut self, name: Found, report: &mut Report) {
         let what = self.what;
         if !self.seen.insert(name.text.to_owned()) {
-            let message = format!("{what} \"{}\" stands twice", name.text);
+            let message = format!("{what} \"{}\" appears twice", name.text);
             report.at(name.start, message);
             return;
         }
         let key = (self.key)(name.text);
         if let Some(other) = self.keys.insert(key, name.text.to_owned()) {
             let message = format!(
-                "{what} \"{}\" has the key of \"{other}\": rename one",
+                "{what} \"{}\" has the same key as \"{other}\": rename one",
                 name.text
             );
             report.at(name.start, message);
@@ -222,10 +222,10 @@
     }
 }
 
-/// Finds addresses that stand twice.
+/// Finds duplicate addresses.
 ///
-/// One backend server in two services would be given the slots of both, which
-/// is more than it can bear.
+/// A backend server listed in two services would get the slots of both, which is more
+/// than the server can bear.
 #[derive(Default)]
 struct Endpoints {
     addresses: BTreeMap<SocketAddr, String>,
@@ -242,7 +242,7 @@
         };
         if let Some(other) = self.addresses.insert(address, service.to_owned()) {
             let message = format!(
-                "address {address} stands twice, first in service \"{other}\": \
+                "address {address} appears twice, first in service \"{other}\": \
                  its slots would be counted twice"
             );
             report.at(found.start, message);
@@ -250,7 +250,7 @@
         }
         let key = EndpointKey::of(service, address);
         if let Some(other) = self.keys.insert(key, address) {
-            let message = format!("address {address} has the key of {other}: change one");
+            let message = format!("address {address} has the same key as {other}: change one");
             report.at(found.start, message);
         }
     }
@@ -275,7 +275,7 @@
     Some((whole(value)?, value.span().start))
 }
 
-/// Returns a whole number that is not negative.
+/// Returns the value as an integer if it is one and not negative.
 pub(super) fn whole(value: &Spanned<DeValue>) -> Option<u64> {
     let integer = value.get_ref().as_integer()?;
     u64::from_str_radix(integer.as_str(), integer.radix()).ok()
--- a/components/coordination/src/config/command.rs
+++ b/components/coordination/src/config/command.rs
@@ -1,4 +1,4 @@
-//! Commands that change the configuration, and the answers to them.
+//! Defines the commands that change the configuration, and their answers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 use state::HostKey;
 
-/// Names one command, so that repeating it is harmless.
+/// Identifies one command, so that repeating the command is harmless.
 ///
-/// The upper half is the log's offset that its author had read up to, the
-/// lower half is random. With the offset inside, a fold that has forgotten old
-/// ids can still tell that an id *may* be one of them, and never runs it twice.
+/// The upper half is the log offset up to which the author had read, the lower half is
+/// random. With the offset in the id, a fold that has dropped old ids can still detect
+/// that an id *may* be one of them, and never runs a command twice.
 #[key]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -23,7 +23,7 @@
         CommandId((u128::from(offset) << 64) | u128::from(random))
     }
 
-    /// Returns the log's offset that the author had read up to.
+    /// Returns the log offset up to which the author had read.
     pub fn author_offset(self) -> u64 {
         (self.0 >> 64) as u64
     }
@@ -49,20 +49,20 @@
     }
 }
 
-/// One command, as it stands on the log.
+/// One command, as written to the log.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Command {
-    /// Names it.
+    /// The command's id.
     pub id: CommandId,
-    /// The revision its author looked at when deciding on it.
+    /// The revision on which the author based the command.
     pub decided_on: u64,
-    /// What it asks for.
+    /// The requested change.
     pub change: Change,
 }
 
-/// What a command asks for.
+/// The change that a command requests.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(
@@ -76,71 +76,72 @@
         /// The preset's TOML text.
         text: String,
     },
-    /// Brings a preset into force in place of the one in force.
+    /// Puts a preset into force in place of the current one.
     ChoosePreset {
         /// The preset's name.
         name: String,
     },
-    /// Takes a data centre out: it gets no new work.
+    /// Takes a data centre out of service: it gets no new work.
     LeaveCentre {
         /// The data centre's name.
         name: String,
     },
-    /// Brings a data centre back.
+    /// Returns a data centre to service.
     ReturnCentre {
         /// The data centre's name.
         name: String,
     },
-    /// Takes a host out: an entry host's name, or a backend server's IP number or address.
+    /// Takes a host out of service: an entry host by name, or a backend server by IP
+    /// address or socket address.
     LeaveHost {
-        /// The host.
+        /// The host's name or address.
         name: String,
     },
-    /// Brings a host back.
+    /// Returns a host to service.
     ReturnHost {
-        /// The host.
+        /// The host's name or address.
         name: String,
     },
     /// Makes an entry host a member.
     Join {
-        /// Its name.
+        /// The entry host's name.
         name: String,
-        /// Drawn when its process started.
+        /// A random number that its process drew at its start.
         incarnation: u64,
-        /// Where its peers reach it.
+        /// The address on which peers reach the entry host.
         peer: SocketAddr,
-        /// The data centre it stands in.
+        /// The entry host's data centre.
         data_centre: String,
     },
-    /// Has a member hand its roles on before it leaves.
+    /// Makes a member hand over its roles before it leaves.
     Drain {
         /// The member.
         host: HostKey,
-        /// The process that is meant.
+        /// The incarnation of the process that is to drain.
         incarnation: u64,
     },
-    /// Ends an entry host's membership, unless it has been started anew since.
+    /// Ends an entry host's membership, unless the host has been restarted since.
     Remove {
         /// The member.
         host: HostKey,
-        /// The process that is meant.
+        /// The incarnation of the process that is to be removed.
         incarnation: u64,
     },
 }
 
-/// What the fold made of a command: the same on every host.
+/// The outcome of a command, the same on every host.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum Answer {
-    /// It is in force since this revision.
+    /// The command is in force.
     Accepted {
-        /// The revision.
+        /// The revision since which the command is in force.
         revision: u64,
     },
-    /// It changed nothing and never will.
+    /// The command changed nothing, and won't later.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
 }
@@ -150,39 +151,41 @@
 #[derive(Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum Refusal {
-    /// Another command changed the same thing after the author had looked.
+    /// Another command changed the same subject after the revision on which this one is
+    /// based.
     #[error("{subject} was changed first, at revision {revision}: look again and decide anew")]
     Conflict {
-        /// What both change.
+        /// The subject that both commands change.
         subject: Subject,
-        /// The revision of the other's change.
+        /// The revision of the other command's change.
         revision: u64,
     },
-    /// The command is so old that whether it ran before is no longer known.
+    /// The command is so old that the log's retained answers don't show whether it ran
+    /// before.
     #[error(
         "the command is older than what the log remembers: it does nothing now, \
          and whether it ran before can't be told; look at the configuration and decide anew"
     )]
     TooOld,
-    /// The revision or the id is from the future: not drawn from this log.
+    /// The command names a revision or offset that this log has not reached.
     #[error("the command names revision or offset {0}, which this log has not reached")]
     Future(u64),
-    /// The preset's text has faults.
+    /// The preset's text has errors.
     #[error("the preset has faults:\n{0}")]
     Faulty(String),
     /// No preset has this name.
     #[error("no preset is named {0}: put it first")]
     UnknownPreset(String),
-    /// No preset names this data centre.
+    /// No preset defines this data centre.
     #[error("no preset names a data centre {0}")]
     UnknownCentre(String),
-    /// No preset names an endpoint on this host and no member has this name.
+    /// No preset has an endpoint on this host, and no member has this name.
     #[error("no entry host is named {0} and no preset has an endpoint there")]
     UnknownHost(String),
-    /// The member that the command means is not there.
+    /// The member named by the command does not exist.
     #[error("the member is not there, or another process has taken its place")]
     UnknownMember,
-    /// Two names have the same 64-bit key.
+    /// Another name has the same 64-bit key.
     #[error("the name {0} has the key of another member: choose another name")]
     SameKey(String),
 }
@@ -194,11 +197,11 @@
 pub enum Subject {
     /// Which preset is in force.
     Choice,
-    /// A preset's text.
+    /// The text of the preset with this name.
     Preset(String),
-    /// Whether a data centre is leaving.
+    /// Whether the data centre with this name is leaving.
     Centre(String),
-    /// Whether a host is leaving.
+    /// Whether the host with this name is leaving.
     Host(String),
     /// An entry host's membership.
     Member(HostKey),
@@ -217,7 +220,8 @@
 }
 
 impl Change {
-    /// Returns what the change is about, where its text can be read.
+    /// Returns the subject of the change; `None` for a preset's text, which has to be
+    /// parsed first.
     pub fn subject(&self) -> Option<Subject> {
         Some(match self {
             Change::PutPreset { .. } => return None,
--- a/components/coordination/src/config/decide.rs
+++ b/components/coordination/src/config/decide.rs
@@ -1,9 +1,11 @@
-//! Decides one command against the configuration. Made for operators who race.
+//! Decides one command against the configuration, with conflict checks for concurrent
+//! operators.
 //!
-//! Two commands conflict only where one's author would have decided otherwise
-//! had they seen the other: over the same subject, and where a change of a
-//! preset's text meets its coming into force. A choice of preset does not
-//! conflict with a host's joining, or a busy site would refuse its operators.
+//! Two commands conflict only where the author of one would have decided differently
+//! after seeing the other: over the same subject, and where a preset's text is changed
+//! while the preset is put into force. A choice of preset doesn't conflict with the
+//! joining of a host; otherwise frequent joins at a busy site would get operators'
+//! commands refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,20 +15,20 @@
 use super::check::parse_preset;
 use super::command::{Change, Refusal, Subject};
 
-/// What a command comes to.
+/// The effect of an accepted command.
 pub(super) enum Decision {
-    /// It changes this subject: the configuration has been altered.
+    /// The configuration was changed in this subject.
     Changed(Subject),
-    /// What it asks for is so already, since this revision.
+    /// The configuration already was as requested, since this revision.
     Already(u64),
 }
 
-/// The revision at which each subject was last changed.
+/// The revision at which each subject was last changed, for the conflict check.
 pub(super) struct Touched<'a> {
     pub revisions: &'a BTreeMap<Subject, u64>,
-    /// Nothing that is not listed was changed after this revision.
+    /// No subject missing from `revisions` was changed after this revision.
     pub floor: u64,
-    /// The revision the author looked at.
+    /// The revision on which the author based the command.
     pub decided_on: u64,
 }
 
@@ -43,7 +45,7 @@
     }
 }
 
-/// Decides `change` and makes it in `config`, but for the revision.
+/// Decides `change` and applies it to `config`, except for the revision.
 pub(super) fn decide(
     config: &mut Config,
     touched: &Touched,
@@ -83,8 +85,8 @@
         return Ok(Decision::Already(touched.since(&subject)));
     }
     touched.check(subject.clone())?;
-    // The author changed a preset that was not in force then. Without this
-    // check the change would reach callers at once, which nobody decided.
+    // The author changed a preset that was not in force at that revision. Without this
+    // check, the change would affect callers at once, which no operator decided.
     if config.chosen.as_ref() == Some(&preset.name) {
         touched.check(Subject::Choice)?;
     }
@@ -131,7 +133,7 @@
     mark(&mut config.leaving_hosts, touched, subject, name, leave)
 }
 
-/// Puts a name into the set of those that are leaving, or takes it from there.
+/// Adds a name to the set of leaving ones, or removes it.
 fn mark(
     leaving: &mut BTreeSet<String>,
     touched: &Touched,
@@ -150,8 +152,11 @@
     Ok(Decision::Changed(subject))
 }
 
-/// Decides a join. A process that was removed while paused would otherwise
-/// come back by a join that was on its way: it must have seen the removal.
+/// Decides a join.
+///
+/// Checks that the author of the join has seen the last change of the member: otherwise a
+/// process that was removed while paused would return through a join sent before its
+/// removal.
 fn join(config: &mut Config, touched: &Touched, member: Member) -> Result<Decision, Refusal> {
     let key = HostKey::named(&member.name);
     let subject = Subject::Member(key);
@@ -169,11 +174,11 @@
     Ok(Decision::Changed(subject))
 }
 
-/// Decides that a member hands its roles on.
+/// Decides a drain, which makes a member hand over its roles.
 ///
-/// A host that went without it would take the slots of its endpoints out of
-/// use until the next owner could be sure that nothing of them is out. Callers
-/// would see calls refused at each restart of an entry host.
+/// If a host left without a drain, the slots of its endpoints would stay unused until the
+/// next owner could be sure that none of them is still leased. Callers would see refused
+/// requests at each restart of an entry host.
 fn drain(
     config: &mut Config,
     touched: &Touched,
@@ -193,8 +198,10 @@
     Ok(Decision::Changed(subject))
 }
 
-/// Decides a removal. It names the process, so that a host that has been
-/// started anew since is not removed for its forerunner's silence.
+/// Decides a removal.
+///
+/// The command names the incarnation, so that a restarted host is not removed because its
+/// previous process was silent.
 fn remove(
     config: &mut Config,
     touched: &Touched,
--- a/components/coordination/src/config/fold.rs
+++ b/components/coordination/src/config/fold.rs
@@ -1,4 +1,4 @@
-//! Folds the records of the `config` stream, in offset order.
+//! Folds the records of the `config` stream, in offset order, into the configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,48 +11,48 @@
 use super::decide::{Decision, Touched, decide};
 use super::snapshot::{Floor, Position, RecentCommand, Snapshot, is_newer};
 
-/// Commands whose ids and answers are kept.
+/// Number of commands whose ids and answers are kept.
 ///
-/// A repeat comes within seconds of the first, so that a few hundred would do;
-/// but a region that comes back brings some three hundred joins at once, and a
-/// command decided on before them must not be too old.
+/// A repeat follows within seconds of the first attempt, so that a few hundred would do;
+/// but a region that returns makes some three hundred hosts join at once, and a command
+/// decided on before these joins must not be refused as too old.
 pub const KEPT_COMMANDS: usize = 1_024;
 
-/// One record of the stream, decoded.
+/// One decoded record of the stream.
 #[value]
 pub enum Record {
     /// A command of an operator or an entry host.
     Command(Command),
-    /// The state folded so far, for those who can't read so far back any more.
+    /// The folded state, for hosts whose next record was trimmed from the log.
     Snapshot(Box<Snapshot>),
-    /// A new beginning with this preset in force, whatever was before.
+    /// A reset: the preset with this text is in force, whatever was before.
     Begin(String),
 }
 
-/// Why a record can't be read.
+/// Why a record can't be decoded.
 #[value]
 #[derive(thiserror::Error)]
 pub enum Unreadable {
-    /// Its bytes are not those that were written.
+    /// The bytes differ from those that were written.
     #[error("the record is damaged")]
     Damaged,
-    /// It was written by a newer version of this program.
+    /// The record was written by a newer version of this program.
     #[error("the record is of version {0}, newer than this program")]
     Newer(u32),
 }
 
-/// What a record came to.
+/// The outcome of applying a record.
 #[value]
 pub enum Applied {
-    /// A command was decided now.
+    /// A command was decided.
     Decided(CommandId, Answer),
-    /// A command was a repeat, and has the answer of the first.
+    /// A repeated command; holds the answer to the first one.
     Repeated(CommandId, Answer),
-    /// A snapshot was taken over; reading goes on at [`Fold::read_offset`].
+    /// A snapshot replaced the state; reading continues at [`Fold::read_offset`].
     Replaced(Position),
-    /// The record changes nothing here.
+    /// The record had no effect.
     Ignored,
-    /// The record was skipped.
+    /// The record can't be decoded and was skipped.
     Skipped(Unreadable),
 }
 
@@ -69,7 +69,8 @@
     skipped_newer: Option<u64>,
 }
 
-/// Looks for a snapshot, since records that were not folded have fallen off.
+/// The search for a snapshot, after records that were not folded were removed from the
+/// log.
 #[derive(Clone, Copy, Debug)]
 struct SnapshotSearch {
     first: u64,
@@ -82,7 +83,7 @@
         &self.config
     }
 
-    /// Returns how far the fold has come.
+    /// Returns the progress of the fold.
     pub fn position(&self) -> Position {
         Position {
             next: self.next,
@@ -95,27 +96,27 @@
         self.search.map_or(self.next, |s| s.at)
     }
 
-    /// Returns whether records have fallen off that were never folded.
+    /// Returns whether records were trimmed from the log before they were folded.
     pub fn is_behind(&self) -> bool {
         self.search.is_some()
     }
 
-    /// Returns the offset of a record that was skipped since only a newer version reads it.
+    /// Returns the offset of a skipped record that only a newer version can decode.
     pub fn skipped_newer(&self) -> Option<u64> {
         self.skipped_newer
     }
 
-    /// Returns the answer to a command that has been folded lately.
+    /// Returns the answer to a recently folded command.
     pub fn answer(&self, id: CommandId) -> Option<&Answer> {
         let offset = self.offsets.get(&id)?;
         self.recent.get(offset).map(|r| &r.answer)
     }
 
-    /// Tells the fold which record the log still has first.
+    /// Notes the offset of the first record that the log still has.
     ///
-    /// A host that was paused while its next record fell off would fold the
-    /// rest onto an old state and differ from all others. From now on it reads
-    /// nothing but snapshots, until one reaches into what the log still has.
+    /// If a host was paused until its next record was trimmed from the log, folding the
+    /// later records onto the old state would make it differ from all others. From then
+    /// on the host applies nothing but snapshots, until one covers all trimmed records.
     pub fn log_trimmed(&mut self, first: u64) {
         let lost = match self.search {
             Some(search) => first > search.first,
@@ -127,10 +128,10 @@
         }
     }
 
-    /// Folds the record at `offset`, which has to be the one at [`Fold::read_offset`].
+    /// Applies the record at `offset`, which has to be [`Fold::read_offset`].
     ///
-    /// Any other changes nothing: after a snapshot was taken over, what a page
-    /// still holds lies ahead of the snapshot's own end and is read again.
+    /// Records at other offsets have no effect: once a snapshot is applied, the rest of
+    /// the page lies after the snapshot's end and is read again.
     pub fn apply(&mut self, offset: u64, record: Result<Record, Unreadable>) -> Applied {
         if offset != self.read_offset() {
             return Applied::Ignored;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Takes a snapshot from a peer, where it is newer. Returns whether it was.
+    /// Applies a snapshot of a peer if it is newer, and returns whether it was.
     pub fn take_snapshot(&mut self, snapshot: Snapshot) -> bool {
         let wanted = is_newer(self.position(), snapshot.position()) || self.covers_gap(&snapshot);
         if wanted {
@@ -162,9 +163,11 @@
         wanted
     }
 
-    /// Returns the whole state, unless a record was skipped that others can read.
+    /// Returns the whole state, or `None` after skipping a record that newer versions can
+    /// decode.
     ///
-    /// The snapshot of such a host would spread its gap to those that have none.
+    /// A snapshot without the skipped record would carry the gap over to hosts that have
+    /// none.
     pub fn snapshot(&self) -> Option<Snapshot> {
         self.skipped_newer.is_none().then(|| Snapshot {
             next: self.next,
@@ -175,13 +178,13 @@
         })
     }
 
-    /// Begins anew, for a site whose hosts were all gone for longer than the
-    /// log keeps records: nobody is left who could write a snapshot.
+    /// Resets the state, for a site whose hosts were all down for longer than the log
+    /// retains records, so that no host is left that could write a snapshot.
     ///
-    /// What comes of it depends on nothing but the record and its offset, so
-    /// that a host that had been paused all the while ends where the new ones
-    /// are. A revision is never greater than the offset after it: this one is
-    /// greater than any before, and no host goes back.
+    /// The result depends on nothing but the record and its offset, so that a host that
+    /// was merely paused ends in the same state as new ones. A revision is never greater
+    /// than the offset after its record: the new revision is greater than any before, and
+    /// decreases on no host.
     fn begin(&mut self, offset: u64, text: &str) -> Applied {
         let Ok(preset) = parse_preset(text) else {
             return Applied::Ignored;
@@ -220,8 +223,8 @@
         }
     }
 
-    /// Returns whether a snapshot covers the record that was skipped, without
-    /// taking back what this host has shown.
+    /// Returns whether a snapshot covers the skipped record without lowering the revision
+    /// that this host has already shown.
     fn covers_gap(&self, snapshot: &Snapshot) -> bool {
         match self.skipped_newer {
             Some(skipped) => {
@@ -289,11 +292,11 @@
         }
     }
 
-    /// Keeps the answer, and forgets the oldest one over [`KEPT_COMMANDS`].
+    /// Keeps the answer, and drops the oldest one when there are more than [`KEPT_COMMANDS`].
     ///
-    /// Without a bound the state would grow with every command ever given.
-    /// What is forgotten raises the floor, so that a late repeat is refused
-    /// and never runs a second time.
+    /// Without a bound the state would grow with every command ever issued. Dropping an
+    /// answer raises the floor, so that a late repeat is refused and never runs a second
+    /// time.
     fn store_answer(&mut self, offset: u64, id: CommandId, answer: Answer) {
         let revision = self.config.revision;
         let recent = RecentCommand {
--- a/components/coordination/src/config/mod.rs
+++ b/components/coordination/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! The configuration that all entry hosts agree on: the fold of the log's `config` stream.
+//! The configuration on which all entry hosts agree: the fold of the log's `config`
+//! stream.
 //!
-//! Commands stand on the log in offset order; folding them in that order
-//! decides which are accepted, the same on every host. Nothing else decides:
-//! no host is special, and no answer is given before the fold has given it.
+//! The log holds commands in offset order; folding them in that order decides which ones
+//! are accepted, with the same result on every host. Nothing else decides: no host is
+//! special, and no command is answered before it has been folded.
 
 mod check;
 mod command;
--- a/components/coordination/src/config/schema.rs
+++ b/components/coordination/src/config/schema.rs
@@ -1,4 +1,4 @@
-//! What may stand in a preset's text: keys, kinds and bounds.
+//! The schema of a preset's text: keys, types and bounds.
 
 use std::net::SocketAddr;
 
@@ -14,15 +14,15 @@
     required: bool,
 }
 
-/// What a key's value has to be.
+/// The type of a key's value.
 enum Kind {
-    /// A text that is not empty.
+    /// A string that is not empty.
     Text,
-    /// An IP number with a port.
+    /// An IP address with a port.
     Address,
-    /// A whole number within bounds.
+    /// An integer within these bounds.
     Whole(u64, u64),
-    /// One table or more.
+    /// One or more tables.
     Tables(&'static [Field]),
 }
 
@@ -39,8 +39,8 @@
 
 const CENTRE: &[Field] = &[need("name", Kind::Text), need("region", Kind::Text)];
 
-/// The upper bounds catch a slip of the key, such as seconds in place of
-/// milliseconds; no site is near them.
+/// The upper bounds catch mistakes such as seconds in place of milliseconds; no site
+/// comes near them.
 const SERVICE: &[Field] = &[
     need("name", Kind::Text),
     need("endpoints", Kind::Tables(ENDPOINT)),
@@ -76,8 +76,9 @@
     }
 }
 
-/// Reports unknown and missing keys, and values of the wrong kind. `start` is
-/// where the table begins.
+/// Reports unknown and missing keys, and values of the wrong type.
+///
+/// `start` is the offset of the table in the text.
 pub(super) fn check_table(table: &DeTable, fields: &[Field], start: usize, report: &mut Report) {
     for (key, value) in table {
         match fields.iter().find(|f| f.key == key.get_ref()) {
@@ -108,7 +109,7 @@
             Some(format!("\"{key}\" is empty"))
         }
         (Kind::Text, DeValue::String(_)) => None,
-        (Kind::Text, other) => Some(format!("\"{key}\" is {}: write a text", other.type_str())),
+        (Kind::Text, other) => Some(format!("\"{key}\" is {}: write a string", other.type_str())),
         (Kind::Address, DeValue::String(text)) => address_fault(key, text),
         (Kind::Address, other) => Some(format!(
             "\"{key}\" is {}: write \"IP:port\"",
@@ -153,13 +154,13 @@
 fn address_fault(key: &str, text: &str) -> Option<String> {
     match text.parse::<SocketAddr>() {
         Err(_) => Some(format!(
-            "\"{key}\" \"{text}\" is no IP number with a port, such as \"10.0.0.7:8080\""
+            "\"{key}\" \"{text}\" is not an IP address with a port, such as \"10.0.0.7:8080\""
         )),
         Ok(address) if address.port() == 0 => {
             Some(format!("\"{key}\" {address} has port 0: name the port"))
         }
         Ok(address) if address.ip().is_unspecified() => Some(format!(
-            "\"{key}\" {address} names no host: write its IP number"
+            "\"{key}\" {address} names no host: write its IP address"
         )),
         Ok(_) => None,
     }
--- a/components/coordination/src/config/snapshot.rs
+++ b/components/coordination/src/config/snapshot.rs
@@ -6,22 +6,25 @@
 
 use super::command::{Answer, CommandId, Subject};
 
-/// How far a fold has come. All folds are prefixes of one sequence, so that
-/// marks of different hosts can be compared.
+/// The progress of a fold.
+///
+/// All folds are prefixes of the same sequence, so that the progress of different hosts
+/// can be compared.
 #[tag]
 #[derive(Default, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The log's offset after the last record folded in.
+    /// The offset after the last folded record.
     pub next: u64,
-    /// The revision in force there.
+    /// The revision in force after that record.
     pub revision: u64,
 }
 
-/// Returns whether a peer's configuration should take the place of one's own.
+/// Returns whether a peer's configuration should replace a host's own.
 ///
-/// A host that comes back from a pause is handed older configurations that
-/// were on their way meanwhile. Taking one would send work to a data centre
-/// that has left; so only more of the log counts, and never a lower revision.
+/// A host that resumes after a pause receives older configurations that were sent
+/// meanwhile. Applying one would send work to a data centre that has left; so a
+/// configuration replaces another only if it covers more of the log and has no lower
+/// revision.
 pub fn is_newer(mine: Position, theirs: Position) -> bool {
     theirs.next > mine.next && theirs.revision >= mine.revision
 }
@@ -30,47 +33,47 @@
 #[value]
 #[derive(Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The log's offset after the last record folded in.
+    /// The offset after the last folded record.
     pub next: u64,
     /// The configuration.
     pub config: Config,
-    /// The last commands and their answers, by offset.
+    /// The most recent commands and their answers, by offset.
     pub recent: Vec<RecentCommand>,
     /// The revision at which each subject was last changed.
     pub touched: Vec<(Subject, u64)>,
-    /// What has been forgotten.
+    /// The newest command that is no longer in `recent`.
     pub floor: Floor,
 }
 
-/// A command that was decided, kept so that repeating it is harmless.
+/// A decided command, kept so that repeating it is harmless.
 #[value]
 #[derive(Serialize, Deserialize)]
 pub struct RecentCommand {
-    /// Its offset on the log.
+    /// The command's offset on the log.
     pub offset: u64,
-    /// Its id.
+    /// The command's id.
     pub id: CommandId,
-    /// The revision after it.
+    /// The revision after the command.
     pub revision: u64,
-    /// Its answer.
+    /// The answer to the command.
     pub answer: Answer,
 }
 
-/// The newest command that has been forgotten.
+/// The newest command whose answer has been dropped.
 ///
-/// Commands that were decided on before it can't be told from repeats, so that
-/// they are refused. Counted in offsets and revisions: hosts' clocks differ.
+/// Commands based on an earlier revision can't be distinguished from repeats and are
+/// refused. Counted in offsets and revisions, since the clocks of hosts differ.
 #[tag]
 #[derive(Default, Serialize, Deserialize)]
 pub struct Floor {
-    /// The offset after it.
+    /// The offset after the command.
     pub offset: u64,
-    /// The revision after it.
+    /// The revision after the command.
     pub revision: u64,
 }
 
 impl Snapshot {
-    /// Returns how far the snapshot has come.
+    /// Returns the progress of the fold at the snapshot.
     pub fn position(&self) -> Position {
         Position {
             next: self.next,
--- a/components/coordination/src/config/snapshot_timer.rs
+++ b/components/coordination/src/config/snapshot_timer.rs
@@ -1,19 +1,20 @@
-//! Decides when to append a snapshot, before the log drops old records.
+//! Decides when to append a snapshot, before the log trims old records.
 
 use std::time::Duration;
 
 use derives::{tag, value};
 use state::Moment;
 
-/// How far apart snapshots are.
+/// How often snapshots are appended.
 #[tag]
 pub struct SnapshotPolicy {
-    /// The longest time between two snapshots: a quarter of the time the log
-    /// keeps a record or less, so that three may be lost in a row.
+    /// The longest time between two snapshots: at most a quarter of the time for which
+    /// the log retains a record, so that three may be lost in a row.
     pub max_age: Duration,
-    /// Records after which a snapshot is due, however young the last one is.
+    /// Number of records after which a snapshot is due, however recent the last one is.
     pub max_records: u64,
-    /// Hosts that notice together wait up to this long, each another time.
+    /// The largest random delay between noticing that a snapshot is due and appending
+    /// one.
     pub jitter: Duration,
 }
 
@@ -27,21 +28,21 @@
     }
 }
 
-/// What a host sees of the stream.
+/// The range of the stream that a host sees.
 #[tag]
 pub struct LogView {
-    /// The first record the log still has.
+    /// The offset of the first record that the log still has.
     pub first: u64,
     /// The offset after the log's last record.
     pub next: u64,
 }
 
-/// Says when this host should append a snapshot.
+/// Decides when this host appends a snapshot.
 ///
-/// No host is set aside for it: whichever notices first does it. Hosts that
-/// notice together spread over the jitter, and those whose turn comes later
-/// have then read the first one's snapshot and let it be. Two at once do no
-/// harm; they cost an append.
+/// No host is responsible for snapshots: the first one to notice that one is due appends
+/// it. Hosts that notice at the same time wait for random delays up to the jitter, so
+/// that those with longer delays read the first one's snapshot and don't append another.
+/// Two at once do no harm; they cost an append.
 #[value]
 pub struct SnapshotTimer {
     policy: SnapshotPolicy,
@@ -51,7 +52,7 @@
 }
 
 impl SnapshotTimer {
-    /// Starts the timer of a host that has read nothing yet.
+    /// Returns the timer of a host that has read nothing yet.
     pub fn new(policy: SnapshotPolicy, now: Moment) -> SnapshotTimer {
         SnapshotTimer {
             policy,
@@ -61,14 +62,14 @@
         }
     }
 
-    /// Notes a snapshot on the log, readable to all.
+    /// Notes a snapshot read from the log, which every host can read too.
     pub fn snapshot_seen(&mut self, offset: u64, now: Moment) {
         self.last = Some(offset);
         self.seen = now;
         self.due = None;
     }
 
-    /// Returns whether to append a snapshot now. `draw` is random, from 0 to 1.
+    /// Returns whether to append a snapshot now; `draw` is a random number from 0 to 1.
     pub fn is_due(&mut self, view: LogView, now: Moment, draw: f64) -> bool {
         if !self.is_wanted(view, now) {
             self.due = None;
@@ -80,7 +81,7 @@
         now >= due
     }
 
-    /// Puts the next try off after an append that failed or has not been read yet.
+    /// Delays the next attempt after an append that failed or has not been read yet.
     pub fn append_tried(&mut self, now: Moment, draw: f64) {
         let wait = self.policy.jitter.mul_f64(1.0 + draw.clamp(0.0, 1.0));
         self.due = Some(now + wait);
@@ -89,15 +90,15 @@
     fn is_wanted(&self, view: LogView, now: Moment) -> bool {
         match self.last {
             _ if view.next == 0 => false,
-            // Nothing covers what has fallen off: a new host could not start.
+            // No snapshot covers the trimmed records: a new host could not start.
             None if view.first > 0 => true,
             Some(last) if last < view.first => true,
-            // A quiet stream gives no sign of records about to fall off.
+            // An idle stream doesn't show that records are about to be trimmed.
             _ if now.since(self.seen) >= self.policy.max_age => true,
             None => view.next >= self.policy.max_records,
             Some(last) if view.next.saturating_sub(last) >= self.policy.max_records => true,
-            // The snapshot is in the older half of what the log keeps. The
-            // log's own bound shows only in what has fallen off.
+            // The snapshot is in the older half of what the log retains. The retention
+            // limit of the log shows only in the records already trimmed.
             Some(last) if view.first > 0 => (last - view.first) < (view.next - view.first) / 2,
             Some(_) => false,
         }
--- a/components/coordination/src/fragment_queue.rs
+++ b/components/coordination/src/fragment_queue.rs
@@ -1,4 +1,4 @@
-//! Fragments that wait to be sent, no faster than a narrow link bears.
+//! Queues fragments, and paces them so that they don't saturate a narrow link.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,25 +8,25 @@
 
 /// Bytes of fragments that a host sends in a second.
 ///
-/// The narrowest links carry 10 Mbit/s: a fifth of that is left to callers. A
-/// message of 290 KB reaches a data centre of any size within 0.6 s.
+/// The narrowest links carry 10 Mbit/s: a fifth of that is left to callers. A message of
+/// 290 KB reaches a data centre of any size within 0.6 s.
 const SEND_RATE: f64 = 1_000_000.0;
 
-/// Bytes sent without a pause, so that not every fragment costs a timer.
+/// Bytes sent without a pause, so that not every fragment needs a timer.
 const BURST_BYTES: usize = 8 * 1_024;
 
-/// Bytes that may wait.
+/// The most bytes queued.
 ///
-/// More would be on its way longer than any host waits for it.
+/// With more, a fragment would wait longer than any host waits for it.
 const QUEUE_LIMIT_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// Bytes that wait above which a host answers nobody who lacks fragments.
+/// Queued bytes above which a host doesn't answer requests for missing fragments.
 ///
-/// What they lack may be on its way in this very queue, and answers to all of them
-/// would hold up the next message.
+/// The missing fragments may be in this queue already, and answers to all requests would
+/// delay the next message.
 const BUSY_BYTES: usize = 64 * 1_024;
 
-/// The fragments that wait, each with the host it goes to and what it is about.
+/// The queued fragments, each with its destination and a tag of the caller's.
 #[derive(Clone, Debug)]
 pub struct FragmentQueue<T> {
     waiting: VecDeque<(SocketAddr, T, Fragment)>,
@@ -46,7 +46,7 @@
 }
 
 impl<T> FragmentQueue<T> {
-    /// Takes a fragment to be sent, and returns whether there is room for it.
+    /// Appends a fragment, and returns whether there was room for it.
     pub fn push(&mut self, to: SocketAddr, about: T, fragment: Fragment) -> bool {
         if self.size + fragment.bytes.len() > QUEUE_LIMIT_BYTES {
             return false;
@@ -56,7 +56,7 @@
         true
     }
 
-    /// Returns what is to be sent now.
+    /// Removes and returns the next fragment to send.
     pub fn pop(&mut self) -> Option<(SocketAddr, T, Fragment)> {
         let next = self.waiting.pop_front()?;
         let size = next.2.bytes.len();
@@ -65,7 +65,7 @@
         Some(next)
     }
 
-    /// Returns how long to pause before the next one, where that is due.
+    /// Returns how long to pause before the next fragment, if a pause is due.
     pub fn pause(&mut self) -> Option<Duration> {
         if self.sent < BURST_BYTES {
             return None;
@@ -75,12 +75,13 @@
         Some(Duration::from_secs_f64(f64::from(bytes) / SEND_RATE))
     }
 
-    /// Returns whether too much waits to answer those who lack fragments.
+    /// Returns whether too many bytes are queued to answer requests for missing
+    /// fragments.
     pub fn is_busy(&self) -> bool {
         self.size > BUSY_BYTES
     }
 
-    /// Returns whether fragments of a message wait to be sent to this host.
+    /// Returns whether fragments of the message are queued for this host.
     pub fn contains(&self, to: SocketAddr, message: MessageKey) -> bool {
         let mut waiting = self.waiting.iter();
         waiting.any(|(host, _, fragment)| *host == to && fragment.message == message)
--- a/components/coordination/src/fragments.rs
+++ b/components/coordination/src/fragments.rs
@@ -1,17 +1,17 @@
-//! Messages between neighbours that are too large for a datagram.
+//! Splits messages between neighbours that are too large for a datagram, and reassembles
+//! them.
 //!
-//! A change of thousands of routes fits into none. Were each host left to read
-//! it from the store, all would at the same moment, and the store's bandwidth
-//! would hold the last ones up beyond the time promised to operators. So the
-//! message is cut into fragments, and each neighbour gets some of them, which it
-//! passes on to all others: every host sends and receives about the message's
-//! size once, however many hosts there are. A fragment that got lost is asked
-//! for.
+//! A change of thousands of routes fits into no datagram. If each host read the change
+//! from the store, all would do so at once, and the store's bandwidth would delay the
+//! last ones beyond the time promised to operators. The sender therefore splits the
+//! message into fragments and sends each neighbour some of them, which that neighbour
+//! relays to all others: every host sends and receives about the message's size once,
+//! however many hosts there are. Hosts request lost fragments again.
 //!
-//! At times several hosts read the same at the same moment, mostly when the one
-//! that used to is turned away by the store. A message is therefore named by what
-//! it holds, not by who sends it, and its fragments go the same way whoever does:
-//! what comes twice is passed on once.
+//! At times several hosts read the same records at once, mostly when the store rejects
+//! the host that was the reader. A message is therefore identified by a digest of its
+//! content, not by its sender, and its fragments take the same paths whichever host sends
+//! them: a fragment that arrives twice is relayed once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,95 +22,99 @@
 use state::Moment;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The smallest fragment cut.
+/// The smallest size of a fragment that this host sends.
 ///
-/// Below this a datagram's own cost outweighs what it carries.
+/// Below this the overhead of a datagram outweighs its payload.
 const SMALLEST: usize = 1_024;
 
-/// The largest fragment cut, and taken.
+/// The largest size of a fragment, sent or accepted.
 const LARGEST: usize = 8 * 1_024;
 
-/// The most fragments of one message that are taken: two megabytes of small ones.
+/// The most fragments accepted for one message: two megabytes of small ones.
 const COUNT_LIMIT: u32 = 2_048;
 
-/// How long a message is kept after the last of its fragments came.
+/// How long a message is kept after its last fragment arrived.
 ///
-/// Others that lost some of it ask for them meanwhile.
+/// Hosts that lost fragments request them in this time.
 pub const KEEP_TIME: Duration = Duration::from_secs(5);
 
-/// Messages kept at once; the one heard of longest ago goes first.
+/// Messages kept at once; the one whose last fragment is oldest is dropped first.
 const KEPT_LIMIT: usize = 8;
 
-/// How often a host asks for what it lacks before it leaves it to the store.
+/// Number of requests for the fragments of a message before the host gives up and reads
+/// the store.
 const ASKS: u32 = 6;
 
-/// Which host to ask for a fragment becomes the one that passes it on to all.
+/// Number of requests for one fragment after which the fragment is relayed to all hosts
+/// again.
 ///
-/// Fragments get lost one by one, and a host or two ask. Where a third one does,
-/// the neighbour that was to pass it on is gone, and all lack it.
+/// Fragments get lost one by one, and one or two hosts request them. A third request
+/// means that the neighbour which should have relayed the fragment has failed, and that
+/// all lack it.
 const SPREAD_ASK: u32 = 3;
 
-/// How long after that it is sent to nobody else, as it is on its way to all.
+/// How long a fragment isn't sent in answer to requests after it was relayed again, since
+/// a copy is on its way to all hosts.
 const SPREAD_PAUSE: Duration = Duration::from_millis(200);
 
-/// Names a message that is sent in fragments, whoever sends it.
+/// Identifies a message that is sent in fragments, independently of its sender.
 #[key]
 pub struct MessageKey {
-    /// The digest of its bytes.
+    /// The digest of the message's bytes.
     pub digest: u64,
-    /// How many fragments it is cut into.
+    /// Number of fragments of the message.
     pub count: u32,
 }
 
-/// A piece of a message.
+/// One fragment of a message.
 #[value]
 pub struct Fragment {
-    /// The message.
+    /// The message that the fragment belongs to.
     pub message: MessageKey,
-    /// A host that holds the whole of it and sends it.
+    /// A host that has the whole message and sends it.
     pub origin: SocketAddr,
-    /// Which piece this is, from 0.
+    /// Index of the fragment, from 0.
     pub number: u32,
-    /// Whether the receiver is to pass it on to all its neighbours.
+    /// Whether the receiver relays the fragment to all its neighbours.
     pub relay: bool,
-    /// The piece.
+    /// The fragment's part of the message.
     pub bytes: Bytes,
 }
 
-/// What a fragment that came was good for.
+/// What became of a received fragment.
 #[value]
 pub enum Inserted {
-    /// It was known, or makes no sense.
+    /// The fragment was known already, or is invalid.
     Ignored,
-    /// It was new.
+    /// The fragment was new, and others are missing still.
     New,
-    /// It was the last one that the message lacked.
+    /// The fragment was the last one missing; holds the whole message.
     Complete(Bytes),
 }
 
-/// Whom to ask for fragments.
+/// Which host to request fragments from.
 #[tag]
 pub enum RequestTarget {
-    /// A host that holds the whole message.
+    /// A host that has the whole message.
     Origin(SocketAddr),
     /// Any neighbour.
     Any,
 }
 
-/// A request for the fragments that a message lacks.
+/// A request for the missing fragments of a message.
 #[value]
 pub struct FragmentRequest {
-    /// The message.
+    /// The message that the fragments belong to.
     pub message: MessageKey,
-    /// The numbers of the fragments.
+    /// Indexes of the missing fragments.
     pub numbers: Vec<u32>,
 }
 
-/// Cuts a message of `origin` into fragments for this many hosts.
+/// Splits a message of `origin` into fragments for this many hosts.
 ///
-/// About one for each, so that all share the work of passing them on; in sizes
-/// of which there are few, so that hosts which know one neighbour more or less
-/// cut alike.
+/// Makes about one fragment per host, so that all share the relaying. Only few fragment
+/// sizes are possible, so that hosts whose counts of neighbours differ slightly split a
+/// message in the same way.
 pub fn split(origin: SocketAddr, message: &Bytes, hosts: usize) -> Vec<Fragment> {
     let share = message.len().div_ceil(hosts.max(1));
     let size = size_class(share).clamp(SMALLEST, LARGEST);
@@ -131,18 +135,18 @@
         .collect()
 }
 
-/// Returns the next size of which there are few: a power of two, or three quarters of one.
+/// Rounds a size up to a power of two or three quarters of one.
 fn size_class(size: usize) -> usize {
     let power = size.next_power_of_two();
     let smaller = power / 4 * 3;
     if size <= smaller { smaller } else { power }
 }
 
-/// Returns what `me` sends to whom, so that all `neighbours` get these fragments.
+/// Returns which fragments `me` sends to which host, so that all `neighbours` get them.
 ///
-/// Each goes to the host that passes it on to the others. That is the same one
-/// for whichever host sends the message, but for what it would have to pass on
-/// itself: the others share that.
+/// Each fragment goes to the host that relays it to the others. That host is the same
+/// whichever host sends the message, except for the fragments that `me` would relay
+/// itself: these are shared among the others.
 pub fn assign_relays(
     me: SocketAddr,
     fragments: &[Fragment],
@@ -151,8 +155,9 @@
     let mut hosts = neighbours.to_vec();
     hosts.push(me);
     hosts.sort();
-    // The last hosts have one fragment less than the first. Which of them takes its
-    // place depends on where it stands, so that not all who send the same choose one.
+    // The last hosts relay one fragment less than the first ones. Which of them relays a
+    // fragment in place of the sender depends on the sender's rank, so that hosts sending
+    // the same message don't all choose the same one.
     let more = fragments.len() % hosts.len();
     let less = hosts.len() - more;
     let place = hosts.partition_point(|h| *h < me) * less / hosts.len();
@@ -172,11 +177,12 @@
     sent
 }
 
-/// Returns to whom `me` passes on a fragment that `origin` sent first, in this order.
+/// Returns the hosts to which `me` relays a fragment that `origin` sent first, in this
+/// order.
 ///
-/// Backwards from itself: the origin tells the hosts forwards, one after the
-/// other. Were fragments passed on forwards too, those of all hosts would meet at
-/// the same host at the same moment and be lost on its link.
+/// The order runs backwards from `me`, since the origin sends to the hosts in ascending
+/// order. If fragments were relayed in ascending order too, those of all hosts would
+/// reach the same host at the same moment and be lost on its link.
 pub fn relay_order(
     me: SocketAddr,
     origin: SocketAddr,
@@ -191,24 +197,24 @@
     hosts
 }
 
-/// One fragment's place in a message.
+/// One fragment of a message, received or missing.
 #[derive(Clone, Debug, Default)]
 struct Place {
     bytes: Option<Bytes>,
-    /// Hosts that have asked for it since it was last spread.
+    /// Number of requests for the fragment since it was last relayed.
     askers: u32,
     relayed_at: Option<Moment>,
 }
 
-/// A message of which some or all fragments are here.
+/// A message of which some or all fragments have arrived.
 #[derive(Clone, Debug)]
 struct Message {
     places: Vec<Place>,
-    /// The host heard of last that holds the whole of it.
+    /// The last known host that has the whole message.
     origin: SocketAddr,
     lacking: usize,
     heard: Moment,
-    /// When it was last heard of, or asked for.
+    /// When a fragment last arrived or was requested.
     stirred: Moment,
     asks: u32,
 }
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Puts a fragment into its place, and returns whether that was empty.
+    /// Stores a fragment, and returns whether it was missing.
     fn put(&mut self, fragment: &Fragment, now: Moment) -> bool {
         let Some(place) = self.places.get_mut(fragment.number as usize) else {
             return false;
@@ -254,7 +260,8 @@
         self.asks >= ASKS
     }
 
-    /// Returns a fragment for a host that asks for it.
+    /// Returns a fragment's bytes for a host that requests them, and whether that host
+    /// relays them.
     fn resend(&mut self, number: u32, now: Moment) -> Option<(Bytes, bool)> {
         let place = self.places.get_mut(number as usize)?;
         let bytes = place.bytes.clone()?;
@@ -274,21 +281,21 @@
     }
 }
 
-/// The messages of which fragments have come, and those sent in fragments.
+/// Reassembles received messages, and keeps fragments for neighbours that request them.
 #[derive(Clone, Debug, Default)]
 pub struct Reassembly {
     messages: BTreeMap<MessageKey, Message>,
 }
 
 impl Reassembly {
-    /// Keeps a message of this host's, for neighbours that lose some of it.
+    /// Stores a message that this host sends, for neighbours that lose fragments of it.
     pub fn insert_own(&mut self, fragments: &[Fragment], now: Moment) {
         for fragment in fragments {
             self.place(fragment, now);
         }
     }
 
-    /// Takes in a fragment.
+    /// Stores a received fragment.
     pub fn insert(&mut self, fragment: &Fragment, now: Moment) -> Inserted {
         let count = fragment.message.count;
         let known = fragment.number < count && count <= COUNT_LIMIT;
@@ -301,7 +308,8 @@
         }
     }
 
-    /// Returns the message, unless its fragments don't make what its digest names.
+    /// Returns the assembled message, and discards it if its bytes don't match its
+    /// digest.
     fn check(&mut self, key: MessageKey) -> Inserted {
         let whole = self.messages.get(&key).map(Message::whole);
         match whole {
@@ -324,7 +332,7 @@
         new
     }
 
-    /// Forgets messages of which nothing has come for a while.
+    /// Drops messages of which no fragment has arrived for a while.
     pub fn expire(&mut self, now: Moment) {
         self.messages.retain(|_, m| now.since(m.heard) < KEEP_TIME);
         while self.messages.len() > KEPT_LIMIT {
@@ -336,16 +344,17 @@
         }
     }
 
-    /// Returns whether fragments of this message are still awaited.
+    /// Returns whether fragments of the message are missing and still requested.
     pub fn is_incomplete(&self, key: MessageKey) -> bool {
         let message = self.messages.get(&key);
         message.is_some_and(|m| m.lacking > 0 && !m.given_up())
     }
 
-    /// Returns what to ask for, and whom, where nothing came or was asked for in `silence`.
+    /// Returns the next request for missing fragments and which host to send it to, if no
+    /// fragment arrived or was requested for `silence`.
     ///
-    /// The origin has them all for sure, unless it is gone; so any neighbour is
-    /// asked in turn with it.
+    /// The origin has all fragments, unless it has failed; so requests alternate between
+    /// the origin and any neighbour.
     pub fn next_request(
         &mut self,
         key: MessageKey,
@@ -373,7 +382,7 @@
         Some((source, lacking))
     }
 
-    /// Returns the fragments that are here of those that a neighbour lacks.
+    /// Returns those of the requested fragments that this host has.
     pub fn resend(&mut self, lacking: &FragmentRequest, now: Moment) -> Vec<Fragment> {
         let Some(message) = self.messages.get_mut(&lacking.message) else {
             return Vec::new();
--- a/components/coordination/src/group_joins.rs
+++ b/components/coordination/src/group_joins.rs
@@ -1,31 +1,32 @@
-//! How often a host joins the store's group, which deals parts to its members.
+//! Decides how often a host joins the store's group, which assigns partitions to its
+//! members.
 //!
-//! A part moves only when the member that held it has joined again. So a member whose
-//! parts become fewer joins again at once, one that has none asks again soon, and the
-//! others have nothing to learn while the group stays the same.
+//! A partition moves only once its former holder has joined again. So a member that is
+//! assigned fewer partitions joins again at once, one that has none joins again soon, and
+//! the others learn nothing by joining while the group stays the same.
 
 use std::time::Duration;
 
-/// Topics whose partitions are dealt to the hosts.
+/// Number of topics whose partitions are assigned to the hosts.
 ///
-/// The store deals partitions evenly, so a host's part of them is its part of
-/// the hosts. It passes over any further topics: divided by those too, all shares
-/// would add up to less than the whole. A dozen partitions a topic tell 240 hosts
-/// apart; a host that gets none takes no share, which errs on the safe side.
+/// The store assigns partitions evenly, so a host's part of all partitions is its share
+/// of the hosts. The store ignores topics beyond this number: if those counted too, all
+/// shares would add up to less than the whole. A dozen partitions a topic are enough for
+/// 240 hosts; a host without a partition has no share, which errs on the safe side.
 pub const GROUP_TOPICS: usize = 20;
 
-/// How long after a join the next one comes where the group has just changed.
+/// The pause before the next join after the group has changed.
 const JOIN_PAUSE: Duration = Duration::from_secs(5);
 
-/// How long where it stays the same: every join is paid for.
+/// The longest pause, reached while the group stays the same: every join is charged.
 const JOIN_PAUSE_LIMIT: Duration = Duration::from_secs(20);
 
-/// How long where this member has no part yet.
+/// The shortest pause while this member has no partition yet.
 const IDLE_JOIN_PAUSE: Duration = Duration::from_secs(2);
 
-/// How many of its pauses a silent member keeps its parts for.
+/// Number of pauses for which a silent member keeps its partitions.
 ///
-/// Fewer, and one slow answer of the store would deal all parts anew.
+/// With fewer, a single slow answer of the store would reassign all partitions.
 const SESSION_PAUSES: u32 = 3;
 
 /// Returns the names of the topics that hosts join for.
@@ -33,7 +34,7 @@
     (0..GROUP_TOPICS).map(|n| format!("hosts-{n}")).collect()
 }
 
-/// What this host learned by its last join, and when it joins again.
+/// What this host learned from its last join, and how long it pauses before the next.
 #[derive(Clone, Debug)]
 pub struct GroupJoins {
     generation: u64,
@@ -52,17 +53,18 @@
 }
 
 impl GroupJoins {
-    /// Returns the generation of the group that this host knows.
+    /// Returns the last known generation of the group.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Returns how long the store is to keep this host's parts without a join.
+    /// Returns the session timeout: how long the store keeps this host's partitions
+    /// without a join.
     pub fn session_timeout(&self) -> Duration {
         (self.pause.max(IDLE_JOIN_PAUSE) * 2).clamp(JOIN_PAUSE, JOIN_PAUSE_LIMIT) * SESSION_PAUSES
     }
 
-    /// Takes in what a join told, and returns how long it is until the next.
+    /// Records a successful join, and returns how long to pause before the next.
     pub fn join_succeeded(&mut self, generation: u64, partitions: usize) -> Duration {
         let same = generation == self.generation && partitions == self.partitions;
         self.pause = match partitions {
@@ -77,7 +79,7 @@
         self.pause
     }
 
-    /// Takes in that a join failed, and returns how long it is until the next.
+    /// Records a failed join, and returns how long to pause before the next.
     pub fn join_failed(&mut self) -> Duration {
         self.pause = JOIN_PAUSE;
         self.pause
--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -1,8 +1,8 @@
-//! The coordination layer: what entry hosts agree on.
+//! The coordination layer: state on which entry hosts agree.
 //!
-//! Members, configuration, slot leases and claims, each a state machine that
-//! takes messages and the time and returns what to send. No socket, clock or
-//! thread here: the transport layer runs these machines.
+//! Covers members, configuration, slot leases and claims. Each is a state machine that
+//! takes messages and the current time and returns what to send. The layer has no
+//! sockets, clocks or threads: the transport layer runs the state machines.
 
 pub mod claims;
 pub mod config;
--- a/components/coordination/src/neighbours.rs
+++ b/components/coordination/src/neighbours.rs
@@ -1,8 +1,8 @@
-//! Which hosts of its data centre a host knows, and how it gets to know the rest.
+//! Tracks the hosts of the same data centre (neighbours) and how a host discovers them.
 //!
-//! Hosts greet each other; there is no list of them anywhere. A host that knows
-//! only a few of its neighbours hears only part of what is read from the store
-//! and reads it by itself.
+//! Hosts greet each other; there is no list of them anywhere. A host that knows only a
+//! few of its neighbours receives only some of the updates read from the store, and has
+//! to read the others by itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,62 +13,63 @@
 
 use crate::relay::Forwarded;
 
-/// How long a neighbour that says nothing is still told.
+/// How long a host is kept after it was last seen.
 const HOST_TTL: Duration = Duration::from_secs(20);
 
-/// Greetings with which a host that has just started asks whom others know.
+/// Number of greetings with which a host that has just started queries a neighbour for
+/// its known hosts.
 ///
-/// Where a whole site starts, the first answers name only the few that had
+/// When a whole site starts, the first answers contain only the few hosts that had
 /// started by then.
 const STARTUP_QUERIES: u32 = 5;
 
-/// With how many later greetings it asks once.
+/// How many later greetings there are for each one with a query.
 ///
-/// A list of 300 hosts is 5 KB; asked for every ten seconds it takes half a
-/// kilobyte a second.
+/// A list of 300 hosts takes 5 KB; a query every ten seconds takes half a kilobyte a
+/// second.
 const QUERY_INTERVAL: u32 = 10;
 
-/// Hosts of each other data centre that are told what this one reads.
+/// Number of hosts in each other data centre to which a host sends what it read.
 ///
-/// Were it only one, the loss of one datagram would leave its data centre behind.
+/// With only one, the loss of a single datagram would leave its data centre behind.
 pub const REMOTE_TARGETS: usize = 2;
 
-/// Hosts of each other data centre that are named to one that asks.
+/// Number of hosts of each other data centre in an answer to a query.
 const SAMPLE_SIZE: usize = 3;
 
-/// A host of another data centre.
+/// A host and its data centre.
 #[value]
 pub struct Contact {
-    /// Its data centre.
+    /// The host's data centre.
     pub centre: String,
-    /// Where it hears.
+    /// The address on which the host receives messages of other hosts.
     pub address: SocketAddr,
 }
 
-/// When a host of another data centre was heard or heard of.
+/// When a host of another data centre was last seen.
 #[derive(Clone, Copy, Debug)]
 struct LastSeen {
     at: Moment,
-    /// Whether it said so itself.
+    /// Whether the host sent a greeting itself, rather than being named by another one.
     direct: bool,
 }
 
-/// What a greeting told.
+/// What a greeting changed.
 #[tag]
 pub enum GreetingEffect {
-    /// A neighbour is known now.
+    /// A neighbour that was not known before.
     New,
-    /// Nothing new.
+    /// A neighbour that was known already.
     Known,
-    /// The greeting comes from another data centre.
+    /// A known host of another data centre.
     Remote,
-    /// It does, and its sender was not known.
+    /// A host of another data centre that was not known before.
     NewRemote,
 }
 
-/// Returns a few of the hosts of each data centre, others by another `draw`.
+/// Returns a few hosts of each data centre; `draw` selects which ones.
 ///
-/// `draw` is evenly drawn from all of `u64`.
+/// `draw` is a random number, uniform over `u64`.
 pub fn sample_by_centre(contacts: Vec<Contact>, draw: u64) -> Vec<Contact> {
     let mut centres: BTreeMap<String, Vec<Contact>> = BTreeMap::new();
     for contact in contacts {
@@ -86,7 +87,7 @@
     some
 }
 
-/// The hosts of the same data centre, and when each was heard or heard of.
+/// The known hosts of the same data centre and of others, with when each was last seen.
 #[derive(Clone, Debug)]
 pub struct Neighbours {
     me: SocketAddr,
@@ -94,14 +95,14 @@
     heard: BTreeMap<SocketAddr, Moment>,
     remotes: BTreeMap<String, BTreeMap<SocketAddr, LastSeen>>,
     greetings: u32,
-    /// How far the operators' news were passed on.
+    /// Which updates of the operators' topic were already forwarded.
     pub operators: Forwarded,
-    /// How far the endpoints' news were passed on.
+    /// Which updates of the endpoints' topic were already forwarded.
     pub endpoints: Forwarded,
 }
 
 impl Neighbours {
-    /// Returns what the host `me` of `centre` knows at its start: nobody.
+    /// Returns the state of the host `me` of `centre` at its start, with no known hosts.
     pub fn new(me: SocketAddr, centre: &str) -> Neighbours {
         Neighbours {
             me,
@@ -114,11 +115,10 @@
         }
     }
 
-    /// Takes in a greeting of a host of `centre`.
+    /// Records a greeting of a host of `centre`.
     ///
-    /// Hosts of other data centres are remembered for those that ask for their
-    /// own: a site names three hosts to begin with, and there are more data
-    /// centres than that.
+    /// Hosts of other data centres are kept for queries from their own: a site's settings
+    /// name three hosts to begin with, and there are more data centres than that.
     pub fn greeting_received(
         &mut self,
         from: SocketAddr,
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Takes in that another host names `address`; true where it is to be greeted.
+    /// Records a host that another one named; returns whether it is new and has to be
+    /// greeted.
     pub fn add(&mut self, address: SocketAddr, now: Moment) -> bool {
         let new = address != self.me && !self.heard.contains_key(&address);
         if new {
@@ -153,9 +154,10 @@
         new
     }
 
-    /// Returns whom to ask with the next greeting whom it knows, nobody mostly.
+    /// Returns which neighbour to query for its known hosts with the next greeting;
+    /// mostly none.
     ///
-    /// `draw` is evenly drawn from all of `u64`.
+    /// `draw` is a random number, uniform over `u64`.
     pub fn next_query(&mut self, draw: u64) -> Option<SocketAddr> {
         self.greetings += 1;
         let due =
@@ -163,7 +165,7 @@
         self.any(draw).filter(|_| due)
     }
 
-    /// Returns one of the neighbours, by `draw`, evenly drawn from all of `u64`.
+    /// Returns one of the neighbours; `draw` is a random number, uniform over `u64`.
     pub fn any(&self, draw: u64) -> Option<SocketAddr> {
         let count = u64::try_from(self.heard.len()).ok().filter(|n| *n > 0)?;
         let at = usize::try_from(draw % count).ok()?;
@@ -175,7 +177,7 @@
         self.heard.is_empty()
     }
 
-    /// Returns all neighbours, and forgets those that have long been silent.
+    /// Returns all neighbours, after removing those that haven't been seen for long.
     pub fn current(&mut self, now: Moment) -> Vec<SocketAddr> {
         let heard = &mut self.heard;
         heard.retain(|_, at| now.since(*at) < HOST_TTL);
@@ -184,7 +186,7 @@
         self.heard.keys().copied().collect()
     }
 
-    /// Returns the hosts of `centre` that this host has heard of, for one of them that asks.
+    /// Returns the known hosts of `centre`, for a query from a host of that data centre.
     pub fn hosts_of(&mut self, centre: &str, now: Moment) -> Vec<SocketAddr> {
         if centre == self.centre {
             return self.current(now);
@@ -196,7 +198,7 @@
         remotes.keys().copied().collect()
     }
 
-    /// Takes in that another host names one of another data centre.
+    /// Records a host of another data centre that a third host named.
     pub fn add_remote(&mut self, contact: Contact, now: Moment) {
         if contact.centre != self.centre {
             let remotes = self.remotes.entry(contact.centre).or_default();
@@ -207,10 +209,10 @@
         }
     }
 
-    /// Returns a few hosts of each other data centre, to be named to one that asks.
+    /// Returns a few hosts of each other data centre, for an answer to a query.
     ///
-    /// Only those that were heard themselves: one that is gone would else be named
-    /// for ever.
+    /// Contains only hosts that sent a greeting themselves: otherwise hosts would go on
+    /// naming a failed host to each other for ever.
     pub fn remote_sample(&mut self, now: Moment) -> Vec<Contact> {
         self.expire_remotes(now);
         let mut named = Vec::new();
@@ -224,7 +226,7 @@
         named
     }
 
-    /// Returns whom to tell in each other data centre what this one reads.
+    /// Returns for each other data centre the hosts to which this one sends what it read.
     pub fn remote_targets(&mut self, now: Moment) -> Vec<Vec<SocketAddr>> {
         self.expire_remotes(now);
         let centres = self.remotes.values();
@@ -241,7 +243,8 @@
             .collect()
     }
 
-    /// Returns any host of another data centre; `draw` is evenly drawn from all of `u64`.
+    /// Returns any host of another data centre; `draw` is a random number, uniform over
+    /// `u64`.
     pub fn any_remote(&self, draw: u64) -> Option<SocketAddr> {
         let all: Vec<SocketAddr> = self
             .remotes
@@ -254,7 +257,7 @@
             .and_then(|at| all.get(at).copied())
     }
 
-    /// Returns how many neighbours are known.
+    /// Returns the number of known neighbours.
     pub fn len(&self) -> usize {
         self.heard.len()
     }
--- a/components/coordination/src/read_schedule.rs
+++ b/components/coordination/src/read_schedule.rs
@@ -1,150 +1,154 @@
-//! Who reads a topic of the store, so that a data centre's hosts don't all do.
+//! Decides which hosts read a topic of the store, so that few hosts of a data centre do.
 //!
-//! Each read is paid for, bytes within a data centre are not, and those to another
-//! one hardly count beside it. So whoever reads tells its neighbours and a few hosts
-//! elsewhere, which tell theirs, and whoever was told doesn't read. There is no
-//! election: the last reader reads again soonest, and where nothing is heard
-//! for a while every host reads by itself, at a moment of its own. A reader
-//! that dies, is paused, or is turned away by the store is thus replaced before
-//! any bound is missed, without anyone having to agree that it is gone.
+//! Each read of the store is charged. Traffic within a data centre is free, and traffic
+//! to another one costs little by comparison. A host that reads therefore sends the
+//! records to its neighbours and to a few hosts of other data centres, which forward
+//! them, and a host that receives them doesn't read. There is no election: the last
+//! reader reads again soonest, and a host that receives nothing for a while reads by
+//! itself after a randomised delay. A reader that crashes, is paused or is rejected by
+//! the store is thus replaced before any bound is missed, without an agreement that it
+//! has failed.
 
 use std::time::Duration;
 
 use derives::tag;
 use state::Moment;
 
-/// How long a read waits at the store for a record.
+/// How long a read waits at the store for a record (long poll).
 ///
-/// A record is answered as soon as it is written, but for a rare read that
-/// isn't woken by it. What is written must be known everywhere within two
-/// seconds all the same.
+/// The store answers as soon as a record is written, but for a rare read that isn't woken
+/// by the write. Every record must still be known to all hosts within two seconds.
 pub const READ_WAIT: Duration = Duration::from_millis(1_200);
 
-/// How long the reader pauses after a read that brought records.
+/// How long the reader pauses after a read that returned records.
 ///
-/// Records come in bunches when endpoints are replaced or a site starts; each
-/// would be a read of its own.
+/// Records come in bursts when endpoints are replaced or a site starts; without the pause
+/// each record would cost a read of its own.
 const BUNCH_PAUSE: Duration = Duration::from_millis(400);
 
-/// How long a host that was told waits before it reads by itself.
+/// How long a host waits after the last update before it reads by itself.
 ///
-/// Longer than a read waits, by as much as a slow store takes to answer, so
-/// that this doesn't make everybody read.
+/// Longer than a read waits, by as much as a slow store takes to answer, so that a slow
+/// answer doesn't make all hosts read.
 const PATIENCE: Duration = Duration::from_millis(1_450);
 
-/// By how much hosts differ in their patience.
+/// The largest random delay added to [`PATIENCE`].
 ///
-/// The first to lose it tells the others before they do: an answer takes 4 ms,
-/// and ten hosts over 250 ms are 25 ms apart.
+/// The first host that reads sends the records to the others before their delay ends: an
+/// answer takes 4 ms, and ten hosts over 250 ms are 25 ms apart.
 const SPREAD: Duration = Duration::from_millis(250);
 
 /// How long a host that missed records waits for a neighbour to send them again.
 ///
-/// A datagram there and one back, over links of 10 Mbit/s that are busy.
+/// Allows for one datagram in each direction over busy links of 10 Mbit/s.
 const RESEND: Duration = Duration::from_millis(100);
 
-/// How long a host waits for the rest of what comes in fragments.
+/// How long a host waits for the remaining fragments of a message.
 ///
-/// In this time it asks for what got lost three times.
+/// In this time it requests lost fragments three times.
 const REST: Duration = Duration::from_millis(300);
 
-/// How long it puts its own reading off for that altogether.
+/// The total time for which arriving fragments defer a host's own read.
 ///
-/// What comes in fragments takes 0.6 s. Were there no limit, a neighbour that
-/// sends one fragment now and then would keep this host from the store.
+/// A message takes 0.6 s to arrive in fragments. Without a limit, a neighbour that sends
+/// a single fragment now and then would keep this host from reading the store.
 const REST_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// How long the reader pauses after a failed read.
 ///
-/// It is the one to notice that the store is back, for all of its neighbours.
+/// The reader retries for all of its neighbours, so that only one host probes the store
+/// during an outage.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How long a host waits for its neighbours where a whole site starts.
+/// How long a host waits before its first read when a whole site starts.
 ///
-/// Callers come seconds later. In this time hosts get to know each other, and
-/// whoever reads first hands on what it read.
+/// Callers arrive seconds later. In this time hosts discover each other, so that the
+/// first reader can forward what it read.
 const FIRST_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// By how much hosts differ in that.
+/// The largest random delay added to [`FIRST_PAUSE`].
 ///
-/// To hand all on from host to host takes a few hundred milliseconds over a
-/// link of 10 Mbit/s; most get it before their own time to read.
+/// Forwarding a snapshot of a topic from host to host takes a few hundred milliseconds
+/// over a link of 10 Mbit/s; most hosts receive the snapshot before their own read is
+/// due.
 const FIRST_SPREAD: Duration = Duration::from_millis(2_000);
 
-/// How long a host leaves the store to a neighbour that has begun to read.
+/// How long a host defers its own read after a neighbour has begun one.
 ///
 /// An answer takes 4 ms.
 const READ_HOLD: Duration = Duration::from_millis(60);
 
-/// The longest time for which it does so after many have read in vain.
+/// The longest deferral after many neighbours have read without success.
 const READ_HOLD_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// Reads in vain after which the next ones wait twice as long.
+/// Number of unsuccessful reads after which the deferral doubles.
 const READS_DOUBLING: u32 = 4;
 
-/// For how long each neighbour holds up the first read of a host that starts again.
+/// Delay that each neighbour adds to the first read of a restarted host.
 ///
-/// The first to read hands on what it read. That takes a few hundred milliseconds
-/// in a data centre of a hundred hosts, and a few where there are four.
+/// The first reader forwards what it read. That takes a few hundred milliseconds in a
+/// data centre of a hundred hosts, and a few milliseconds where there are four.
 const START_STEP: Duration = Duration::from_millis(8);
 
-/// How long a host that knows nothing leaves the store to a neighbour that reads all.
+/// How long a host without any records defers to a neighbour that reads the whole topic.
 ///
-/// What it reads comes in fragments after that, and puts this host's reading off again.
+/// The neighbour's snapshot then arrives in fragments, and each fragment defers this
+/// host's read again.
 const START_HOLD: Duration = Duration::from_millis(200);
 
-/// How long it does so altogether.
+/// The total time for which a host without any records defers to its neighbours.
 const START_HOLD_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// How long a host that starts again waits at most to be told of its neighbours.
+/// The longest time for which a restarted host waits to learn of its neighbours.
 const START_INTRODUCED: Duration = Duration::from_millis(100);
 
-/// How long a host that starts again waits to be greeted.
+/// How long a restarted host waits for greetings.
 pub const GREETING_WAIT: Duration = Duration::from_millis(25);
 
-/// How long a data centre's hosts may have heard nothing before one that hears from
-/// elsewhere tells them.
+/// How long a data centre's hosts may have received no update before a host that receives
+/// one from another data centre forwards it.
 ///
-/// Two hosts hear the same from elsewhere, one a little after the other.
+/// Two hosts receive the same update from another data centre, one slightly later than
+/// the other; the second must not forward it again.
 const RETELL_AFTER: Duration = Duration::from_millis(300);
 
-/// How far one host is with one topic.
+/// One host's read position in one topic, and when it reads next.
 #[derive(Clone, Debug)]
 pub struct ReadSchedule {
     next: Option<u64>,
     reader: bool,
     asking: bool,
     missing: bool,
-    /// Whether this host is to read for its data centre what was read elsewhere.
+    /// Whether this host reads for its data centre what was read elsewhere.
     lags: bool,
     failures: u32,
     due: Moment,
-    /// Since when something has been coming in fragments.
+    /// When the first fragment of a message that is still incomplete arrived.
     coming: Option<Moment>,
-    /// When this host last read or was told.
+    /// When this host last read the store or received an update.
     heard: Moment,
-    /// Reads that neighbours have begun since.
+    /// Reads that neighbours have begun since this host last read or received an update.
     reads_heard: u32,
 }
 
-/// What a neighbour's word is good for.
+/// What a host does with records that a neighbour has read.
 #[tag]
 pub enum UpdateOutcome {
-    /// Its records are to be taken in, but for the first `skip`.
+    /// The records are to be applied, except for the first `skip`.
     Apply {
-        /// Records known already.
+        /// Number of leading records that are already known.
         skip: u64,
-        /// Whether this host had failed to read before.
+        /// Whether this host's own reads had failed before.
         recovered: bool,
     },
-    /// It says nothing new.
+    /// All the records are already known.
     Known,
-    /// Records before it are missing: this host reads by itself.
+    /// Records before these are missing: this host reads by itself.
     Gap,
 }
 
 impl ReadSchedule {
-    /// Returns a feed that reads at once.
+    /// Returns a feed whose first read is due at once.
     pub fn new(now: Moment) -> ReadSchedule {
         ReadSchedule {
             next: None,
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Returns a feed of a host that starts again, and asks its neighbours first.
+    /// Returns the feed of a restarted host, which queries its neighbours first.
     pub fn restarted(now: Moment) -> ReadSchedule {
         ReadSchedule {
             due: now + GREETING_WAIT * 2,
@@ -168,11 +172,13 @@
         }
     }
 
-    /// Takes in how many neighbours a host that starts again has.
+    /// Delays the first read of a restarted host according to its number of neighbours.
     ///
-    /// Made for the moment at which all hosts lose power: the more there are, the
-    /// longer each leaves the store to the others. A host that knows far fewer than it
-    /// expects waits to be told of them. `draw` is from 0 to 1.
+    /// Intended for a power failure after which all hosts restart at once: without the
+    /// delay all would read the whole topic from the store. The more neighbours there
+    /// are, the longer each host defers to the others. A host that knows fewer than half
+    /// of the expected ones also waits until it learns of them. `draw` is a random number
+    /// from 0 to 1.
     pub fn neighbours_counted(&mut self, known: usize, expected: usize, draw: f64, now: Moment) {
         if self.next.is_some() || self.failures > 0 {
             return;
@@ -184,9 +190,10 @@
         self.due = now + introduced + restart_jitter(known.max(expected)).mul_f64(draw);
     }
 
-    /// Returns a feed of a host that starts together with its whole site.
+    /// Returns the feed of a host that starts together with its whole site.
     ///
-    /// Were each to read at once, a start would cost as many calls as minutes of quiet.
+    /// If each host read at once, a start would cost as many reads as minutes of idle
+    /// operation.
     pub fn at_site_start(draw: f64, now: Moment) -> ReadSchedule {
         ReadSchedule {
             due: now + FIRST_PAUSE + FIRST_SPREAD.mul_f64(draw),
@@ -194,12 +201,12 @@
         }
     }
 
-    /// Returns where to read on, nothing where all has to be read anew.
+    /// Returns the offset to read from, or `None` if the whole topic has to be read.
     pub fn next(&self) -> Option<u64> {
         self.next
     }
 
-    /// Returns when this host reads by itself.
+    /// Returns when this host's own read is due.
     pub fn due(&self) -> Moment {
         self.due
     }
@@ -211,8 +218,8 @@
 
     /// Returns how long this host's next read may wait at the store for a record.
     ///
-    /// Others lose their patience where nothing is told for longer than that, so a
-    /// pause before the read counts.
+    /// The pause before a read counts towards the wait: other hosts begin to read if they
+    /// receive nothing for longer than a read waits.
     pub fn read_wait(&self, now: Moment) -> Duration {
         match self.reader {
             true => READ_WAIT.saturating_sub(now.since(self.heard)),
@@ -225,10 +232,12 @@
         self.failures
     }
 
-    /// Takes in that all was read anew, up to `next`; `draw` is from 0 to 1.
+    /// Records a successful read of the whole topic up to `next`, and returns whether
+    /// failures came before it.
     ///
-    /// Hosts read all when they start, and often start together: whoever reads
-    /// on first does so for the others.
+    /// Hosts read the whole topic when they start, often all at once. No host becomes the
+    /// reader by this; the first one whose next read is due does. `draw` is a random
+    /// number from 0 to 1.
     pub fn full_read_finished(&mut self, next: u64, draw: f64, now: Moment) -> bool {
         self.hear(now);
         self.next = Some(next);
@@ -239,11 +248,11 @@
         std::mem::take(&mut self.failures) > 0
     }
 
-    /// Takes in that a neighbour handed over all it knows, up to `next`.
+    /// Records that a neighbour sent a snapshot of the topic, up to `next`.
     ///
-    /// One that could not read the store goes on trying as before, and reads on
-    /// from there; any other waits to be told, as if it had read. `draw` is from
-    /// 0 to 1.
+    /// A host whose own reads failed keeps its retry schedule, and reads on from `next`;
+    /// any other waits for updates, as if it had read the topic itself. `draw` is a
+    /// random number from 0 to 1.
     pub fn snapshot_received(&mut self, next: u64, draw: f64, now: Moment) {
         self.hear(now);
         self.missing = false;
@@ -253,22 +262,25 @@
         }
     }
 
-    /// Notes that this host begins to read.
+    /// Records that this host begins to read.
     pub fn begin_read(&mut self) {
         self.asking = true;
     }
 
-    /// Takes in a read of this host's, and returns whether failures came before it.
+    /// Records a successful read of this host up to `next`, and returns whether failures
+    /// came before it.
     ///
-    /// The host reads on for its neighbours, unless it gave way to one meanwhile.
-    /// One that knows none, as `alone` says, reads no more often than it would
-    /// lose its patience: when a whole site starts, nobody knows anybody.
+    /// The host goes on as reader for its neighbours, unless it has yielded to another
+    /// reader during the read. A host that knows no neighbours (`alone`) waits as long
+    /// between reads as a host without updates does: when a whole site starts, no host
+    /// knows another, and all would read all the time. `draw` is a random number from 0
+    /// to 1.
     pub fn read_finished(&mut self, next: u64, alone: bool, draw: f64, now: Moment) -> bool {
         self.hear(now);
         let brought = self.next != Some(next);
         self.next = Some(next.max(self.next.unwrap_or(0)));
         if self.asking {
-            // One that only fetched what got lost on the way leaves it at that.
+            // A host that only read records lost on the way doesn't become the reader.
             self.reader = !std::mem::take(&mut self.missing);
             self.due = match brought {
                 _ if alone || !self.reader => now + patience(draw),
@@ -279,10 +291,10 @@
         std::mem::take(&mut self.failures) > 0
     }
 
-    /// Takes in that a read failed; `draw` is from 0 to 1.
+    /// Records that a read failed; `draw` is a random number from 0 to 1.
     ///
-    /// Those that were not the reader go on waiting to be told, so that an
-    /// outage isn't answered by calls of every host.
+    /// Only the reader retries soon. Other hosts go on waiting for updates, so that an
+    /// outage doesn't cause reads by every host.
     pub fn read_failed(&mut self, draw: f64, now: Moment) {
         self.failures += 1;
         self.due = match self.reader {
@@ -291,20 +303,22 @@
         };
     }
 
-    /// Takes in that a neighbour's read failed; `draw` is from 0 to 1.
+    /// Records that a neighbour's read failed; `draw` is a random number from 0 to 1.
     ///
-    /// A host that has met the same trouble leaves it to the neighbour to find
-    /// out when the store is back. One that hasn't tries for itself in its turn,
-    /// since the store turns single hosts away at times.
+    /// A host whose own read has failed too leaves the retries to the neighbour. A host
+    /// without a failure still reads when its own read is due, since the store sometimes
+    /// rejects single hosts.
     pub fn neighbour_read_failed(&mut self, draw: f64, now: Moment) {
         if self.failures > 0 && !self.reader {
             self.due = now + patience(draw);
         }
     }
 
-    /// Takes in that a fragment of what a neighbour tells has come; `draw` is from 0 to 1.
+    /// Records that a fragment of a neighbour's message arrived; `draw` is a random
+    /// number from 0 to 1.
     ///
-    /// Were this host to read the store meanwhile, so would all others.
+    /// Defers this host's read: if it read the store before the message is complete, so
+    /// would all others.
     pub fn fragment_received(&mut self, draw: f64, now: Moment) {
         let since = *self.coming.get_or_insert(now);
         if !self.reader && now.since(since) < REST_LIMIT {
@@ -312,13 +326,15 @@
         }
     }
 
-    /// Takes in that a neighbour has begun to read by itself; `draw` is from 0 to 1.
+    /// Records that a neighbour has begun its own read; `draw` is a random number from 0
+    /// to 1.
     ///
-    /// Made for the moment at which the reader falls silent, or the store does: all
-    /// hosts lose their patience within a quarter of a second, and a store that is
-    /// silent tells the first of them nothing that it could tell the others. The
-    /// more have read in vain, the longer the next ones wait. One that lacks records is
-    /// served by nobody's reading on.
+    /// Defers this host's read. Intended for a reader or a store that stops answering:
+    /// the read of every host becomes due within a quarter of a second, and an
+    /// unresponsive store gives the first reader nothing to send to the others. The more
+    /// neighbours have read without success, the longer the deferral. A host that lacks
+    /// records doesn't defer, since a neighbour's read from a later offset doesn't return
+    /// them.
     pub fn neighbour_read_started(&mut self, draw: f64, now: Moment) {
         if self.next.is_none() {
             self.leave_start(draw, now);
@@ -332,7 +348,7 @@
         }
     }
 
-    /// Leaves the first read to a neighbour, for a while.
+    /// Defers the first read of the whole topic in favour of a neighbour's.
     fn leave_start(&mut self, draw: f64, now: Moment) {
         let started = self.heard;
         if !self.asking && self.failures == 0 && now.since(started) < START_HOLD_LIMIT {
@@ -340,15 +356,15 @@
         }
     }
 
-    /// Returns whether this data centre has been told nothing for a while.
+    /// Returns whether this data centre has received no update for a while.
     pub fn is_stale(&self, now: Moment) -> bool {
         now.since(self.heard) > RETELL_AFTER
     }
 
-    /// Takes in that records are to be had at the store that nobody tells here.
+    /// Records that the store has records of which this data centre gets no copy.
     ///
-    /// Of what is read elsewhere, large changes aren't sent between data centres.
-    /// This host reads them and tells its neighbours.
+    /// Large changes aren't sent between data centres. This host reads them at once and
+    /// sends them to its neighbours.
     pub fn mark_lagging(&mut self, now: Moment) {
         self.due = self.due.min(now);
         self.missing = !self.reader;
@@ -367,17 +383,17 @@
         self.reads_heard = 0;
     }
 
-    /// Takes in that the store has forgotten what this host wanted to read.
+    /// Records that the store no longer has the record at this host's offset.
     pub fn offset_trimmed(&mut self, now: Moment) {
         self.next = None;
         self.due = now;
     }
 
-    /// Takes in that a neighbour read from `from` to `next`.
+    /// Takes in that a neighbour read the records from `from` to `next`.
     ///
-    /// `yields` says that this host gives way where both read; `draw` is from 0
-    /// to 1. An older word than this host's own doesn't count as news: it may
-    /// come from a neighbour that was paused between reading and telling.
+    /// `yields` says whether this host gives up being the reader if both read; `draw` is
+    /// a random number from 0 to 1. An update that ends before this host's own offset is
+    /// ignored: the neighbour may have been paused between reading and sending.
     pub fn update_received(
         &mut self,
         from: u64,
@@ -388,10 +404,11 @@
     ) -> UpdateOutcome {
         let known = match self.next {
             Some(known) if from <= known => known,
-            // Its first reading is due anyway, and not hurried by every word.
+            // The first read of the whole topic is due anyway; updates don't bring it
+            // forward.
             None if self.failures == 0 => return UpdateOutcome::Gap,
-            // Soon, where no neighbour sends them again, but not at the same
-            // moment as all who miss them too.
+            // Due soon, in case no neighbour sends the records again, with a random delay
+            // so that hosts that missed the same records don't all read at once.
             _ => {
                 self.due = self.due.min(now + RESEND + SPREAD.mul_f64(draw));
                 self.missing = !self.reader;
@@ -420,8 +437,8 @@
     }
 }
 
-/// Returns over how long the hosts of a data centre spread what one of them does for all
-/// when they start again.
+/// Returns the interval over which the hosts of a data centre spread an action that one
+/// of them performs for all after a restart.
 pub fn restart_jitter(neighbours: usize) -> Duration {
     let steps = u32::try_from(neighbours).unwrap_or(u32::MAX);
     START_STEP.saturating_mul(steps).min(FIRST_SPREAD)
--- a/components/coordination/src/recent_records.rs
+++ b/components/coordination/src/recent_records.rs
@@ -1,15 +1,15 @@
-//! The last records of a topic, for neighbours that missed some.
+//! Keeps the last records of a topic, for neighbours that missed some.
 //!
-//! A datagram gets lost now and then, mostly on a link that is full. Whoever
-//! misses one would read the store for it, and behind a lost piece of a large
-//! bunch dozens of hosts would, each call paid for. Asking the neighbour that
-//! told the next one costs nothing.
+//! Datagrams get lost now and then, mostly on a saturated link. A host that misses one
+//! would have to read the store; after the loss of a fragment of a large update dozens of
+//! hosts would, and each read is charged. A request to the neighbour that sent the next
+//! update costs nothing.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 
-/// Bytes of records kept: a bunch of three hundred endpoints that change at once.
+/// Bytes of records kept: enough for three hundred endpoints that change at once.
 const MAX_BYTES: usize = 64 * 1024;
 
 /// The last records of one topic.
@@ -21,9 +21,10 @@
 }
 
 impl RecentRecords {
-    /// Takes in the record at `offset`.
+    /// Appends the record at `offset`.
     ///
-    /// One that doesn't follow the last begins anew: what lies between is unknown.
+    /// If the record doesn't follow the last one, all earlier records are dropped: those
+    /// between are unknown.
     pub fn push(&mut self, offset: u64, record: Bytes) {
         if offset != self.end() {
             *self = RecentRecords {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns the records from `from` on, nothing where they aren't all here.
+    /// Returns the records from `from` on, or `None` if some of them are missing.
     pub fn records_from(&self, from: u64) -> Option<Vec<Bytes>> {
         if from < self.from || from >= self.end() {
             return None;
--- a/components/coordination/src/relay.rs
+++ b/components/coordination/src/relay.rs
@@ -1,20 +1,21 @@
-//! Who passes on what a reader has read.
+//! Decides which hosts forward what a reader has read from the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How many hosts each host passes something on to.
+/// Number of hosts to which each host forwards an update.
 ///
-/// Six each reach 42 others in two steps. A reader that told dozens by itself would
-/// fill a narrow link, and those that miss something read the store.
+/// With six each, two steps reach 42 others. A reader that sent an update to dozens of
+/// hosts by itself would saturate a narrow link, and hosts that miss an update read the
+/// store.
 const FAN_OUT: usize = 6;
 
-/// Returns to whom `me` passes on what `reader` has read.
+/// Returns the hosts to which `me` forwards what `reader` has read.
 ///
-/// All hosts, in the order of their addresses beginning with the reader, make a
-/// tree. Each host works it out from the neighbours that it knows; where two
-/// know different ones, some host is told twice or not at all, which costs a
-/// read of the store and nothing else.
+/// All hosts, sorted by address and beginning with the reader, form a tree. Each host
+/// computes the tree from the neighbours it knows; where two hosts know different ones,
+/// some host receives an update twice or not at all, which costs a read of the store and
+/// nothing else.
 pub fn next_hops(me: SocketAddr, reader: SocketAddr, neighbours: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut hosts: Vec<SocketAddr> = neighbours.to_vec();
     hosts.extend([me, reader]);
@@ -29,21 +30,22 @@
     children.copied().collect()
 }
 
-/// How far the news of each reader have been passed on.
+/// The offsets up to which each reader's updates have been forwarded.
 ///
-/// When endpoints are replaced one after the other, several hosts read the same
-/// records at the same moment. Were news passed on only by hosts to which they
-/// are new, the readers would never hear of each other and all go on reading.
+/// When endpoints are replaced one after the other, several hosts read the same records
+/// at the same moment. If hosts forwarded only updates that are new to them, the readers
+/// would never learn of each other and would all go on reading.
 #[derive(Clone, Debug, Default)]
 pub struct Forwarded {
     readers: BTreeMap<SocketAddr, u64>,
 }
 
 impl Forwarded {
-    /// Returns whether what `reader` read up to `next` is yet to be passed on, and notes it.
+    /// Returns whether what `reader` read up to `next` has yet to be forwarded, and marks
+    /// it as forwarded.
     ///
-    /// Each is passed on once, so that nothing goes round where hosts know
-    /// different neighbours.
+    /// Each update is forwarded once, so that none circulates where hosts know different
+    /// neighbours.
     pub fn mark(&mut self, reader: SocketAddr, next: u64) -> bool {
         let last = self.readers.entry(reader).or_default();
         let further = next > *last;
@@ -51,7 +53,7 @@
         further
     }
 
-    /// Forgets readers that `keep` doesn't know any more.
+    /// Removes the readers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(SocketAddr) -> bool) {
         self.readers.retain(|reader, _| keep(*reader));
     }
--- a/components/coordination/tests/config_fold.rs
+++ b/components/coordination/tests/config_fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the `config` stream: races, repeats, gaps, and generated histories.
+//! Tests the fold of the `config` stream: races, repeats, gaps and generated histories.
 
 use coordination::config::{
     Answer, Applied, Change, Command, CommandId, Fold, KEPT_COMMANDS, Position, Record, Refusal,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Folds one more command, decided on `revision` by one who has read all.
+/// Folds one more command, based on `revision`, of an author that has read the whole log.
 fn give(fold: &mut Fold, revision: u64, change: Change) -> Answer {
     let offset = fold.position().next;
     let command = Command {
@@ -77,8 +77,8 @@
     Answer::Refused { refusal }
 }
 
-// Two operators look at the same revision and choose different presets. The
-// second is told who was first, and the first one's preset stays in force.
+// Two operators choose different presets on the same revision. The second one's answer
+// names the first change, and the first one's preset stays in force.
 #[test]
 fn racing_choices() {
     let mut fold = started();
@@ -98,8 +98,8 @@
     assert!(refusal.to_string().contains(text), "{refusal}");
 }
 
-// While an operator decides on a preset, hosts join and a data centre leaves.
-// Neither makes the choice a wrong one, so the operator is not refused.
+// While an operator decides on a preset, hosts join and a data centre leaves. Neither
+// conflicts with the choice, so the operator is not refused.
 #[test]
 fn unrelated_changes() {
     let mut fold = started();
@@ -112,9 +112,8 @@
     assert!(fold.config().leaving_centres.contains("soar"));
 }
 
-// One operator edits a preset that lies idle, another brings it into force in
-// the same moment. Without a conflict the edit would reach callers at once,
-// which neither has decided.
+// One operator edits an idle preset while another puts it into force. Without a conflict
+// the edit would affect callers at once, which neither operator decided.
 #[test]
 fn edit_meets_choice() {
     let edited = PEAK.replace("queue = 800", "queue = 801");
@@ -174,9 +173,9 @@
     assert!(fold.config().is_leaving("trent", endpoint));
 }
 
-// A host was silent, is started anew, and then the removal of its forerunner
-// arrives; or a paused host's old join arrives after its removal. The new
-// process stays, and the removed one stays removed.
+// The removal of a host's previous process arrives after the host has been restarted; or
+// the join of a paused process arrives after its removal. The new process stays a member,
+// and the removed one stays removed.
 #[test]
 fn late_membership() {
     let mut fold = started();
@@ -197,9 +196,9 @@
     assert!(fold.config().members.is_empty());
 }
 
-// An operator's answer was lost and the command is repeated: at once, and
-// again when a thousand others have come between and its id is forgotten.
-// It runs once, and never takes back what was decided since.
+// An operator doesn't receive an answer and repeats the command: at once, and again after
+// a thousand other commands, when its id has been dropped. The command runs once and
+// never reverts later decisions.
 #[test]
 fn repeats() {
     let mut fold = started();
@@ -234,9 +233,9 @@
     assert!(snapshot.touched.len() <= KEPT_COMMANDS);
 }
 
-// A host is paused while the records it would fold next fall off the log. It
-// keeps what it has until a snapshot comes that reaches what the log has left,
-// then reads on from there, and ends where the others are.
+// While a host is paused, the records it would fold next are trimmed from the log. The
+// host keeps its state until a snapshot covers the trimmed records, reads on from there,
+// and ends in the same state as the others.
 #[test]
 fn records_gone() {
     let mut fold = started();
@@ -255,7 +254,11 @@
     let step = paused.apply(6, Ok(Record::Command(missed.clone())));
     assert_eq!((step, paused.position().revision), (Applied::Ignored, 4));
     let step = paused.apply(7, Ok(Record::Snapshot(Box::new(stale))));
-    assert_eq!(step, Applied::Ignored, "the records after it are gone");
+    assert_eq!(
+        step,
+        Applied::Ignored,
+        "the records after the snapshot were removed"
+    );
     let step = paused.apply(8, Ok(Record::Snapshot(Box::new(snapshot.clone()))));
     assert_eq!(step, Applied::Replaced(snapshot.position()));
     assert_eq!((paused.read_offset(), paused.is_behind()), (6, false));
@@ -267,8 +270,9 @@
     assert_eq!(paused.config(), fold.config());
 }
 
-// A newer release writes a record that this one can't read. The host goes on,
-// keeps its gap to itself, and is put right by the next snapshot that covers it.
+// A newer release writes a record that this one can't decode. The host goes on without
+// the record, writes no snapshots, and recovers with the next snapshot that covers the
+// record.
 #[test]
 fn newer_record() {
     let mut fold = started();
@@ -285,9 +289,9 @@
     assert_eq!(fold.skipped_newer(), None);
 }
 
-// Every entry host was gone for longer than the log keeps records, and an
-// operator begins anew. A host that had only been paused comes back and reads
-// the same record: it ends where the new ones are, and no revision goes back.
+// All entry hosts were down for longer than the log retains records, and an operator
+// resets the configuration. A host that was merely paused reads the same record: it ends
+// in the same state as new hosts, and no revision decreases.
 #[test]
 fn begun_anew() {
     let mut paused = started();
@@ -325,7 +329,7 @@
     assert_eq!(
         new.config().leaving_centres.len(),
         1,
-        "what was decided before is too old"
+        "commands based on earlier revisions are too old"
     );
 }
 
@@ -376,7 +380,7 @@
     ]
 }
 
-/// Writes a history as a log would hold it, with the state before each record.
+/// Returns a history as the log would hold it, with the state before each record.
 fn written(events: &[Event]) -> (Vec<Result<Record, Unreadable>>, Vec<Fold>) {
     let mut folds = vec![Fold::default()];
     let mut records: Vec<Result<Record, Unreadable>> = Vec::new();
@@ -410,9 +414,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever happens, the revision grows by one at most but where all begins
-    /// anew, one preset stays in force, and an id has one answer; only a new
-    /// beginning forgets it, and says so.
+    /// For all histories, the revision grows by at most one except at a reset, one preset
+    /// stays in force, and an id has one answer; only a reset drops an answer, and then
+    /// the repeated command is refused as too old.
     #[test]
     fn sound_steps(events in prop::collection::vec(event(), 1..60)) {
         let (records, folds) = written(&events);
@@ -436,9 +440,9 @@
         }
     }
 
-    /// However a host comes by its state (from the first record, from a peer's
-    /// word while it reads, or after a gap), it ends where all others are and
-    /// never shows a lower revision on the way.
+    /// Whichever way a host gets its state (from the first record, from a peer's snapshot
+    /// while reading, or after a gap), it ends in the same state as the others and never
+    /// shows a lower revision on the way.
     #[test]
     fn all_paths_meet(
         events in prop::collection::vec(event(), 1..60),
@@ -472,8 +476,8 @@
     }
 }
 
-/// An entry host is told to stop, and hands its roles on before it goes. The
-/// mark must not outlive it: the same host, started again, would own nothing.
+/// A stopping entry host drains before it leaves. The mark has to be removed with the
+/// member: otherwise the same host would own nothing after a restart.
 #[test]
 fn drain_ends() {
     let mut fold = started();
--- a/components/coordination/tests/cross_centre_reads.rs
+++ b/components/coordination/tests/cross_centre_reads.rs
@@ -1,4 +1,5 @@
-//! One host reads the store for all data centres, and nobody falls behind.
+//! Tests that one host reads the store for all data centres, and that no host falls
+//! behind.
 
 use std::time::Duration;
 
@@ -8,16 +9,16 @@
 use rand::{Rng, SeedableRng};
 use state::Moment;
 
-/// What is written must be known everywhere within this time.
+/// The time within which every record must be known to all hosts.
 const BOUND: Duration = Duration::from_millis(2_000);
 
-/// How long an answer of the store takes.
+/// How long the store takes to answer.
 const ANSWER: Duration = Duration::from_millis(4);
 
-/// How long a host waits for a store that is silent.
+/// How long a host waits for an answer of an unresponsive store.
 const SILENCE: Duration = Duration::from_millis(1_000);
 
-/// How long after the first contact the second one of a data centre is told.
+/// How long after the first host of another data centre the second one is sent an update.
 const SECOND_AFTER: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -28,14 +29,14 @@
 
 struct Host {
     feed: ReadSchedule,
-    /// A read under way: when it ends.
+    /// When the current read ends.
     reading: Option<Moment>,
     alive: bool,
-    /// When it last knew all there was.
+    /// When the host last knew all records.
     fresh: Moment,
 }
 
-/// What a reader told a host of another data centre.
+/// An update on its way to a host of another data centre.
 struct Abroad {
     at: Moment,
     to: usize,
@@ -44,12 +45,12 @@
     next: u64,
 }
 
-/// Data centres of the same size, a store, and datagrams that get lost.
+/// Data centres of the same size, a store, and a network that loses datagrams.
 struct Site {
     hosts: Vec<Host>,
     centre: usize,
     store: Store,
-    /// A data centre that no other can reach.
+    /// A data centre without connection to the others.
     cut: Option<usize>,
     way: Vec<Abroad>,
     random: StdRng,
@@ -94,7 +95,7 @@
         self.hosts[to].alive && !self.random.random_bool(self.loss)
     }
 
-    /// Runs one millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self, now: Moment) {
         let due: Vec<Abroad> = self.way.extract_if(.., |a| a.at <= now).collect();
         for abroad in due {
@@ -173,7 +174,7 @@
         self.tell_centre(at, at, from, next, now);
     }
 
-    /// Hands all to the neighbours that know nothing.
+    /// Sends a snapshot to the neighbours without records.
     fn hand_over(&mut self, at: usize, now: Moment) {
         for other in self.neighbours(at) {
             if self.hosts[other].feed.next().is_none() && self.arrives(other) {
@@ -212,7 +213,8 @@
         told
     }
 
-    /// Tells the first hosts of each other data centre, whether they live or not.
+    /// Sends an update to the first hosts of each other data centre, whether they run or
+    /// not.
     fn tell_abroad(&mut self, reader: usize, from: u64, now: Moment) {
         let mine = self.centre_of(reader);
         for centre in (0..self.hosts.len() / self.centre).filter(|c| *c != mine) {
@@ -259,8 +261,8 @@
     }
 }
 
-/// Each data centre has a reader of its own: with five of them a quiet day costs five
-/// times the calls that one needs.
+/// If each of five data centres had a reader of its own, an idle day would cost five
+/// times the reads that a single reader needs.
 #[test]
 fn one_reader() {
     let mut site = Site::new(5, 20, 1, 0.0);
@@ -276,8 +278,9 @@
     assert!(reads <= 40, "{reads} reads in twenty seconds");
 }
 
-/// The reader is killed, or hosts that are told for their data centre, or a data centre
-/// is cut off, again and again: hosts there must notice and read for themselves.
+/// The reader is killed, or the hosts that receive updates for their data centre, or a
+/// data centre is cut off, again and again: hosts there have to notice and read by
+/// themselves.
 #[test]
 fn lost_links() {
     for seed in 0..20 {
@@ -311,8 +314,9 @@
     }
 }
 
-/// The store falls silent for all. Each host that loses its patience waits a second for
-/// nothing, and so would hundreds within a quarter of a second: one after the other tries.
+/// The store stops answering all hosts. Each host whose read is due waits a second in
+/// vain, and hundreds become due within a quarter of a second: they have to try one after
+/// the other.
 #[test]
 fn silent_store() {
     let mut site = Site::new(5, 94, 2, 0.0);
@@ -338,12 +342,13 @@
     assert_eq!(
         behind.count(),
         0,
-        "hosts are behind after the store is back"
+        "hosts lack records after the store answers again"
     );
 }
 
-/// A host lacks records that its neighbours have, and hears several of them begin to read
-/// every second. Were it to leave the store to them, it would stay behind for ever.
+/// A host lacks records that its neighbours have, and several neighbours begin a read
+/// every second. If the host deferred its own read each time, it would stay behind for
+/// ever.
 #[test]
 fn behind_alone() {
     let mut now = Moment::from_millis(10_000);
@@ -357,6 +362,6 @@
     while feed.due() > now {
         feed.neighbour_read_started(1.0, now);
         now = now + Duration::from_millis(50);
-        assert!(now.since(first) < BOUND, "it never reads");
+        assert!(now.since(first) < BOUND, "the read is deferred for ever");
     }
 }
--- a/components/coordination/tests/group_joins.rs
+++ b/components/coordination/tests/group_joins.rs
@@ -1,4 +1,4 @@
-//! How soon hosts have their parts of the group, and what that costs.
+//! Tests how soon hosts get their partitions of the group, and how many joins that takes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use coordination::group_joins::{GROUP_TOPICS, GroupJoins};
 use state::Moment;
 
-/// Partitions of all topics, 24 each.
+/// Number of partitions of all topics, 24 each.
 const PARTITIONS: usize = GROUP_TOPICS * 24;
 
-/// The store's group: a part moves when the member that held it has joined again.
+/// The store's group: a partition moves once its former holder has joined again.
 #[derive(Default)]
 struct Group {
     generation: u64,
-    /// The generation that each member has told with its last join.
+    /// The generation that each member sent with its last join.
     members: BTreeMap<usize, u64>,
     held: BTreeMap<usize, usize>,
 }
@@ -26,7 +26,7 @@
         self.members.insert(member, generation);
         let held = self.held.get(&member).copied().unwrap_or_default();
         let fair = self.fair(member);
-        // What isn't listed any more is given up by the next join.
+        // Partitions missing from the answer are released by the next join.
         let listed = held.min(fair);
         if generation == self.generation {
             self.held.insert(member, listed);
@@ -46,13 +46,14 @@
     }
 }
 
-/// Plays hosts that all start within 300 ms; returns what each holds, and the joins made.
+/// Simulates hosts that all start within 300 ms; returns the partitions of each host and
+/// the number of joins.
 fn play(hosts: usize, seconds: u64) -> (Vec<usize>, usize) {
     let starts = (0..hosts).map(|n| Moment::from_millis((n * 300 / hosts) as u64));
     play_from(starts.collect(), seconds)
 }
 
-/// Plays hosts that start at these times.
+/// Simulates hosts that start at these times.
 fn play_from(mut due: Vec<Moment>, seconds: u64) -> (Vec<usize>, usize) {
     let hosts = due.len();
     let mut group = Group::default();
@@ -72,16 +73,16 @@
             calls += 1;
             assert!(
                 known.iter().sum::<usize>() <= PARTITIONS,
-                "more than all is dealt"
+                "more partitions than exist are assigned"
             );
         }
     }
     (known, calls)
 }
 
-/// A site starts, and callers come eight seconds later. A host without a part may not
-/// repeat a request, nor keep connections; the first to join holds all parts until it
-/// joins again.
+/// A site starts, and callers arrive eight seconds later. A host without a partition may
+/// neither retry requests nor keep connections open; the first host to join holds all
+/// partitions until it joins again.
 #[test]
 fn partitions_in_time() {
     for hosts in [13, 94, 472] {
@@ -91,15 +92,16 @@
     }
 }
 
-/// Nothing changes for a minute, and every join is paid for.
+/// The group doesn't change for a minute; every join is charged.
 #[test]
 fn calm_minute() {
     let (_, calls) = play(472, 60);
     assert!(calls <= 472 * 8, "{calls} joins");
 }
 
-/// Hosts are added by the hundred to a site that has been calm. What they get, others
-/// must have given up before: the sum over all would exceed the bounds meanwhile.
+/// A hundred hosts are added to a site whose group was stable. Other hosts have to
+/// release partitions before the new ones get them: otherwise the sum over all hosts
+/// would exceed the limits for a while.
 #[test]
 fn hosts_added() {
     let first = (0..370).map(Moment::from_millis);
--- a/components/coordination/tests/large_messages.rs
+++ b/components/coordination/tests/large_messages.rs
@@ -1,4 +1,4 @@
-//! Messages in fragments reach all hosts of a data centre.
+//! Tests that messages in fragments reach all hosts of a data centre.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,14 +17,15 @@
 /// A change of 4,150 routes.
 const SIZE: usize = 288_000;
 
-/// How long a message lacks fragments before they are asked for.
+/// How long no fragment has to arrive before missing ones are requested.
 const SILENCE: Duration = Duration::from_millis(100);
 
-/// What is left of the two seconds after a change in which it must be in force:
-/// the reader pauses for 400 ms and reads for 240, and hosts decode it in 170.
+/// The time left for the fragments, of the two seconds after which a change must be in
+/// force: the reader pauses for 400 ms and reads for 240, and hosts take 170 to decode
+/// the change.
 const BOUND: Duration = Duration::from_millis(1_190);
 
-/// What travels between hosts.
+/// A datagram between hosts.
 #[derive(Clone)]
 enum Sent {
     Fragment(Fragment),
@@ -41,7 +42,7 @@
     received: usize,
 }
 
-/// The hosts of one data centre, and datagrams that get lost.
+/// The hosts of one data centre, and a network that loses datagrams.
 struct Centre {
     hosts: Vec<Host>,
     addresses: Vec<SocketAddr>,
@@ -79,7 +80,7 @@
         all.filter(|a| *a != self.addresses[me]).collect()
     }
 
-    /// Has one host tell all others, and returns the message's name.
+    /// Makes one host send the message to all others, and returns the message's key.
     fn spread(&mut self, origin: usize, now: Moment) -> MessageKey {
         let others = self.others(origin);
         let me = self.addresses[origin];
@@ -93,7 +94,7 @@
         fragments[0].message
     }
 
-    /// Runs one millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self, key: MessageKey, now: Moment) {
         let mut way: Vec<(usize, usize, Sent)> = Vec::new();
         for me in 0..self.hosts.len() {
@@ -168,12 +169,12 @@
         }
     }
 
-    /// Runs until all living hosts have the message; returns how long that took.
+    /// Simulates until all running hosts have the message; returns how long that took.
     fn run(&mut self, origins: &[usize], limit: Duration) -> Duration {
         let start = Moment::from_millis(1_000);
         let keys: BTreeSet<MessageKey> = origins.iter().map(|o| self.spread(*o, start)).collect();
-        assert_eq!(keys.len(), 1, "the same message has several names");
-        let key = *keys.first().expect("somebody sends it");
+        assert_eq!(keys.len(), 1, "the same message has several keys");
+        let key = *keys.first().expect("at least one origin");
         let mut now = start;
         while self.hosts.iter().any(|h| h.alive && h.whole_at.is_none()) {
             now = now + Duration::from_millis(1);
@@ -192,16 +193,18 @@
     }
 }
 
-/// A change of 4,150 routes is read by one host, whose link is as narrow as those of
-/// most others. Were it to send the change to each of them, the last would have it
-/// after ten seconds and more. Every host sends about its size, however many there are.
+/// A change of 4,150 routes is read by one host, whose link is as narrow as those of most
+/// others. If the host sent the whole change to each of them, the last would receive it
+/// after ten seconds and more. Every host sends about the size of the change, however
+/// many hosts there are.
 #[test]
 fn load_shared() {
     for count in [2, 5, 13, 44, 133, 300] {
         let mut centre = Centre::new(count, 7, 0.0);
         centre.run(&[count / 2], BOUND);
         let worst = centre.hosts.iter().map(|h| h.sent).max();
-        // Fragments can't be dealt out evenly where there are few more than hosts.
+        // Fragments can't be shared evenly when there are only a few more of them than
+        // hosts.
         let share = SIZE + SIZE / 2;
         assert!(worst <= Some(share), "{count} hosts: {worst:?} of {share}");
         let most = centre.hosts.iter().map(|h| h.received).max();
@@ -209,24 +212,24 @@
     }
 }
 
-/// The store turns the reader away, and five hosts read the change instead, at the same
-/// moment. Each told all others: five times the bytes filled the narrow links for three
-/// seconds, and the changes after it came as much too late. What comes twice is passed
-/// on once.
+/// The store rejects the reader, and five hosts read the change at the same moment. When
+/// each sent it to all others, five times the bytes saturated the narrow links for three
+/// seconds and delayed later changes as much. A fragment that arrives twice is relayed
+/// once.
 #[test]
 fn many_readers() {
     let mut centre = Centre::new(44, 9, 0.0);
     centre.run(&[3, 11, 12, 30, 43], 2 * BOUND);
     let most = centre.hosts.iter().map(|h| h.sent).max();
-    // Each of the five sends it once, and its share to all.
+    // Each of the five sends the change once, and relays its share to all.
     assert!(most <= Some(5 * SIZE / 2), "{most:?} bytes sent");
     let all: usize = centre.hosts.iter().map(|h| h.received).sum();
     assert!(all <= (44 + 5 + 10) * SIZE, "{all} bytes received by all");
 }
 
-/// A host is told by many at the same moment what its link takes tens of
-/// milliseconds to carry, and the rest is lost. In no 50 milliseconds does more than
-/// twice the usual come.
+/// Many hosts send to one host at the same moment: its link takes tens of milliseconds to
+/// carry the datagrams, and the rest is lost. At most twice the link's capacity may
+/// arrive within any 50 milliseconds.
 #[test]
 fn no_incast() {
     let mut centre = Centre::new(44, 3, 0.0);
@@ -240,13 +243,13 @@
             *arrived.entry((me, millis / 50)).or_default() += host.received - before[me];
         }
     }
-    // What a link of 10 Mbit/s carries in 50 ms.
+    // The bytes that a link of 10 Mbit/s carries in 50 ms.
     let most = arrived.values().max();
     assert!(most <= Some(&(2 * 62_500)), "{most:?} bytes");
 }
 
-/// Links lose one datagram in thirty, and each loss is lost for all where the
-/// fragment was on its way to the host that passes it on.
+/// Links lose one datagram in thirty; a fragment lost on the way to its relay is missing
+/// on all hosts.
 #[test]
 fn losses_made_good() {
     for seed in 0..20 {
@@ -255,8 +258,8 @@
     }
 }
 
-/// A fifth of the hosts are frozen when the change comes: what they were to pass on
-/// has to reach the others all the same.
+/// A fifth of the hosts are frozen when the change is sent: the fragments they should
+/// relay have to reach the others all the same.
 #[test]
 fn relays_frozen() {
     for seed in 0..20 {
@@ -272,8 +275,8 @@
     }
 }
 
-/// The host that read the change ends when half of it is sent: no host takes a part
-/// for the whole, and all stop asking, to read the store.
+/// The host that read the change stops after sending half of it: no host takes an
+/// incomplete message for the whole, and all stop sending requests and read the store.
 #[test]
 fn origin_lost() {
     let mut centre = Centre::new(44, 5, 0.0);
@@ -288,8 +291,8 @@
     assert!(rest.iter().all(|h| !h.fragments.is_incomplete(key)));
 }
 
-/// A damaged fragment, or one that claims what can't be, neither makes a message nor
-/// takes memory.
+/// A damaged fragment, or one with impossible numbers, neither completes a message nor
+/// allocates memory.
 #[test]
 fn bad_fragments() {
     let origin = SocketAddr::from(([10, 1, 0, 1], 7540));
--- a/components/coordination/tests/neighbour_discovery.rs
+++ b/components/coordination/tests/neighbour_discovery.rs
@@ -1,4 +1,4 @@
-//! Hosts of a data centre get to know each other.
+//! Tests how the hosts of a data centre discover each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     Moment::from_millis(1_000 * seconds)
 }
 
-/// Returns hosts that all know the first two, and are known to them.
+/// Returns hosts that all know the first two and are known to them.
 fn star(count: u8) -> Vec<Neighbours> {
     let mut hosts: Vec<Neighbours> = (0..count)
         .map(|n| Neighbours::new(address(n), "d"))
@@ -32,9 +32,10 @@
     hosts
 }
 
-/// A data centre's hosts found only the two that the store named first. Each hears
-/// what those two read and nothing of the other 22, so that whenever endpoints are
-/// replaced all 24 read the store, and the site's calls run into its limit.
+/// A data centre's hosts found only the two that the store named first. Each host
+/// receives the updates of those two and none of the other 22, so that all 24 read the
+/// store whenever endpoints are replaced, and the site's reads reach the store's rate
+/// limit.
 #[test]
 fn star_closes() {
     let mut random = StdRng::seed_from_u64(4);
@@ -70,8 +71,9 @@
     }
 }
 
-/// A site has four data centres and names three hosts to begin with. Those of the
-/// fourth would know nobody until they ask the store, each with a call of its own.
+/// A site has four data centres, and its settings name three hosts. Without
+/// introductions, the hosts of the fourth data centre would know nobody until each of
+/// them reads the store.
 #[test]
 fn strangers_introduced() {
     let mut seed = Neighbours::new(address(1), "a");
@@ -93,7 +95,8 @@
     assert!(seed.hosts_of("d", at(60)).is_empty());
 }
 
-/// A neighbour was replaced at another address: it isn't told for ever.
+/// A neighbour was replaced by one at another address: updates to the old address have to
+/// stop.
 #[test]
 fn silent_forgotten() {
     let mut host = Neighbours::new(address(1), "d");
@@ -113,8 +116,9 @@
     assert!(host.current(at(15) + Duration::from_secs(30)).is_empty());
 }
 
-/// A reader tells a few hosts of each other data centre. One of those is gone: it must
-/// not be named from host to host for ever, and whoever still answers comes first.
+/// A reader sends updates to a few hosts of each other data centre. One of these has
+/// failed: hosts must not go on naming it to each other for ever, and hosts that still
+/// answer come first.
 #[test]
 fn contacts_kept() {
     let mut host = Neighbours::new(address(1), "a");
--- a/components/coordination/tests/preset_errors.rs
+++ b/components/coordination/tests/preset_errors.rs
@@ -1,4 +1,5 @@
-//! Faulty preset files: each fault is named with its line, and nothing is taken.
+//! Tests preset files with errors: each error is reported with its line, and the file is
+//! rejected.
 
 use coordination::config::parse_preset;
 use proptest::prelude::*;
@@ -20,8 +21,8 @@
     assert_eq!((preset.services.len(), found), (3, endpoints));
 }
 
-// An operator slips in one place of a long file. The answer names the line and
-// what would mend it, and the file is not taken.
+// An operator makes one mistake in a long file. The answer names the line and the
+// correction, and the file is rejected.
 #[rstest]
 #[case(
     "slots = 6\n",
@@ -53,26 +54,26 @@
 #[case(
     "name = \"fiddlebook\"",
     "name = \"hallboard\"",
-    "service \"hallboard\" stands twice"
+    "service \"hallboard\" appears twice"
 )]
 #[case(
     "name = \"fiddlebook\"",
     "name = \"fiddle/book\"",
-    "can't stand in a path"
+    "can't be part of a path"
 )]
 #[case("name = \"fiddlebook\"", "name = \"\"", "\"name\" is empty")]
 #[case(
     "name = \"soar\"",
     "name = \"trent\"",
-    "data centre \"trent\" stands twice"
+    "data centre \"trent\" appears twice"
 )]
 #[case(
     "127.1.1.2:7101",
     "127.1.1.1:7101",
-    "address 127.1.1.1:7101 stands twice"
+    "address 127.1.1.1:7101 appears twice"
 )]
 #[case("127.1.1.2:7101", "127.1.1.1:7102", "first in service \"hallboard\"")]
-#[case("127.1.1.2:7101", "trent-2:7101", "is no IP number with a port")]
+#[case("127.1.1.2:7101", "trent-2:7101", "is not an IP address with a port")]
 #[case("127.1.1.2:7101", "127.1.1.2:0", "has port 0")]
 #[case("127.1.1.2:7101", "0.0.0.0:7101", "names no host")]
 #[case(
@@ -88,8 +89,7 @@
     assert!(fault.is_some(), "{faults}");
 }
 
-// A file is written by hand in a hurry and has a fault in each part. The
-// operator sees all of them at once, in the order of the lines.
+// A file has an error in each section. The answer contains all errors in line order.
 #[test]
 fn all_named() {
     let text = "nam = \"x\"\n[[data-centre]]\nname = \"a\"\nregion = 3\n\
@@ -126,8 +126,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A file that was cut, or has something pasted into it, is a preset or has
-    /// faults, each on a line of the file.
+    /// A file that was truncated or has text pasted into it either is a valid preset or
+    /// has errors, each on a line of the file.
     #[test]
     fn pasted_text(
         from in 0..GOOD.len(),
--- a/components/coordination/tests/read_schedule.rs
+++ b/components/coordination/tests/read_schedule.rs
@@ -1,4 +1,4 @@
-//! Who reads the store: few do, and nobody falls behind.
+//! Tests which hosts read the store: few do, and no host falls behind.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use rand::{Rng, SeedableRng};
 use state::Moment;
 
-/// What is written must be known everywhere within this time.
+/// The time within which every record must be known to all hosts.
 const BOUND: Duration = Duration::from_millis(2_000);
 
-/// How long an answer of the store takes.
+/// How long the store takes to answer.
 const ANSWER: Duration = Duration::from_millis(4);
 
-/// The hosts of one data centre, a store, and datagrams that get lost.
+/// The hosts of one data centre, a store, and a network that loses datagrams.
 struct Site {
     hosts: Vec<Host>,
     random: StdRng,
@@ -24,11 +24,11 @@
 
 struct Host {
     feed: ReadSchedule,
-    /// A read under way: when it ends.
+    /// When the current read ends.
     reading: Option<Moment>,
     alive: bool,
     turned_away: bool,
-    /// When it last knew all there was.
+    /// When the host last knew all records.
     fresh: Moment,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Runs one millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self, now: Moment) {
         for at in 0..self.hosts.len() {
             let host = &mut self.hosts[at];
@@ -113,7 +113,7 @@
         self.hosts[to].alive && !self.random.random_bool(self.loss)
     }
 
-    /// Returns how long ago the host that is furthest behind knew all.
+    /// Returns for how long the host that is furthest behind has lacked records.
     fn staleness(&self, now: Moment) -> Duration {
         let touched = self.hosts.iter().filter(|h| h.alive && !h.turned_away);
         touched
@@ -123,8 +123,8 @@
     }
 }
 
-/// All hosts of a data centre start at the same moment. Each read is paid for:
-/// soon only one reads.
+/// All hosts of a data centre start at the same moment. Each read is charged: soon only
+/// one host may read.
 #[test]
 fn one_reader() {
     let mut site = Site::new(44, 1, 0.0);
@@ -142,8 +142,8 @@
     );
 }
 
-/// A whole site starts: no host knows another yet, and endpoints write all the
-/// time. Every host would read every record by itself.
+/// A whole site starts: no host knows another yet, and endpoints write all the time.
+/// Without a pause every host would read every record by itself.
 #[test]
 fn nobody_known() {
     let mut site = Site::new(1, 3, 0.0);
@@ -154,9 +154,9 @@
     assert!(site.reads <= 3, "{} reads in three seconds", site.reads);
 }
 
-/// The reader dies, is paused, or is turned away by the store, again and again,
-/// while datagrams get lost. No host may go on with what it knew for longer
-/// than its operators allow.
+/// The reader crashes, is paused or is rejected by the store, again and again, while
+/// datagrams get lost. No host may go on with outdated records for longer than the
+/// operators allow.
 #[test]
 fn lost_readers() {
     for seed in 0..20 {
@@ -201,8 +201,8 @@
     }
 }
 
-/// The store is away for all. Refused calls are paid for too: one host finds
-/// out for its neighbours when it is back.
+/// The store rejects all hosts. Rejected reads are charged too, so that one host has to
+/// find out for its neighbours when the store is back.
 #[test]
 fn store_away() {
     let mut site = Site::new(44, 2, 0.0);
@@ -228,7 +228,7 @@
     assert_eq!(known.count(), 44);
 }
 
-/// A neighbour was paused between reading and telling: its word is old.
+/// A neighbour was paused between reading and sending: its update is outdated.
 #[test]
 fn stale_word() {
     let mut feed = ReadSchedule::new(Moment(0));
@@ -242,8 +242,8 @@
     assert_eq!(feed.due(), due);
 }
 
-/// Records between what a host knows and what it is told got lost on the way:
-/// it must not pass them over.
+/// The records between those that a host knows and those that it receives were lost on
+/// the way: the host must not skip them.
 #[test]
 fn missing_records() {
     let mut feed = ReadSchedule::new(Moment(0));
@@ -262,9 +262,9 @@
     assert_eq!(feed.next(), Some(14));
 }
 
-/// A whole site starts. Were each host to read the store at once, that would
-/// cost as many calls as minutes of quiet; hosts wait for what a neighbour hands
-/// on, and news that they can't place yet doesn't hurry them.
+/// A whole site starts. If each host read the store at once, that would cost as many
+/// reads as minutes of idle operation; hosts wait for a neighbour's snapshot, and
+/// updates that they can't apply yet don't bring their reads forward.
 #[test]
 fn first_start() {
     let start = Moment(0);
@@ -275,7 +275,7 @@
         .iter()
         .map(ReadSchedule::due)
         .min()
-        .expect("there are some");
+        .expect("there are feeds");
     let handed_over = first + Duration::from_millis(300);
     let reads = feeds.iter().filter(|f| f.due() <= handed_over).count();
     assert!(reads <= 8, "{reads} of 40 read for themselves");
@@ -293,8 +293,8 @@
     }
 }
 
-/// A neighbour hands over what it knows while the store is away. The host must
-/// go on trying the store: what it was handed grows old.
+/// A neighbour sends a snapshot while the store is unavailable. The host has to go on
+/// trying to read the store, since the copy becomes outdated.
 #[test]
 fn handed_while_away() {
     let mut feed = ReadSchedule::new(Moment(0));
@@ -305,10 +305,10 @@
     assert_eq!((feed.due(), feed.next()), (due, Some(7)));
 }
 
-/// A large change comes in fragments for half a second. Were a host that loses its
-/// patience meanwhile to read the store, so would all others, and the store's
-/// bandwidth would keep the last of them waiting. One to which a neighbour sends a
-/// fragment now and then, for ever, must read the store all the same.
+/// A large change arrives in fragments for half a second. If a host whose delay ends
+/// meanwhile read the store, so would all others, and the store's bandwidth would keep
+/// the last of them waiting. A host to which a neighbour sends single fragments for ever
+/// has to read the store all the same.
 #[test]
 fn fragments_awaited() {
     let start = Moment::from_millis(10_000);
@@ -317,13 +317,16 @@
     let mut now = feed.due();
     for _ in 0..5 {
         feed.fragment_received(0.0, now);
-        assert!(feed.due() > now, "it reads though the rest is coming");
+        assert!(
+            feed.due() > now,
+            "the read is due although fragments still arrive"
+        );
         now = now + Duration::from_millis(100);
     }
     let first = now;
     while feed.due() > now {
         feed.fragment_received(1.0, now);
         now = now + Duration::from_millis(100);
-        assert!(now.since(first) < BOUND, "it never reads");
+        assert!(now.since(first) < BOUND, "the read is deferred for ever");
     }
 }
--- a/components/coordination/tests/recent_records.rs
+++ b/components/coordination/tests/recent_records.rs
@@ -1,4 +1,4 @@
-//! What neighbours that missed records are given.
+//! Tests which records a neighbour receives that has missed some.
 
 use bytes::Bytes;
 use coordination::recent_records::RecentRecords;
@@ -7,7 +7,7 @@
     Bytes::from(vec![n; 100])
 }
 
-/// A host misses a datagram. It gets just what it lacks, in order.
+/// A host misses a datagram and requests exactly the missing records, in order.
 #[test]
 fn from_anywhere() {
     let mut recent = RecentRecords::default();
@@ -18,8 +18,9 @@
     assert_eq!(recent.records_from(45), None);
 }
 
-/// The store forgot its history and this host began anew: what it knew before
-/// doesn't lead to what it knows now, and a neighbour must not be told that it does.
+/// The store lost its history, and this host started over at a later offset: its old
+/// records are no prefix of the new ones, and must not be sent to a neighbour as if they
+/// were.
 #[test]
 fn no_bridge() {
     let mut recent = RecentRecords::default();
--- a/components/coordination/tests/snapshot_timer.rs
+++ b/components/coordination/tests/snapshot_timer.rs
@@ -1,4 +1,5 @@
-//! When a host appends a snapshot, so that records never fall off uncovered.
+//! Tests when a host appends a snapshot, so that the log trims no record before a
+//! snapshot covers it.
 
 use std::time::Duration;
 
@@ -41,8 +42,8 @@
     assert_eq!(timer.is_due(LogView { first, next }, at(seconds), 0.0), due);
 }
 
-// Seventeen hosts notice in the same moment that a snapshot is due. Each waits
-// another time, and those that come later let it be once the first has done it.
+// Seventeen hosts notice at the same moment that a snapshot is due. Each waits for
+// another random delay, and those with longer delays append none after the first one's.
 #[test]
 fn one_of_many() {
     let view = LogView { first: 3, next: 10 };
--- a/components/coordination/tests/update_relay.rs
+++ b/components/coordination/tests/update_relay.rs
@@ -1,4 +1,4 @@
-//! What a reader has read reaches every neighbour, through others.
+//! Tests that the records read by one host reach every neighbour through relays.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use coordination::relay::{Forwarded, next_hops};
 use state::Moment;
 
-/// A reader with a narrow link tells dozens of neighbours: each of them is told
-/// once, and nobody tells more than a few.
+/// A reader with a narrow link has dozens of neighbours: each of them receives the update
+/// once, and no host sends it to more than a few.
 #[test]
 fn told_once() {
     for count in [1, 2, 7, 44, 300] {
@@ -38,10 +38,10 @@
     (0..count).map(address).collect()
 }
 
-/// Endpoints are replaced one after the other, and three hosts of a data centre
-/// read the same records at the same moment. If they don't hear of each other
-/// all go on reading, every call is paid for three times, and other hosts meet
-/// the store's limit of calls.
+/// Endpoints are replaced one after the other, and three hosts of a data centre read the
+/// same records at the same moment. If the readers don't learn of each other, all go on
+/// reading, every read is charged three times, and other hosts reach the store's rate
+/// limit.
 #[test]
 fn one_reader_left() {
     let hosts = hosts(26);
@@ -82,8 +82,8 @@
     assert_eq!(sent, 3 * 25);
 }
 
-/// Two hosts know different neighbours, so that the same news come twice. Passed
-/// on each time, they would go round for ever.
+/// Two hosts know different neighbours, so that the same update arrives twice. If it were
+/// forwarded each time, it would circulate for ever.
 #[test]
 fn passed_once() {
     let reader = hosts(1)[0];
