--- a/components/coordination/src/config/check.rs
+++ b/components/coordination/src/config/check.rs
@@ -52,22 +52,22 @@
 pub fn parse_preset(text: &str) -> Result<Preset, PresetErrors> {
     let mut report = Report::new(text);
     if text.len() > TEXT_LIMIT {
-        report.at(0, format!("the text is over {TEXT_LIMIT} bytes"));
+        report.add(0, format!("the text is over {TEXT_LIMIT} bytes"));
         return Err(report.finish());
     }
     let (root, errors) = DeTable::parse_recoverable(text);
     for error in &errors {
         let start = error.span().map_or(0, |s| s.start);
-        report.at(start, error.message().to_owned());
+        report.add(start, error.message().to_owned());
     }
     check_table(root.get_ref(), PRESET, 0, &mut report);
-    check_meaning(root.get_ref(), &mut report);
-    if !report.faults.is_empty() {
+    check_values(root.get_ref(), &mut report);
+    if !report.errors.is_empty() {
         return Err(report.finish());
     }
     toml::from_str(text).map_err(|error| {
         let start = error.span().map_or(0, |s| s.start);
-        report.at(start, error.message().to_owned());
+        report.add(start, error.message().to_owned());
         report.finish()
     })
 }
@@ -75,45 +75,45 @@
 /// Collects errors by their byte offset in the text.
 pub(super) struct Report<'a> {
     text: &'a str,
-    faults: Vec<PresetError>,
+    errors: Vec<PresetError>,
 }
 
 impl Report<'_> {
     fn new(text: &str) -> Report<'_> {
         Report {
             text,
-            faults: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
-    pub(super) fn at(&mut self, start: usize, message: String) {
+    pub(super) fn add(&mut self, start: usize, message: String) {
         let before = &self.text.as_bytes()[..start.min(self.text.len())];
         let line = 1 + before.iter().filter(|b| **b == b'\n').count();
-        self.faults.push(PresetError { line, message });
+        self.errors.push(PresetError { line, message });
     }
 
     fn finish(&mut self) -> PresetErrors {
-        self.faults.sort_by_key(|f| f.line);
-        PresetErrors(std::mem::take(&mut self.faults))
+        self.errors.sort_by_key(|f| f.line);
+        PresetErrors(std::mem::take(&mut self.errors))
     }
 }
 
 /// A string value and its byte offset in the text.
 #[derive(Clone, Copy)]
-struct Found<'a> {
+struct TextValue<'a> {
     text: &'a str,
     start: usize,
 }
 
-fn check_meaning(root: &DeTable, report: &mut Report) {
-    let mut centres = Names::new("data centre", |n| DataCentreKey::named(n).0);
+fn check_values(root: &DeTable, report: &mut Report) {
+    let mut centres = UniqueNames::new("data centre", |n| DataCentreKey::named(n).0);
     for centre in tables(root, "data-centre") {
         if let Some(name) = text(centre, "name") {
             centres.add(name, report);
         }
     }
-    let mut services = Names::new("service", |n| ServiceKey::named(n).0);
-    let mut endpoints = Endpoints::default();
+    let mut services = UniqueNames::new("service", |n| ServiceKey::named(n).0);
+    let mut endpoints = UniqueEndpoints::default();
     for service in tables(root, "service") {
         let name = text(service, "name");
         if let Some(name) = name {
@@ -130,9 +130,9 @@
 
 /// Rejects an endpoint in a data centre that the preset doesn't define: the endpoint
 /// would stay in use when its data centre leaves.
-fn check_centre(endpoint: &DeTable, centres: &Names, report: &mut Report) {
+fn check_centre(endpoint: &DeTable, centres: &UniqueNames, report: &mut Report) {
     match text(endpoint, "data-centre") {
-        Some(centre) if !centres.seen.contains(centre.text) => report.at(
+        Some(centre) if !centres.seen.contains(centre.text) => report.add(
             centre.start,
             format!(
                 "no [[data-centre]] is named \"{}\": add it or mend the name",
@@ -144,7 +144,7 @@
 }
 
 /// Rejects names that can't be the first segment of a request's path.
-fn check_service_name(name: Found, report: &mut Report) {
+fn check_service_name(name: TextValue, report: &mut Report) {
     let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let plain = matches!(name.text, "-" | "." | "..");
     if plain || !name.text.chars().all(fits) {
@@ -152,7 +152,7 @@
             "service name \"{}\" can't be part of a path: use letters, digits, '-', '_' and '.'",
             name.text
         );
-        report.at(name.start, message);
+        report.add(name.start, message);
     }
 }
 
@@ -161,21 +161,21 @@
     let slots = number(service, "slots").map_or(6, |n| n.0);
     let deadline = number(service, "deadline-ms").map_or(10_000, |n| n.0);
     match number(service, "cold-slots") {
-        Some((cold, start)) if cold > slots => report.at(
+        Some((cold, start)) if cold > slots => report.add(
             start,
             format!("cold-slots {cold} is over slots {slots}: a cold endpoint can bear no more"),
         ),
         _ => {}
     }
     match number(service, "connections") {
-        Some((connections, start)) if connections < slots => report.at(
+        Some((connections, start)) if connections < slots => report.add(
             start,
             format!("connections {connections} is under slots {slots}: each call needs one"),
         ),
         _ => {}
     }
     match number(service, "key-seconds") {
-        Some((seconds, start)) if seconds.saturating_mul(1_000) < deadline => report.at(
+        Some((seconds, start)) if seconds.saturating_mul(1_000) < deadline => report.add(
             start,
             format!(
                 "key-seconds {seconds} is shorter than deadline-ms {deadline}: \
@@ -187,16 +187,16 @@
 }
 
 /// Finds duplicate names, and different names with the same key.
-struct Names {
+struct UniqueNames {
     what: &'static str,
     key: fn(&str) -> u64,
     seen: BTreeSet<String>,
     keys: BTreeMap<u64, String>,
 }
 
-impl Names {
-    fn new(what: &'static str, key: fn(&str) -> u64) -> Names {
-        Names {
+impl UniqueNames {
+    fn new(what: &'static str, key: fn(&str) -> u64) -> UniqueNames {
+        UniqueNames {
             what,
             key,
             seen: BTreeSet::new(),
@@ -204,11 +204,11 @@
         }
     }
 
-    fn add(&mut self, name: Found, report: &mut Report) {
+    fn add(&mut self, name: TextValue, report: &mut Report) {
         let what = self.what;
         if !self.seen.insert(name.text.to_owned()) {
             let message = format!("{what} \"{}\" appears twice", name.text);
-            report.at(name.start, message);
+            report.add(name.start, message);
             return;
         }
         let key = (self.key)(name.text);
@@ -217,7 +217,7 @@
                 "{what} \"{}\" has the same key as \"{other}\": rename one",
                 name.text
             );
-            report.at(name.start, message);
+            report.add(name.start, message);
         }
     }
 }
@@ -227,17 +227,17 @@
 /// A backend server listed in two services would get the slots of both, which is more
 /// than the server can bear.
 #[derive(Default)]
-struct Endpoints {
+struct UniqueEndpoints {
     addresses: BTreeMap<SocketAddr, String>,
     keys: BTreeMap<EndpointKey, SocketAddr>,
 }
 
-impl Endpoints {
+impl UniqueEndpoints {
     fn add(&mut self, service: &str, endpoint: &DeTable, report: &mut Report) {
-        let Some(found) = text(endpoint, "address") else {
+        let Some(value) = text(endpoint, "address") else {
             return;
         };
-        let Ok(address) = found.text.parse::<SocketAddr>() else {
+        let Ok(address) = value.text.parse::<SocketAddr>() else {
             return;
         };
         if let Some(other) = self.addresses.insert(address, service.to_owned()) {
@@ -245,13 +245,13 @@
                 "address {address} appears twice, first in service \"{other}\": \
                  its slots would be counted twice"
             );
-            report.at(found.start, message);
+            report.add(value.start, message);
             return;
         }
         let key = EndpointKey::of(service, address);
         if let Some(other) = self.keys.insert(key, address) {
             let message = format!("address {address} has the same key as {other}: change one");
-            report.at(found.start, message);
+            report.add(value.start, message);
         }
     }
 }
@@ -262,9 +262,9 @@
     items.filter_map(|v| v.get_ref().as_table())
 }
 
-fn text<'a>(table: &'a DeTable<'a>, key: &str) -> Option<Found<'a>> {
+fn text<'a>(table: &'a DeTable<'a>, key: &str) -> Option<TextValue<'a>> {
     let value = table.get(key)?;
-    Some(Found {
+    Some(TextValue {
         text: value.get_ref().as_str()?,
         start: value.span().start,
     })
@@ -272,11 +272,11 @@
 
 fn number(table: &DeTable, key: &str) -> Option<(u64, usize)> {
     let value = table.get(key)?;
-    Some((whole(value)?, value.span().start))
+    Some((unsigned(value)?, value.span().start))
 }
 
 /// Returns the value as an integer if it is one and not negative.
-pub(super) fn whole(value: &Spanned<DeValue>) -> Option<u64> {
+pub(super) fn unsigned(value: &Spanned<DeValue>) -> Option<u64> {
     let integer = value.get_ref().as_integer()?;
     u64::from_str_radix(integer.as_str(), integer.radix()).ok()
 }
--- a/components/coordination/src/config/decide.rs
+++ b/components/coordination/src/config/decide.rs
@@ -20,11 +20,11 @@
     /// The configuration was changed in this subject.
     Changed(Subject),
     /// The configuration already was as requested, since this revision.
-    Already(u64),
+    Unchanged(u64),
 }
 
 /// The revision at which each subject was last changed, for the conflict check.
-pub(super) struct Touched<'a> {
+pub(super) struct LastChanges<'a> {
     pub revisions: &'a BTreeMap<Subject, u64>,
     /// No subject missing from `revisions` was changed after this revision.
     pub floor: u64,
@@ -32,13 +32,13 @@
     pub decided_on: u64,
 }
 
-impl Touched<'_> {
-    fn since(&self, subject: &Subject) -> u64 {
+impl LastChanges<'_> {
+    fn revision_of(&self, subject: &Subject) -> u64 {
         self.revisions.get(subject).copied().unwrap_or(self.floor)
     }
 
     fn check(&self, subject: Subject) -> Result<(), Refusal> {
-        match self.since(&subject) {
+        match self.revision_of(&subject) {
             revision if revision > self.decided_on => Err(Refusal::Conflict { subject, revision }),
             _ => Ok(()),
         }
@@ -48,16 +48,16 @@
 /// Decides `change` and applies it to `config`, except for the revision.
 pub(super) fn decide(
     config: &mut Config,
-    touched: &Touched,
+    changes: &LastChanges,
     change: &Change,
 ) -> Result<Decision, Refusal> {
     match change {
-        Change::PutPreset { text } => put(config, touched, text),
-        Change::ChoosePreset { name } => choose(config, touched, name),
-        Change::LeaveCentre { name } => centre(config, touched, name, true),
-        Change::ReturnCentre { name } => centre(config, touched, name, false),
-        Change::LeaveHost { name } => host(config, touched, name, true),
-        Change::ReturnHost { name } => host(config, touched, name, false),
+        Change::PutPreset { text } => put_preset(config, changes, text),
+        Change::ChoosePreset { name } => choose_preset(config, changes, name),
+        Change::LeaveCentre { name } => set_centre_leaving(config, changes, name, true),
+        Change::ReturnCentre { name } => set_centre_leaving(config, changes, name, false),
+        Change::LeaveHost { name } => set_host_leaving(config, changes, name, true),
+        Change::ReturnHost { name } => set_host_leaving(config, changes, name, false),
         Change::Join {
             name,
             incarnation,
@@ -71,80 +71,84 @@
                 data_centre: data_centre.clone(),
                 joined: config.revision + 1,
             };
-            join(config, touched, member)
+            join(config, changes, member)
         }
-        Change::Drain { host, incarnation } => drain(config, touched, *host, *incarnation),
-        Change::Remove { host, incarnation } => remove(config, touched, *host, *incarnation),
+        Change::Drain { host, incarnation } => drain(config, changes, *host, *incarnation),
+        Change::Remove { host, incarnation } => remove(config, changes, *host, *incarnation),
     }
 }
 
-fn put(config: &mut Config, touched: &Touched, text: &str) -> Result<Decision, Refusal> {
-    let preset = parse_preset(text).map_err(|faults| Refusal::Faulty(faults.to_string()))?;
+fn put_preset(config: &mut Config, changes: &LastChanges, text: &str) -> Result<Decision, Refusal> {
+    let preset = parse_preset(text).map_err(|errors| Refusal::Faulty(errors.to_string()))?;
     let subject = Subject::Preset(preset.name.clone());
     if config.presets.get(&preset.name) == Some(&preset) {
-        return Ok(Decision::Already(touched.since(&subject)));
+        return Ok(Decision::Unchanged(changes.revision_of(&subject)));
     }
-    touched.check(subject.clone())?;
+    changes.check(subject.clone())?;
     // The author changed a preset that was not in force at that revision. Without this
     // check, the change would affect callers at once, which no operator decided.
     if config.chosen.as_ref() == Some(&preset.name) {
-        touched.check(Subject::Choice)?;
+        changes.check(Subject::Choice)?;
     }
     config.presets.insert(preset.name.clone(), preset);
     Ok(Decision::Changed(subject))
 }
 
-fn choose(config: &mut Config, touched: &Touched, name: &str) -> Result<Decision, Refusal> {
+fn choose_preset(
+    config: &mut Config,
+    changes: &LastChanges,
+    name: &str,
+) -> Result<Decision, Refusal> {
     if config.chosen.as_deref() == Some(name) {
-        return Ok(Decision::Already(touched.since(&Subject::Choice)));
+        return Ok(Decision::Unchanged(changes.revision_of(&Subject::Choice)));
     }
     if !config.presets.contains_key(name) {
         return Err(Refusal::UnknownPreset(name.to_owned()));
     }
-    touched.check(Subject::Choice)?;
-    touched.check(Subject::Preset(name.to_owned()))?;
+    changes.check(Subject::Choice)?;
+    changes.check(Subject::Preset(name.to_owned()))?;
     config.chosen = Some(name.to_owned());
     Ok(Decision::Changed(Subject::Choice))
 }
 
-fn centre(
+fn set_centre_leaving(
     config: &mut Config,
-    touched: &Touched,
+    changes: &LastChanges,
     name: &str,
     leave: bool,
 ) -> Result<Decision, Refusal> {
-    if !config.leaving_centres.contains(name) && !names_centre(config, name) {
+    if !config.leaving_centres.contains(name) && !has_centre(config, name) {
         return Err(Refusal::UnknownCentre(name.to_owned()));
     }
     let subject = Subject::Centre(name.to_owned());
-    mark(&mut config.leaving_centres, touched, subject, name, leave)
+    set_leaving(&mut config.leaving_centres, changes, subject, name, leave)
 }
 
-fn host(
+fn set_host_leaving(
     config: &mut Config,
-    touched: &Touched,
+    changes: &LastChanges,
     name: &str,
     leave: bool,
 ) -> Result<Decision, Refusal> {
-    if !config.leaving_hosts.contains(name) && !names_host(config, name) {
+    if !config.leaving_hosts.contains(name) && !has_host(config, name) {
         return Err(Refusal::UnknownHost(name.to_owned()));
     }
     let subject = Subject::Host(name.to_owned());
-    mark(&mut config.leaving_hosts, touched, subject, name, leave)
+    set_leaving(&mut config.leaving_hosts, changes, subject, name, leave)
 }
 
 /// Adds a name to the set of leaving ones, or removes it.
-fn mark(
+fn set_leaving(
     leaving: &mut BTreeSet<String>,
-    touched: &Touched,
+    changes: &LastChanges,
     subject: Subject,
     name: &str,
     leave: bool,
 ) -> Result<Decision, Refusal> {
     if leaving.contains(name) == leave {
-        return Ok(Decision::Already(touched.since(&subject)));
+        return Ok(Decision::Unchanged(changes.revision_of(&subject)));
     }
-    touched.check(subject.clone())?;
+    changes.check(subject.clone())?;
     match leave {
         true => leaving.insert(name.to_owned()),
         false => leaving.remove(name),
@@ -157,7 +161,7 @@
 /// Checks that the author of the join has seen the last change of the member: otherwise a
 /// process that was removed while paused would return through a join sent before its
 /// removal.
-fn join(config: &mut Config, touched: &Touched, member: Member) -> Result<Decision, Refusal> {
+fn join(config: &mut Config, changes: &LastChanges, member: Member) -> Result<Decision, Refusal> {
     let key = HostKey::named(&member.name);
     let subject = Subject::Member(key);
     match config.members.get(&key) {
@@ -165,9 +169,9 @@
             return Err(Refusal::SameKey(member.name));
         }
         Some(present) if present.incarnation == member.incarnation => {
-            return Ok(Decision::Already(present.joined));
+            return Ok(Decision::Unchanged(present.joined));
         }
-        _ => touched.check(subject.clone())?,
+        _ => changes.check(subject.clone())?,
     }
     config.draining.remove(&key);
     config.members.insert(key, member);
@@ -181,7 +185,7 @@
 /// requests at each restart of an entry host.
 fn drain(
     config: &mut Config,
-    touched: &Touched,
+    changes: &LastChanges,
     host: HostKey,
     incarnation: u64,
 ) -> Result<Decision, Refusal> {
@@ -191,9 +195,9 @@
         _ => return Err(Refusal::UnknownMember),
     }
     if config.draining.contains(&host) {
-        return Ok(Decision::Already(touched.since(&subject)));
+        return Ok(Decision::Unchanged(changes.revision_of(&subject)));
     }
-    touched.check(subject.clone())?;
+    changes.check(subject.clone())?;
     config.draining.insert(host);
     Ok(Decision::Changed(subject))
 }
@@ -204,13 +208,13 @@
 /// previous process was silent.
 fn remove(
     config: &mut Config,
-    touched: &Touched,
+    changes: &LastChanges,
     host: HostKey,
     incarnation: u64,
 ) -> Result<Decision, Refusal> {
     let subject = Subject::Member(host);
     match config.members.get(&host) {
-        Some(member) if member.incarnation == incarnation => touched.check(subject.clone())?,
+        Some(member) if member.incarnation == incarnation => changes.check(subject.clone())?,
         _ => return Err(Refusal::UnknownMember),
     }
     config.members.remove(&host);
@@ -218,12 +222,12 @@
     Ok(Decision::Changed(subject))
 }
 
-fn names_centre(config: &Config, name: &str) -> bool {
+fn has_centre(config: &Config, name: &str) -> bool {
     let named = |preset: &Preset| preset.data_centres.iter().any(|c| c.name == name);
     config.presets.values().any(named)
 }
 
-fn names_host(config: &Config, name: &str) -> bool {
+fn has_host(config: &Config, name: &str) -> bool {
     let on_host = |address: std::net::SocketAddr| {
         address.to_string() == name || address.ip().to_string() == name
     };
--- a/components/coordination/src/config/fold.rs
+++ b/components/coordination/src/config/fold.rs
@@ -8,7 +8,7 @@
 
 use super::check::parse_preset;
 use super::command::{Answer, Command, CommandId, Refusal, Subject};
-use super::decide::{Decision, Touched, decide};
+use super::decide::{Decision, LastChanges, decide};
 use super::snapshot::{Floor, Position, RecentCommand, Snapshot, is_newer};
 
 /// Number of commands whose ids and answers are kept.
@@ -235,7 +235,7 @@
     }
 
     fn replace(&mut self, snapshot: Snapshot) -> Applied {
-        let mark = snapshot.position();
+        let position = snapshot.position();
         let recent = snapshot.recent.into_iter();
         *self = Fold {
             config: Arc::new(snapshot.config),
@@ -248,7 +248,7 @@
             skipped_newer: None,
         };
         self.offsets = self.recent.iter().map(|(o, r)| (r.id, *o)).collect();
-        Applied::Replaced(mark)
+        Applied::Replaced(position)
     }
 
     fn command(&mut self, offset: u64, command: &Command) -> Applied {
@@ -275,14 +275,14 @@
             c if c.decided_on < self.floor.revision => return Err(Refusal::TooOld),
             _ => {}
         }
-        let touched = Touched {
+        let changes = LastChanges {
             revisions: &self.touched,
             floor: self.floor.revision,
             decided_on: command.decided_on,
         };
         let config = Arc::make_mut(&mut self.config);
-        match decide(config, &touched, &command.change)? {
-            Decision::Already(since) => Ok(since),
+        match decide(config, &changes, &command.change)? {
+            Decision::Unchanged(since) => Ok(since),
             Decision::Changed(subject) => {
                 config.revision = revision + 1;
                 config.offset = offset + 1;
--- a/components/coordination/src/config/schema.rs
+++ b/components/coordination/src/config/schema.rs
@@ -5,7 +5,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use super::check::{Report, whole};
+use super::check::{Report, unsigned};
 
 /// One key of a table.
 pub(super) struct Field {
@@ -21,7 +21,7 @@
     /// An IP address with a port.
     Address,
     /// An integer within these bounds.
-    Whole(u64, u64),
+    Integer(u64, u64),
     /// One or more tables.
     Tables(&'static [Field]),
 }
@@ -32,35 +32,35 @@
 
 /// A preset's keys.
 pub(super) const PRESET: &[Field] = &[
-    need("name", Kind::Text),
-    need("data-centre", Kind::Tables(CENTRE)),
-    need("service", Kind::Tables(SERVICE)),
+    required("name", Kind::Text),
+    required("data-centre", Kind::Tables(CENTRE)),
+    required("service", Kind::Tables(SERVICE)),
 ];
 
-const CENTRE: &[Field] = &[need("name", Kind::Text), need("region", Kind::Text)];
+const CENTRE: &[Field] = &[required("name", Kind::Text), required("region", Kind::Text)];
 
 /// The upper bounds catch mistakes such as seconds in place of milliseconds; no site
 /// comes near them.
 const SERVICE: &[Field] = &[
-    need("name", Kind::Text),
-    need("endpoints", Kind::Tables(ENDPOINT)),
-    may("slots", Kind::Whole(1, 10_000)),
-    may("cold-slots", Kind::Whole(1, 10_000)),
-    may("connections", Kind::Whole(1, 100_000)),
-    may("deadline-ms", Kind::Whole(1, DAY_SECONDS * 1_000)),
-    may("queue", Kind::Whole(0, MILLION)),
-    may("body-limit", Kind::Whole(0, 64 * GIB)),
-    may("retry-percent", Kind::Whole(0, 100)),
-    may("probe-cost-ms", Kind::Whole(0, 60_000)),
-    may("key-seconds", Kind::Whole(1, 30 * DAY_SECONDS)),
+    required("name", Kind::Text),
+    required("endpoints", Kind::Tables(ENDPOINT)),
+    optional("slots", Kind::Integer(1, 10_000)),
+    optional("cold-slots", Kind::Integer(1, 10_000)),
+    optional("connections", Kind::Integer(1, 100_000)),
+    optional("deadline-ms", Kind::Integer(1, DAY_SECONDS * 1_000)),
+    optional("queue", Kind::Integer(0, MILLION)),
+    optional("body-limit", Kind::Integer(0, 64 * GIB)),
+    optional("retry-percent", Kind::Integer(0, 100)),
+    optional("probe-cost-ms", Kind::Integer(0, 60_000)),
+    optional("key-seconds", Kind::Integer(1, 30 * DAY_SECONDS)),
 ];
 
 const ENDPOINT: &[Field] = &[
-    need("address", Kind::Address),
-    need("data-centre", Kind::Text),
+    required("address", Kind::Address),
+    required("data-centre", Kind::Text),
 ];
 
-const fn need(key: &'static str, kind: Kind) -> Field {
+const fn required(key: &'static str, kind: Kind) -> Field {
     Field {
         key,
         kind,
@@ -68,7 +68,7 @@
     }
 }
 
-const fn may(key: &'static str, kind: Kind) -> Field {
+const fn optional(key: &'static str, kind: Kind) -> Field {
     Field {
         key,
         kind,
@@ -90,13 +90,13 @@
                     key.get_ref(),
                     known.join(", ")
                 );
-                report.at(key.span().start, message);
+                report.add(key.span().start, message);
             }
         }
     }
     for field in fields.iter().filter(|f| f.required) {
         if !table.contains_key(field.key) {
-            report.at(start, format!("\"{}\" is missing here", field.key));
+            report.add(start, format!("\"{}\" is missing here", field.key));
         }
     }
 }
@@ -104,21 +104,21 @@
 fn check_value(field: &Field, value: &Spanned<DeValue>, report: &mut Report) {
     let start = value.span().start;
     let key = field.key;
-    let fault = match (&field.kind, value.get_ref()) {
+    let error = match (&field.kind, value.get_ref()) {
         (Kind::Text, DeValue::String(text)) if text.trim().is_empty() => {
             Some(format!("\"{key}\" is empty"))
         }
         (Kind::Text, DeValue::String(_)) => None,
         (Kind::Text, other) => Some(format!("\"{key}\" is {}: write a string", other.type_str())),
-        (Kind::Address, DeValue::String(text)) => address_fault(key, text),
+        (Kind::Address, DeValue::String(text)) => address_error(key, text),
         (Kind::Address, other) => Some(format!(
             "\"{key}\" is {}: write \"IP:port\"",
             other.type_str()
         )),
-        (Kind::Whole(least, most), _) => match whole(value) {
-            Some(n) if (*least..=*most).contains(&n) => None,
+        (Kind::Integer(min, max), _) => match unsigned(value) {
+            Some(n) if (*min..=*max).contains(&n) => None,
             _ => Some(format!(
-                "\"{key}\" has to be a whole number from {least} to {most}"
+                "\"{key}\" has to be a whole number from {min} to {max}"
             )),
         },
         (Kind::Tables(_), DeValue::Array(items)) if items.is_empty() => {
@@ -135,8 +135,8 @@
             other.type_str()
         )),
     };
-    if let Some(message) = fault {
-        report.at(start, message);
+    if let Some(message) = error {
+        report.add(start, message);
     }
 }
 
@@ -146,12 +146,12 @@
         DeValue::Table(table) => check_table(table, fields, start, report),
         other => {
             let message = format!("an entry of \"{key}\" is {}, no table", other.type_str());
-            report.at(start, message);
+            report.add(start, message);
         }
     }
 }
 
-fn address_fault(key: &str, text: &str) -> Option<String> {
+fn address_error(key: &str, text: &str) -> Option<String> {
     match text.parse::<SocketAddr>() {
         Err(_) => Some(format!(
             "\"{key}\" \"{text}\" is not an IP address with a port, such as \"10.0.0.7:8080\""
--- a/components/coordination/src/config/snapshot_timer.rs
+++ b/components/coordination/src/config/snapshot_timer.rs
@@ -47,7 +47,7 @@
 pub struct SnapshotTimer {
     policy: SnapshotPolicy,
     last: Option<u64>,
-    seen: Moment,
+    last_at: Moment,
     due: Option<Moment>,
 }
 
@@ -57,7 +57,7 @@
         SnapshotTimer {
             policy,
             last: None,
-            seen: now,
+            last_at: now,
             due: None,
         }
     }
@@ -65,7 +65,7 @@
     /// Notes a snapshot read from the log, which every host can read too.
     pub fn snapshot_seen(&mut self, offset: u64, now: Moment) {
         self.last = Some(offset);
-        self.seen = now;
+        self.last_at = now;
         self.due = None;
     }
 
@@ -94,7 +94,7 @@
             None if view.first > 0 => true,
             Some(last) if last < view.first => true,
             // An idle stream doesn't show that records are about to be trimmed.
-            _ if now.since(self.seen) >= self.policy.max_age => true,
+            _ if now.since(self.last_at) >= self.policy.max_age => true,
             None => view.next >= self.policy.max_records,
             Some(last) if view.next.saturating_sub(last) >= self.policy.max_records => true,
             // The snapshot is in the older half of what the log retains. The retention
--- a/components/coordination/src/fragment_queue.rs
+++ b/components/coordination/src/fragment_queue.rs
@@ -29,7 +29,7 @@
 /// The queued fragments, each with its destination and a tag of the caller's.
 #[derive(Clone, Debug)]
 pub struct FragmentQueue<T> {
-    waiting: VecDeque<(SocketAddr, T, Fragment)>,
+    queue: VecDeque<(SocketAddr, T, Fragment)>,
     size: usize,
     /// Bytes sent since the last pause.
     sent: usize,
@@ -38,7 +38,7 @@
 impl<T> Default for FragmentQueue<T> {
     fn default() -> FragmentQueue<T> {
         FragmentQueue {
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             size: 0,
             sent: 0,
         }
@@ -47,18 +47,18 @@
 
 impl<T> FragmentQueue<T> {
     /// Appends a fragment, and returns whether there was room for it.
-    pub fn push(&mut self, to: SocketAddr, about: T, fragment: Fragment) -> bool {
+    pub fn push(&mut self, to: SocketAddr, tag: T, fragment: Fragment) -> bool {
         if self.size + fragment.bytes.len() > QUEUE_LIMIT_BYTES {
             return false;
         }
         self.size += fragment.bytes.len();
-        self.waiting.push_back((to, about, fragment));
+        self.queue.push_back((to, tag, fragment));
         true
     }
 
     /// Removes and returns the next fragment to send.
     pub fn pop(&mut self) -> Option<(SocketAddr, T, Fragment)> {
-        let next = self.waiting.pop_front()?;
+        let next = self.queue.pop_front()?;
         let size = next.2.bytes.len();
         self.size -= size;
         self.sent += size;
@@ -83,7 +83,7 @@
 
     /// Returns whether fragments of the message are queued for this host.
     pub fn contains(&self, to: SocketAddr, message: MessageKey) -> bool {
-        let mut waiting = self.waiting.iter();
-        waiting.any(|(host, _, fragment)| *host == to && fragment.message == message)
+        let mut queue = self.queue.iter();
+        queue.any(|(host, _, fragment)| *host == to && fragment.message == message)
     }
 }
--- a/components/coordination/src/fragments.rs
+++ b/components/coordination/src/fragments.rs
@@ -25,13 +25,13 @@
 /// The smallest size of a fragment that this host sends.
 ///
 /// Below this the overhead of a datagram outweighs its payload.
-const SMALLEST: usize = 1_024;
+const MIN_FRAGMENT_BYTES: usize = 1_024;
 
 /// The largest size of a fragment, sent or accepted.
-const LARGEST: usize = 8 * 1_024;
+const MAX_FRAGMENT_BYTES: usize = 8 * 1_024;
 
 /// The most fragments accepted for one message: two megabytes of small ones.
-const COUNT_LIMIT: u32 = 2_048;
+const MAX_FRAGMENTS: u32 = 2_048;
 
 /// How long a message is kept after its last fragment arrived.
 ///
@@ -39,11 +39,11 @@
 pub const KEEP_TIME: Duration = Duration::from_secs(5);
 
 /// Messages kept at once; the one whose last fragment is oldest is dropped first.
-const KEPT_LIMIT: usize = 8;
+const MAX_MESSAGES: usize = 8;
 
 /// Number of requests for the fragments of a message before the host gives up and reads
 /// the store.
-const ASKS: u32 = 6;
+const MAX_REQUESTS: u32 = 6;
 
 /// Number of requests for one fragment after which the fragment is relayed to all hosts
 /// again.
@@ -51,11 +51,11 @@
 /// Fragments get lost one by one, and one or two hosts request them. A third request
 /// means that the neighbour which should have relayed the fragment has failed, and that
 /// all lack it.
-const SPREAD_ASK: u32 = 3;
+const RELAY_AFTER_REQUESTS: u32 = 3;
 
 /// How long a fragment isn't sent in answer to requests after it was relayed again, since
 /// a copy is on its way to all hosts.
-const SPREAD_PAUSE: Duration = Duration::from_millis(200);
+const RELAY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Identifies a message that is sent in fragments, independently of its sender.
 #[key]
@@ -117,7 +117,7 @@
 /// message in the same way.
 pub fn split(origin: SocketAddr, message: &Bytes, hosts: usize) -> Vec<Fragment> {
     let share = message.len().div_ceil(hosts.max(1));
-    let size = size_class(share).clamp(SMALLEST, LARGEST);
+    let size = size_class(share).clamp(MIN_FRAGMENT_BYTES, MAX_FRAGMENT_BYTES);
     let key = MessageKey {
         digest: xxh3_64(message),
         count: u32::try_from(message.len().div_ceil(size)).unwrap_or(u32::MAX),
@@ -160,12 +160,12 @@
     // the same message don't all choose the same one.
     let more = fragments.len() % hosts.len();
     let less = hosts.len() - more;
-    let place = hosts.partition_point(|h| *h < me) * less / hosts.len();
-    let mut instead = neighbours.iter().cycle().skip(more + place);
+    let rank = hosts.partition_point(|h| *h < me) * less / hosts.len();
+    let mut substitutes = neighbours.iter().cycle().skip(more + rank);
     let mut sent = Vec::new();
     for (host, fragment) in hosts.iter().cycle().zip(fragments) {
         let to = match *host == me {
-            true => instead.next(),
+            true => substitutes.next(),
             false => Some(host),
         };
         let relay = Fragment {
@@ -199,83 +199,83 @@
 
 /// One fragment of a message, received or missing.
 #[derive(Clone, Debug, Default)]
-struct Place {
+struct Piece {
     bytes: Option<Bytes>,
     /// Number of requests for the fragment since it was last relayed.
-    askers: u32,
+    requests: u32,
     relayed_at: Option<Moment>,
 }
 
 /// A message of which some or all fragments have arrived.
 #[derive(Clone, Debug)]
-struct Message {
-    places: Vec<Place>,
+struct PartialMessage {
+    pieces: Vec<Piece>,
     /// The last known host that has the whole message.
     origin: SocketAddr,
-    lacking: usize,
-    heard: Moment,
+    missing: usize,
+    last_fragment: Moment,
     /// When a fragment last arrived or was requested.
-    stirred: Moment,
-    asks: u32,
+    last_activity: Moment,
+    requests: u32,
 }
 
-impl Message {
-    fn new(fragment: &Fragment, now: Moment) -> Message {
-        let places = vec![Place::default(); fragment.message.count as usize];
-        Message {
+impl PartialMessage {
+    fn new(fragment: &Fragment, now: Moment) -> PartialMessage {
+        let pieces = vec![Piece::default(); fragment.message.count as usize];
+        PartialMessage {
             origin: fragment.origin,
-            lacking: places.len(),
-            places,
-            heard: now,
-            stirred: now,
-            asks: 0,
+            missing: pieces.len(),
+            pieces,
+            last_fragment: now,
+            last_activity: now,
+            requests: 0,
         }
     }
 
     /// Stores a fragment, and returns whether it was missing.
     fn put(&mut self, fragment: &Fragment, now: Moment) -> bool {
-        let Some(place) = self.places.get_mut(fragment.number as usize) else {
+        let Some(piece) = self.pieces.get_mut(fragment.number as usize) else {
             return false;
         };
-        if place.bytes.is_some() {
+        if piece.bytes.is_some() {
             return false;
         }
-        place.bytes = Some(fragment.bytes.clone());
-        self.lacking -= 1;
-        self.heard = now;
-        self.stirred = now;
-        self.asks = 0;
+        piece.bytes = Some(fragment.bytes.clone());
+        self.missing -= 1;
+        self.last_fragment = now;
+        self.last_activity = now;
+        self.requests = 0;
         true
     }
 
-    fn whole(&self) -> Bytes {
+    fn assemble(&self) -> Bytes {
         let mut whole = BytesMut::new();
-        for bytes in self.places.iter().filter_map(|p| p.bytes.as_ref()) {
+        for bytes in self.pieces.iter().filter_map(|p| p.bytes.as_ref()) {
             whole.extend_from_slice(bytes);
         }
         whole.freeze()
     }
 
-    fn given_up(&self) -> bool {
-        self.asks >= ASKS
+    fn is_abandoned(&self) -> bool {
+        self.requests >= MAX_REQUESTS
     }
 
     /// Returns a fragment's bytes for a host that requests them, and whether that host
     /// relays them.
     fn resend(&mut self, number: u32, now: Moment) -> Option<(Bytes, bool)> {
-        let place = self.places.get_mut(number as usize)?;
-        let bytes = place.bytes.clone()?;
-        if place
+        let piece = self.pieces.get_mut(number as usize)?;
+        let bytes = piece.bytes.clone()?;
+        if piece
             .relayed_at
-            .is_some_and(|at| now.since(at) < SPREAD_PAUSE)
+            .is_some_and(|at| now.since(at) < RELAY_PAUSE)
         {
             return None;
         }
-        place.askers += 1;
-        let relay = place.askers >= SPREAD_ASK;
+        piece.requests += 1;
+        let relay = piece.requests >= RELAY_AFTER_REQUESTS;
         if relay {
-            place.askers = 0;
-            place.relayed_at = Some(now);
+            piece.requests = 0;
+            piece.relayed_at = Some(now);
         }
         Some((bytes, relay))
     }
@@ -284,26 +284,26 @@
 /// Reassembles received messages, and keeps fragments for neighbours that request them.
 #[derive(Clone, Debug, Default)]
 pub struct Reassembly {
-    messages: BTreeMap<MessageKey, Message>,
+    messages: BTreeMap<MessageKey, PartialMessage>,
 }
 
 impl Reassembly {
     /// Stores a message that this host sends, for neighbours that lose fragments of it.
     pub fn insert_own(&mut self, fragments: &[Fragment], now: Moment) {
         for fragment in fragments {
-            self.place(fragment, now);
+            self.store(fragment, now);
         }
     }
 
     /// Stores a received fragment.
     pub fn insert(&mut self, fragment: &Fragment, now: Moment) -> Inserted {
         let count = fragment.message.count;
-        let known = fragment.number < count && count <= COUNT_LIMIT;
-        if !known || fragment.bytes.len() > LARGEST || !self.place(fragment, now) {
+        let is_valid = fragment.number < count && count <= MAX_FRAGMENTS;
+        if !is_valid || fragment.bytes.len() > MAX_FRAGMENT_BYTES || !self.store(fragment, now) {
             return Inserted::Ignored;
         }
         match self.messages.get(&fragment.message) {
-            Some(message) if message.lacking == 0 => self.check(fragment.message),
+            Some(message) if message.missing == 0 => self.check(fragment.message),
             _ => Inserted::New,
         }
     }
@@ -311,7 +311,7 @@
     /// Returns the assembled message, and discards it if its bytes don't match its
     /// digest.
     fn check(&mut self, key: MessageKey) -> Inserted {
-        let whole = self.messages.get(&key).map(Message::whole);
+        let whole = self.messages.get(&key).map(PartialMessage::assemble);
         match whole {
             Some(whole) if xxh3_64(&whole) == key.digest => Inserted::Complete(whole),
             _ => {
@@ -321,11 +321,11 @@
         }
     }
 
-    fn place(&mut self, fragment: &Fragment, now: Moment) -> bool {
+    fn store(&mut self, fragment: &Fragment, now: Moment) -> bool {
         let message = self
             .messages
             .entry(fragment.message)
-            .or_insert_with(|| Message::new(fragment, now));
+            .or_insert_with(|| PartialMessage::new(fragment, now));
         message.origin = fragment.origin;
         let new = message.put(fragment, now);
         self.expire(now);
@@ -334,9 +334,10 @@
 
     /// Drops messages of which no fragment has arrived for a while.
     pub fn expire(&mut self, now: Moment) {
-        self.messages.retain(|_, m| now.since(m.heard) < KEEP_TIME);
-        while self.messages.len() > KEPT_LIMIT {
-            let oldest = self.messages.iter().min_by_key(|(_, m)| m.heard);
+        self.messages
+            .retain(|_, m| now.since(m.last_fragment) < KEEP_TIME);
+        while self.messages.len() > MAX_MESSAGES {
+            let oldest = self.messages.iter().min_by_key(|(_, m)| m.last_fragment);
             let Some(key) = oldest.map(|(key, _)| *key) else {
                 return;
             };
@@ -347,7 +348,7 @@
     /// Returns whether fragments of the message are missing and still requested.
     pub fn is_incomplete(&self, key: MessageKey) -> bool {
         let message = self.messages.get(&key);
-        message.is_some_and(|m| m.lacking > 0 && !m.given_up())
+        message.is_some_and(|m| m.missing > 0 && !m.is_abandoned())
     }
 
     /// Returns the next request for missing fragments and which host to send it to, if no
@@ -362,38 +363,41 @@
         now: Moment,
     ) -> Option<(RequestTarget, FragmentRequest)> {
         let message = self.messages.get_mut(&key)?;
-        if message.lacking == 0 || message.given_up() || now.since(message.stirred) < silence {
+        if message.missing == 0
+            || message.is_abandoned()
+            || now.since(message.last_activity) < silence
+        {
             return None;
         }
-        message.asks += 1;
-        message.stirred = now;
-        let source = match message.asks % 2 {
+        message.requests += 1;
+        message.last_activity = now;
+        let target = match message.requests % 2 {
             1 => RequestTarget::Origin(message.origin),
             _ => RequestTarget::Any,
         };
-        let places = (0..).zip(&message.places);
-        let lacking = FragmentRequest {
+        let pieces = (0..).zip(&message.pieces);
+        let request = FragmentRequest {
             message: key,
-            numbers: places
+            numbers: pieces
                 .filter(|(_, p)| p.bytes.is_none())
                 .map(|(n, _)| n)
                 .collect(),
         };
-        Some((source, lacking))
+        Some((target, request))
     }
 
     /// Returns those of the requested fragments that this host has.
-    pub fn resend(&mut self, lacking: &FragmentRequest, now: Moment) -> Vec<Fragment> {
-        let Some(message) = self.messages.get_mut(&lacking.message) else {
+    pub fn resend(&mut self, request: &FragmentRequest, now: Moment) -> Vec<Fragment> {
+        let Some(message) = self.messages.get_mut(&request.message) else {
             return Vec::new();
         };
         let mut fragments = Vec::new();
-        for number in &lacking.numbers {
+        for number in &request.numbers {
             let Some((bytes, relay)) = message.resend(*number, now) else {
                 continue;
             };
             fragments.push(Fragment {
-                message: lacking.message,
+                message: request.message,
                 origin: message.origin,
                 number: *number,
                 relay,
--- a/components/coordination/src/neighbours.rs
+++ b/components/coordination/src/neighbours.rs
@@ -76,15 +76,15 @@
         let hosts = centres.entry(contact.centre.clone()).or_default();
         hosts.push(contact);
     }
-    let mut some = Vec::new();
+    let mut sample = Vec::new();
     for mut hosts in centres.into_values() {
         let count = u64::try_from(hosts.len()).unwrap_or(u64::MAX);
         let first = usize::try_from(draw % count).unwrap_or_default();
         hosts.rotate_left(first);
         hosts.truncate(SAMPLE_SIZE);
-        some.append(&mut hosts);
+        sample.append(&mut hosts);
     }
-    some
+    sample
 }
 
 /// The known hosts of the same data centre and of others, with when each was last seen.
@@ -92,7 +92,7 @@
 pub struct Neighbours {
     me: SocketAddr,
     centre: String,
-    heard: BTreeMap<SocketAddr, Moment>,
+    last_seen: BTreeMap<SocketAddr, Moment>,
     remotes: BTreeMap<String, BTreeMap<SocketAddr, LastSeen>>,
     greetings: u32,
     /// Which updates of the operators' topic were already forwarded.
@@ -107,7 +107,7 @@
         Neighbours {
             me,
             centre: centre.to_owned(),
-            heard: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             remotes: BTreeMap::new(),
             greetings: 0,
             operators: Forwarded::default(),
@@ -127,18 +127,18 @@
     ) -> GreetingEffect {
         if centre != self.centre {
             let remotes = self.remotes.entry(centre.to_owned()).or_default();
-            let heard = LastSeen {
+            let last_seen = LastSeen {
                 at: now,
                 direct: true,
             };
-            let new = remotes.insert(from, heard).is_none();
+            let new = remotes.insert(from, last_seen).is_none();
             return if new {
                 GreetingEffect::NewRemote
             } else {
                 GreetingEffect::Remote
             };
         }
-        match self.heard.insert(from, now) {
+        match self.last_seen.insert(from, now) {
             None => GreetingEffect::New,
             Some(_) => GreetingEffect::Known,
         }
@@ -147,9 +147,9 @@
     /// Records a host that another one named; returns whether it is new and has to be
     /// greeted.
     pub fn add(&mut self, address: SocketAddr, now: Moment) -> bool {
-        let new = address != self.me && !self.heard.contains_key(&address);
+        let new = address != self.me && !self.last_seen.contains_key(&address);
         if new {
-            self.heard.insert(address, now);
+            self.last_seen.insert(address, now);
         }
         new
     }
@@ -167,23 +167,25 @@
 
     /// Returns one of the neighbours; `draw` is a random number, uniform over `u64`.
     pub fn any(&self, draw: u64) -> Option<SocketAddr> {
-        let count = u64::try_from(self.heard.len()).ok().filter(|n| *n > 0)?;
+        let count = u64::try_from(self.last_seen.len())
+            .ok()
+            .filter(|n| *n > 0)?;
         let at = usize::try_from(draw % count).ok()?;
-        self.heard.keys().nth(at).copied()
+        self.last_seen.keys().nth(at).copied()
     }
 
     /// Returns whether no neighbour is known.
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.last_seen.is_empty()
     }
 
     /// Returns all neighbours, after removing those that haven't been seen for long.
     pub fn current(&mut self, now: Moment) -> Vec<SocketAddr> {
-        let heard = &mut self.heard;
-        heard.retain(|_, at| now.since(*at) < HOST_TTL);
-        self.operators.retain(|a| heard.contains_key(&a));
-        self.endpoints.retain(|a| heard.contains_key(&a));
-        self.heard.keys().copied().collect()
+        let last_seen = &mut self.last_seen;
+        last_seen.retain(|_, at| now.since(*at) < HOST_TTL);
+        self.operators.retain(|a| last_seen.contains_key(&a));
+        self.endpoints.retain(|a| last_seen.contains_key(&a));
+        self.last_seen.keys().copied().collect()
     }
 
     /// Returns the known hosts of `centre`, for a query from a host of that data centre.
@@ -194,7 +196,7 @@
         let Some(remotes) = self.remotes.get_mut(centre) else {
             return Vec::new();
         };
-        remotes.retain(|_, heard| now.since(heard.at) < HOST_TTL);
+        remotes.retain(|_, last_seen| now.since(last_seen.at) < HOST_TTL);
         remotes.keys().copied().collect()
     }
 
@@ -215,15 +217,15 @@
     /// naming a failed host to each other for ever.
     pub fn remote_sample(&mut self, now: Moment) -> Vec<Contact> {
         self.expire_remotes(now);
-        let mut named = Vec::new();
+        let mut sample = Vec::new();
         for (centre, remotes) in &self.remotes {
-            let heard = remotes.iter().filter(|(_, h)| h.direct).take(SAMPLE_SIZE);
-            named.extend(heard.map(|(address, _)| Contact {
+            let direct = remotes.iter().filter(|(_, h)| h.direct).take(SAMPLE_SIZE);
+            sample.extend(direct.map(|(address, _)| Contact {
                 centre: centre.clone(),
                 address: *address,
             }));
         }
-        named
+        sample
     }
 
     /// Returns for each other data centre the hosts to which this one sends what it read.
@@ -233,7 +235,7 @@
         centres
             .map(|hosts| {
                 let mut hosts: Vec<(&SocketAddr, &LastSeen)> = hosts.iter().collect();
-                hosts.sort_by_key(|(address, heard)| (!heard.direct, **address));
+                hosts.sort_by_key(|(address, last_seen)| (!last_seen.direct, **address));
                 hosts
                     .iter()
                     .take(REMOTE_TARGETS)
@@ -259,12 +261,12 @@
 
     /// Returns the number of known neighbours.
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.last_seen.len()
     }
 
     fn expire_remotes(&mut self, now: Moment) {
         for remotes in self.remotes.values_mut() {
-            remotes.retain(|_, heard| now.since(heard.at) < HOST_TTL);
+            remotes.retain(|_, last_seen| now.since(last_seen.at) < HOST_TTL);
         }
         self.remotes.retain(|_, remotes| !remotes.is_empty());
     }
--- a/components/coordination/src/read_schedule.rs
+++ b/components/coordination/src/read_schedule.rs
@@ -24,35 +24,35 @@
 ///
 /// Records come in bursts when endpoints are replaced or a site starts; without the pause
 /// each record would cost a read of its own.
-const BUNCH_PAUSE: Duration = Duration::from_millis(400);
+const BATCH_PAUSE: Duration = Duration::from_millis(400);
 
 /// How long a host waits after the last update before it reads by itself.
 ///
 /// Longer than a read waits, by as much as a slow store takes to answer, so that a slow
 /// answer doesn't make all hosts read.
-const PATIENCE: Duration = Duration::from_millis(1_450);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(1_450);
 
-/// The largest random delay added to [`PATIENCE`].
+/// The largest random delay added to [`TAKEOVER_DELAY`].
 ///
 /// The first host that reads sends the records to the others before their delay ends: an
 /// answer takes 4 ms, and ten hosts over 250 ms are 25 ms apart.
-const SPREAD: Duration = Duration::from_millis(250);
+const READ_JITTER: Duration = Duration::from_millis(250);
 
 /// How long a host that missed records waits for a neighbour to send them again.
 ///
 /// Allows for one datagram in each direction over busy links of 10 Mbit/s.
-const RESEND: Duration = Duration::from_millis(100);
+const RESEND_WAIT: Duration = Duration::from_millis(100);
 
 /// How long a host waits for the remaining fragments of a message.
 ///
 /// In this time it requests lost fragments three times.
-const REST: Duration = Duration::from_millis(300);
+const FRAGMENT_WAIT: Duration = Duration::from_millis(300);
 
 /// The total time for which arriving fragments defer a host's own read.
 ///
 /// A message takes 0.6 s to arrive in fragments. Without a limit, a neighbour that sends
 /// a single fragment now and then would keep this host from reading the store.
-const REST_LIMIT: Duration = Duration::from_millis(1_000);
+const FRAGMENT_WAIT_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// How long the reader pauses after a failed read.
 ///
@@ -64,43 +64,43 @@
 ///
 /// Callers arrive seconds later. In this time hosts discover each other, so that the
 /// first reader can forward what it read.
-const FIRST_PAUSE: Duration = Duration::from_millis(1_000);
+const SITE_START_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The largest random delay added to [`FIRST_PAUSE`].
+/// The largest random delay added to [`SITE_START_DELAY`].
 ///
 /// Forwarding a snapshot of a topic from host to host takes a few hundred milliseconds
 /// over a link of 10 Mbit/s; most hosts receive the snapshot before their own read is
 /// due.
-const FIRST_SPREAD: Duration = Duration::from_millis(2_000);
+const SITE_START_JITTER: Duration = Duration::from_millis(2_000);
 
 /// How long a host defers its own read after a neighbour has begun one.
 ///
 /// An answer takes 4 ms.
-const READ_HOLD: Duration = Duration::from_millis(60);
+const READ_DEFERRAL: Duration = Duration::from_millis(60);
 
 /// The longest deferral after many neighbours have read without success.
-const READ_HOLD_LIMIT: Duration = Duration::from_millis(1_000);
+const READ_DEFERRAL_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Number of unsuccessful reads after which the deferral doubles.
-const READS_DOUBLING: u32 = 4;
+const READS_PER_DOUBLING: u32 = 4;
 
 /// Delay that each neighbour adds to the first read of a restarted host.
 ///
 /// The first reader forwards what it read. That takes a few hundred milliseconds in a
 /// data centre of a hundred hosts, and a few milliseconds where there are four.
-const START_STEP: Duration = Duration::from_millis(8);
+const RESTART_STEP: Duration = Duration::from_millis(8);
 
 /// How long a host without any records defers to a neighbour that reads the whole topic.
 ///
 /// The neighbour's snapshot then arrives in fragments, and each fragment defers this
 /// host's read again.
-const START_HOLD: Duration = Duration::from_millis(200);
+const FULL_READ_DEFERRAL: Duration = Duration::from_millis(200);
 
 /// The total time for which a host without any records defers to its neighbours.
-const START_HOLD_LIMIT: Duration = Duration::from_millis(1_500);
+const FULL_READ_DEFERRAL_LIMIT: Duration = Duration::from_millis(1_500);
 
 /// The longest time for which a restarted host waits to learn of its neighbours.
-const START_INTRODUCED: Duration = Duration::from_millis(100);
+const INTRODUCTION_WAIT: Duration = Duration::from_millis(100);
 
 /// How long a restarted host waits for greetings.
 pub const GREETING_WAIT: Duration = Duration::from_millis(25);
@@ -110,25 +110,25 @@
 ///
 /// Two hosts receive the same update from another data centre, one slightly later than
 /// the other; the second must not forward it again.
-const RETELL_AFTER: Duration = Duration::from_millis(300);
+const STALE_AFTER: Duration = Duration::from_millis(300);
 
 /// One host's read position in one topic, and when it reads next.
 #[derive(Clone, Debug)]
 pub struct ReadSchedule {
     next: Option<u64>,
     reader: bool,
-    asking: bool,
-    missing: bool,
+    reading: bool,
+    has_gap: bool,
     /// Whether this host reads for its data centre what was read elsewhere.
-    lags: bool,
+    lagging: bool,
     failures: u32,
     due: Moment,
     /// When the first fragment of a message that is still incomplete arrived.
-    coming: Option<Moment>,
+    fragments_since: Option<Moment>,
     /// When this host last read the store or received an update.
-    heard: Moment,
+    updated_at: Moment,
     /// Reads that neighbours have begun since this host last read or received an update.
-    reads_heard: u32,
+    neighbour_reads: u32,
 }
 
 /// What a host does with records that a neighbour has read.
@@ -153,14 +153,14 @@
         ReadSchedule {
             next: None,
             reader: false,
-            asking: false,
-            missing: false,
-            lags: false,
+            reading: false,
+            has_gap: false,
+            lagging: false,
             failures: 0,
             due: now,
-            coming: None,
-            heard: now,
-            reads_heard: 0,
+            fragments_since: None,
+            updated_at: now,
+            neighbour_reads: 0,
         }
     }
 
@@ -183,11 +183,11 @@
         if self.next.is_some() || self.failures > 0 {
             return;
         }
-        let introduced = match known < expected / 2 {
-            true => (restart_jitter(expected) / 4).min(START_INTRODUCED),
+        let introduction = match known < expected / 2 {
+            true => (restart_jitter(expected) / 4).min(INTRODUCTION_WAIT),
             false => Duration::ZERO,
         };
-        self.due = now + introduced + restart_jitter(known.max(expected)).mul_f64(draw);
+        self.due = now + introduction + restart_jitter(known.max(expected)).mul_f64(draw);
     }
 
     /// Returns the feed of a host that starts together with its whole site.
@@ -196,7 +196,7 @@
     /// operation.
     pub fn at_site_start(draw: f64, now: Moment) -> ReadSchedule {
         ReadSchedule {
-            due: now + FIRST_PAUSE + FIRST_SPREAD.mul_f64(draw),
+            due: now + SITE_START_DELAY + SITE_START_JITTER.mul_f64(draw),
             ..ReadSchedule::new(now)
         }
     }
@@ -222,7 +222,7 @@
     /// receive nothing for longer than a read waits.
     pub fn read_wait(&self, now: Moment) -> Duration {
         match self.reader {
-            true => READ_WAIT.saturating_sub(now.since(self.heard)),
+            true => READ_WAIT.saturating_sub(now.since(self.updated_at)),
             false => Duration::ZERO,
         }
     }
@@ -239,12 +239,12 @@
     /// reader by this; the first one whose next read is due does. `draw` is a random
     /// number from 0 to 1.
     pub fn full_read_finished(&mut self, next: u64, draw: f64, now: Moment) -> bool {
-        self.hear(now);
+        self.note_update(now);
         self.next = Some(next);
         self.reader = false;
-        self.asking = false;
-        self.missing = false;
-        self.due = now + patience(draw);
+        self.reading = false;
+        self.has_gap = false;
+        self.due = now + takeover_delay(draw);
         std::mem::take(&mut self.failures) > 0
     }
 
@@ -254,17 +254,17 @@
     /// any other waits for updates, as if it had read the topic itself. `draw` is a
     /// random number from 0 to 1.
     pub fn snapshot_received(&mut self, next: u64, draw: f64, now: Moment) {
-        self.hear(now);
-        self.missing = false;
+        self.note_update(now);
+        self.has_gap = false;
         self.next = Some(next);
         if self.failures == 0 {
-            self.due = now + patience(draw);
+            self.due = now + takeover_delay(draw);
         }
     }
 
     /// Records that this host begins to read.
     pub fn begin_read(&mut self) {
-        self.asking = true;
+        self.reading = true;
     }
 
     /// Records a successful read of this host up to `next`, and returns whether failures
@@ -276,15 +276,15 @@
     /// knows another, and all would read all the time. `draw` is a random number from 0
     /// to 1.
     pub fn read_finished(&mut self, next: u64, alone: bool, draw: f64, now: Moment) -> bool {
-        self.hear(now);
-        let brought = self.next != Some(next);
+        self.note_update(now);
+        let has_records = self.next != Some(next);
         self.next = Some(next.max(self.next.unwrap_or(0)));
-        if self.asking {
+        if self.reading {
             // A host that only read records lost on the way doesn't become the reader.
-            self.reader = !std::mem::take(&mut self.missing);
-            self.due = match brought {
-                _ if alone || !self.reader => now + patience(draw),
-                true => now + BUNCH_PAUSE,
+            self.reader = !std::mem::take(&mut self.has_gap);
+            self.due = match has_records {
+                _ if alone || !self.reader => now + takeover_delay(draw),
+                true => now + BATCH_PAUSE,
                 false => now,
             };
         }
@@ -299,7 +299,7 @@
         self.failures += 1;
         self.due = match self.reader {
             true => now + RETRY_PAUSE,
-            false => now + patience(draw),
+            false => now + takeover_delay(draw),
         };
     }
 
@@ -310,7 +310,7 @@
     /// rejects single hosts.
     pub fn neighbour_read_failed(&mut self, draw: f64, now: Moment) {
         if self.failures > 0 && !self.reader {
-            self.due = now + patience(draw);
+            self.due = now + takeover_delay(draw);
         }
     }
 
@@ -320,9 +320,11 @@
     /// Defers this host's read: if it read the store before the message is complete, so
     /// would all others.
     pub fn fragment_received(&mut self, draw: f64, now: Moment) {
-        let since = *self.coming.get_or_insert(now);
-        if !self.reader && now.since(since) < REST_LIMIT {
-            self.due = self.due.max(now + REST + SPREAD.mul_f64(draw));
+        let since = *self.fragments_since.get_or_insert(now);
+        if !self.reader && now.since(since) < FRAGMENT_WAIT_LIMIT {
+            self.due = self
+                .due
+                .max(now + FRAGMENT_WAIT + READ_JITTER.mul_f64(draw));
         }
     }
 
@@ -337,28 +339,29 @@
     /// them.
     pub fn neighbour_read_started(&mut self, draw: f64, now: Moment) {
         if self.next.is_none() {
-            self.leave_start(draw, now);
+            self.defer_full_read(draw, now);
             return;
         }
-        let doubled = READ_HOLD * 2u32.saturating_pow(self.reads_heard / READS_DOUBLING);
-        self.reads_heard = self.reads_heard.saturating_add(1);
-        if !self.reader && !self.missing {
-            let hold = doubled.min(READ_HOLD_LIMIT).mul_f64(1.0 + draw);
-            self.due = self.due.max(now + hold);
+        let doubled =
+            READ_DEFERRAL * 2u32.saturating_pow(self.neighbour_reads / READS_PER_DOUBLING);
+        self.neighbour_reads = self.neighbour_reads.saturating_add(1);
+        if !self.reader && !self.has_gap {
+            let deferral = doubled.min(READ_DEFERRAL_LIMIT).mul_f64(1.0 + draw);
+            self.due = self.due.max(now + deferral);
         }
     }
 
     /// Defers the first read of the whole topic in favour of a neighbour's.
-    fn leave_start(&mut self, draw: f64, now: Moment) {
-        let started = self.heard;
-        if !self.asking && self.failures == 0 && now.since(started) < START_HOLD_LIMIT {
-            self.due = self.due.max(now + START_HOLD.mul_f64(1.0 + draw));
+    fn defer_full_read(&mut self, draw: f64, now: Moment) {
+        let started = self.updated_at;
+        if !self.reading && self.failures == 0 && now.since(started) < FULL_READ_DEFERRAL_LIMIT {
+            self.due = self.due.max(now + FULL_READ_DEFERRAL.mul_f64(1.0 + draw));
         }
     }
 
     /// Returns whether this data centre has received no update for a while.
     pub fn is_stale(&self, now: Moment) -> bool {
-        now.since(self.heard) > RETELL_AFTER
+        now.since(self.updated_at) > STALE_AFTER
     }
 
     /// Records that the store has records of which this data centre gets no copy.
@@ -367,20 +370,20 @@
     /// sends them to its neighbours.
     pub fn mark_lagging(&mut self, now: Moment) {
         self.due = self.due.min(now);
-        self.missing = !self.reader;
-        self.lags = true;
+        self.has_gap = !self.reader;
+        self.lagging = true;
     }
 
     /// Returns whether this host reads for its data centre what was read elsewhere.
     pub fn is_lagging(&self) -> bool {
-        self.lags
+        self.lagging
     }
 
-    fn hear(&mut self, now: Moment) {
-        self.coming = None;
-        self.heard = now;
-        self.lags = false;
-        self.reads_heard = 0;
+    fn note_update(&mut self, now: Moment) {
+        self.fragments_since = None;
+        self.updated_at = now;
+        self.lagging = false;
+        self.neighbour_reads = 0;
     }
 
     /// Records that the store no longer has the record at this host's offset.
@@ -410,8 +413,8 @@
             // Due soon, in case no neighbour sends the records again, with a random delay
             // so that hosts that missed the same records don't all read at once.
             _ => {
-                self.due = self.due.min(now + RESEND + SPREAD.mul_f64(draw));
-                self.missing = !self.reader;
+                self.due = self.due.min(now + RESEND_WAIT + READ_JITTER.mul_f64(draw));
+                self.has_gap = !self.reader;
                 return UpdateOutcome::Gap;
             }
         };
@@ -419,14 +422,14 @@
             return UpdateOutcome::Known;
         }
         let recovered = std::mem::take(&mut self.failures) > 0;
-        if yields || recovered || !(self.reader || self.asking) {
+        if yields || recovered || !(self.reader || self.reading) {
             self.reader = false;
-            self.asking = false;
-            self.due = now + patience(draw);
+            self.reading = false;
+            self.due = now + takeover_delay(draw);
         }
-        self.hear(now);
+        self.note_update(now);
         self.next = Some(next);
-        self.missing = false;
+        self.has_gap = false;
         match next > known || recovered {
             true => UpdateOutcome::Apply {
                 skip: known - from,
@@ -441,9 +444,9 @@
 /// of them performs for all after a restart.
 pub fn restart_jitter(neighbours: usize) -> Duration {
     let steps = u32::try_from(neighbours).unwrap_or(u32::MAX);
-    START_STEP.saturating_mul(steps).min(FIRST_SPREAD)
+    RESTART_STEP.saturating_mul(steps).min(SITE_START_JITTER)
 }
 
-fn patience(draw: f64) -> Duration {
-    PATIENCE + SPREAD.mul_f64(draw)
+fn takeover_delay(draw: f64) -> Duration {
+    TAKEOVER_DELAY + READ_JITTER.mul_f64(draw)
 }
--- a/components/coordination/src/relay.rs
+++ b/components/coordination/src/relay.rs
@@ -10,18 +10,22 @@
 /// store.
 const FAN_OUT: usize = 6;
 
-/// Returns the hosts to which `me` forwards what `reader` has read.
+/// Returns the hosts to which `me` forwards what `relay_root` has read.
 ///
 /// All hosts, sorted by address and beginning with the reader, form a tree. Each host
 /// computes the tree from the neighbours it knows; where two hosts know different ones,
 /// some host receives an update twice or not at all, which costs a read of the store and
 /// nothing else.
-pub fn next_hops(me: SocketAddr, reader: SocketAddr, neighbours: &[SocketAddr]) -> Vec<SocketAddr> {
+pub fn next_hops(
+    me: SocketAddr,
+    relay_root: SocketAddr,
+    neighbours: &[SocketAddr],
+) -> Vec<SocketAddr> {
     let mut hosts: Vec<SocketAddr> = neighbours.to_vec();
-    hosts.extend([me, reader]);
+    hosts.extend([me, relay_root]);
     hosts.sort();
     hosts.dedup();
-    let first = hosts.partition_point(|h| *h < reader);
+    let first = hosts.partition_point(|h| *h < relay_root);
     hosts.rotate_left(first);
     let Some(at) = hosts.iter().position(|h| *h == me) else {
         return Vec::new();
@@ -37,24 +41,24 @@
 /// would never learn of each other and would all go on reading.
 #[derive(Clone, Debug, Default)]
 pub struct Forwarded {
-    readers: BTreeMap<SocketAddr, u64>,
+    offsets: BTreeMap<SocketAddr, u64>,
 }
 
 impl Forwarded {
-    /// Returns whether what `reader` read up to `next` has yet to be forwarded, and marks
+    /// Returns whether what `relay_root` read up to `next` has yet to be forwarded, and marks
     /// it as forwarded.
     ///
     /// Each update is forwarded once, so that none circulates where hosts know different
     /// neighbours.
-    pub fn mark(&mut self, reader: SocketAddr, next: u64) -> bool {
-        let last = self.readers.entry(reader).or_default();
-        let further = next > *last;
+    pub fn mark(&mut self, relay_root: SocketAddr, next: u64) -> bool {
+        let last = self.offsets.entry(relay_root).or_default();
+        let is_new = next > *last;
         *last = next.max(*last);
-        further
+        is_new
     }
 
     /// Removes the readers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(SocketAddr) -> bool) {
-        self.readers.retain(|reader, _| keep(*reader));
+        self.offsets.retain(|relay_root, _| keep(*relay_root));
     }
 }
--- a/components/coordination/tests/config_fold.rs
+++ b/components/coordination/tests/config_fold.rs
@@ -47,7 +47,7 @@
 }
 
 /// Folds one more command, based on `revision`, of an author that has read the whole log.
-fn give(fold: &mut Fold, revision: u64, change: Change) -> Answer {
+fn submit(fold: &mut Fold, revision: u64, change: Change) -> Answer {
     let offset = fold.position().next;
     let command = Command {
         id: CommandId::new(offset, offset),
@@ -63,10 +63,10 @@
 fn started() -> Fold {
     let mut fold = Fold::default();
     for text in [ORDINARY, PEAK, MAINTENANCE] {
-        give(&mut fold, 0, put(text));
+        submit(&mut fold, 0, put(text));
     }
     assert_eq!(
-        give(&mut fold, 3, choose("ordinary")),
+        submit(&mut fold, 3, choose("ordinary")),
         Answer::Accepted { revision: 4 }
     );
     fold
@@ -83,16 +83,16 @@
 fn racing_choices() {
     let mut fold = started();
     assert_eq!(
-        give(&mut fold, 4, choose("peak")),
+        submit(&mut fold, 4, choose("peak")),
         Answer::Accepted { revision: 5 }
     );
     assert_eq!(
-        give(&mut fold, 4, choose("maintenance")),
+        submit(&mut fold, 4, choose("maintenance")),
         conflict(Subject::Choice, 5)
     );
     assert_eq!(fold.config().preset().unwrap().name, "peak");
     let text = "was changed first, at revision 5: look again";
-    let Answer::Refused { refusal } = give(&mut fold, 4, choose("maintenance")) else {
+    let Answer::Refused { refusal } = submit(&mut fold, 4, choose("maintenance")) else {
         panic!("accepted")
     };
     assert!(refusal.to_string().contains(text), "{refusal}");
@@ -103,10 +103,10 @@
 #[test]
 fn unrelated_changes() {
     let mut fold = started();
-    give(&mut fold, 4, join("trent-1", 1));
-    give(&mut fold, 4, leave("soar"));
+    submit(&mut fold, 4, join("trent-1", 1));
+    submit(&mut fold, 4, leave("soar"));
     assert_eq!(
-        give(&mut fold, 4, choose("peak")),
+        submit(&mut fold, 4, choose("peak")),
         Answer::Accepted { revision: 7 }
     );
     assert!(fold.config().leaving_centres.contains("soar"));
@@ -115,32 +115,32 @@
 // One operator edits an idle preset while another puts it into force. Without a conflict
 // the edit would affect callers at once, which neither operator decided.
 #[test]
-fn edit_meets_choice() {
+fn edit_conflicts_with_choice() {
     let edited = PEAK.replace("queue = 800", "queue = 801");
     let mut fold = started();
-    give(&mut fold, 4, choose("peak"));
+    submit(&mut fold, 4, choose("peak"));
     assert_eq!(
-        give(&mut fold, 4, put(&edited)),
+        submit(&mut fold, 4, put(&edited)),
         conflict(Subject::Choice, 5)
     );
     let mut fold = started();
-    give(&mut fold, 4, put(&edited));
+    submit(&mut fold, 4, put(&edited));
     assert_eq!(
-        give(&mut fold, 4, choose("peak")),
+        submit(&mut fold, 4, choose("peak")),
         conflict(Subject::Preset("peak".to_owned()), 5)
     );
 }
 
 #[test]
-fn same_wish() {
+fn repeated_choice() {
     let mut fold = started();
-    give(&mut fold, 4, choose("peak"));
+    submit(&mut fold, 4, choose("peak"));
     assert_eq!(
-        give(&mut fold, 4, choose("peak")),
+        submit(&mut fold, 4, choose("peak")),
         Answer::Accepted { revision: 5 }
     );
     assert_eq!(
-        give(&mut fold, 4, put(PEAK)),
+        submit(&mut fold, 4, put(PEAK)),
         Answer::Accepted { revision: 2 }
     );
     assert_eq!(fold.position().revision, 5);
@@ -157,18 +157,21 @@
         name: "127.1.1.1".to_owned(),
     };
     assert_eq!(
-        give(&mut fold, 4, choose("summer")),
+        submit(&mut fold, 4, choose("summer")),
         unknown(Refusal::UnknownPreset("summer".to_owned()))
     );
     assert_eq!(
-        give(&mut fold, 4, leave("sour")),
+        submit(&mut fold, 4, leave("sour")),
         unknown(Refusal::UnknownCentre("sour".to_owned()))
     );
     assert_eq!(
-        give(&mut fold, 4, host),
+        submit(&mut fold, 4, host),
         unknown(Refusal::UnknownHost("127.1.9.9".to_owned()))
     );
-    assert_eq!(give(&mut fold, 4, known), Answer::Accepted { revision: 5 });
+    assert_eq!(
+        submit(&mut fold, 4, known),
+        Answer::Accepted { revision: 5 }
+    );
     let endpoint = "127.1.1.1:7102".parse().unwrap();
     assert!(fold.config().is_leaving("trent", endpoint));
 }
@@ -179,20 +182,23 @@
 #[test]
 fn late_membership() {
     let mut fold = started();
-    give(&mut fold, 4, join("trent-1", 1));
-    give(&mut fold, 5, join("trent-1", 2));
+    submit(&mut fold, 4, join("trent-1", 1));
+    submit(&mut fold, 5, join("trent-1", 2));
     assert_eq!(
-        give(&mut fold, 6, remove("trent-1", 1)),
+        submit(&mut fold, 6, remove("trent-1", 1)),
         Answer::Refused {
             refusal: Refusal::UnknownMember
         }
     );
     assert_eq!(
-        give(&mut fold, 6, remove("trent-1", 2)),
+        submit(&mut fold, 6, remove("trent-1", 2)),
         Answer::Accepted { revision: 7 }
     );
     let member = Subject::Member(HostKey::named("trent-1"));
-    assert_eq!(give(&mut fold, 5, join("trent-1", 2)), conflict(member, 7));
+    assert_eq!(
+        submit(&mut fold, 5, join("trent-1", 2)),
+        conflict(member, 7)
+    );
     assert!(fold.config().members.is_empty());
 }
 
@@ -216,11 +222,11 @@
         repeat(&mut fold),
         Applied::Decided(command.id, answer.clone())
     );
-    give(&mut fold, 5, choose("ordinary"));
+    submit(&mut fold, 5, choose("ordinary"));
     assert_eq!(repeat(&mut fold), Applied::Repeated(command.id, answer));
     for n in 0..=KEPT_COMMANDS as u64 {
         let revision = fold.position().revision;
-        give(&mut fold, revision, join("trent-1", n));
+        submit(&mut fold, revision, join("trent-1", n));
     }
     let refusal = Refusal::TooOld;
     assert_eq!(
@@ -237,12 +243,12 @@
 // host keeps its state until a snapshot covers the trimmed records, reads on from there,
 // and ends in the same state as the others.
 #[test]
-fn records_gone() {
+fn records_trimmed() {
     let mut fold = started();
     let mut paused = fold.clone();
-    give(&mut fold, 4, choose("peak"));
+    submit(&mut fold, 4, choose("peak"));
     let stale = fold.snapshot().unwrap();
-    give(&mut fold, 5, leave("soar"));
+    submit(&mut fold, 5, leave("soar"));
     let snapshot = fold.snapshot().unwrap();
     let missed = Command {
         id: CommandId::new(6, 1),
@@ -277,12 +283,12 @@
 fn newer_record() {
     let mut fold = started();
     let mut updated = fold.clone();
-    give(&mut updated, 4, choose("peak"));
+    submit(&mut updated, 4, choose("peak"));
     let step = fold.apply(4, Err(Unreadable::Newer(2)));
     assert_eq!(step, Applied::Skipped(Unreadable::Newer(2)));
     assert_eq!((fold.skipped_newer(), fold.snapshot()), (Some(4), None));
-    give(&mut fold, 4, leave("soar"));
-    give(&mut updated, 4, leave("soar"));
+    submit(&mut fold, 4, leave("soar"));
+    submit(&mut updated, 4, leave("soar"));
     let snapshot = updated.snapshot().unwrap();
     fold.apply(6, Ok(Record::Snapshot(Box::new(snapshot))));
     assert_eq!(fold.config(), updated.config());
@@ -293,7 +299,7 @@
 // resets the configuration. A host that was merely paused reads the same record: it ends
 // in the same state as new hosts, and no revision decreases.
 #[test]
-fn begun_anew() {
+fn reset_after_outage() {
     let mut paused = started();
     let mut new = Fold::default();
     new.log_trimmed(60);
@@ -308,7 +314,7 @@
     };
     assert_eq!(new.apply(61, begin()), Applied::Replaced(mark));
     for n in 4..61 {
-        give(&mut paused, 4, join("trent-1", n));
+        submit(&mut paused, 4, join("trent-1", n));
     }
     let late = Command {
         id: CommandId::new(60, 1),
@@ -322,7 +328,7 @@
             fold.apply(63, Ok(Record::Begin("name = 3".to_owned()))),
             Applied::Ignored
         );
-        give(fold, 62, leave("trent"));
+        submit(fold, 62, leave("trent"));
     }
     assert_eq!(paused.config(), new.config());
     assert_eq!(new.config().preset().unwrap().name, "peak");
@@ -334,10 +340,10 @@
 }
 
 #[test]
-fn older_word() {
+fn older_snapshot() {
     let mut fold = started();
     let old = fold.snapshot().unwrap();
-    give(&mut fold, 4, choose("peak"));
+    submit(&mut fold, 4, choose("peak"));
     assert!(!is_newer(fold.position(), old.position()));
     assert!(!fold.take_snapshot(old.clone()));
     let mut other = Fold::default();
@@ -349,7 +355,7 @@
 /// One record of a generated history.
 #[derive(Clone, Debug)]
 enum Event {
-    Give { change: Change, behind: u64 },
+    Submit { change: Change, behind: u64 },
     Repeat { back: usize },
     Snapshot { back: usize },
     Damaged,
@@ -372,7 +378,7 @@
         (host, 0..3_u64).prop_map(|(name, n)| remove(name, n)),
     ];
     prop_oneof![
-        8 => (change, 0..3_u64).prop_map(|(change, behind)| Event::Give { change, behind }),
+        8 => (change, 0..3_u64).prop_map(|(change, behind)| Event::Submit { change, behind }),
         2 => (0..8_usize).prop_map(|back| Event::Repeat { back }),
         1 => (0..8_usize).prop_map(|back| Event::Snapshot { back }),
         1 => Just(Event::Damaged),
@@ -381,14 +387,14 @@
 }
 
 /// Returns a history as the log would hold it, with the state before each record.
-fn written(events: &[Event]) -> (Vec<Result<Record, Unreadable>>, Vec<Fold>) {
+fn history(events: &[Event]) -> (Vec<Result<Record, Unreadable>>, Vec<Fold>) {
     let mut folds = vec![Fold::default()];
     let mut records: Vec<Result<Record, Unreadable>> = Vec::new();
     for (offset, event) in (0_u64..).zip(events) {
         let mut fold = folds.last().cloned().unwrap_or_default();
         let earlier = |back: usize| records.len().checked_sub(1 + back);
         let record = match event {
-            Event::Give { change, behind } => Ok(Record::Command(Command {
+            Event::Submit { change, behind } => Ok(Record::Command(Command {
                 id: CommandId::new(offset.saturating_sub(*behind), offset),
                 decided_on: fold.position().revision.saturating_sub(*behind),
                 change: change.clone(),
@@ -419,7 +425,7 @@
     /// the repeated command is refused as too old.
     #[test]
     fn sound_steps(events in prop::collection::vec(event(), 1..60)) {
-        let (records, folds) = written(&events);
+        let (records, folds) = history(&events);
         for (pair, record) in folds.windows(2).zip(&records) {
             let (before, after) = (pair[0].config(), pair[1].config());
             let grown = after.revision - before.revision;
@@ -428,14 +434,14 @@
             prop_assert_eq!(grown == 0, before == after);
             prop_assert!(before.chosen.is_none() || after.preset().is_some());
         }
-        let begun = records.iter().any(|r| matches!(r, Ok(Record::Begin(_))));
+        let reset = records.iter().any(|r| matches!(r, Ok(Record::Begin(_))));
         let too_old = Answer::Refused { refusal: Refusal::TooOld };
         let end = folds.last().unwrap().snapshot().unwrap();
         for recent in &end.recent {
             for fold in &folds {
                 let answer = fold.answer(recent.id);
-                let forgotten = begun && recent.answer == too_old;
-                prop_assert!(answer.is_none() || answer == Some(&recent.answer) || forgotten);
+                let dropped = reset && recent.answer == too_old;
+                prop_assert!(answer.is_none() || answer == Some(&recent.answer) || dropped);
             }
         }
     }
@@ -448,12 +454,12 @@
         events in prop::collection::vec(event(), 1..60),
         pause in 0..60_usize,
         gap in 0..60_usize,
-        word in 0..60_usize,
+        peer_snapshot in 0..60_usize,
     ) {
-        let (mut records, folds) = written(&events);
+        let (mut records, folds) = history(&events);
         let end = folds.last().unwrap();
         let at = |n: usize| n.min(records.len());
-        let (pause, word) = (at(pause), at(word));
+        let (pause, peer_snapshot) = (at(pause), at(peer_snapshot));
         let first = at(pause + gap);
         records.push(Ok(Record::Snapshot(Box::new(end.snapshot().unwrap()))));
         let mut host = folds[pause].clone();
@@ -463,8 +469,8 @@
         while host.read_offset() < records.len() as u64 {
             let offset = host.read_offset();
             host.apply(offset, records[offset as usize].clone());
-            if offset as usize == word {
-                host.take_snapshot(folds[word].snapshot().unwrap());
+            if offset as usize == peer_snapshot {
+                host.take_snapshot(folds[peer_snapshot].snapshot().unwrap());
             }
             prop_assert!(host.position().revision >= shown);
             shown = host.position().revision;
@@ -487,27 +493,27 @@
         incarnation,
     };
     assert!(matches!(
-        give(&mut fold, 4, drain(1)),
+        submit(&mut fold, 4, drain(1)),
         Answer::Refused { .. }
     ));
-    give(&mut fold, 4, join("north", 1));
+    submit(&mut fold, 4, join("north", 1));
     assert!(matches!(
-        give(&mut fold, 5, drain(2)),
+        submit(&mut fold, 5, drain(2)),
         Answer::Refused { .. }
     ));
     assert_eq!(
-        give(&mut fold, 5, drain(1)),
+        submit(&mut fold, 5, drain(1)),
         Answer::Accepted { revision: 6 }
     );
     assert!(fold.config().draining.contains(&north));
     assert_eq!(
-        give(&mut fold, 6, drain(1)),
+        submit(&mut fold, 6, drain(1)),
         Answer::Accepted { revision: 6 }
     );
-    give(&mut fold, 6, remove("north", 1));
+    submit(&mut fold, 6, remove("north", 1));
     assert!(fold.config().draining.is_empty());
-    give(&mut fold, 7, join("north", 3));
-    give(&mut fold, 8, drain(3));
-    give(&mut fold, 9, join("north", 4));
+    submit(&mut fold, 7, join("north", 3));
+    submit(&mut fold, 8, drain(3));
+    submit(&mut fold, 9, join("north", 4));
     assert!(fold.config().draining.is_empty());
 }
--- a/components/coordination/tests/cross_centre_reads.rs
+++ b/components/coordination/tests/cross_centre_reads.rs
@@ -10,16 +10,16 @@
 use state::Moment;
 
 /// The time within which every record must be known to all hosts.
-const BOUND: Duration = Duration::from_millis(2_000);
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How long the store takes to answer.
-const ANSWER: Duration = Duration::from_millis(4);
+const ANSWER_TIME: Duration = Duration::from_millis(4);
 
 /// How long a host waits for an answer of an unresponsive store.
-const SILENCE: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long after the first host of another data centre the second one is sent an update.
-const SECOND_AFTER: Duration = Duration::from_millis(50);
+const SECOND_HOST_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Store {
@@ -28,16 +28,16 @@
 }
 
 struct Host {
-    feed: ReadSchedule,
+    schedule: ReadSchedule,
     /// When the current read ends.
     reading: Option<Moment>,
     alive: bool,
     /// When the host last knew all records.
-    fresh: Moment,
+    fresh_at: Moment,
 }
 
 /// An update on its way to a host of another data centre.
-struct Abroad {
+struct CrossCentreUpdate {
     at: Moment,
     to: usize,
     reader: usize,
@@ -51,8 +51,8 @@
     centre: usize,
     store: Store,
     /// A data centre without connection to the others.
-    cut: Option<usize>,
-    way: Vec<Abroad>,
+    cut_off: Option<usize>,
+    in_flight: Vec<CrossCentreUpdate>,
     random: StdRng,
     loss: f64,
     end: u64,
@@ -62,17 +62,17 @@
 impl Site {
     fn new(centres: usize, centre: usize, seed: u64, loss: f64) -> Site {
         let host = || Host {
-            feed: ReadSchedule::new(Moment(0)),
+            schedule: ReadSchedule::new(Moment(0)),
             reading: None,
             alive: true,
-            fresh: Moment(0),
+            fresh_at: Moment(0),
         };
         Site {
             hosts: (0..centres * centre).map(|_| host()).collect(),
             centre,
             store: Store::Answers,
-            cut: None,
-            way: Vec::new(),
+            cut_off: None,
+            in_flight: Vec::new(),
             random: StdRng::seed_from_u64(seed),
             loss,
             end: 1,
@@ -97,9 +97,9 @@
 
     /// Simulates one millisecond.
     fn step(&mut self, now: Moment) {
-        let due: Vec<Abroad> = self.way.extract_if(.., |a| a.at <= now).collect();
-        for abroad in due {
-            self.hear_abroad(&abroad, now);
+        let due: Vec<CrossCentreUpdate> = self.in_flight.extract_if(.., |a| a.at <= now).collect();
+        for update in due {
+            self.receive_cross_centre(&update, now);
         }
         for at in 0..self.hosts.len() {
             if self.hosts[at].alive {
@@ -111,24 +111,24 @@
     fn step_host(&mut self, at: usize, now: Moment) {
         let host = &mut self.hosts[at];
         match host.reading {
-            None if host.feed.due() <= now => {
-                let reader = host.feed.is_reader();
-                host.feed.begin_read();
-                let wait = host.feed.read_wait(now);
+            None if host.schedule.due() <= now => {
+                let reader = host.schedule.is_reader();
+                host.schedule.begin_read();
+                let wait = host.schedule.read_wait(now);
                 let answer = if self.store == Store::Silent {
-                    SILENCE
+                    STORE_TIMEOUT
                 } else {
-                    ANSWER
+                    ANSWER_TIME
                 };
                 host.reading = Some(now + wait + answer);
                 self.reads += 1;
                 if !reader {
-                    self.tell_reading(at, now);
+                    self.announce_read(at, now);
                 }
             }
             Some(ends) => {
                 let answers = self.store == Store::Answers;
-                let woken = answers && host.feed.next().is_some_and(|n| n < self.end);
+                let woken = answers && host.schedule.next().is_some_and(|n| n < self.end);
                 if ends <= now || woken {
                     host.reading = None;
                     self.finish(at, now);
@@ -138,11 +138,11 @@
         }
     }
 
-    fn tell_reading(&mut self, at: usize, now: Moment) {
+    fn announce_read(&mut self, at: usize, now: Moment) {
         for other in self.neighbours(at) {
             if self.arrives(other) {
                 let draw = self.random.random();
-                self.hosts[other].feed.neighbour_read_started(draw, now);
+                self.hosts[other].schedule.neighbour_read_started(draw, now);
             }
         }
     }
@@ -150,52 +150,59 @@
     fn finish(&mut self, at: usize, now: Moment) {
         let draw = self.random.random();
         if self.store == Store::Silent {
-            self.hosts[at].feed.read_failed(draw, now);
+            self.hosts[at].schedule.read_failed(draw, now);
             for other in self.neighbours(at) {
                 if self.arrives(other) {
                     let draw = self.random.random();
-                    self.hosts[other].feed.neighbour_read_failed(draw, now);
+                    self.hosts[other].schedule.neighbour_read_failed(draw, now);
                 }
             }
             return;
         }
         let host = &mut self.hosts[at];
-        host.fresh = now;
-        let Some(from) = host.feed.next() else {
-            host.feed.full_read_finished(self.end, draw, now);
-            self.hand_over(at, now);
+        host.fresh_at = now;
+        let Some(from) = host.schedule.next() else {
+            host.schedule.full_read_finished(self.end, draw, now);
+            self.send_snapshots(at, now);
             return;
         };
-        host.feed.read_finished(self.end, false, draw, now);
+        host.schedule.read_finished(self.end, false, draw, now);
         let next = self.end;
-        if host.feed.is_reader() {
-            self.tell_abroad(at, from, now);
+        if host.schedule.is_reader() {
+            self.send_cross_centre(at, from, now);
         }
-        self.tell_centre(at, at, from, next, now);
+        self.send_to_centre(at, at, from, next, now);
     }
 
     /// Sends a snapshot to the neighbours without records.
-    fn hand_over(&mut self, at: usize, now: Moment) {
+    fn send_snapshots(&mut self, at: usize, now: Moment) {
         for other in self.neighbours(at) {
-            if self.hosts[other].feed.next().is_none() && self.arrives(other) {
+            if self.hosts[other].schedule.next().is_none() && self.arrives(other) {
                 let draw = self.random.random();
                 self.hosts[other]
-                    .feed
+                    .schedule
                     .snapshot_received(self.end, draw, now);
-                self.hosts[other].fresh = now;
+                self.hosts[other].fresh_at = now;
             }
         }
     }
 
-    fn tell_centre(&mut self, teller: usize, reader: usize, from: u64, next: u64, now: Moment) {
-        for other in self.neighbours(teller) {
+    fn send_to_centre(
+        &mut self,
+        relay_root: usize,
+        reader: usize,
+        from: u64,
+        next: u64,
+        now: Moment,
+    ) {
+        for other in self.neighbours(relay_root) {
             if self.arrives(other) {
-                self.hear(other, reader, from, next, now);
+                self.receive(other, reader, from, next, now);
             }
         }
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         at: usize,
         reader: usize,
@@ -204,23 +211,23 @@
         now: Moment,
     ) -> UpdateOutcome {
         let draw = self.random.random();
-        let told = self.hosts[at]
-            .feed
+        let outcome = self.hosts[at]
+            .schedule
             .update_received(from, next, reader < at, draw, now);
-        if told != UpdateOutcome::Gap && next == self.end {
-            self.hosts[at].fresh = now;
+        if outcome != UpdateOutcome::Gap && next == self.end {
+            self.hosts[at].fresh_at = now;
         }
-        told
+        outcome
     }
 
     /// Sends an update to the first hosts of each other data centre, whether they run or
     /// not.
-    fn tell_abroad(&mut self, reader: usize, from: u64, now: Moment) {
+    fn send_cross_centre(&mut self, reader: usize, from: u64, now: Moment) {
         let mine = self.centre_of(reader);
         for centre in (0..self.hosts.len() / self.centre).filter(|c| *c != mine) {
             for place in 0..REMOTE_TARGETS.min(self.centre) {
-                self.way.push(Abroad {
-                    at: now + SECOND_AFTER * place as u32,
+                self.in_flight.push(CrossCentreUpdate {
+                    at: now + SECOND_HOST_DELAY * place as u32,
                     to: centre * self.centre + place,
                     reader,
                     from,
@@ -230,34 +237,37 @@
         }
     }
 
-    fn hear_abroad(&mut self, abroad: &Abroad, now: Moment) {
-        let ends = [self.centre_of(abroad.reader), self.centre_of(abroad.to)];
-        let cut = self.cut.is_some_and(|c| ends.contains(&c));
-        if cut || !self.arrives(abroad.to) {
+    fn receive_cross_centre(&mut self, update: &CrossCentreUpdate, now: Moment) {
+        let ends = [self.centre_of(update.reader), self.centre_of(update.to)];
+        let cut_off = self.cut_off.is_some_and(|c| ends.contains(&c));
+        if cut_off || !self.arrives(update.to) {
             return;
         }
-        let feed = &mut self.hosts[abroad.to].feed;
-        match feed.next() {
+        let schedule = &mut self.hosts[update.to].schedule;
+        match schedule.next() {
             None => return,
-            Some(next) if abroad.from > next => return feed.mark_lagging(now),
+            Some(next) if update.from > next => return schedule.mark_lagging(now),
             Some(_) => {}
         }
-        let stale = feed.is_stale(now);
-        let told = self.hear(abroad.to, abroad.reader, abroad.from, abroad.next, now);
-        if stale || matches!(told, UpdateOutcome::Apply { .. }) {
-            self.tell_centre(abroad.to, abroad.reader, abroad.from, abroad.next, now);
+        let stale = schedule.is_stale(now);
+        let outcome = self.receive(update.to, update.reader, update.from, update.next, now);
+        if stale || matches!(outcome, UpdateOutcome::Apply { .. }) {
+            self.send_to_centre(update.to, update.reader, update.from, update.next, now);
         }
     }
 
     fn staleness(&self, now: Moment) -> Duration {
         let alive = self.hosts.iter().filter(|h| h.alive);
-        alive.map(|h| now.since(h.fresh)).max().unwrap_or_default()
+        alive
+            .map(|h| now.since(h.fresh_at))
+            .max()
+            .unwrap_or_default()
     }
 
     fn reader(&self) -> Option<usize> {
         self.hosts
             .iter()
-            .position(|h| h.alive && h.feed.is_reader())
+            .position(|h| h.alive && h.schedule.is_reader())
     }
 }
 
@@ -294,22 +304,25 @@
                         site.hosts[reader].alive = false;
                     }
                     1 => site.hosts[5].alive = false,
-                    _ => site.cut = Some(2),
+                    _ => site.cut_off = Some(2),
                 }
             }
             if millis % 5_000 == 4_900 {
-                site.cut = None;
+                site.cut_off = None;
                 for host in site.hosts.iter_mut().filter(|h| !h.alive) {
-                    host.feed = ReadSchedule::new(now);
+                    host.schedule = ReadSchedule::new(now);
                     host.reading = None;
                     host.alive = true;
-                    host.fresh = now;
+                    host.fresh_at = now;
                 }
             }
             site.end += u64::from(millis % 700 == 0);
             site.step(now);
             let behind = site.staleness(now);
-            assert!(behind < BOUND, "seed {seed} at {millis}: {behind:?}");
+            assert!(
+                behind < UPDATE_TIMEOUT,
+                "seed {seed} at {millis}: {behind:?}"
+            );
         }
     }
 }
@@ -338,7 +351,7 @@
     let behind = site
         .hosts
         .iter()
-        .filter(|h| h.feed.next() != Some(site.end));
+        .filter(|h| h.schedule.next() != Some(site.end));
     assert_eq!(
         behind.count(),
         0,
@@ -350,18 +363,21 @@
 /// every second. If the host deferred its own read each time, it would stay behind for
 /// ever.
 #[test]
-fn behind_alone() {
+fn gap_not_deferred() {
     let mut now = Moment::from_millis(10_000);
-    let mut feed = ReadSchedule::new(now);
-    feed.full_read_finished(27, 0.5, now);
+    let mut schedule = ReadSchedule::new(now);
+    schedule.full_read_finished(27, 0.5, now);
     assert_eq!(
-        feed.update_received(990, 991, true, 0.5, now),
+        schedule.update_received(990, 991, true, 0.5, now),
         UpdateOutcome::Gap
     );
     let first = now;
-    while feed.due() > now {
-        feed.neighbour_read_started(1.0, now);
+    while schedule.due() > now {
+        schedule.neighbour_read_started(1.0, now);
         now = now + Duration::from_millis(50);
-        assert!(now.since(first) < BOUND, "the read is deferred for ever");
+        assert!(
+            now.since(first) < UPDATE_TIMEOUT,
+            "the read is deferred for ever"
+        );
     }
 }
--- a/components/coordination/tests/group_joins.rs
+++ b/components/coordination/tests/group_joins.rs
@@ -15,7 +15,7 @@
     generation: u64,
     /// The generation that each member sent with its last join.
     members: BTreeMap<usize, u64>,
-    held: BTreeMap<usize, usize>,
+    assigned: BTreeMap<usize, usize>,
 }
 
 impl Group {
@@ -24,17 +24,17 @@
             self.generation += 1;
         }
         self.members.insert(member, generation);
-        let held = self.held.get(&member).copied().unwrap_or_default();
+        let assigned = self.assigned.get(&member).copied().unwrap_or_default();
         let fair = self.fair(member);
         // Partitions missing from the answer are released by the next join.
-        let listed = held.min(fair);
+        let listed = assigned.min(fair);
         if generation == self.generation {
-            self.held.insert(member, listed);
+            self.assigned.insert(member, listed);
         }
-        let free = PARTITIONS - self.held.values().sum::<usize>();
+        let free = PARTITIONS - self.assigned.values().sum::<usize>();
         let more = free.min(fair - listed);
         if more > 0 {
-            self.held.insert(member, listed + more);
+            self.assigned.insert(member, listed + more);
         }
         (self.generation, listed + more)
     }
@@ -48,17 +48,17 @@
 
 /// Simulates hosts that all start within 300 ms; returns the partitions of each host and
 /// the number of joins.
-fn play(hosts: usize, seconds: u64) -> (Vec<usize>, usize) {
-    let starts = (0..hosts).map(|n| Moment::from_millis((n * 300 / hosts) as u64));
-    play_from(starts.collect(), seconds)
+fn simulate(hosts: usize, seconds: u64) -> (Vec<usize>, usize) {
+    let start_times = (0..hosts).map(|n| Moment::from_millis((n * 300 / hosts) as u64));
+    simulate_from(start_times.collect(), seconds)
 }
 
 /// Simulates hosts that start at these times.
-fn play_from(mut due: Vec<Moment>, seconds: u64) -> (Vec<usize>, usize) {
+fn simulate_from(mut due: Vec<Moment>, seconds: u64) -> (Vec<usize>, usize) {
     let hosts = due.len();
     let mut group = Group::default();
     let mut joins = vec![GroupJoins::default(); hosts];
-    let mut known = vec![0; hosts];
+    let mut assigned = vec![0; hosts];
     let mut calls = 0;
     for millis in 0..seconds * 1_000 {
         let now = Moment::from_millis(millis);
@@ -67,17 +67,17 @@
                 continue;
             }
             let (generation, partitions) = group.join(host, joins[host].generation());
-            known[host] = partitions;
+            assigned[host] = partitions;
             let pause = joins[host].join_succeeded(generation, partitions);
             due[host] = now + pause.max(Duration::from_millis(4));
             calls += 1;
             assert!(
-                known.iter().sum::<usize>() <= PARTITIONS,
+                assigned.iter().sum::<usize>() <= PARTITIONS,
                 "more partitions than exist are assigned"
             );
         }
     }
-    (known, calls)
+    (assigned, calls)
 }
 
 /// A site starts, and callers arrive eight seconds later. A host without a partition may
@@ -86,16 +86,16 @@
 #[test]
 fn partitions_in_time() {
     for hosts in [13, 94, 472] {
-        let (known, _) = play(hosts, 8);
-        let without = known.iter().filter(|n| **n == 0).count();
+        let (assigned, _) = simulate(hosts, 8);
+        let without = assigned.iter().filter(|n| **n == 0).count();
         assert_eq!(without, 0, "of {hosts} hosts");
     }
 }
 
 /// The group doesn't change for a minute; every join is charged.
 #[test]
-fn calm_minute() {
-    let (_, calls) = play(472, 60);
+fn stable_minute() {
+    let (_, calls) = simulate(472, 60);
     assert!(calls <= 472 * 8, "{calls} joins");
 }
 
@@ -106,7 +106,7 @@
 fn hosts_added() {
     let first = (0..370).map(Moment::from_millis);
     let added = (0..100).map(|n| Moment::from_millis(40_000 + n));
-    let starts: Vec<Moment> = first.chain(added).collect();
-    let (known, _) = play_from(starts, 75);
-    assert!(known.iter().all(|n| (1..=2).contains(n)), "{known:?}");
+    let start_times: Vec<Moment> = first.chain(added).collect();
+    let (assigned, _) = simulate_from(start_times, 75);
+    assert!(assigned.iter().all(|n| (1..=2).contains(n)), "{assigned:?}");
 }
--- a/components/coordination/tests/large_messages.rs
+++ b/components/coordination/tests/large_messages.rs
@@ -15,28 +15,28 @@
 use state::Moment;
 
 /// A change of 4,150 routes.
-const SIZE: usize = 288_000;
+const MESSAGE_BYTES: usize = 288_000;
 
 /// How long no fragment has to arrive before missing ones are requested.
-const SILENCE: Duration = Duration::from_millis(100);
+const REQUEST_DELAY: Duration = Duration::from_millis(100);
 
 /// The time left for the fragments, of the two seconds after which a change must be in
 /// force: the reader pauses for 400 ms and reads for 240, and hosts take 170 to decode
 /// the change.
-const BOUND: Duration = Duration::from_millis(1_190);
+const TIME_LIMIT: Duration = Duration::from_millis(1_190);
 
 /// A datagram between hosts.
 #[derive(Clone)]
-enum Sent {
+enum Datagram {
     Fragment(Fragment),
     FragmentRequest(FragmentRequest),
 }
 
 struct Host {
     fragments: Reassembly,
-    outbox: FragmentQueue<()>,
+    queue: FragmentQueue<()>,
     paused_until: Moment,
-    whole_at: Option<Moment>,
+    complete_at: Option<Moment>,
     alive: bool,
     sent: usize,
     received: usize,
@@ -58,14 +58,14 @@
             |n: usize| SocketAddr::from(([10, 1, (n / 200) as u8, (n % 200) as u8], 7540));
         let host = |_| Host {
             fragments: Reassembly::default(),
-            outbox: FragmentQueue::default(),
+            queue: FragmentQueue::default(),
             paused_until: Moment(0),
-            whole_at: None,
+            complete_at: None,
             alive: true,
             sent: 0,
             received: 0,
         };
-        let bytes: Vec<u8> = (0..SIZE).map(|_| random.random()).collect();
+        let bytes: Vec<u8> = (0..MESSAGE_BYTES).map(|_| random.random()).collect();
         Centre {
             hosts: (0..count).map(host).collect(),
             addresses: (0..count).map(address).collect(),
@@ -81,67 +81,68 @@
     }
 
     /// Makes one host send the message to all others, and returns the message's key.
-    fn spread(&mut self, origin: usize, now: Moment) -> MessageKey {
+    fn send_message(&mut self, origin: usize, now: Moment) -> MessageKey {
         let others = self.others(origin);
         let me = self.addresses[origin];
         let fragments = split(me, &self.message, self.hosts.len());
         let host = &mut self.hosts[origin];
         host.fragments.insert_own(&fragments, now);
-        host.whole_at = Some(now);
+        host.complete_at = Some(now);
         for (to, fragment) in assign_relays(me, &fragments, &others) {
-            assert!(host.outbox.push(to, (), fragment));
+            assert!(host.queue.push(to, (), fragment));
         }
         fragments[0].message
     }
 
     /// Simulates one millisecond.
     fn step(&mut self, key: MessageKey, now: Moment) {
-        let mut way: Vec<(usize, usize, Sent)> = Vec::new();
+        let mut in_flight: Vec<(usize, usize, Datagram)> = Vec::new();
         for me in 0..self.hosts.len() {
             let draw = self.random.random_range(0..self.hosts.len());
             let host = &mut self.hosts[me];
             while host.alive && host.paused_until <= now {
-                let Some((to, (), fragment)) = host.outbox.pop() else {
+                let Some((to, (), fragment)) = host.queue.pop() else {
                     break;
                 };
                 host.sent += fragment.bytes.len();
-                way.push((
+                in_flight.push((
                     me,
                     self.addresses.binary_search(&to).expect("a host"),
-                    Sent::Fragment(fragment),
+                    Datagram::Fragment(fragment),
                 ));
-                if let Some(pause) = host.outbox.pause() {
+                if let Some(pause) = host.queue.pause() {
                     host.paused_until = now + pause;
                 }
             }
             if host.alive
-                && let Some((source, lacking)) = host.fragments.next_request(key, SILENCE, now)
+                && let Some((target, request)) =
+                    host.fragments.next_request(key, REQUEST_DELAY, now)
             {
-                let to = match source {
+                let to = match target {
                     RequestTarget::Origin(origin) => {
                         self.addresses.binary_search(&origin).expect("a host")
                     }
                     RequestTarget::Any => draw,
                 };
-                way.push((me, to, Sent::FragmentRequest(lacking)));
+                in_flight.push((me, to, Datagram::FragmentRequest(request)));
             }
         }
-        for (from, to, sent) in way {
+        for (from, to, sent) in in_flight {
             if self.hosts[to].alive && !self.random.random_bool(self.loss) {
-                self.arrive(from, to, &sent, now);
+                self.receive(from, to, &sent, now);
             }
         }
     }
 
-    fn arrive(&mut self, from: usize, me: usize, sent: &Sent, now: Moment) {
+    fn receive(&mut self, from: usize, me: usize, sent: &Datagram, now: Moment) {
         match sent {
-            Sent::Fragment(fragment) => self.take(me, fragment, now),
-            Sent::FragmentRequest(_) if self.hosts[me].outbox.is_busy() => {}
-            Sent::FragmentRequest(lacking) => {
+            Datagram::Fragment(fragment) => self.take(me, fragment, now),
+            Datagram::FragmentRequest(_) if self.hosts[me].queue.is_busy() => {}
+            Datagram::FragmentRequest(request) => {
                 let to = self.addresses[from];
                 let host = &mut self.hosts[me];
-                for fragment in host.fragments.resend(lacking, now) {
-                    host.outbox.push(to, (), fragment);
+                for fragment in host.fragments.resend(request, now) {
+                    host.queue.push(to, (), fragment);
                 }
             }
         }
@@ -157,14 +158,14 @@
             Inserted::New => {}
             Inserted::Complete(message) => {
                 assert_eq!(message, self.message);
-                host.whole_at = Some(now);
+                host.complete_at = Some(now);
             }
         }
         if fragment.relay {
             for to in relay_order(address, fragment.origin, others) {
                 let mut copy = fragment.clone();
                 copy.relay = false;
-                host.outbox.push(to, (), copy);
+                host.queue.push(to, (), copy);
             }
         }
     }
@@ -172,16 +173,23 @@
     /// Simulates until all running hosts have the message; returns how long that took.
     fn run(&mut self, origins: &[usize], limit: Duration) -> Duration {
         let start = Moment::from_millis(1_000);
-        let keys: BTreeSet<MessageKey> = origins.iter().map(|o| self.spread(*o, start)).collect();
+        let keys: BTreeSet<MessageKey> = origins
+            .iter()
+            .map(|o| self.send_message(*o, start))
+            .collect();
         assert_eq!(keys.len(), 1, "the same message has several keys");
         let key = *keys.first().expect("at least one origin");
         let mut now = start;
-        while self.hosts.iter().any(|h| h.alive && h.whole_at.is_none()) {
+        while self
+            .hosts
+            .iter()
+            .any(|h| h.alive && h.complete_at.is_none())
+        {
             now = now + Duration::from_millis(1);
             let late = self
                 .hosts
                 .iter()
-                .filter(|h| h.alive && h.whole_at.is_none());
+                .filter(|h| h.alive && h.complete_at.is_none());
             assert!(
                 now.since(start) < limit,
                 "{} hosts lack the message after {limit:?}",
@@ -201,14 +209,17 @@
 fn load_shared() {
     for count in [2, 5, 13, 44, 133, 300] {
         let mut centre = Centre::new(count, 7, 0.0);
-        centre.run(&[count / 2], BOUND);
+        centre.run(&[count / 2], TIME_LIMIT);
         let worst = centre.hosts.iter().map(|h| h.sent).max();
         // Fragments can't be shared evenly when there are only a few more of them than
         // hosts.
-        let share = SIZE + SIZE / 2;
-        assert!(worst <= Some(share), "{count} hosts: {worst:?} of {share}");
+        let limit = MESSAGE_BYTES + MESSAGE_BYTES / 2;
+        assert!(worst <= Some(limit), "{count} hosts: {worst:?} of {limit}");
         let most = centre.hosts.iter().map(|h| h.received).max();
-        assert!(most <= Some(SIZE), "{count} hosts: {most:?} received");
+        assert!(
+            most <= Some(MESSAGE_BYTES),
+            "{count} hosts: {most:?} received"
+        );
     }
 }
 
@@ -219,12 +230,15 @@
 #[test]
 fn many_readers() {
     let mut centre = Centre::new(44, 9, 0.0);
-    centre.run(&[3, 11, 12, 30, 43], 2 * BOUND);
+    centre.run(&[3, 11, 12, 30, 43], 2 * TIME_LIMIT);
     let most = centre.hosts.iter().map(|h| h.sent).max();
     // Each of the five sends the change once, and relays its share to all.
-    assert!(most <= Some(5 * SIZE / 2), "{most:?} bytes sent");
+    assert!(most <= Some(5 * MESSAGE_BYTES / 2), "{most:?} bytes sent");
     let all: usize = centre.hosts.iter().map(|h| h.received).sum();
-    assert!(all <= (44 + 5 + 10) * SIZE, "{all} bytes received by all");
+    assert!(
+        all <= (44 + 5 + 10) * MESSAGE_BYTES,
+        "{all} bytes received by all"
+    );
 }
 
 /// Many hosts send to one host at the same moment: its link takes tens of milliseconds to
@@ -234,7 +248,7 @@
 fn no_incast() {
     let mut centre = Centre::new(44, 3, 0.0);
     let start = Moment::from_millis(1_000);
-    let key = centre.spread(0, start);
+    let key = centre.send_message(0, start);
     let mut arrived: BTreeMap<(usize, u64), usize> = BTreeMap::new();
     for millis in 1_001..2_200 {
         let before: Vec<usize> = centre.hosts.iter().map(|h| h.received).collect();
@@ -251,10 +265,10 @@
 /// Links lose one datagram in thirty; a fragment lost on the way to its relay is missing
 /// on all hosts.
 #[test]
-fn losses_made_good() {
+fn losses_recovered() {
     for seed in 0..20 {
         let mut centre = Centre::new(44, seed, 0.03);
-        centre.run(&[0], 2 * BOUND);
+        centre.run(&[0], 2 * TIME_LIMIT);
     }
 }
 
@@ -271,7 +285,7 @@
         for me in frozen {
             centre.hosts[me].alive = false;
         }
-        centre.run(&[0], 3 * BOUND);
+        centre.run(&[0], 3 * TIME_LIMIT);
     }
 }
 
@@ -281,13 +295,13 @@
 fn origin_lost() {
     let mut centre = Centre::new(44, 5, 0.0);
     let start = Moment::from_millis(1_000);
-    let key = centre.spread(0, start);
+    let key = centre.send_message(0, start);
     for millis in 1_001..5_000 {
         centre.hosts[0].alive = millis < 1_100;
         centre.step(key, Moment::from_millis(millis));
     }
     let rest = &centre.hosts[1..];
-    assert!(rest.iter().all(|h| h.whole_at.is_none()));
+    assert!(rest.iter().all(|h| h.complete_at.is_none()));
     assert!(rest.iter().all(|h| !h.fragments.is_incomplete(key)));
 }
 
--- a/components/coordination/tests/neighbour_discovery.rs
+++ b/components/coordination/tests/neighbour_discovery.rs
@@ -22,10 +22,10 @@
         .map(|n| Neighbours::new(address(n), "d"))
         .collect();
     for n in 0..count {
-        for middle in 0..2 {
-            if middle != n {
-                hosts[usize::from(n)].greeting_received(address(middle), "d", at(0));
-                hosts[usize::from(middle)].greeting_received(address(n), "d", at(0));
+        for hub in 0..2 {
+            if hub != n {
+                hosts[usize::from(n)].greeting_received(address(hub), "d", at(0));
+                hosts[usize::from(hub)].greeting_received(address(n), "d", at(0));
             }
         }
     }
@@ -37,7 +37,7 @@
 /// store whenever endpoints are replaced, and the site's reads reach the store's rate
 /// limit.
 #[test]
-fn star_closes() {
+fn star_becomes_mesh() {
     let mut random = StdRng::seed_from_u64(4);
     let mut hosts = star(24);
     for second in 1..=20 {
@@ -48,11 +48,11 @@
             for other in known {
                 hosts[usize::from(last(other))].greeting_received(me, "d", now);
             }
-            let Some(asked) = hosts[n].next_query(random.random()) else {
+            let Some(queried) = hosts[n].next_query(random.random()) else {
                 continue;
             };
-            let named = hosts[usize::from(last(asked))].hosts_of("d", now);
-            for other in named {
+            let answer = hosts[usize::from(last(queried))].hosts_of("d", now);
+            for other in answer {
                 if hosts[n].add(other, now) {
                     hosts[usize::from(last(other))].greeting_received(me, "d", now);
                 }
@@ -75,7 +75,7 @@
 /// introductions, the hosts of the fourth data centre would know nobody until each of
 /// them reads the store.
 #[test]
-fn strangers_introduced() {
+fn remote_hosts_introduced() {
     let mut seed = Neighbours::new(address(1), "a");
     assert_eq!(
         seed.greeting_received(address(7), "d", at(1)),
@@ -98,7 +98,7 @@
 /// A neighbour was replaced by one at another address: updates to the old address have to
 /// stop.
 #[test]
-fn silent_forgotten() {
+fn silent_removed() {
     let mut host = Neighbours::new(address(1), "d");
     assert_eq!(
         host.greeting_received(address(2), "d", at(1)),
--- a/components/coordination/tests/preset_errors.rs
+++ b/components/coordination/tests/preset_errors.rs
@@ -81,24 +81,24 @@
     "7101\", data-centre = \"sour\"",
     "no [[data-centre]] is named \"sour\""
 )]
-fn single_slips(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
+fn single_errors(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
     let text = GOOD.replacen(good, bad, 1);
     assert_ne!(text, GOOD);
-    let faults = parse_preset(&text).unwrap_err();
-    let fault = faults.0.iter().find(|f| f.message.contains(message));
-    assert!(fault.is_some(), "{faults}");
+    let errors = parse_preset(&text).unwrap_err();
+    let error = errors.0.iter().find(|f| f.message.contains(message));
+    assert!(error.is_some(), "{errors}");
 }
 
 // A file has an error in each section. The answer contains all errors in line order.
 #[test]
-fn all_named() {
+fn all_errors_reported() {
     let text = "nam = \"x\"\n[[data-centre]]\nname = \"a\"\nregion = 3\n\
                 [[service]]\nname = \"s\"\nslots = 0\nendpoints = []\n\
                 [[service]]\nname = \"t\"\nendpoints = [{ address = \"here\", data-centre = \"b\" }]\n";
-    let faults = parse_preset(text).unwrap_err();
-    let lines: Vec<usize> = faults.0.iter().map(|f| f.line).collect();
-    assert_eq!(lines, [1, 1, 4, 7, 8, 11, 11], "{faults}");
-    assert!(faults.to_string().starts_with("line 1: "));
+    let errors = parse_preset(text).unwrap_err();
+    let lines: Vec<usize> = errors.0.iter().map(|f| f.line).collect();
+    assert_eq!(lines, [1, 1, 4, 7, 8, 11, 11], "{errors}");
+    assert!(errors.to_string().starts_with("line 1: "));
 }
 
 #[rstest]
@@ -137,10 +137,10 @@
         let to = (from + cut).min(GOOD.len());
         prop_assume!(GOOD.is_char_boundary(from) && GOOD.is_char_boundary(to));
         let text = format!("{}{paste}{}", &GOOD[..from], &GOOD[to..]);
-        if let Err(faults) = parse_preset(&text) {
+        if let Err(errors) = parse_preset(&text) {
             let lines = text.split('\n').count();
-            prop_assert!(!faults.0.is_empty());
-            prop_assert!(faults.0.iter().all(|f| (1..=lines).contains(&f.line)));
+            prop_assert!(!errors.0.is_empty());
+            prop_assert!(errors.0.iter().all(|f| (1..=lines).contains(&f.line)));
         }
     }
 
--- a/components/coordination/tests/read_schedule.rs
+++ b/components/coordination/tests/read_schedule.rs
@@ -8,10 +8,10 @@
 use state::Moment;
 
 /// The time within which every record must be known to all hosts.
-const BOUND: Duration = Duration::from_millis(2_000);
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How long the store takes to answer.
-const ANSWER: Duration = Duration::from_millis(4);
+const ANSWER_TIME: Duration = Duration::from_millis(4);
 
 /// The hosts of one data centre, a store, and a network that loses datagrams.
 struct Site {
@@ -23,23 +23,23 @@
 }
 
 struct Host {
-    feed: ReadSchedule,
+    schedule: ReadSchedule,
     /// When the current read ends.
     reading: Option<Moment>,
     alive: bool,
-    turned_away: bool,
+    rejected: bool,
     /// When the host last knew all records.
-    fresh: Moment,
+    fresh_at: Moment,
 }
 
 impl Site {
     fn new(hosts: usize, seed: u64, loss: f64) -> Site {
         let host = |_| Host {
-            feed: ReadSchedule::new(Moment(0)),
+            schedule: ReadSchedule::new(Moment(0)),
             reading: None,
             alive: true,
-            turned_away: false,
-            fresh: Moment(0),
+            rejected: false,
+            fresh_at: Moment(0),
         };
         Site {
             hosts: (0..hosts).map(host).collect(),
@@ -56,13 +56,14 @@
             let host = &mut self.hosts[at];
             match host.reading {
                 _ if !host.alive => {}
-                None if host.feed.due() <= now => {
-                    host.feed.begin_read();
-                    host.reading = Some(now + host.feed.read_wait(now).max(ANSWER));
+                None if host.schedule.due() <= now => {
+                    host.schedule.begin_read();
+                    host.reading = Some(now + host.schedule.read_wait(now).max(ANSWER_TIME));
                     self.reads += 1;
                 }
                 Some(ends) => {
-                    let woken = !host.turned_away && host.feed.next().is_some_and(|n| n < self.end);
+                    let woken =
+                        !host.rejected && host.schedule.next().is_some_and(|n| n < self.end);
                     if ends <= now || woken {
                         host.reading = None;
                         self.finish(at, now);
@@ -77,34 +78,34 @@
         let draw = self.random.random();
         let alone = self.hosts.len() == 1;
         let host = &mut self.hosts[at];
-        if host.turned_away {
-            host.feed.read_failed(draw, now);
+        if host.rejected {
+            host.schedule.read_failed(draw, now);
             for other in (0..self.hosts.len()).filter(|o| *o != at) {
                 if self.arrives(other) {
                     let draw = self.random.random();
-                    self.hosts[other].feed.neighbour_read_failed(draw, now);
+                    self.hosts[other].schedule.neighbour_read_failed(draw, now);
                 }
             }
             return;
         }
-        let Some(from) = host.feed.next() else {
-            host.feed.full_read_finished(self.end, draw, now);
-            host.fresh = now;
+        let Some(from) = host.schedule.next() else {
+            host.schedule.full_read_finished(self.end, draw, now);
+            host.fresh_at = now;
             return;
         };
-        host.feed.read_finished(self.end, alone, draw, now);
-        host.fresh = now;
+        host.schedule.read_finished(self.end, alone, draw, now);
+        host.fresh_at = now;
         for other in (0..self.hosts.len()).filter(|o| *o != at) {
             if !self.arrives(other) {
                 continue;
             }
             let draw = self.random.random();
-            let told =
+            let outcome =
                 self.hosts[other]
-                    .feed
+                    .schedule
                     .update_received(from, self.end, at < other, draw, now);
-            if told != UpdateOutcome::Gap {
-                self.hosts[other].fresh = now;
+            if outcome != UpdateOutcome::Gap {
+                self.hosts[other].fresh_at = now;
             }
         }
     }
@@ -115,9 +116,9 @@
 
     /// Returns for how long the host that is furthest behind has lacked records.
     fn staleness(&self, now: Moment) -> Duration {
-        let touched = self.hosts.iter().filter(|h| h.alive && !h.turned_away);
-        touched
-            .map(|h| now.since(h.fresh))
+        let hosts = self.hosts.iter().filter(|h| h.alive && !h.rejected);
+        hosts
+            .map(|h| now.since(h.fresh_at))
             .max()
             .unwrap_or_default()
     }
@@ -145,7 +146,7 @@
 /// A whole site starts: no host knows another yet, and endpoints write all the time.
 /// Without a pause every host would read every record by itself.
 #[test]
-fn nobody_known() {
+fn no_known_neighbours() {
     let mut site = Site::new(1, 3, 0.0);
     for millis in 0..3_000 {
         site.end += u64::from(millis % 10 == 0);
@@ -167,27 +168,27 @@
                 let reader = site
                     .hosts
                     .iter()
-                    .position(|h| h.alive && h.feed.is_reader());
+                    .position(|h| h.alive && h.schedule.is_reader());
                 let victim = &mut site.hosts[reader.unwrap_or(0)];
                 match millis % 8_000 < 4_000 {
                     true => victim.alive = false,
-                    false => victim.turned_away = true,
+                    false => victim.rejected = true,
                 }
             }
             if millis % 4_000 == 3_800 {
                 for host in &mut site.hosts {
                     if !host.alive {
                         *host = Host {
-                            feed: ReadSchedule::new(now),
+                            schedule: ReadSchedule::new(now),
                             reading: None,
                             alive: true,
-                            turned_away: false,
-                            fresh: now,
+                            rejected: false,
+                            fresh_at: now,
                         };
                     }
-                    if host.turned_away {
-                        host.turned_away = false;
-                        host.fresh = now;
+                    if host.rejected {
+                        host.rejected = false;
+                        host.fresh_at = now;
                     }
                 }
             }
@@ -196,7 +197,10 @@
             }
             site.step(now);
             let behind = site.staleness(now);
-            assert!(behind < BOUND, "seed {seed} at {millis}: {behind:?}");
+            assert!(
+                behind < UPDATE_TIMEOUT,
+                "seed {seed} at {millis}: {behind:?}"
+            );
         }
     }
 }
@@ -204,19 +208,19 @@
 /// The store rejects all hosts. Rejected reads are charged too, so that one host has to
 /// find out for its neighbours when the store is back.
 #[test]
-fn store_away() {
+fn store_unavailable() {
     let mut site = Site::new(44, 2, 0.0);
     for millis in 0..5_000 {
         site.step(Moment::from_millis(millis));
     }
-    site.hosts.iter_mut().for_each(|h| h.turned_away = true);
+    site.hosts.iter_mut().for_each(|h| h.rejected = true);
     let before = site.reads;
     for millis in 5_000..15_000 {
         site.step(Moment::from_millis(millis));
     }
     let reads = site.reads - before;
     assert!(reads <= 44 + 40, "{reads} calls in ten seconds");
-    site.hosts.iter_mut().for_each(|h| h.turned_away = false);
+    site.hosts.iter_mut().for_each(|h| h.rejected = false);
     site.end += 1;
     for millis in 15_000..15_500 {
         site.step(Moment::from_millis(millis));
@@ -224,42 +228,45 @@
     let known = site
         .hosts
         .iter()
-        .filter(|h| h.feed.next() == Some(site.end));
+        .filter(|h| h.schedule.next() == Some(site.end));
     assert_eq!(known.count(), 44);
 }
 
 /// A neighbour was paused between reading and sending: its update is outdated.
 #[test]
-fn stale_word() {
-    let mut feed = ReadSchedule::new(Moment(0));
-    feed.begin_read();
-    feed.full_read_finished(10, 0.5, Moment(0));
-    let due = feed.due();
+fn stale_update() {
+    let mut schedule = ReadSchedule::new(Moment(0));
+    schedule.begin_read();
+    schedule.full_read_finished(10, 0.5, Moment(0));
+    let due = schedule.due();
     assert_eq!(
-        feed.update_received(5, 9, true, 0.5, Moment::from_millis(900)),
+        schedule.update_received(5, 9, true, 0.5, Moment::from_millis(900)),
         UpdateOutcome::Known
     );
-    assert_eq!(feed.due(), due);
+    assert_eq!(schedule.due(), due);
 }
 
 /// The records between those that a host knows and those that it receives were lost on
 /// the way: the host must not skip them.
 #[test]
 fn missing_records() {
-    let mut feed = ReadSchedule::new(Moment(0));
-    feed.begin_read();
-    feed.full_read_finished(10, 0.5, Moment(0));
+    let mut schedule = ReadSchedule::new(Moment(0));
+    schedule.begin_read();
+    schedule.full_read_finished(10, 0.5, Moment(0));
     assert_eq!(
-        feed.update_received(12, 14, true, 0.5, Moment(1)),
+        schedule.update_received(12, 14, true, 0.5, Moment(1)),
         UpdateOutcome::Gap
     );
-    assert_eq!(feed.next(), Some(10));
+    assert_eq!(schedule.next(), Some(10));
     let applied = UpdateOutcome::Apply {
         skip: 2,
         recovered: false,
     };
-    assert_eq!(feed.update_received(8, 14, true, 0.5, Moment(2)), applied);
-    assert_eq!(feed.next(), Some(14));
+    assert_eq!(
+        schedule.update_received(8, 14, true, 0.5, Moment(2)),
+        applied
+    );
+    assert_eq!(schedule.next(), Some(14));
 }
 
 /// A whole site starts. If each host read the store at once, that would cost as many
@@ -268,27 +275,27 @@
 #[test]
 fn first_start() {
     let start = Moment(0);
-    let mut feeds: Vec<ReadSchedule> = (0..40)
+    let mut schedules: Vec<ReadSchedule> = (0..40)
         .map(|n| ReadSchedule::at_site_start(f64::from(n) / 40.0, start))
         .collect();
-    let first = feeds
+    let first = schedules
         .iter()
         .map(ReadSchedule::due)
         .min()
         .expect("there are feeds");
-    let handed_over = first + Duration::from_millis(300);
-    let reads = feeds.iter().filter(|f| f.due() <= handed_over).count();
+    let snapshot_at = first + Duration::from_millis(300);
+    let reads = schedules.iter().filter(|f| f.due() <= snapshot_at).count();
     assert!(reads <= 8, "{reads} of 40 read for themselves");
-    for feed in &mut feeds {
-        let due = feed.due();
+    for schedule in &mut schedules {
+        let due = schedule.due();
         assert_eq!(
-            feed.update_received(3, 4, true, 0.0, first),
+            schedule.update_received(3, 4, true, 0.0, first),
             UpdateOutcome::Gap
         );
-        assert_eq!(feed.due(), due);
-        feed.snapshot_received(4, 0.5, handed_over);
-        assert!(feed.due() > handed_over + READ_WAIT);
-        let next = feed.update_received(4, 5, true, 0.0, handed_over);
+        assert_eq!(schedule.due(), due);
+        schedule.snapshot_received(4, 0.5, snapshot_at);
+        assert!(schedule.due() > snapshot_at + READ_WAIT);
+        let next = schedule.update_received(4, 5, true, 0.0, snapshot_at);
         assert!(matches!(next, UpdateOutcome::Apply { skip: 0, .. }));
     }
 }
@@ -296,13 +303,13 @@
 /// A neighbour sends a snapshot while the store is unavailable. The host has to go on
 /// trying to read the store, since the copy becomes outdated.
 #[test]
-fn handed_while_away() {
-    let mut feed = ReadSchedule::new(Moment(0));
-    feed.begin_read();
-    feed.read_failed(0.5, Moment(0));
-    let due = feed.due();
-    feed.snapshot_received(7, 0.5, Moment::from_millis(10));
-    assert_eq!((feed.due(), feed.next()), (due, Some(7)));
+fn snapshot_during_outage() {
+    let mut schedule = ReadSchedule::new(Moment(0));
+    schedule.begin_read();
+    schedule.read_failed(0.5, Moment(0));
+    let due = schedule.due();
+    schedule.snapshot_received(7, 0.5, Moment::from_millis(10));
+    assert_eq!((schedule.due(), schedule.next()), (due, Some(7)));
 }
 
 /// A large change arrives in fragments for half a second. If a host whose delay ends
@@ -312,21 +319,24 @@
 #[test]
 fn fragments_awaited() {
     let start = Moment::from_millis(10_000);
-    let mut feed = ReadSchedule::new(start);
-    feed.full_read_finished(7, 0.0, start);
-    let mut now = feed.due();
+    let mut schedule = ReadSchedule::new(start);
+    schedule.full_read_finished(7, 0.0, start);
+    let mut now = schedule.due();
     for _ in 0..5 {
-        feed.fragment_received(0.0, now);
+        schedule.fragment_received(0.0, now);
         assert!(
-            feed.due() > now,
+            schedule.due() > now,
             "the read is due although fragments still arrive"
         );
         now = now + Duration::from_millis(100);
     }
     let first = now;
-    while feed.due() > now {
-        feed.fragment_received(1.0, now);
+    while schedule.due() > now {
+        schedule.fragment_received(1.0, now);
         now = now + Duration::from_millis(100);
-        assert!(now.since(first) < BOUND, "the read is deferred for ever");
+        assert!(
+            now.since(first) < UPDATE_TIMEOUT,
+            "the read is deferred for ever"
+        );
     }
 }
--- a/components/coordination/tests/recent_records.rs
+++ b/components/coordination/tests/recent_records.rs
@@ -22,7 +22,7 @@
 /// records are no prefix of the new ones, and must not be sent to a neighbour as if they
 /// were.
 #[test]
-fn no_bridge() {
+fn gap_not_bridged() {
     let mut recent = RecentRecords::default();
     recent.push(7, record(1));
     recent.push(20, record(2));
--- a/components/coordination/tests/update_relay.rs
+++ b/components/coordination/tests/update_relay.rs
@@ -11,24 +11,24 @@
 /// A reader with a narrow link has dozens of neighbours: each of them receives the update
 /// once, and no host sends it to more than a few.
 #[test]
-fn told_once() {
+fn received_once() {
     for count in [1, 2, 7, 44, 300] {
         let hosts: Vec<SocketAddr> = (0..count)
             .map(|n| SocketAddr::from(([10, 1, (n / 200) as u8, (n % 200) as u8], 7540)))
             .collect();
         for reader in [hosts[0], hosts[count / 2], hosts[count - 1]] {
-            let mut told = BTreeMap::new();
+            let mut received = BTreeMap::new();
             for me in &hosts {
                 let others: Vec<SocketAddr> = hosts.iter().copied().filter(|h| h != me).collect();
                 let hops = next_hops(*me, reader, &others);
                 assert!(hops.len() <= 6);
                 for hop in hops {
-                    *told.entry(hop).or_insert(0) += 1;
+                    *received.entry(hop).or_insert(0) += 1;
                 }
             }
-            assert!(told.values().all(|n| *n == 1));
-            assert_eq!(told.len(), count - 1);
-            assert!(!told.contains_key(&reader));
+            assert!(received.values().all(|n| *n == 1));
+            assert_eq!(received.len(), count - 1);
+            assert!(!received.contains_key(&reader));
         }
     }
 }
@@ -46,18 +46,18 @@
 fn one_reader_left() {
     let hosts = hosts(26);
     let start = Moment::from_millis(1_000);
-    let mut feeds = vec![ReadSchedule::new(start); hosts.len()];
-    let mut passed = vec![Forwarded::default(); hosts.len()];
-    for feed in &mut feeds {
-        feed.full_read_finished(100, 0.5, start);
+    let mut schedules = vec![ReadSchedule::new(start); hosts.len()];
+    let mut forwarded = vec![Forwarded::default(); hosts.len()];
+    for schedule in &mut schedules {
+        schedule.full_read_finished(100, 0.5, start);
     }
     let now = start + Duration::from_secs(2);
     let readers = [3, 11, 19];
     for reader in readers {
-        feeds[reader].begin_read();
-        feeds[reader].read_finished(150, false, 0.5, now);
+        schedules[reader].begin_read();
+        schedules[reader].read_finished(150, false, 0.5, now);
     }
-    let mut way: Vec<(usize, SocketAddr)> = Vec::new();
+    let mut in_flight: Vec<(usize, SocketAddr)> = Vec::new();
     let hops = |me: usize, reader: SocketAddr| {
         let others: Vec<SocketAddr> = hosts.iter().copied().filter(|h| *h != hosts[me]).collect();
         next_hops(hosts[me], reader, &others)
@@ -65,19 +65,21 @@
     let index = |host: SocketAddr| hosts.iter().position(|h| *h == host).expect("a host");
     for reader in readers {
         let first = hops(reader, hosts[reader]);
-        way.extend(first.into_iter().map(|h| (index(h), hosts[reader])));
+        in_flight.extend(first.into_iter().map(|h| (index(h), hosts[reader])));
     }
     let mut sent = 0;
-    while !way.is_empty() {
-        let (me, reader) = way.remove(0);
+    while !in_flight.is_empty() {
+        let (me, reader) = in_flight.remove(0);
         sent += 1;
-        feeds[me].update_received(100, 150, reader < hosts[me], 0.5, now);
-        if passed[me].mark(reader, 150) {
+        schedules[me].update_received(100, 150, reader < hosts[me], 0.5, now);
+        if forwarded[me].mark(reader, 150) {
             let next = hops(me, reader);
-            way.extend(next.into_iter().map(|h| (index(h), reader)));
+            in_flight.extend(next.into_iter().map(|h| (index(h), reader)));
         }
     }
-    let left: Vec<usize> = (0..hosts.len()).filter(|n| feeds[*n].is_reader()).collect();
+    let left: Vec<usize> = (0..hosts.len())
+        .filter(|n| schedules[*n].is_reader())
+        .collect();
     assert_eq!(left, [3]);
     assert_eq!(sent, 3 * 25);
 }
@@ -85,13 +87,13 @@
 /// Two hosts know different neighbours, so that the same update arrives twice. If it were
 /// forwarded each time, it would circulate for ever.
 #[test]
-fn passed_once() {
+fn forwarded_once() {
     let reader = hosts(1)[0];
-    let mut passed = Forwarded::default();
-    assert!(passed.mark(reader, 150));
-    assert!(!passed.mark(reader, 150));
-    assert!(!passed.mark(reader, 140));
-    assert!(passed.mark(reader, 151));
-    passed.retain(|_| false);
-    assert!(passed.mark(reader, 150));
+    let mut forwarded = Forwarded::default();
+    assert!(forwarded.mark(reader, 150));
+    assert!(!forwarded.mark(reader, 150));
+    assert!(!forwarded.mark(reader, 140));
+    assert!(forwarded.mark(reader, 151));
+    forwarded.retain(|_| false);
+    assert!(forwarded.mark(reader, 150));
 }
