--- a/components/coordination/src/config/command.rs
+++ b/components/coordination/src/config/command.rs
@@ -113,7 +113,7 @@
         /// The entry host's data centre.
         data_centre: String,
     },
-    /// Makes a member hand over its roles before it leaves.
+    /// Makes a member transfer its roles before it leaves.
     Drain {
         /// The member.
         host: HostKey,
--- a/components/coordination/src/config/decide.rs
+++ b/components/coordination/src/config/decide.rs
@@ -178,7 +178,7 @@
     Ok(Decision::Changed(subject))
 }
 
-/// Decides a drain, which makes a member hand over its roles.
+/// Decides a drain, which makes a member transfer its roles.
 ///
 /// If a host left without a drain, the slots of its endpoints would stay unused until the
 /// next owner could be sure that none of them is still leased. Callers would see refused
--- a/components/coordination/src/config/fold.rs
+++ b/components/coordination/src/config/fold.rs
@@ -69,8 +69,8 @@
     skipped_newer: Option<u64>,
 }
 
-/// The search for a snapshot, after records that were not folded were removed from the
-/// log.
+/// The search for a snapshot, after records were trimmed from the log before they
+/// were folded.
 #[derive(Clone, Copy, Debug)]
 struct SnapshotSearch {
     first: u64,
@@ -83,7 +83,7 @@
         &self.config
     }
 
-    /// Returns the progress of the fold.
+    /// Returns the position of the fold.
     pub fn position(&self) -> Position {
         Position {
             next: self.next,
@@ -292,7 +292,8 @@
         }
     }
 
-    /// Keeps the answer, and drops the oldest one when there are more than [`KEPT_COMMANDS`].
+    /// Keeps the answer, and drops the oldest one when there are more than
+    /// [`KEPT_COMMANDS`].
     ///
     /// Without a bound the state would grow with every command ever issued. Dropping an
     /// answer raises the floor, so that a late repeat is refused and never runs a second
--- a/components/coordination/src/config/snapshot.rs
+++ b/components/coordination/src/config/snapshot.rs
@@ -6,9 +6,9 @@
 
 use super::command::{Answer, CommandId, Subject};
 
-/// The progress of a fold.
+/// How far a fold has read the log, and the revision there.
 ///
-/// All folds are prefixes of the same sequence, so that the progress of different hosts
+/// All folds are prefixes of the same sequence, so that the positions of different hosts
 /// can be compared.
 #[tag]
 #[derive(Default, PartialOrd, Ord, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
 }
 
 impl Snapshot {
-    /// Returns the progress of the fold at the snapshot.
+    /// Returns the position of the fold at the snapshot.
     pub fn position(&self) -> Position {
         Position {
             next: self.next,
--- a/components/coordination/src/group_joins.rs
+++ b/components/coordination/src/group_joins.rs
@@ -9,10 +9,10 @@
 
 /// Number of topics whose partitions are assigned to the hosts.
 ///
-/// The store assigns partitions evenly, so a host's part of all partitions is its share
-/// of the hosts. The store ignores topics beyond this number: if those counted too, all
-/// shares would add up to less than the whole. A dozen partitions a topic are enough for
-/// 240 hosts; a host without a partition has no share, which errs on the safe side.
+/// The store assigns partitions evenly, so a host's fraction of all partitions is its
+/// share of the hosts. The store ignores topics beyond this number: if those counted too,
+/// all shares would add up to less than the whole. A dozen partitions a topic are enough
+/// for 240 hosts; a host without a partition has no share, which errs on the safe side.
 pub const GROUP_TOPICS: usize = 20;
 
 /// The pause before the next join after the group has changed.
--- a/components/coordination/src/read_schedule.rs
+++ b/components/coordination/src/read_schedule.rs
@@ -32,7 +32,7 @@
 /// answer doesn't make all hosts read.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1_450);
 
-/// The largest random delay added to [`TAKEOVER_DELAY`].
+/// The largest random delay added before a host's own read.
 ///
 /// The first host that reads sends the records to the others before their delay ends: an
 /// answer takes 4 ms, and ten hosts over 250 ms are 25 ms apart.
@@ -56,7 +56,7 @@
 
 /// How long the reader pauses after a failed read.
 ///
-/// The reader retries for all of its neighbours, so that only one host probes the store
+/// The reader retries for all of its neighbours, so that only one host calls the store
 /// during an outage.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
@@ -148,7 +148,7 @@
 }
 
 impl ReadSchedule {
-    /// Returns a feed whose first read is due at once.
+    /// Returns a schedule whose first read is due at once.
     pub fn new(now: Moment) -> ReadSchedule {
         ReadSchedule {
             next: None,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Returns the feed of a restarted host, which queries its neighbours first.
+    /// Returns the schedule of a restarted host, which queries its neighbours first.
     pub fn restarted(now: Moment) -> ReadSchedule {
         ReadSchedule {
             due: now + GREETING_WAIT * 2,
@@ -190,7 +190,7 @@
         self.due = now + introduction + restart_jitter(known.max(expected)).mul_f64(draw);
     }
 
-    /// Returns the feed of a host that starts together with its whole site.
+    /// Returns the schedule of a host that starts together with its whole site.
     ///
     /// If each host read at once, a start would cost as many reads as minutes of idle
     /// operation.
--- a/components/coordination/src/relay.rs
+++ b/components/coordination/src/relay.rs
@@ -10,9 +10,9 @@
 /// store.
 const FAN_OUT: usize = 6;
 
-/// Returns the hosts to which `me` forwards what `relay_root` has read.
+/// Returns the hosts to which `me` forwards an update that started at `relay_root`.
 ///
-/// All hosts, sorted by address and beginning with the reader, form a tree. Each host
+/// All hosts, sorted by address and beginning with the relay root, form a tree. Each host
 /// computes the tree from the neighbours it knows; where two hosts know different ones,
 /// some host receives an update twice or not at all, which costs a read of the store and
 /// nothing else.
@@ -34,7 +34,7 @@
     children.copied().collect()
 }
 
-/// The offsets up to which each reader's updates have been forwarded.
+/// The offsets up to which updates have been forwarded, by relay root.
 ///
 /// When endpoints are replaced one after the other, several hosts read the same records
 /// at the same moment. If hosts forwarded only updates that are new to them, the readers
@@ -45,8 +45,8 @@
 }
 
 impl Forwarded {
-    /// Returns whether what `relay_root` read up to `next` has yet to be forwarded, and marks
-    /// it as forwarded.
+    /// Returns whether an update of `relay_root` up to `next` has yet to be forwarded,
+    /// and marks it as forwarded.
     ///
     /// Each update is forwarded once, so that none circulates where hosts know different
     /// neighbours.
@@ -57,7 +57,7 @@
         is_new
     }
 
-    /// Removes the readers for which `keep` returns false.
+    /// Removes the relay roots for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(SocketAddr) -> bool) {
         self.offsets.retain(|relay_root, _| keep(*relay_root));
     }
--- a/components/coordination/tests/config_fold.rs
+++ b/components/coordination/tests/config_fold.rs
@@ -263,7 +263,7 @@
     assert_eq!(
         step,
         Applied::Ignored,
-        "the records after the snapshot were removed"
+        "the records after the snapshot were trimmed"
     );
     let step = paused.apply(8, Ok(Record::Snapshot(Box::new(snapshot.clone()))));
     assert_eq!(step, Applied::Replaced(snapshot.position()));
--- a/components/coordination/tests/read_schedule.rs
+++ b/components/coordination/tests/read_schedule.rs
@@ -282,7 +282,7 @@
         .iter()
         .map(ReadSchedule::due)
         .min()
-        .expect("there are feeds");
+        .expect("there are schedules");
     let snapshot_at = first + Duration::from_millis(300);
     let reads = schedules.iter().filter(|f| f.due() <= snapshot_at).count();
     assert!(reads <= 8, "{reads} of 40 read for themselves");
