--- a/components/coordination/tests/neighbour_discovery.rs
+++ b/components/coordination/tests/neighbour_discovery.rs
@@ -1,4 +1,4 @@
-//! Hosts of a data centre get to know each other.
+//! Tests how the hosts of a data centre discover each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,27 +16,28 @@
     Moment::from_millis(1_000 * seconds)
 }
 
-/// Returns hosts that all know the first two, and are known to them.
+/// Returns hosts that all know the first two and are known to them.
 fn star(count: u8) -> Vec<Neighbours> {
     let mut hosts: Vec<Neighbours> = (0..count)
         .map(|n| Neighbours::new(address(n), "d"))
         .collect();
     for n in 0..count {
-        for middle in 0..2 {
-            if middle != n {
-                hosts[usize::from(n)].greeting_received(address(middle), "d", at(0));
-                hosts[usize::from(middle)].greeting_received(address(n), "d", at(0));
+        for hub in 0..2 {
+            if hub != n {
+                hosts[usize::from(n)].greeting_received(address(hub), "d", at(0));
+                hosts[usize::from(hub)].greeting_received(address(n), "d", at(0));
             }
         }
     }
     hosts
 }
 
-/// A data centre's hosts found only the two that the store named first. Each hears
-/// what those two read and nothing of the other 22, so that whenever endpoints are
-/// replaced all 24 read the store, and the site's calls run into its limit.
+/// A data centre's hosts found only the two that the store named first. Each host
+/// receives the updates of those two and none of the other 22, so that all 24 read the
+/// store whenever endpoints are replaced, and the site's reads reach the store's rate
+/// limit.
 #[test]
-fn star_closes() {
+fn star_becomes_mesh() {
     let mut random = StdRng::seed_from_u64(4);
     let mut hosts = star(24);
     for second in 1..=20 {
@@ -47,11 +48,11 @@
             for other in known {
                 hosts[usize::from(last(other))].greeting_received(me, "d", now);
             }
-            let Some(asked) = hosts[n].next_query(random.random()) else {
+            let Some(queried) = hosts[n].next_query(random.random()) else {
                 continue;
             };
-            let named = hosts[usize::from(last(asked))].hosts_of("d", now);
-            for other in named {
+            let answer = hosts[usize::from(last(queried))].hosts_of("d", now);
+            for other in answer {
                 if hosts[n].add(other, now) {
                     hosts[usize::from(last(other))].greeting_received(me, "d", now);
                 }
@@ -70,10 +71,11 @@
     }
 }
 
-/// A site has four data centres and names three hosts to begin with. Those of the
-/// fourth would know nobody until they ask the store, each with a call of its own.
+/// A site has four data centres, and its settings name three hosts. Without
+/// introductions, the hosts of the fourth data centre would know nobody until each of
+/// them reads the store.
 #[test]
-fn strangers_introduced() {
+fn remote_hosts_introduced() {
     let mut seed = Neighbours::new(address(1), "a");
     assert_eq!(
         seed.greeting_received(address(7), "d", at(1)),
@@ -93,9 +95,10 @@
     assert!(seed.hosts_of("d", at(60)).is_empty());
 }
 
-/// A neighbour was replaced at another address: it isn't told for ever.
+/// A neighbour was replaced by one at another address: updates to the old address have to
+/// stop.
 #[test]
-fn silent_forgotten() {
+fn silent_removed() {
     let mut host = Neighbours::new(address(1), "d");
     assert_eq!(
         host.greeting_received(address(2), "d", at(1)),
@@ -113,8 +116,9 @@
     assert!(host.current(at(15) + Duration::from_secs(30)).is_empty());
 }
 
-/// A reader tells a few hosts of each other data centre. One of those is gone: it must
-/// not be named from host to host for ever, and whoever still answers comes first.
+/// A reader sends updates to a few hosts of each other data centre. One of these has
+/// failed: hosts must not go on naming it to each other for ever, and hosts that still
+/// answer come first.
 #[test]
 fn contacts_kept() {
     let mut host = Neighbours::new(address(1), "a");
