--- a/components/coordination/src/claims/answer_cache.rs
+++ b/components/coordination/src/claims/answer_cache.rs
@@ -1,4 +1,4 @@
-//! Answers kept for repeats.
+//! A cache of answers for repeated calls with the same key.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use super::{CachedAnswer, ClaimId, ClaimKey};
 
-/// The largest answer that is kept, in bytes: a body of 64 KiB with its fields.
+/// The maximum size of a cached answer in bytes: a body of 64 KiB with its header fields.
 pub const CACHED_ANSWER_LIMIT: usize = 80 * 1_024;
 
-/// All kept answers of one stream together, in bytes.
+/// The maximum size of all cached answers of one stream, in bytes.
 pub const ANSWER_CACHE_LIMIT: usize = 4 * 1_024 * 1_024;
 
-/// How long an answer is kept. A repeat that comes later is told that the call was started.
+/// How long an answer is cached. A later repeat is answered that the call was started.
 pub const CACHED_ANSWER_TTL: Duration = Duration::from_secs(600);
 
-/// Kept answers, the oldest first to go.
+/// Cached answers of one stream; the oldest are dropped first.
 #[derive(Default)]
 pub struct AnswerCache {
     answers: BTreeMap<ClaimKey, (ClaimId, CachedAnswer)>,
@@ -25,7 +25,7 @@
 }
 
 impl AnswerCache {
-    /// Keeps an answer, if it is small enough.
+    /// Caches an answer, unless it is too large or the key has one already.
     pub fn insert(&mut self, key: ClaimKey, id: ClaimId, answer: &CachedAnswer, now: Moment) {
         if answer.size() > CACHED_ANSWER_LIMIT || self.answers.contains_key(&key) {
             return;
@@ -44,7 +44,7 @@
         (*kept == id).then_some(answer)
     }
 
-    /// Drops what has been kept long enough.
+    /// Drops expired answers.
     pub fn expire(&mut self, now: Moment) {
         while let Some((at, ..)) = self.order.front() {
             if now.since(*at) < CACHED_ANSWER_TTL {
--- a/components/coordination/src/claims/budget.rs
+++ b/components/coordination/src/claims/budget.rs
@@ -1,4 +1,4 @@
-//! How many appends a home may spend.
+//! A limit on the appends of a claims home.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 
 /// A token bucket of appends.
 ///
-/// The platform's log takes several hundred appends a second for the whole
-/// site. Without a budget eight busy homes would append as fast as the log
-/// answers, and operators' commands would be refused. When tokens are short
-/// claims wait for the next append together: it grows, and costs the same.
+/// Load pattern: many claims on all streams. The platform's store takes several
+/// hundred appends a second for the whole site. Without a budget eight busy homes
+/// would append as fast as the store answers, and operators' commands would be
+/// refused. When tokens are short, claims wait together for the next append,
+/// which becomes larger but costs the same.
 pub struct AppendBudget {
     tokens: f64,
     rate: f64,
@@ -18,7 +19,7 @@
 }
 
 impl AppendBudget {
-    /// Returns a full bucket of `burst` tokens that gets `rate` a second.
+    /// Returns a full bucket of `burst` tokens that is refilled with `rate` tokens a second.
     pub fn new(rate: f64, burst: f64, now: Moment) -> AppendBudget {
         AppendBudget {
             tokens: burst,
@@ -28,11 +29,11 @@
         }
     }
 
-    /// Takes a token, or returns how long until there is one.
+    /// Takes a token.
     ///
     /// # Errors
     ///
-    /// Returns the time to wait.
+    /// Returns the time until the next token if the bucket is empty.
     pub fn take(&mut self, now: Moment) -> Result<(), Duration> {
         let gained = now.since(self.at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(self.burst);
--- a/components/coordination/src/claims/home.rs
+++ b/components/coordination/src/claims/home.rs
@@ -1,4 +1,4 @@
-//! The home of one `claims` stream: many asks, few appends.
+//! The home of one `claims` stream, which batches many key requests into few appends.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,34 +11,35 @@
 use super::table::ClaimTable;
 use super::{Answer, ClaimId, ClaimKey, Ending, KeyRequest};
 
-/// Claims in one append: some 60 KB.
+/// The maximum number of claims in one append, about 60 KB.
 const BATCH_LIMIT: usize = 1_000;
 
-/// Asks that may wait for an append.
+/// The maximum number of key requests that wait for an append.
 ///
-/// At 30 appends a second this many take a fifth of a second. More would mean
-/// that the log does not keep up, and waiting longer would not help.
+/// At 30 appends a second this many take a fifth of a second. A longer queue
+/// would mean that the store cannot keep up, and waiting longer would not help.
 const QUEUE_LIMIT: usize = 6_000;
 
-/// Endings that may wait for an append; the oldest outcomes are dropped first.
+/// The maximum number of endings that wait for an append. The oldest are dropped first.
 const ENDINGS_LIMIT: usize = 20_000;
 
-/// Keys carried over in one append.
+/// The maximum number of keys that are carried over in one append.
 const CARRY_LIMIT: usize = 1_000;
 
-/// How long a key's record is relied on to stay on the log. The log must keep
-/// records for at least twice this.
+/// The age at which a key's record is written again before it is trimmed.
+///
+/// The store must keep records for at least twice this time.
 pub const CARRY_AFTER: Duration = Duration::from_secs(600);
 
-/// When a refused caller may come again.
+/// The time after which a refused caller may retry.
 const RETRY: Duration = Duration::from_secs(1);
 
-/// What a home answers.
+/// A home's answer to a key request.
 #[value]
 pub struct Reply {
-    /// The entry host that asked.
+    /// The entry host that sent the request.
     pub to: HostKey,
-    /// The claim it asked for.
+    /// The requested claim.
     pub id: ClaimId,
     /// The answer.
     pub answer: Answer,
@@ -51,10 +52,10 @@
     until: Moment,
 }
 
-/// Gathers claims into appends and answers from the fold of the stream.
+/// Batches claims into appends and answers from the state folded from the stream.
 ///
-/// Any host may run one for any stream, several at once: what the stream's
-/// first claim of a key says is the same for all of them.
+/// Any host may run a home for any stream, and several hosts may do so at the
+/// same time: the first claim of a key on the stream is the same for all of them.
 pub struct Home {
     carry_after: Duration,
     table: ClaimTable,
@@ -72,10 +73,10 @@
 }
 
 impl Home {
-    /// Returns a home that has read nothing yet.
+    /// Returns a home that has not read any records yet.
     ///
-    /// `carry_after` is how long a record is relied on to stay on the log:
-    /// [`CARRY_AFTER`], but in tests.
+    /// `carry_after` is the age at which records are written again: [`CARRY_AFTER`],
+    /// except in tests.
     pub fn new(carry_after: Duration) -> Home {
         Home {
             carry_after,
@@ -94,17 +95,17 @@
         }
     }
 
-    /// Returns the fold of the stream.
+    /// Returns the state folded from the stream.
     pub fn table(&self) -> &ClaimTable {
         &self.table
     }
 
-    /// Returns whether the stream has been read to its end once.
+    /// Returns whether the stream was read to its end since the start or the last restart.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Returns how many asks wait for an append.
+    /// Returns how many key requests wait for an append.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -114,7 +115,7 @@
         std::mem::take(&mut self.replies)
     }
 
-    /// Takes an ask in. `until` is when its caller gives up.
+    /// Handles a key request. `until` is when its caller stops waiting.
     pub fn request(&mut self, from: HostKey, request: KeyRequest, until: Moment, now: Moment) {
         let pending = PendingRequest {
             from,
@@ -132,10 +133,10 @@
         self.queue.push_back(pending);
     }
 
-    /// Takes an ask in while the log is out of reach.
+    /// Handles a key request while the store is unreachable.
     ///
-    /// What is known of the key is told: "not run" would be taken to mean that
-    /// the first call with it did not run either. Nothing new can be claimed.
+    /// A known key is answered from the table: "not run" would be taken to mean that
+    /// the first call with the key did not run either. Nothing new can be claimed.
     pub fn request_offline(
         &mut self,
         from: HostKey,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Takes note of how a call ended.
+    /// Records how a call ended.
     pub fn end_call(&mut self, id: ClaimId, key: ClaimKey, ending: Ending, now: Moment) {
         self.running.remove(&id);
         match ending {
@@ -173,8 +174,8 @@
             Ending::NotRun => self.free(id, key),
             Ending::GivenUp => {
                 self.queue.retain(|a| a.request.id != id);
-                // A claim that was never appended leaves nothing to take back:
-                // in an outage that would be a record for each refused call.
+                // A claim that was never appended needs no release: during an outage
+                // that would be one record for each refused call.
                 if self.may_hold(id, key) {
                     self.free(id, key);
                 }
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Frees the key, and lets those that waited claim it in the same record.
+    /// Frees the key, and lets waiting requests claim it in the same record.
     fn free(&mut self, id: ClaimId, key: ClaimKey) {
         self.freeing.insert(id);
         self.write_end(id, key, Outcome::NotRun);
@@ -190,9 +191,9 @@
         self.queue.extend(waiting);
     }
 
-    /// Tells that the entry host `host` is lost, and what it ran with it.
+    /// Records the loss of the entry host `host` and of the calls that it ran.
     ///
-    /// Repeats of its keys would wait for an ending that nobody is going to send.
+    /// Repeats of their keys would otherwise wait for an ending that no host sends.
     pub fn host_lost(&mut self, host: HostKey) {
         let waits = |id: &ClaimId| self.running.get(id) == Some(&host);
         let keys: Vec<ClaimKey> = self
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Gives up on asks whose callers no longer wait, and on old kept answers.
+    /// Answers the requests whose callers stop waiting, and drops expired cached answers.
     pub fn expire(&mut self, now: Moment) {
         self.cache.expire(now);
         let over = |a: &PendingRequest| a.until <= now;
@@ -232,20 +233,20 @@
         !self.queue.is_empty()
     }
 
-    /// Returns whether anything waits for an append; endings and old keys can wait a while.
+    /// Returns whether anything waits for an append. Endings and old keys are not urgent.
     ///
-    /// `carry` is whether this host is the one that carries old keys over.
+    /// `carry` is whether this host carries old keys over.
     pub fn has_work(&self, carry: bool, now: Moment) -> bool {
         let due = || carry && self.ready && self.table.has_due(self.carry_after, now);
         self.has_claims() || !self.ends.is_empty() || due()
     }
 
-    /// Returns the next record, or none where there is nothing to write.
+    /// Returns the next record to append, or `None` if there is nothing to write.
     ///
-    /// `carry` is as for [`Home::has_work`].
+    /// `carry` is whether this host carries old keys over.
     pub fn next_batch(&mut self, carry: bool, now: Moment) -> Option<Batch> {
         let mut entries: Vec<Entry> = Vec::new();
-        // Endings first: a key that is freed here can be claimed in the same record.
+        // Endings come first, so that a key freed here can be claimed in the same record.
         let ends = self.ends.len().min(BATCH_LIMIT);
         self.sent_ends = self.ends.drain(..ends).collect();
         entries.extend(self.sent_ends.iter().cloned());
@@ -264,7 +265,7 @@
         (!entries.is_empty()).then_some(Batch { entries })
     }
 
-    /// Folds one record of the stream; none where it can't be read.
+    /// Folds one record of the stream; `batch` is `None` if the record cannot be decoded.
     pub fn fold(&mut self, offset: u64, batch: Option<&Batch>, now: Moment) {
         let Some(batch) = batch else {
             self.table.skip(offset);
@@ -285,29 +286,29 @@
         }
     }
 
-    /// Begins anew at `first`, since records before it are gone unread.
+    /// Starts over at offset `first`, because earlier records were trimmed before they were read.
     pub fn restart(&mut self, first: u64) {
         self.table.restart(first);
         self.ready = false;
     }
 
-    /// Notes that the stream has been read to its end.
+    /// Records that the stream was read to its end.
     pub fn caught_up(&mut self) {
         self.ready = true;
     }
 
-    /// Settles the record in flight after the stream was read up to it, or, where
-    /// its append was not answered, up to the stream's end.
+    /// Completes the append in flight, after the stream was read up to its record.
     ///
-    /// A claim that is not to be seen may still land. It is appended again under
-    /// its id: twice the same claim is one claim.
+    /// If the append was not answered, the stream was read to its end instead, and
+    /// `landed` is false. A claim that is not on the stream may still land later. It
+    /// is appended again under the same id, and two identical claims count as one.
     pub fn complete_append(&mut self, landed: bool, now: Moment) {
         for pending in std::mem::take(&mut self.inflight) {
             if self.answer_from_table(&pending, now) {
                 continue;
             }
             match landed {
-                // Its ending came in between: nobody waits for it.
+                // The key was freed by an ending in the same read; no caller waits.
                 true => self.reply(&pending, Answer::NotRun(RETRY)),
                 false => self.queue.push_back(pending),
             }
@@ -319,11 +320,11 @@
         self.table.end_carry();
     }
 
-    /// Settles the record in flight and all that waits where the log is out of reach.
+    /// Refuses the requests in flight and all waiting ones while the store is unreachable.
     ///
-    /// Each entry host that hears "not run" gives its claim up, so that what
-    /// lands later runs nowhere. `refused` is whether the log surely did not
-    /// take the record.
+    /// An entry host that receives "not run" gives its claim up, so a claim that
+    /// lands later does not run anywhere. `refused` is whether the store certainly did
+    /// not accept the record.
     pub fn fail_append(&mut self, refused: bool) {
         let inflight = std::mem::take(&mut self.inflight);
         if refused {
@@ -339,7 +340,7 @@
         self.table.end_carry();
     }
 
-    /// Answers an ask where the fold already tells; false where an append must.
+    /// Answers a request from the table. Returns false if the key has to be claimed by an append.
     fn answer_from_table(&mut self, pending: &PendingRequest, now: Moment) -> bool {
         let request = &pending.request;
         let Some(holder) = self.table.holder(request.key).copied() else {
@@ -403,7 +404,7 @@
         });
     }
 
-    /// Returns whether a record of this home's may have the claim on the stream, now or later.
+    /// Returns whether a record of this home may hold the claim on the stream, now or later.
     fn may_hold(&self, id: ClaimId, key: ClaimKey) -> bool {
         let holds = self.table.holder(key).is_some_and(|h| h.id == id);
         holds || self.attempted.contains(&id)
--- a/components/coordination/src/claims/mod.rs
+++ b/components/coordination/src/claims/mod.rs
@@ -1,8 +1,9 @@
-//! Claims: which call has an idempotency key.
+//! Claims of idempotency keys: which call may run under a key.
 //!
-//! The first claim of a key in the offset order of a `claims` stream has it.
-//! [`ClaimTable`] folds a stream, the same at every host; [`Home`] gathers the
-//! claims of many callers into few appends and keeps answers for repeats.
+//! The first claim of a key in the offset order of a `claims` stream holds the
+//! key. [`ClaimTable`] is the state folded from a stream and the same at every host.
+//! [`Home`] batches the claims of many callers into few appends and caches
+//! answers for repeats.
 
 mod answer_cache;
 mod budget;
@@ -22,126 +23,126 @@
 pub use record::{Batch, Entry, Outcome};
 pub use table::{ClaimTable, KEY_LIMIT, KeyHolder, RELEASED_CLAIM_TTL};
 
-/// How many `claims` streams there are.
+/// The number of `claims` streams.
 ///
-/// A stream takes some thirty appends a second within the budget, and its home
-/// bears about 1,000 claims in each: more streams spread homes and memory.
+/// A stream gets about 30 appends a second within the budget, and its home can
+/// put 1,000 claims into each. More streams spread homes and memory further.
 pub const STREAMS: u64 = 8;
 
-/// Names one claim: drawn by the entry host for one call.
+/// Names one claim, with a random number that the entry host draws for one call.
 #[key]
 pub struct ClaimId(pub u128);
 
-/// Names what is claimed: a hash of the service and the caller's key.
+/// Names a claimed key, by a hash of the service and the caller's key.
 #[key]
 pub struct ClaimKey(pub u128);
 
-/// Asks for a key.
+/// A request to claim a key for a call.
 #[value]
 pub struct KeyRequest {
-    /// The claim's id.
+    /// The id of the claim.
     pub id: ClaimId,
-    /// What is claimed.
+    /// The key to claim.
     pub key: ClaimKey,
-    /// A hash of the request: the same key with another is refused.
+    /// A hash of the call's request. The same key with another request is refused.
     pub digest: u128,
-    /// How long the key is remembered.
+    /// How long the key is held.
     pub ttl: Duration,
 }
 
-/// What became of an ask.
+/// The answer to a key request.
 #[value]
 pub enum Answer {
-    /// The key is this claim's: send the call once.
+    /// The claim holds the key: the call may be sent once.
     Granted,
-    /// The first call with this key has this answer.
+    /// The first call with this key has ended with this answer.
     Known(CachedAnswer),
-    /// The first call with this key is running; another answer follows when it ends.
+    /// The first call with this key is running. Another answer follows when it ends.
     ///
-    /// Should none come in time, the caller may not be told "not run".
+    /// If none arrives in time, the caller must not be answered "not run".
     InProgress,
-    /// The first call with this key was started; its outcome is not known here.
+    /// The first call with this key was started, and its outcome is not known here.
     Started,
     /// The key was used for another request.
     Mismatch,
-    /// Not agreed. To be tried again after this time.
+    /// The key was not claimed. Contains the time to wait before a retry.
     NotRun(Duration),
 }
 
-/// An answer kept for repeats of its key.
+/// A cached answer for repeats of a key.
 #[value]
 pub struct CachedAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The end-to-end header fields.
     pub fields: Vec<(String, Bytes)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 /// How a claimed call ended.
 #[value]
 pub enum Ending {
-    /// It was answered whole.
+    /// The call was answered completely.
     Answered(CachedAnswer),
-    /// It was answered whole, but the answer is too large to keep.
+    /// The call was answered completely, but the answer is too large to cache.
     AnsweredLarge,
-    /// It was sent and surely did not run: the key is free again.
+    /// The call was sent and certainly did not run, so the key is free again.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// It was never sent and never will be: its caller has been told "not run".
+    /// The call was never sent and never will be: its caller was answered "not run".
     GivenUp,
 }
 
 /// A message about claims between an entry host and a key's home.
 #[value]
 pub enum ClaimMessage {
-    /// The entry host asks for a key, and waits this long for the answer.
+    /// Entry host to home: requests a key, and waits this long for the answer.
     Request(KeyRequest, Duration),
-    /// The home has the ask and works on it.
+    /// Home to entry host: acknowledges the request, before the answer.
     RequestAck(ClaimId),
-    /// The home's answer.
+    /// Home to entry host: answers the request.
     Answer(ClaimId, Answer),
-    /// The entry host says how the call ended.
+    /// Entry host to home: reports how the call ended.
     End(ClaimId, ClaimKey, Ending),
-    /// The home has taken note of the ending.
+    /// Home to entry host: acknowledges the ending.
     EndAck(ClaimId),
 }
 
-/// How much longer than its call a key is remembered at the least.
+/// The minimum time for which a key is held after its call's deadline.
 const KEY_TTL_MARGIN: Duration = Duration::from_secs(60);
 
-/// Returns how long a key is remembered: `ttl`, but longer than its call may take.
+/// Returns how long a key is held: at least `ttl`, and longer than its call may take.
 ///
-/// Were it forgotten while its call can still be sent, a repeat would claim it
-/// anew, and both would run. `left` is the time to the call's deadline.
+/// If the key expired while its call can still be sent, a repeat would claim the
+/// key again and both would run. `left` is the time to the call's deadline.
 pub fn key_ttl(ttl: Duration, left: Duration) -> Duration {
     ttl.max(left + KEY_TTL_MARGIN)
 }
 
-/// Decides whether a `Granted` that is taken up at `now` still lets the call be sent.
+/// Returns whether a granted claim that is processed at `now` may still start its call.
 ///
-/// An entry host that was paused finds the answer waiting when it resumes, long
-/// after it was given. By then the key's time may be over and another call may
-/// have run under it; after the deadline nobody waits for this one anyway.
+/// An entry host that was paused processes the answer when it resumes, long
+/// after the home sent it. By then the key may have expired and another call may
+/// have run under it. After the deadline no caller waits for the answer anyway.
 pub fn may_start(now: Moment, deadline: Moment) -> bool {
     now < deadline
 }
 
 impl ClaimKey {
-    /// Returns the number of the stream the key is claimed on.
+    /// Returns the number of the stream on which the key is claimed.
     pub fn stream(self) -> u64 {
         (self.0 >> 64) as u64 % STREAMS
     }
 }
 
 impl CachedAnswer {
-    /// Returns it in memory of its own.
+    /// Returns a copy that owns its memory.
     ///
-    /// Its parts are slices of the buffers they came in, which are far larger.
-    /// Kept for minutes, they would hold several times the memory that
-    /// [`CachedAnswer::size`] counts, and a node would outgrow its budget.
+    /// The parts of an answer are slices of much larger receive buffers. Cached for
+    /// minutes, they would hold several times the memory that [`CachedAnswer::size`]
+    /// counts, and the process would exceed its memory budget.
     pub fn detached(&self) -> CachedAnswer {
         let copy = |(name, value): &(String, Bytes)| {
             let value = Bytes::copy_from_slice(value);
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Returns about how many bytes it takes.
+    /// Returns the approximate size in bytes.
     pub fn size(&self) -> usize {
         let fields = self.fields.iter().map(|(n, v)| n.len() + v.len() + 64);
         self.body.len() + fields.sum::<usize>() + 128
--- a/components/coordination/src/claims/record.rs
+++ b/components/coordination/src/claims/record.rs
@@ -1,10 +1,10 @@
-//! What stands on a `claims` stream.
+//! The records of a `claims` stream.
 
 use derives::{tag, value};
 
 use super::{ClaimId, ClaimKey};
 
-/// One record: what a home appends at once.
+/// One record: the entries that a home appends together.
 #[value]
 pub struct Batch {
     /// The entries, in order.
@@ -14,47 +14,47 @@
 /// One entry of a record.
 #[value]
 pub enum Entry {
-    /// Claims a key. The first has it.
+    /// Claims a key. The first claim of a key holds it.
     Claim {
-        /// The claim.
+        /// The id of the claim.
         id: ClaimId,
-        /// What is claimed.
+        /// The claimed key.
         key: ClaimKey,
-        /// The request's digest.
+        /// The digest of the request.
         digest: u128,
-        /// How long the key is remembered, in milliseconds.
+        /// How long the key is held, in milliseconds.
         ttl_ms: u64,
     },
-    /// Says how the call under a claim ended.
+    /// Records how the call under a claim ended.
     Ended {
-        /// The claim.
+        /// The id of the claim.
         id: ClaimId,
-        /// What was claimed.
+        /// The claimed key.
         key: ClaimKey,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
     },
-    /// Repeats a key's holder before its record falls off the log.
+    /// Repeats a key's holder before the earlier record is trimmed.
     Carried {
-        /// The claim that has the key.
+        /// The claim that holds the key.
         id: ClaimId,
-        /// What is claimed.
+        /// The claimed key.
         key: ClaimKey,
-        /// The request's digest.
+        /// The digest of the request.
         digest: u128,
-        /// How long the key is remembered, in milliseconds.
+        /// How long the key is held, in milliseconds.
         ttl_ms: u64,
-        /// How long ago it was claimed at the least, in milliseconds.
+        /// The minimum time since the key was claimed, in milliseconds.
         age: u64,
     },
-    /// Frees a key that has been remembered for its time.
+    /// Frees a key whose TTL is over.
     ///
-    /// Forgetting stands on the stream as claiming does. Were it left to each
-    /// host's clock, two hosts could give the key away at two places.
+    /// Expiry is recorded on the stream like claims are. If it depended on each host's
+    /// clock, two hosts could grant the same key to two calls.
     Expired {
-        /// The claim that had the key.
+        /// The claim that held the key.
         id: ClaimId,
-        /// What was claimed.
+        /// The claimed key.
         key: ClaimKey,
     },
 }
@@ -62,10 +62,10 @@
 /// How the call under a claim ended.
 #[tag]
 pub enum Outcome {
-    /// It was answered whole.
+    /// The call was answered completely.
     Done,
-    /// It surely did not run.
+    /// The call certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
--- a/components/coordination/src/claims/table.rs
+++ b/components/coordination/src/claims/table.rs
@@ -1,4 +1,4 @@
-//! The fold of one `claims` stream.
+//! The holders of all keys of one `claims` stream, folded from its records.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -9,38 +9,38 @@
 use super::record::{Batch, Entry, Outcome};
 use super::{ClaimId, ClaimKey};
 
-/// Keys held at once on one stream.
+/// The maximum number of keys held on one stream.
 ///
-/// A table that forgot keys under load would let a deposit run twice, so a full
-/// one refuses new keys instead. See docs/CAPACITY.md for what this many cost.
+/// A table that dropped keys under load would let a deposit run twice, so a full
+/// table refuses new keys instead. See docs/CAPACITY.md for the memory it takes.
 pub const KEY_LIMIT: usize = 200_000;
 
-/// How long a claim that was given up is remembered.
+/// How long a released claim is remembered.
 ///
-/// An append that was given up may still land. It must not take the key then:
-/// nobody is going to run under it, and repeats would wait for an outcome.
-/// The log must land an append within this time or never.
+/// The append of a claim that was given up may still land. It must not take the
+/// key: no call would run under it, and repeats would wait for an outcome. The
+/// store must land an append within this time or never.
 pub const RELEASED_CLAIM_TTL: Duration = Duration::from_secs(600);
 
-/// Who holds a key.
+/// The holder of a key.
 #[tag]
 pub struct KeyHolder {
-    /// The claim that has the key.
+    /// The claim that holds the key.
     pub id: ClaimId,
-    /// The request's digest.
+    /// The digest of the request.
     pub digest: u128,
-    /// When it was claimed at the latest, in milliseconds of this process's clock.
+    /// The latest possible time of the claim, in milliseconds of this process's clock.
     claimed: i64,
-    /// When its last record was folded here.
+    /// When the key's last record was folded here.
     written: i64,
     ttl_ms: u64,
 }
 
 /// The keys of one stream, folded from its records in offset order.
 ///
-/// Who holds a key depends on the records alone. Clocks only say when to write
-/// that a key is forgotten: never early, since a host counts from the moment it
-/// folded a claim, which is after the claim was made.
+/// The holder of a key depends on the records alone. Clocks only decide when to
+/// write that a key has expired, which is never too early: a host counts from the
+/// moment it folded a claim, which is after the claim was made.
 #[derive(Default)]
 pub struct ClaimTable {
     next: u64,
@@ -52,7 +52,7 @@
 }
 
 impl ClaimTable {
-    /// Returns the offset to read from.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> u64 {
         self.next
     }
@@ -67,20 +67,19 @@
         self.holders.is_empty()
     }
 
-    /// Returns whether no more keys can be taken in.
+    /// Returns whether the table accepts no more keys.
     pub fn is_full(&self) -> bool {
         self.holders.len() >= KEY_LIMIT
     }
 
-    /// Returns who holds `key`.
+    /// Returns the holder of `key`.
     pub fn holder(&self, key: ClaimKey) -> Option<&KeyHolder> {
         self.holders.get(&key)
     }
 
-    /// Begins anew where records that were not folded have fallen off the log.
+    /// Starts over at offset `first`, after records were trimmed before they were folded.
     ///
-    /// Those still to be remembered are carried over, so what the log still has
-    /// is enough.
+    /// Keys that are still held were carried over, so the rest of the log is enough.
     pub fn restart(&mut self, first: u64) {
         *self = ClaimTable {
             next: first,
@@ -88,7 +87,7 @@
         };
     }
 
-    /// Folds the record at `offset`; the same one again changes nothing.
+    /// Folds the record at `offset`. Folding a record twice has no effect.
     pub fn fold(&mut self, offset: u64, batch: &Batch, now: Moment) {
         if offset < self.next {
             return;
@@ -100,19 +99,20 @@
         }
     }
 
-    /// Returns whether [`ClaimTable::carry`] would return anything.
+    /// Returns whether [`ClaimTable::carry`] would return any entries.
     pub fn has_due(&self, age: Duration, now: Moment) -> bool {
         let before = millis(now) - i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
         self.written.front().is_some_and(|(at, _)| *at <= before)
     }
 
-    /// Passes over a record that can't be read.
+    /// Skips a record that cannot be decoded.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
 
-    /// Returns what must be written again, up to `limit` entries, because its last
-    /// record is older than `age`: that it is carried over, or that it is over.
+    /// Returns up to `limit` entries for keys whose last record is older than `age`.
+    ///
+    /// An entry repeats the holder or records that the key has expired.
     pub fn carry(&mut self, age: Duration, limit: usize, now: Moment) -> Vec<Entry> {
         let now = millis(now);
         let before = now - i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
@@ -135,7 +135,7 @@
         entries
     }
 
-    /// Makes what was handed out by [`ClaimTable::carry`] due again where it was not folded since.
+    /// Makes keys returned by [`ClaimTable::carry`] due again unless their entries were folded.
     pub fn end_carry(&mut self) {
         for (written, key) in std::mem::take(&mut self.carrying).into_iter().rev() {
             if self.holders.get(&key).is_some_and(|h| h.written == written) {
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Takes a carried holder in. Of two, the one claimed later is the true one:
-    /// a key changes hands only after the earlier claim is over.
+    /// Adds a carried holder. Of two holders the one that claimed later is the right
+    /// one, because a key changes its holder only after the earlier claim is over.
     fn carry_in(&mut self, key: ClaimKey, carried: KeyHolder) {
         match self.holders.get_mut(&key) {
             Some(h) if h.id == carried.id => {
@@ -236,7 +236,7 @@
 }
 
 impl KeyHolder {
-    /// Returns whether the key has been remembered for its time.
+    /// Returns whether the key's TTL is over.
     pub fn is_over(&self, now: Moment) -> bool {
         self.age(millis(now)) >= self.ttl_ms
     }
--- a/components/coordination/src/members/detector.rs
+++ b/components/coordination/src/members/detector.rs
@@ -14,43 +14,43 @@
 use super::watch::{MemberId, WatchMap};
 use super::watched::WatchedMember;
 
-/// How often a host beats to each of its watchers.
+/// The time between two heartbeats from a host to each of its watchers.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Each so manieth beat asks for an answer.
+/// One heartbeat in this many requests an acknowledgement.
 const HEARTBEATS_PER_ACK: u64 = 3;
 
-/// A gap between two ticks after which the silence of others proves nothing.
+/// The gap between two ticks after which the silence of other members proves nothing.
 ///
-/// A host that was itself paused finds everybody silent when it resumes.
+/// A host that was itself paused finds all others silent when it resumes.
 const OWN_PAUSE: Duration = Duration::from_millis(250);
 
-/// How long a host may lag behind a peer's offset before it asks for its configuration.
+/// How long a host may lag behind a peer's offset before it requests the peer's configuration.
 ///
-/// In ordinary times the log brings the same within milliseconds.
+/// Normally the log brings the same records within milliseconds.
 const BEHIND: Duration = Duration::from_millis(500);
 
-/// Beats whose moment of sending is kept for their answers.
+/// The number of heartbeats whose time of sending is kept, for their acknowledgements.
 const ASKED_LIMIT: usize = 64;
 
-/// What the detector wants done.
+/// An action for the caller of the detector.
 #[value]
 pub enum Action {
-    /// Send a message.
+    /// Sends a message.
     Send(HostKey, MemberMessage),
-    /// Give up the link to a silent host and dial anew.
+    /// Closes the link to a silent host and dials again.
     Redial(HostKey),
-    /// Write the removal of a lost member to the log.
+    /// Writes the removal of a lost member to the log.
     Remove(MemberId),
-    /// Ask this host for its configuration, which is newer.
+    /// Requests the configuration of this host, which is newer.
     AskConfig(HostKey),
-    /// A member is suspected from now on.
+    /// Reports that a member is suspected from now on.
     Suspected(HostKey),
-    /// A suspected member lives.
+    /// Reports that a suspected member is alive.
     Refuted(HostKey),
 }
 
-/// Watches others, is watched, and tells who is alive.
+/// Watches other members, sends heartbeats to its own watchers, and reports who is alive.
 pub struct Detector {
     pub(super) me: MemberId,
     pub(super) epoch: u64,
@@ -76,7 +76,7 @@
 }
 
 impl Detector {
-    /// Returns a detector that knows of no members yet.
+    /// Returns a detector that does not know any members yet.
     pub fn new(me: MemberId, now: Moment) -> Detector {
         Detector {
             me,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes over a configuration; an older one than the last changes nothing.
+    /// Applies a configuration, unless it is older than the last.
     pub fn configure(&mut self, config: &Config, now: Moment) {
         if config.offset < self.offset {
             return;
@@ -137,9 +137,9 @@
         self.refresh(now);
     }
 
-    /// Tells all that this host has seen the end of members it watched.
+    /// Announces that this host has applied the removal of members that it watched.
     ///
-    /// Their successors wait for it: see [`WatchHistory::settled`].
+    /// Their successors wait for it: see [`WatchHistory::owner_status`].
     fn announce_removals(&mut self, old: &WatchMap) {
         let watched: Vec<MemberId> = old
             .members()
@@ -165,17 +165,17 @@
         self.forward_gossip(&gossip, None);
     }
 
-    /// Notes that the log's end was read, with a request sent at `asked`.
+    /// Records that the end of the log was read by a request sent at `asked`.
     pub fn note_log_end(&mut self, asked: Moment) {
         self.log_read = self.log_read.max(Some(asked));
     }
 
-    /// Takes over which members a usable list of the platform lacks or calls leaving.
+    /// Sets the members that a usable list of the platform lacks or reports as leaving.
     pub fn set_unlisted(&mut self, unlisted: BTreeSet<HostKey>) {
         self.unlisted = unlisted;
     }
 
-    /// Notes what a peer said when its link was made.
+    /// Records the incarnation and offset that a peer sent when its link was made.
     pub fn peer_connected(&mut self, from: HostKey, incarnation: u64, offset: u64, now: Moment) {
         let id = MemberId {
             host: from,
@@ -188,7 +188,7 @@
         self.note_peer_offset(from, offset, now);
     }
 
-    /// Does what is due. To be called every 50 ms.
+    /// Performs due work. The caller has to call it every 50 ms.
     pub fn tick(&mut self, now: Moment) {
         if now.since(self.last_tick) > OWN_PAUSE {
             self.reset_silence(now);
@@ -213,18 +213,18 @@
         self.refresh(now);
     }
 
-    /// Returns what is to be done, once.
+    /// Takes the actions collected since the last call.
     pub fn actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
-    /// Asks `host` how far it has folded the configuration.
+    /// Asks `host` for the offset up to which it has applied the configuration.
     pub fn ask(&mut self, host: HostKey, now: Moment) {
         let heartbeat = self.next(true, now);
         self.out.push(Action::Send(host, heartbeat));
     }
 
-    /// Returns whether this process is a member of the configuration taken over last.
+    /// Returns whether the current configuration contains this process as a member.
     pub fn is_member(&self) -> bool {
         self.map.member(self.me.host) == Some(self.me)
     }
@@ -234,20 +234,20 @@
         self.current_at().is_some_and(|at| is_fresh(now, at))
     }
 
-    /// Returns when a member's configuration was last shown to be the current one.
+    /// Returns when this member's configuration was last proved to be the current one.
     pub fn current_at(&self) -> Option<Moment> {
         let watchers = self.map.watchers(self.me);
         let latest = current_at(self.offset, self.log_read, watchers, &self.answers);
         latest.filter(|_| self.is_member())
     }
 
-    /// Returns what is known of a previous owner after the change at `change`.
+    /// Returns whether a previous owner may still act after the change at offset `change`.
     pub fn owner_status(&self, owner: MemberId, change: u64) -> OwnerStatus {
         self.history
             .owner_status(owner, change, self.gossip_state.applied())
     }
 
-    /// Returns who is alive.
+    /// Returns which members are alive.
     pub fn view(&self) -> LiveView {
         let peer = |id: MemberId| PeerState {
             data_centre: self.centres.get(&id.host).cloned().unwrap_or_default(),
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Returns the other watchers of `id` that are not themselves suspected.
+    /// Returns the other watchers of `id` that are not suspected themselves.
     fn other_watchers(&self, id: MemberId, now: Moment) -> Vec<MemberId> {
         let watchers = self.map.watchers(id).iter().copied();
         watchers
@@ -365,10 +365,10 @@
         })
     }
 
-    /// Passes news on to the hosts this one watches and is watched by.
+    /// Forwards gossip to the hosts that this one watches and that watch it.
     ///
-    /// Those pairs form a random graph of degree ten: news reach 300 hosts in
-    /// three or four hops, at a cost a host that does not grow with them.
+    /// These pairs form a random graph of degree ten: gossip reaches 300 hosts in
+    /// three or four hops, at a cost per host that does not grow with their number.
     pub(super) fn forward_gossip(&mut self, gossip: &Gossip, from: Option<HostKey>) {
         let watchers = self.map.watchers(self.me).iter().map(|w| w.host);
         let watched = self.watched.keys().map(|s| s.host);
@@ -391,7 +391,7 @@
         }
     }
 
-    /// Tells which members have become suspected, and which no longer are.
+    /// Reports members that have become suspected, and those that no longer are.
     pub(super) fn refresh(&mut self, now: Moment) {
         if self.gossip_state.is_quiet() && self.suspected.is_empty() {
             return;
--- a/components/coordination/src/members/gossip.rs
+++ b/components/coordination/src/members/gossip.rs
@@ -1,4 +1,4 @@
-//! News that is passed on from host to host, each piece once.
+//! Gossip about members, which each host forwards once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use super::message::{Gossip, GossipEvent};
 use super::watch::{MemberId, WatchMap};
 
-/// How long a suspicion lasts without being told again.
+/// How long a suspicion lasts unless it is repeated.
 ///
-/// The word that a member lives may be lost on the way to some host, which
-/// would avoid that member for ever.
+/// The refutation may be lost on its way to some host, which would otherwise
+/// avoid the member forever.
 pub const SUSPICION_TTL: Duration = Duration::from_secs(5);
 
-/// How often the watchers tell an agreed suspicion again.
+/// The time between two repetitions of an agreed suspicion by the watchers.
 pub const SUSPICION_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What a host has heard about the others.
+/// What a host knows about other members from gossip.
 #[derive(Default)]
 pub struct GossipState {
     suspicions: BTreeMap<MemberId, Suspicion>,
@@ -33,7 +33,7 @@
 }
 
 impl GossipState {
-    /// Takes news in; true where it is new and worth passing on.
+    /// Applies an event. Returns whether it is new and should be forwarded.
     pub fn accept(&mut self, gossip: &Gossip, now: Moment) -> bool {
         let id = MemberId {
             host: gossip.host,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Notes the offset a process said it folded; true where that is news.
+    /// Records the offset that a process says it has applied. Returns whether it is new.
     pub fn note_applied(&mut self, id: MemberId, offset: u64) -> bool {
         let applied = self.applied.entry(id).or_default();
         let newer = *applied < offset;
@@ -68,42 +68,44 @@
         newer
     }
 
-    /// Returns the greatest offset each process has shown.
+    /// Returns the greatest offset that each process has applied.
     pub fn applied(&self) -> &BTreeMap<MemberId, u64> {
         &self.applied
     }
 
-    /// Returns the greatest epoch in which the member has said that it lives.
+    /// Returns the latest epoch in which the member has said that it is alive.
     pub fn epoch(&self, id: MemberId) -> u64 {
         self.epochs.get(&id).copied().unwrap_or(0)
     }
 
-    /// Returns the epoch in which the member is suspected.
+    /// Returns the epoch in which the member is suspected, if it is.
     pub fn suspected(&self, id: MemberId, now: Moment) -> Option<u64> {
         let suspicion = self.suspicions.get(&id)?;
         (now.since(suspicion.at) < SUSPICION_TTL).then_some(suspicion.epoch)
     }
 
-    /// Returns whether nobody has been suspected lately.
+    /// Returns whether there are no suspicions.
     pub fn is_quiet(&self) -> bool {
         self.suspicions.is_empty()
     }
 
-    /// Forgets suspicions that nobody has repeated.
+    /// Removes suspicions that were not repeated in time.
     pub fn expire(&mut self, now: Moment) {
         self.suspicions
             .retain(|_, s| now.since(s.at) < SUSPICION_TTL);
     }
 
-    /// Returns whether it is time to tell a suspicion again.
+    /// Returns whether it is time to repeat a suspicion.
     pub fn is_stale(&self, id: MemberId, now: Moment) -> bool {
         self.suspicions
             .get(&id)
             .is_none_or(|s| now.since(s.at) >= SUSPICION_INTERVAL)
     }
 
-    /// Forgets those that are no members, but for what they have shown:
-    /// their successors need it. That is kept for the last of a host's incarnations.
+    /// Removes hosts that are not members, except for their applied offsets.
+    ///
+    /// Successors need these offsets. Once there are too many, those of the first
+    /// former members by key are removed.
     pub fn retain(&mut self, map: &WatchMap) {
         let is_member = |id: &MemberId| map.member(id.host) == Some(*id);
         self.suspicions.retain(|id, _| is_member(id));
@@ -115,12 +117,12 @@
         }
     }
 
-    /// Returns what `host` has shown in its latest incarnation known here.
+    /// Returns the offset that this incarnation of `host` has applied, 0 if it is unknown.
     pub fn applied_by(&self, host: HostKey, incarnation: u64) -> u64 {
         let id = MemberId { host, incarnation };
         self.applied.get(&id).copied().unwrap_or(0)
     }
 }
 
-/// Processes whose shown offset is kept.
+/// The number of processes whose applied offset is kept.
 const APPLIED_LIMIT: usize = 4_096;
--- a/components/coordination/src/members/membership.rs
+++ b/components/coordination/src/members/membership.rs
@@ -1,36 +1,36 @@
-//! When a host joins, and when it joins again after it was removed.
+//! A host's own membership: when it joins, rejoins after a removal, and leaves.
 
 use std::time::Duration;
 
 use derives::tag;
 use state::Moment;
 
-/// The pause before a host joins again, doubled each time it is removed soon after.
+/// The delay before a host rejoins. It doubles each time the host is removed soon after.
 const MIN_REJOIN_DELAY: Duration = Duration::from_secs(1);
 
-/// The longest pause.
+/// The maximum delay.
 const MAX_REJOIN_DELAY: Duration = Duration::from_secs(300);
 
-/// Membership that lasted this long sets the pause back to the first.
+/// How long a membership must last to reset the delay to the minimum.
 const STABLE_AFTER: Duration = Duration::from_secs(60);
 
-/// How long a command's effect is waited for before it is written again.
+/// How long to wait for a command to take effect before writing it again.
 const COMMAND_RETRY: Duration = Duration::from_secs(2);
 
-/// What a host does about its own membership.
+/// The next action for a host's own membership.
 #[tag]
 pub enum Step {
-    /// Nothing for now.
+    /// Nothing to do for now.
     Wait,
-    /// Write that it joins.
+    /// Write a command that the host joins.
     Join,
-    /// It was removed: take a new incarnation, and let go of all that the old one had.
+    /// The host was removed: take a new incarnation and drop all state of the old one.
     Renew,
-    /// Write that it leaves.
+    /// Write a command that the host leaves.
     Leave,
 }
 
-/// A host's own membership.
+/// The state of a host's own membership.
 pub struct Membership {
     joined: Option<Moment>,
     leaving: bool,
@@ -39,7 +39,7 @@
 }
 
 impl Membership {
-    /// Returns one for a host that is no member yet.
+    /// Returns the state of a host that is not a member yet.
     pub fn new(now: Moment) -> Membership {
         Membership {
             joined: None,
@@ -49,25 +49,25 @@
         }
     }
 
-    /// Starts to leave: the host has drained.
+    /// Starts to leave, after the host has drained.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Notes that a configuration names this incarnation as a member.
+    /// Records that a configuration contains this incarnation as a member.
     ///
-    /// Membership may last a moment only. Unnoticed, the host would join again
-    /// under the incarnation that was removed, which others hold for ended.
+    /// A membership may last only a moment. If it went unnoticed, the host would join
+    /// again under the removed incarnation, which other hosts consider ended.
     pub fn joined(&mut self, now: Moment) {
         self.joined.get_or_insert(now);
     }
 
-    /// Decides what to do.
+    /// Decides on the next action.
     ///
-    /// `member` is whether the configuration names this incarnation, and
-    /// `current` whether the log's end has been read lately. A host that can be
-    /// reached by nobody but reads the log would join and be removed over and
-    /// over, and each time slots would change their owner: hence the pause.
+    /// `member` is whether the configuration contains this incarnation, and `current`
+    /// whether the end of the log was read recently. A host that no other host can
+    /// reach, but that reads the log, would join and be removed again and again, and
+    /// each time slots would change their owner. The growing delay limits this.
     pub fn step(&mut self, member: bool, current: bool, now: Moment) -> Step {
         match (member, self.joined) {
             (true, _) if self.leaving => self.write(Step::Leave, current, now),
--- a/components/coordination/src/members/message.rs
+++ b/components/coordination/src/members/message.rs
@@ -1,102 +1,102 @@
-//! What members tell each other about who is alive.
+//! Messages of the failure detector between members.
 
 use derives::{tag, value};
 use state::HostKey;
 
-/// One message of the failure detector.
+/// A message of the failure detector.
 #[value]
 pub enum MemberMessage {
-    /// A member tells one of its watchers that it lives.
+    /// Member to watcher: a heartbeat.
     Heartbeat(Heartbeat),
-    /// The watcher's answer.
+    /// Watcher to member: acknowledges a heartbeat.
     HeartbeatAck(HeartbeatAck),
-    /// A watcher asks its fellow watchers whether they hear a member that it does not.
+    /// Watcher to the other watchers: asks whether they receive heartbeats of a silent member.
     LivenessQuery(LivenessQuery),
-    /// A fellow watcher still hears the doubted member.
+    /// Watcher to watcher: heartbeats of the queried member have arrived recently.
     LivenessReply(LivenessReply),
-    /// News for all, passed on by each host that finds it new.
+    /// An event for all hosts, forwarded by each host to which it is new.
     Gossip(Gossip),
 }
 
-/// A member's sign of life.
+/// A member's heartbeat.
 #[value]
 pub struct Heartbeat {
-    /// The sender's incarnation.
+    /// The incarnation of the sender.
     pub incarnation: u64,
-    /// Counts the sender's beats, so that an answer names one.
+    /// The number of the heartbeat, which its acknowledgement repeats.
     pub sequence: u64,
     /// How often the sender has refuted a suspicion.
     pub epoch: u64,
-    /// The log's offset up to which the sender has folded the configuration.
+    /// The offset up to which the sender has applied the configuration.
     pub offset: u64,
-    /// Whether the sender asks for an answer.
+    /// Whether the sender requests an acknowledgement.
     pub wants_ack: bool,
 }
 
-/// A watcher's answer to a beat.
+/// A watcher's acknowledgement of a heartbeat.
 #[value]
 pub struct HeartbeatAck {
-    /// The sequence of the beat answered.
+    /// The sequence number of the heartbeat.
     pub sequence: u64,
-    /// The log's offset up to which the watcher has folded the configuration.
+    /// The offset up to which the watcher has applied the configuration.
     pub offset: u64,
-    /// The epoch in which the watcher holds the sender of the beat for lost.
+    /// The epoch in which the watcher considers the sender of the heartbeat lost, if it does.
     pub suspected: Option<u64>,
 }
 
-/// A watcher's doubt about a silent member.
+/// A watcher's query about a silent member.
 #[value]
 pub struct LivenessQuery {
     /// The silent member.
     pub host: HostKey,
-    /// The incarnation that fell silent.
+    /// The incarnation of the silent member.
     pub incarnation: u64,
-    /// The epoch last heard of.
+    /// The latest epoch of the silent member that the watcher knows.
     pub epoch: u64,
-    /// How long the asking watcher has heard nothing, in milliseconds.
+    /// How long the watcher has received nothing from the member, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// A fellow watcher's word for a doubted member.
+/// A watcher's reply that a queried member is alive.
 #[value]
 pub struct LivenessReply {
-    /// The doubted member.
+    /// The queried member.
     pub host: HostKey,
-    /// The incarnation heard.
+    /// The incarnation that is alive.
     pub incarnation: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// How long ago the watcher last received something from the member, in milliseconds.
     pub ago_ms: u64,
 }
 
-/// News about one member.
+/// An event about one member.
 #[value]
 pub struct Gossip {
-    /// The member it is about.
+    /// The member that the event is about.
     pub host: HostKey,
-    /// The incarnation it is about.
+    /// The incarnation that the event is about.
     pub incarnation: u64,
-    /// What is told.
+    /// The event.
     pub event: GossipEvent,
 }
 
-/// What a rumour tells.
+/// The kinds of events about a member.
 #[tag]
 pub enum GossipEvent {
-    /// Its watchers agree that it fell silent in this epoch.
+    /// The member's watchers agree that it fell silent in this epoch.
     Suspected {
         /// The epoch of the silent member.
         epoch: u64,
-        /// Grows each time the watchers tell it again.
+        /// Grows each time the watchers repeat the suspicion.
         round: u64,
     },
-    /// The member itself says that it lives, in this newer epoch.
+    /// The member itself refutes a suspicion and enters a newer epoch.
     Alive {
         /// The member's new epoch.
         epoch: u64,
     },
-    /// The member has folded the configuration up to this offset.
+    /// The member has applied the configuration up to this offset.
     Applied {
-        /// The offset after the last record folded.
+        /// The offset after the last record applied.
         offset: u64,
     },
 }
--- a/components/coordination/src/members/mod.rs
+++ b/components/coordination/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Who is alive, who watches whom, and who removes the lost.
+//! Membership of entry hosts: who is alive, who watches whom, and who removes lost members.
 
 mod detector;
 mod gossip;
--- a/components/coordination/src/members/quorum.rs
+++ b/components/coordination/src/members/quorum.rs
@@ -1,12 +1,12 @@
 //! When an owner may act, and when its successor may take over.
 //!
-//! What goes wrong without it: an owner is cut off from the log, does not read
-//! that it was removed, and goes on leasing slots that its successor leases
-//! too; a backend server then bears twice what it can. The rule needs no clock
-//! shared between hosts: an owner acts on word of a majority of its watchers
-//! that they know of nothing newer, and its successor waits until a majority
-//! of the same watchers has shown that it does. Two majorities share a member,
-//! and no member goes back.
+//! Without this rule an owner that is cut off from the log does not read of its
+//! removal and goes on leasing slots that its successor leases too. A backend
+//! server then gets twice the calls that it can take. The rule needs no clock
+//! shared between hosts. An owner acts once a majority of its watchers confirms
+//! that they know of nothing newer. Its successor waits until a majority of the
+//! same watchers has applied the change. Two majorities share a member, and the
+//! offset that a member has applied never decreases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,29 +16,29 @@
 
 use super::watch::{MemberId, WatchMap, majority};
 
-/// How long what an owner knows of the log's end lets it act.
+/// How long an owner may act after its configuration was proved to be the current one.
 pub const AUTHORITY_WINDOW: Duration = Duration::from_secs(2);
 
-/// How long a successor waits where it can't know under which watchers the
-/// previous owner may be acting: it started after that owner was last heard.
+/// How long a successor waits if it cannot know under which watchers the previous
+/// owner may be acting, because it started after that owner was last reachable.
 pub const UNKNOWN_FENCE: Duration = Duration::from_secs(60);
 
-/// Former members whose watch sets are kept.
+/// The number of former members whose watch sets are kept.
 const FORMER_LIMIT: usize = 256;
 
-/// Watch sets kept of one member.
+/// The number of former watch sets kept for each member.
 const WATCH_SETS_LIMIT: usize = 64;
 
-/// An answer of one of this host's watchers.
+/// An acknowledgement from one of this host's watchers.
 #[tag]
 pub struct WatcherAck {
-    /// The offset the watcher showed.
+    /// The offset that the watcher has applied.
     pub offset: u64,
-    /// When this host sent the beat that was answered.
+    /// When this host sent the acknowledged heartbeat.
     pub asked: Moment,
 }
 
-/// Decides whether this host may act as an owner: see [`current_at`].
+/// Decides whether this host may act as an owner, by the time from [`current_at`].
 pub fn may_act(
     now: Moment,
     offset: u64,
@@ -50,18 +50,17 @@
     latest.is_some_and(|at| is_fresh(now, at))
 }
 
-/// Returns whether a proof of `at` still lets an owner act.
+/// Returns whether a proof of time `at` still lets an owner act.
 pub fn is_fresh(now: Moment, at: Moment) -> bool {
     now.since(at) < AUTHORITY_WINDOW
 }
 
-/// Returns the latest moment at which the configuration known here was shown
-/// to be the current one.
+/// Returns the latest time at which the configuration known here was proved current.
 ///
-/// `log_read` is when it last asked the log for more and was told that there
-/// is none. Answers count from the moment of asking, so that a pause between
-/// the question and the decision makes them old. An answer from a watcher
-/// that is ahead does not count: it knows of a change that this host lacks.
+/// `log_read` is when this host last sent a read request that found nothing new in
+/// the log. Acknowledgements count from the sending of their heartbeat, so a pause
+/// between the request and the decision makes them outdated. A watcher that is
+/// ahead does not count, because it knows of a change that this host lacks.
 pub fn current_at(
     offset: u64,
     log_read: Option<Moment>,
@@ -82,17 +81,17 @@
     log_read.max(vouched)
 }
 
-/// What is known of a previous owner after a change of the configuration.
+/// Whether a previous owner may still act after a change of the configuration.
 #[tag]
 pub enum OwnerStatus {
-    /// It has shown the change itself: it acts by the new configuration.
+    /// The owner has applied the change: it acts by the new configuration.
     Applied,
-    /// A majority of its watchers has shown the change: it stops acting within
-    /// [`AUTHORITY_WINDOW`] from now.
+    /// A majority of the owner's watchers has applied the change, so the owner stops
+    /// acting within [`AUTHORITY_WINDOW`] from now.
     MajorityApplied,
-    /// It may act by an older configuration for as long as this goes on.
+    /// The owner may act by an older configuration, for an unlimited time.
     MayAct,
-    /// This host knows too little of it: see [`UNKNOWN_FENCE`].
+    /// This host knows too little about the owner: see [`UNKNOWN_FENCE`].
     Unknown,
 }
 
@@ -104,15 +103,15 @@
     former: VecDeque<MemberId>,
 }
 
-/// One member's watch sets.
+/// The watch sets of one member.
 struct MemberPast {
-    /// The offset of the first configuration this host saw it in.
+    /// The offset of the first configuration in which this host saw the member.
     since: u64,
-    /// Whether it joined with that configuration.
+    /// Whether the member joined with that configuration.
     joined: bool,
     ended: Vec<WatchSet>,
     watchers: Vec<MemberId>,
-    /// The offset at which it was removed.
+    /// The offset at which the member was removed.
     removed: Option<u64>,
 }
 
@@ -124,10 +123,10 @@
 }
 
 impl WatchHistory {
-    /// Takes over the watch sets of the configuration at `offset`.
+    /// Applies the watch sets of the configuration at `offset`.
     ///
-    /// Where revisions were skipped, an owner may be acting by a watch set that
-    /// this host never saw: all that is known then begins anew.
+    /// If revisions were skipped, an owner may be acting under a watch set that this
+    /// host never saw. The history of all members then starts over.
     pub fn configure(&mut self, map: &WatchMap, revision: u64, offset: u64) {
         if self.revision.is_some_and(|r| r >= revision) {
             return;
@@ -174,9 +173,9 @@
 
     /// Decides whether `owner` may still act by a configuration before `change`.
     ///
-    /// `applied` is the greatest offset that each process has said it folded.
-    /// For each watch set that `owner` may be under, a majority must have gone
-    /// past the set's end; `owner` finds no majority to agree with it then.
+    /// `applied` is the greatest offset that each process says it has applied. For each
+    /// watch set that `owner` may be under, a majority must have passed the end of the
+    /// set. `owner` then finds no majority that confirms its configuration.
     pub fn owner_status(
         &self,
         owner: MemberId,
@@ -218,8 +217,8 @@
             watchers: old,
             end: offset,
         });
-        // The union of two sets would weaken the rule; too many of them make
-        // the past unknown instead, which only costs waiting.
+        // Merging two sets would weaken the rule. Too many sets make the past unknown
+        // instead, which only costs waiting time.
         if self.ended.len() > WATCH_SETS_LIMIT {
             let dropped = self.ended.remove(0);
             self.since = dropped.end;
@@ -228,10 +227,10 @@
     }
 }
 
-/// When a successor may take over from a previous owner.
+/// Decides when a successor may take over from a previous owner.
 ///
-/// Keeps the moment since which the owner is known to have stopped acting, so
-/// that asking again does not start the wait anew.
+/// Keeps the time since which the owner is known to have stopped acting, so that
+/// repeated calls do not restart the wait.
 #[derive(Default)]
 pub struct Takeover {
     waiting: Option<(OwnerStatus, Moment)>,
@@ -240,8 +239,8 @@
 impl Takeover {
     /// Decides whether the successor may act at `now`.
     ///
-    /// `term` is the longest time for which anything that the previous owner
-    /// granted stays in use. A quarter is added for clocks that run unevenly.
+    /// `term` is the longest time for which anything that the previous owner granted
+    /// stays in use. The wait is a quarter longer, for clocks that run at different rates.
     pub fn may_take_over(&mut self, status: OwnerStatus, term: Duration, now: Moment) -> bool {
         let wait = match status {
             OwnerStatus::Applied => return true,
--- a/components/coordination/src/members/receive.rs
+++ b/components/coordination/src/members/receive.rs
@@ -1,4 +1,4 @@
-//! What the failure detector makes of messages.
+//! Handles the messages of the failure detector.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::watched::HEARD_WITHIN;
 
 impl Detector {
-    /// Takes one message in.
+    /// Handles one message.
     pub fn receive(&mut self, from: HostKey, message: &MemberMessage, now: Moment) {
         let Some(id) = self.map.member(from) else {
             return;
@@ -28,7 +28,7 @@
         self.refresh(now);
     }
 
-    /// Notes a peer that is ahead of this host.
+    /// Records a peer whose offset is ahead of this host's.
     pub(super) fn note_peer_offset(&mut self, from: HostKey, offset: u64, now: Moment) {
         if offset > self.offset && self.ahead.is_none() {
             self.ahead = Some((from, now));
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Answers a fellow watcher's doubt: an indirect ask whether the member is heard here.
+    /// Answers another watcher's liveness query, or records that this watcher agrees with it.
     fn liveness_query(&mut self, from: MemberId, query: &LivenessQuery, now: Moment) {
         let id = MemberId {
             host: query.host,
@@ -133,7 +133,7 @@
         self.forward_gossip(gossip, Some(from.host));
     }
 
-    /// Says that this host lives, in a newer epoch than the one it was suspected in.
+    /// Announces that this host is alive, in a newer epoch than the suspected one.
     fn refute(&mut self, epoch: u64) {
         if epoch < self.epoch {
             return;
--- a/components/coordination/src/members/removal.rs
+++ b/components/coordination/src/members/removal.rs
@@ -1,4 +1,4 @@
-//! Whether a silent member may be removed.
+//! Decides whether a silent member may be removed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 
 use super::watch::{MemberId, majority};
 
-/// How long the answers to a poll are waited for.
+/// How long a poll waits for answers.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a remover waits for its removal to show before it tries again.
+/// How long to wait for a removal to take effect before it is written again.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What the platform's list of hosts says of a member.
+/// The state of a member on the platform's list of hosts.
 ///
-/// The list lags, and may be empty or out of reach, so it never removes
-/// anybody by itself: it only adds to what the watchers agree on.
+/// The list lags, and may be empty or unreachable. It therefore never removes a
+/// member by itself, but only confirms what the watchers agree on.
 #[tag]
 pub enum Listed {
-    /// It is there, or the list says nothing that can be relied on.
+    /// The member is listed, or the list is not reliable.
     Unclear,
-    /// A list that names this host itself says that the member leaves, or lacks it.
+    /// A list that contains this host lacks the member or reports it as leaving.
     Unlisted,
 }
 
-/// Asks the region's members whether they hear this host, before it removes one.
+/// A poll of the region's members, before this host removes a silent one of them.
 ///
-/// What goes wrong without it: hosts cut off from the rest, but not from the
-/// log, remove all the others one by one. Only hosts that a majority of the
-/// region answers may remove, so that of two halves one at most does.
+/// Without the poll, hosts that are cut off from the rest, but not from the log,
+/// would remove all other members one by one. Only hosts that a majority of the
+/// region answers may remove a member, so at most one side of a split does.
 pub struct RemovalPoll {
     target: MemberId,
     asked: Moment,
@@ -40,7 +40,7 @@
 }
 
 impl RemovalPoll {
-    /// Starts a poll about `target`, asked with the beat `sequence`.
+    /// Starts a poll about `target`; answers acknowledge the heartbeat `sequence` or a later one.
     pub fn new(target: MemberId, sequence: u64, now: Moment) -> RemovalPoll {
         RemovalPoll {
             target,
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Returns the member it is about.
+    /// Returns the member that the poll is about.
     pub fn target(&self) -> MemberId {
         self.target
     }
 
-    /// Notes an answer.
+    /// Records an answer.
     pub fn note_answer(&mut self, from: MemberId, sequence: u64) {
         if sequence >= self.sequence {
             self.answered.insert(from);
         }
     }
 
-    /// Returns whether the poll is over without having come to anything.
+    /// Returns whether the poll has timed out.
     pub fn is_over(&self, now: Moment) -> bool {
         match self.removed {
             Some(at) => now.since(at) >= RETRY_AFTER,
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Returns whether to write the removal now; true once a poll.
+    /// Returns whether to write the removal now; true once per poll.
     ///
-    /// `region` is how many members the region has, the target and this host among them.
+    /// `region` is the number of members of the region, including the target and this host.
     pub fn should_remove(&mut self, region: usize, listed: Listed, now: Moment) -> bool {
         let heard = self.answered.len() + 1;
         let agreed = heard >= majority(region) || listed == Listed::Unlisted;
@@ -85,11 +85,11 @@
     }
 }
 
-/// Returns the members that the platform's list lacks, or calls leaving.
+/// Returns the members that the platform's list lacks or reports as leaving.
 ///
-/// `live` holds the names that the list calls live. Where this host is not
-/// among them the list is empty, of another site or older than this host, and
-/// says nothing about anybody.
+/// `live` holds the names that the list reports as live. If this host is not among
+/// them, the list is empty, of another site or older than this host, and says
+/// nothing about any member.
 pub fn unlisted_members(live: &BTreeSet<String>, me: &str, config: &Config) -> BTreeSet<HostKey> {
     if !live.contains(me) {
         return BTreeSet::new();
--- a/components/coordination/src/members/view.rs
+++ b/components/coordination/src/members/view.rs
@@ -1,33 +1,33 @@
-//! Who is alive, as one host sees it.
+//! The members that are alive, as seen by one host.
 
 use std::collections::BTreeMap;
 
 use derives::value;
 use state::HostKey;
 
-/// The members as this host sees them, itself among them.
+/// The members as this host sees them, including itself.
 #[value]
 #[derive(Default)]
 pub struct LiveView {
-    /// The revision of the configuration the view is of.
+    /// The revision of the configuration that lists the members.
     pub revision: u64,
     /// The members by key.
     pub peers: BTreeMap<HostKey, PeerState>,
 }
 
-/// What this host knows of one member.
+/// What this host knows about one member.
 #[value]
 pub struct PeerState {
-    /// The data centre it stands in.
+    /// The data centre of the member.
     pub data_centre: String,
-    /// Whether its watchers agree that it fell silent.
+    /// Whether the member's watchers agree that it fell silent.
     pub suspected: bool,
-    /// The offset of its configuration, as it last said itself.
+    /// The offset up to which the member has applied the configuration, as far as this host knows.
     pub applied: u64,
 }
 
 impl LiveView {
-    /// Returns whether the member is there and nobody agreed that it fell silent.
+    /// Returns whether the host is a member and not suspected.
     pub fn is_alive(&self, host: HostKey) -> bool {
         self.peers.get(&host).is_some_and(|p| !p.suspected)
     }
--- a/components/coordination/src/members/watch.rs
+++ b/components/coordination/src/members/watch.rs
@@ -1,4 +1,4 @@
-//! Which members watch which.
+//! Assigns watchers to members.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,24 +7,23 @@
 use state::keys::rendezvous;
 use state::{Config, HostKey};
 
-/// Watchers of each member.
+/// The number of watchers of each member.
 ///
-/// Five, of which three agree on what needs a majority: two may be lost
-/// together, as when a data centre goes, and the other three still answer.
-/// The number is fixed, so that heartbeats cost a host the same at 17 members
-/// and at 300.
+/// Three of the five form a majority. Two may be lost together, for instance with
+/// a data centre, and the other three still answer. The number is fixed, so that
+/// the cost of heartbeats per host is the same with 17 members and with 300.
 pub const WATCHERS: usize = 5;
 
 /// One process that is or was a member.
 #[key]
 pub struct MemberId {
-    /// Its host.
+    /// The host of the process.
     pub host: HostKey,
-    /// Its incarnation: a host that starts or joins again is another member.
+    /// The incarnation of the host. A host that restarts or rejoins is another member.
     pub incarnation: u64,
 }
 
-/// Who watches whom, at one configuration.
+/// The watchers of all members of one configuration.
 #[value]
 #[derive(Default)]
 pub struct WatchMap {
@@ -35,9 +34,9 @@
 impl WatchMap {
     /// Computes the watchers of all members.
     ///
-    /// A member's watchers stand in its own region, where that has others: a
-    /// region that loses sight of another must not think it dead. They are
-    /// spread over the region's data centres, so that one that goes takes few.
+    /// Watchers are chosen from the member's own region, if that has other members: a
+    /// region that loses its connection to another must not consider it dead. They are
+    /// spread over the data centres of the region, so that the loss of one takes few.
     pub fn from_config(config: &Config) -> WatchMap {
         let regions = regions(config);
         let located: Vec<Located> = config
@@ -59,7 +58,7 @@
         WatchMap { watchers, regions }
     }
 
-    /// Returns the watchers of `member`, the first choice first.
+    /// Returns the watchers of `member` in order of preference.
     pub fn watchers(&self, member: MemberId) -> &[MemberId] {
         self.watchers
             .get(&member)
@@ -80,7 +79,7 @@
         self.watchers.keys().copied()
     }
 
-    /// Returns the member that `host` is at this configuration.
+    /// Returns the member that `host` is in this configuration.
     pub fn member(&self, host: HostKey) -> Option<MemberId> {
         let first = MemberId {
             host,
@@ -90,7 +89,7 @@
         member.filter(|id| id.host == host)
     }
 
-    /// Returns the members of the region that `host` stands in.
+    /// Returns the members of the region of `host`.
     pub fn region(&self, host: HostKey) -> impl Iterator<Item = MemberId> {
         let region = self.regions.get(&host);
         self.members()
@@ -98,7 +97,7 @@
     }
 }
 
-/// Returns the least number that is more than half of `count`.
+/// Returns the smallest number that is more than half of `count`.
 pub fn majority(count: usize) -> usize {
     count / 2 + 1
 }
@@ -117,7 +116,7 @@
         .collect()
 }
 
-/// A member and where it stands.
+/// A member and its location.
 struct Located<'a> {
     id: MemberId,
     centre: &'a str,
--- a/components/coordination/src/members/watched.rs
+++ b/components/coordination/src/members/watched.rs
@@ -7,39 +7,41 @@
 
 use super::watch::MemberId;
 
-/// Silence after which a new link is dialled: the old one may swallow all that is sent.
+/// The silence after which a new link is dialled, because the old one may drop all messages.
 pub const REDIAL_AFTER: Duration = Duration::from_millis(500);
 
-/// Silence after which a watcher doubts.
+/// The silence after which a watcher queries the other watchers.
 ///
-/// A host paused 200 ms is silent for 400 ms at most, a beat apart included;
-/// the rest is room for the network. Agreed suspicion then comes within 1 s.
+/// A host that is paused for 200 ms is silent for at most 400 ms, including the
+/// interval between two heartbeats. The rest is for delays of the network. Watchers
+/// then agree on a suspicion within 1 s.
 pub const QUERY_AFTER: Duration = Duration::from_millis(700);
 
-/// How long a doubt waits for a fellow watcher to say that it hears the member.
+/// How long a watcher waits for a reply of another watcher that receives heartbeats.
 ///
-/// Two watchers of one data centre lose a member together when the path
-/// between two data centres drops; a third that hears it must get a word in.
+/// If the path between two data centres drops messages, two watchers in one data
+/// centre lose a member at the same time. A third watcher that still receives its
+/// heartbeats must have the time to object.
 pub const OBJECTION_WINDOW: Duration = Duration::from_millis(100);
 
-/// How often a doubt is repeated to fellow watchers.
+/// The time between two queries to the other watchers.
 pub const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Silence that still counts as hearing, when a fellow watcher asks.
+/// The longest silence at which a queried watcher replies that the member is alive.
 pub const HEARD_WITHIN: Duration = Duration::from_millis(450);
 
-/// Agreed silence after which a watcher has the member removed.
+/// The agreed silence after which a watcher removes the member.
 pub const REMOVE_AFTER: Duration = Duration::from_secs(3);
 
 /// How much longer each next watcher waits for the one before it to remove the member.
 const REMOVER_STAGGER: Duration = Duration::from_secs(1);
 
-/// How long a fellow's doubt counts without being repeated.
+/// How long another watcher's query counts as agreement unless it is repeated.
 const QUERY_TTL: Duration = Duration::from_millis(600);
 
 /// A watched member.
 pub struct WatchedMember {
-    /// The greatest epoch heard of.
+    /// The latest known epoch of the member.
     pub epoch: u64,
     last_contact: Moment,
     concurring: BTreeMap<MemberId, Moment>,
@@ -48,7 +50,7 @@
 }
 
 impl WatchedMember {
-    /// Returns a member that is taken to have been heard just now.
+    /// Returns the state of a member whose last contact is assumed to be now.
     pub fn new(now: Moment) -> WatchedMember {
         WatchedMember {
             epoch: 0,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Notes a sign of life at `at`, which may lie in the past.
+    /// Records a message of the member at `at`, which may be in the past.
     pub fn record_contact(&mut self, at: Moment) {
         if at <= self.last_contact {
             return;
@@ -70,24 +72,24 @@
         self.last_query = None;
     }
 
-    /// Returns for how long nothing was heard.
+    /// Returns the time since the last contact.
     pub fn silence(&self, now: Moment) -> Duration {
         now.since(self.last_contact)
     }
 
-    /// Notes that a fellow watcher doubts too.
+    /// Records that another watcher finds the member silent too.
     pub fn note_concurring(&mut self, watcher: MemberId, now: Moment) {
         self.concurring.insert(watcher, now);
     }
 
-    /// Returns whether it is time for a new link, once a silence.
+    /// Returns whether it is time for a new link, at most once in each silence.
     pub fn should_redial(&mut self, now: Moment) -> bool {
         let due = !self.redialled && self.silence(now) >= REDIAL_AFTER;
         self.redialled |= due;
         due
     }
 
-    /// Returns whether it is time to tell the fellow watchers of a doubt.
+    /// Returns whether it is time to query the other watchers.
     pub fn should_query(&mut self, now: Moment) -> bool {
         let told = |at: Moment| now.since(at) < QUERY_INTERVAL;
         let due = self.silence(now) >= QUERY_AFTER && !self.last_query.is_some_and(told);
@@ -99,17 +101,17 @@
 
     /// Returns whether the watchers agree that the member fell silent.
     ///
-    /// One watcher alone may have lost its own link: a second must doubt too,
-    /// where there is a second that is itself not suspected.
+    /// A single watcher may have lost its own link. A second one must find the member
+    /// silent too, if there is another watcher that is not suspected itself.
     pub fn is_agreed(&self, now: Moment, other_watchers: usize) -> bool {
         self.silence(now) >= QUERY_AFTER + OBJECTION_WINDOW
             && self.concurring_watchers(now).count() >= other_watchers.min(1)
     }
 
-    /// Returns whether the silence is long enough, and agreed by all of `other_watchers`, to remove it.
+    /// Returns whether to remove the member: all `other_watchers` agree on its long silence.
     ///
-    /// `rank` is how many watchers come before this one: they go first, so
-    /// that a lost member costs one append and not five.
+    /// `rank` is the number of watchers before this one. They go first, so that a
+    /// lost member costs one append and not five.
     pub fn is_lost(&self, now: Moment, other_watchers: &[MemberId], rank: u32) -> bool {
         self.silence(now) >= REMOVE_AFTER + REMOVER_STAGGER * rank
             && other_watchers.iter().all(|f| {
--- a/components/coordination/src/slots/assignment.rs
+++ b/components/coordination/src/slots/assignment.rs
@@ -1,4 +1,4 @@
-//! Who gets the idle slots of one service at this host.
+//! Assigns the idle slots of one service at this host.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use super::message::SlotKey;
 use super::{Effect, SlotManager};
 
-/// How good an endpoint is to start the next call on; the least is the best.
+/// The preference for an endpoint to start the next call on; the lowest rank comes first.
 type Rank = (bool, usize);
 
 impl SlotManager {
-    /// Starts calls on idle slots and moves the slots that others need more.
+    /// Starts calls on idle slots and transfers slots that other hosts need more.
     ///
-    /// Runs at each arrival and each end of a call. Most of them find calm: so
-    /// it looks first whether anyone wants a slot, and stops as soon as no one
-    /// does. Ranking all idle slots each time took longer than the rest of a
-    /// call's way through the host.
+    /// Load pattern: runs at each arrival and each end of a call, mostly when no
+    /// slot is wanted. It therefore checks for demand first and stops as soon as
+    /// there is none. Ranking all idle slots each time took longer than the rest of
+    /// a call's path through the host.
     pub(super) fn assign_idle(&mut self, service: ServiceKey, now: Moment) {
         if self.is_wanted(service, now) {
             for slot in self.ranked(service) {
@@ -59,7 +59,7 @@
         true
     }
 
-    /// Returns whether an idle slot here has anything to do but stay.
+    /// Returns whether an idle slot of this service is wanted by a call or another host.
     fn is_wanted(&self, service: ServiceKey, now: Moment) -> bool {
         let Some(pool) = self.pools.get(&service) else {
             return false;
@@ -78,11 +78,11 @@
         }
     }
 
-    /// Returns the idle slots, those to be used first in front.
+    /// Returns the idle slots, the preferred ones first.
     ///
-    /// Own data centre first, since it saves a round trip; then the endpoint
-    /// with the fewest calls of this host, so that a server in trouble meets
-    /// few of them.
+    /// Slots of the own data centre come first, because they save a round trip. Then
+    /// come endpoints with the fewest calls of this host, so that an unhealthy
+    /// backend server affects few of them.
     pub(super) fn ranked(&self, service: ServiceKey) -> Vec<SlotKey> {
         let mut slots = self.idle_slots(service);
         if slots.len() < 2 {
--- a/components/coordination/src/slots/broker.rs
+++ b/components/coordination/src/slots/broker.rs
@@ -1,8 +1,9 @@
-//! Finds idle slots for waiting calls, for one service in one region.
+//! The broker of one service in one region: finds idle slots for waiting calls.
 //!
-//! A broker only decides who gets a slot next. The slots it has to give are
-//! leases its own host holds, and what it asks of others they may decline: a
-//! broker that is doubled, wrong or gone costs time and never safety.
+//! A broker only decides which host gets a slot next. The slots that it gives
+//! away are leases of its own host, and other hosts may decline its transfer
+//! requests. A duplicate, wrong or missing broker therefore costs waiting time
+//! but never puts two calls on one slot.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,7 +13,7 @@
 
 use super::message::{Demand, Stamp};
 
-/// What a broker knows of the hosts that want or hold slots of its service.
+/// Demand and supply of the hosts that want or hold slots of one service.
 #[value]
 pub struct Broker {
     demands: BTreeMap<HostKey, HostDemand>,
@@ -21,7 +22,7 @@
     last_planned: Moment,
 }
 
-/// One host, by its last report.
+/// One host's demand and supply, by its last report.
 #[value]
 pub struct HostDemand {
     stamp: Stamp,
@@ -39,36 +40,36 @@
     last_sent: Moment,
 }
 
-/// A slot to be moved from one holder to another.
+/// A transfer of one slot between two other hosts.
 #[value]
 pub struct PlannedTransfer {
-    /// Who gives it.
+    /// The host that gives the slot away.
     pub from: HostKey,
-    /// Who gets it.
+    /// The host that receives the slot.
     pub to: HostKey,
-    /// The stamp of the host that gets it.
+    /// The latest stamp of the receiving host.
     pub echo: Stamp,
-    /// How long the call waits that it is for.
+    /// How long the call that the slot is for has waited.
     pub oldest: Duration,
 }
 
-/// A slot on its way is forgotten after this: the giver may have had none free.
+/// How long a slot counts as in transit. The sender may have had no idle slot to send.
 const IN_TRANSIT_TIMEOUT: Duration = Duration::from_millis(20);
-/// A slot asked for is forgotten after this: the giver may have had none free.
+/// How long a requested slot counts as pending. The holder may have had no idle slot to send.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(10);
-/// A host unheard of for this long wants and holds nothing.
+/// A host without a report for this long counts as wanting and holding nothing.
 const REPORT_TTL: Duration = Duration::from_millis(3_000);
-/// The least time between two rounds of moves.
+/// The minimum time between two rounds of transfers.
 const TRANSFER_INTERVAL: Duration = Duration::from_millis(2);
-/// A difference of waits worth a move, which costs the slot half a round trip.
+/// The minimum difference of waiting times for a transfer, which costs the slot half a round trip.
 const MIN_WAIT_GAIN: Duration = Duration::from_millis(4);
-/// Calls must have found slots for this long before hosts may keep spares again.
+/// A shortage lasts until no call has lacked a slot for this long. Hosts then keep spares again.
 const SHORTAGE_HOLD: Duration = Duration::from_millis(10);
-/// A client spoken to longer ago than this is sent a pulse, for its stamp.
+/// A host that was sent nothing for this long gets a shortage message, for the stamp in it.
 const STAMP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Broker {
-    /// Returns a broker that has heard nothing.
+    /// Returns a broker without any reports.
     pub fn new(now: Moment) -> Broker {
         Broker {
             demands: BTreeMap::new(),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Takes in a report; returns whether the host should be sent a pulse.
+    /// Records a host's report. Returns whether the host is due a shortage message.
     pub fn record(&mut self, from: HostKey, stamp: Stamp, demand: &Demand, now: Moment) -> bool {
         let known = self.demands.contains_key(&from);
         let entry = self
@@ -113,13 +114,13 @@
         due || (self.shortage && !known)
     }
 
-    /// Forgets hosts that are gone.
+    /// Removes the hosts that `alive` rejects.
     pub fn retain(&mut self, alive: impl Fn(HostKey) -> bool) {
         self.demands.retain(|host, _| alive(*host));
     }
 
-    /// Returns the host, but for `except`, whose calls have waited longest without a
-    /// slot on the way, and how long they have.
+    /// Returns the host, other than `except`, whose calls without a slot in transit have
+    /// waited longest, and how long they have waited.
     pub fn longest_waiting(
         &self,
         except: Option<HostKey>,
@@ -132,7 +133,7 @@
             .max_by_key(|(host, age)| (*age, *host))
     }
 
-    /// Returns the host whose calls have waited longest with no slot asked for, and how long.
+    /// Returns the host whose calls without a requested slot have waited longest, and how long.
     fn longest_unrequested(&self, now: Moment) -> Option<(HostKey, Duration)> {
         self.demands
             .iter()
@@ -141,7 +142,7 @@
             .max_by_key(|(host, age)| (*age, *host))
     }
 
-    /// Returns a host, but for `except`, that wants a spare slot for its next calls.
+    /// Returns a host, other than `except`, that wants a spare slot for its next calls.
     pub fn spare_candidate(&self, except: HostKey, now: Moment) -> Option<HostKey> {
         self.demands
             .iter()
@@ -150,12 +151,12 @@
             .map(|(host, _)| *host)
     }
 
-    /// Returns the last stamp of a host.
+    /// Returns the latest stamp of a host.
     pub fn stamp(&self, host: HostKey) -> Option<Stamp> {
         self.demands.get(&host).map(|c| c.stamp)
     }
 
-    /// Notes that a slot is on its way to a host.
+    /// Records that a slot was sent to a host.
     pub fn note_sent(&mut self, to: HostKey, now: Moment) {
         if let Some(entry) = self.demands.get_mut(&to) {
             entry.incoming.push_back(now);
@@ -167,12 +168,13 @@
         }
     }
 
-    /// Decides which slots move between other hosts; `own` is this host's oldest wait.
+    /// Plans the transfers of slots between other hosts.
     ///
-    /// Made for more waiting calls than idle slots. Without it the calls of a
-    /// host that has few slots wait long while younger ones elsewhere are
-    /// started; each move costs a slot half a round trip, so only differences
-    /// above [`MIN_WAIT_GAIN`] are worth one, and a round moves one slot a giver.
+    /// Load pattern: more calls wait than there are idle slots. Without transfers,
+    /// calls at a host with few slots wait long while younger calls elsewhere
+    /// start. A transfer leaves its slot unused for half a round trip, so only
+    /// differences above `MIN_WAIT_GAIN` lead to one, and each round takes at most one
+    /// slot from a host.
     pub fn plan_transfers(&mut self, now: Moment) -> Vec<PlannedTransfer> {
         if now.since(self.last_planned) < TRANSFER_INTERVAL {
             return Vec::new();
@@ -209,7 +211,7 @@
         transfers
     }
 
-    /// Returns the new state where hosts have to be told that it changed.
+    /// Returns the new state of the shortage if it changed and hosts have to be informed.
     pub fn update_shortage(&mut self, now: Moment) -> Option<bool> {
         let unmet = self.longest_waiting(None, now).is_some();
         if unmet {
@@ -277,7 +279,7 @@
         self.unmet + self.spare
     }
 
-    /// Returns the wait of its oldest call that has no slot on the way, as a guess.
+    /// Estimates the wait of the oldest call without a slot in transit.
     fn age(&self, now: Moment) -> Duration {
         match (self.waiting, self.unmet(now)) {
             (0, _) | (_, 0) => Duration::ZERO,
--- a/components/coordination/src/slots/calls.rs
+++ b/components/coordination/src/slots/calls.rs
@@ -1,4 +1,4 @@
-//! The holder's side: calls, waiting and starting them, and the slots they run on.
+//! The holder role: arriving, waiting and running calls, and the slots that they run on.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use super::role_map::RoleMap;
 use super::{Arrival, Effect, Ending, Refusal, SlotManager};
 
-/// How long work may run on after its connection broke.
+/// How long a call's work may still run after its connection broke.
 const BROKEN_CALL_GRACE: Duration = Duration::from_millis(100);
 
 impl SlotManager {
-    /// Takes in a call: it is started, queued or refused.
+    /// Handles an arriving call: starts, queues or refuses it.
     pub fn arrive(&mut self, arrival: &Arrival, now: Moment) {
         if let Some(refusal) = self.admit(arrival, now) {
             self.effects.push(Effect::Refuse(arrival.call, refusal));
@@ -24,7 +24,7 @@
         self.finish_step(now);
     }
 
-    /// Forgets a call that waits: its caller has hung up.
+    /// Removes a waiting call whose caller has disconnected.
     pub fn cancel(&mut self, service: ServiceKey, call: CallKey, now: Moment) {
         if let Some(pool) = self.pools.get_mut(&service) {
             pool.queue.cancel(call);
@@ -65,7 +65,7 @@
         self.finish_step(now);
     }
 
-    /// Stops taking calls, refuses those that wait and gives idle slots back.
+    /// Stops accepting calls, refuses the waiting ones and gives up idle slots.
     pub fn stop(&mut self, now: Moment) {
         self.stopping = true;
         let services: Vec<ServiceKey> = self.pools.keys().copied().collect();
@@ -83,7 +83,7 @@
         self.finish_step(now);
     }
 
-    /// Gives an idle slot to the broker, or to its owner where that can't be.
+    /// Gives an idle slot to the broker, or returns it to its owner if that is not possible.
     pub(super) fn give_up_slot(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) {
         let broker = self.roles.broker(service).filter(|b| *b != self.me.host);
         let handed = match broker {
@@ -120,7 +120,7 @@
             .map_or(Vec::new(), |d| d.idle.clone())
     }
 
-    /// Takes in leases that were handed to this host.
+    /// Handles leases that were transferred to this host.
     pub(super) fn on_transfer(
         &mut self,
         from: HostKey,
@@ -152,8 +152,9 @@
             if !self.leases.accept(handed, service, asked, now) {
                 continue;
             }
-            // Not given back while stopping: its owner still takes this host for
-            // the broker and would lease it here again at once, back and forth.
+            // While this host stops, the lease is dropped rather than returned: the owner
+            // still considers this host the broker and would lease the slot here again at
+            // once, in an endless loop.
             if self.stopping {
                 self.leases.release(slot);
                 continue;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Ends leases that have lapsed and the rest of given-up work.
+    /// Removes leases that have ended and frees the slots whose abandoned work has stopped.
     pub(super) fn sweep_leases(&mut self, now: Moment) {
         let lapsing: Vec<(ServiceKey, SlotKey)> = self
             .leases
@@ -200,7 +201,7 @@
         self.count_slow_calls(now);
     }
 
-    /// Refuses calls that have become hopeless and gives up surplus slots.
+    /// Refuses waiting calls that have expired and gives up surplus slots.
     pub(super) fn sweep_pools(&mut self, now: Moment) {
         let services: Vec<ServiceKey> = self.pools.keys().copied().collect();
         for service in services {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Follows a new configuration: desks of its services, slots that must go.
+    /// Applies a new configuration to the pools of its services.
     pub(super) fn configure_pools(&mut self, before: &RoleMap, now: Moment) {
         for (service, service_roles) in &self.roles.services {
             let pool = self
@@ -254,10 +255,10 @@
         });
     }
 
-    /// Gives back the slots of endpoints that are leaving or gone.
+    /// Returns the slots of endpoints that are leaving or were removed.
     ///
-    /// Their idle slots take no more calls from this moment; a running call
-    /// ends in peace and its slot goes back then.
+    /// Idle slots of these endpoints take no more calls from now on. A running call
+    /// may finish, and its slot is returned afterwards.
     pub(super) fn return_leaving(&mut self, now: Moment) {
         let endpoints = &self.roles.endpoints;
         let leaving: Vec<SlotKey> = self
@@ -339,10 +340,11 @@
         }
     }
 
-    /// Gives back a slot whose call was not taken, and the other idle ones of the endpoint.
+    /// Returns the slot of a call that the endpoint did not take, and its other idle slots.
     ///
-    /// A shed says that the endpoint bears less than was leased. Its owner
-    /// hears of it at once, over all hosts; here no further call tries it.
+    /// A shed means that the endpoint can take less than was leased. The return
+    /// informs its owner at once, on behalf of all hosts, and no further call of
+    /// this host is sent there.
     fn return_endpoint(
         &mut self,
         lease: LeaseKey,
@@ -366,7 +368,7 @@
         }
     }
 
-    /// Gives a slot back now where it is idle, else as soon as it is.
+    /// Returns a slot now if it is idle, otherwise as soon as its call has ended.
     pub(super) fn recall_slot(&mut self, slot: SlotKey, _now: Moment) {
         let Some(service) = self.leases.get(slot).map(|h| h.service) else {
             return;
--- a/components/coordination/src/slots/held.rs
+++ b/components/coordination/src/slots/held.rs
@@ -14,61 +14,62 @@
 pub struct HeldLease {
     /// The lease.
     pub lease: LeaseKey,
-    /// The service its endpoint serves.
+    /// The service of the lease's endpoint.
     pub service: ServiceKey,
-    /// When it is over, by this host's own clock.
+    /// When the lease ends, by this host's own clock.
     pub end: Moment,
-    /// When the last renewal that named it was sent.
+    /// When the last renewal that named the lease was sent.
     pub asked: Option<Moment>,
-    /// What it is used for.
+    /// What the lease is used for.
     pub usage: Usage,
-    /// It goes back to its owner as soon as it is idle.
+    /// Whether the lease goes back to its owner as soon as it is idle.
     pub recalled: bool,
-    /// It is for one call only.
+    /// Whether the lease is for a single call.
     pub single_use: bool,
 }
 
 /// What a lease is used for.
 #[tag]
 pub enum Usage {
-    /// Nothing, since then.
+    /// Idle since the given time.
     Idle(Moment),
-    /// A call, since then; the flag says that it has been counted as slow already.
+    /// Running a call since the given time. The flag is set once the call was counted as slow.
     Busy(Moment, bool),
-    /// A call was given up; its work may run until then.
+    /// The call was abandoned, but its work may run until the given time.
     Lingering(Moment),
 }
 
-/// What becomes of a slot whose call has ended.
+/// What happens to a slot after its call has ended.
 #[tag]
 pub enum Freed {
-    /// It may serve the next call.
+    /// The slot may serve the next call.
     Ready,
-    /// It goes back to its owner.
+    /// The lease goes back to its owner.
     Return(LeaseKey),
-    /// Its lease is over and it is forgotten.
+    /// The lease has ended and is removed.
     Expired,
 }
 
-/// All leases of one entry host.
+/// All leases that one entry host holds.
 ///
-/// Every lease ends by this host's own clock, counted from a moment before the
-/// giver decided; a lease that has ended is never revived, only leased anew.
+/// Every lease ends by this host's own clock, counted from a time before the
+/// sender decided to send it. A lease that has ended is never extended; its slot
+/// has to be leased again.
 #[value]
 #[derive(Default)]
 pub struct HeldLeases {
     leases: BTreeMap<SlotKey, HeldLease>,
 }
 
-/// A lease with less than this left is not handed on: it would end on the way.
+/// A lease with less time left is not transferred, because it would end on the way.
 pub const MIN_TRANSFER_TERM: Duration = Duration::from_millis(100);
 
 impl HeldLeases {
-    /// Takes in a lease that `asked` (a moment of this host's own clock) preceded.
+    /// Adds a lease that was granted or transferred after `asked`, a time of this host's own clock.
     ///
-    /// Returns false where it has ended on its way, or where an older lease of
-    /// the slot still runs a call: that call outlived its lease, and taking
-    /// the new one would put two calls on one slot.
+    /// Returns false if the lease has ended on the way, or if a call still runs
+    /// on an older lease of the slot. That call has outlived its lease, and
+    /// accepting the new lease would put two calls on one slot.
     pub fn accept(
         &mut self,
         handed: &TransferredLease,
@@ -97,7 +98,7 @@
         true
     }
 
-    /// Returns a lease.
+    /// Returns the lease of a slot.
     pub fn get(&self, slot: SlotKey) -> Option<&HeldLease> {
         self.leases.get(&slot)
     }
@@ -115,7 +116,7 @@
             .map(|(_, h)| h)
     }
 
-    /// Puts an idle lease to use, where it has not ended.
+    /// Marks an idle lease as busy, unless it has ended or was recalled.
     pub fn start(&mut self, slot: SlotKey, now: Moment) -> Option<LeaseKey> {
         let held = self.leases.get_mut(&slot)?;
         match held.usage {
@@ -129,8 +130,8 @@
 
     /// Returns whether a call may be sent on this lease now.
     ///
-    /// A process that was paused past its term would otherwise send a call on
-    /// a slot that another host has been given meanwhile.
+    /// Without this check a process that was paused for longer than the lease term
+    /// would send a call on a slot that another host holds by now.
     pub fn may_send(&self, lease: LeaseKey, now: Moment) -> bool {
         self.leases
             .get(&lease.slot)
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Keeps a slot out of use until work that was given up has surely stopped.
+    /// Keeps a slot out of use until `until`, when abandoned work has certainly stopped.
     pub fn linger(&mut self, lease: LeaseKey, until: Moment) {
         if let Some(held) = self.leases.get_mut(&lease.slot)
             && held.lease == lease
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Returns the leases whose given-up work has stopped.
+    /// Returns the leases whose abandoned work has stopped.
     pub fn stopped(&self, now: Moment) -> Vec<LeaseKey> {
         self.leases
             .values()
@@ -174,7 +175,7 @@
             .collect()
     }
 
-    /// Lets go of an idle lease for another holder.
+    /// Removes an idle lease for a transfer to another holder.
     pub fn transfer(&mut self, slot: SlotKey, now: Moment) -> Option<TransferredLease> {
         let held = self.leases.get(&slot)?;
         let left = now.until(held.end);
@@ -194,7 +195,7 @@
         })
     }
 
-    /// Lets go of an idle lease for its owner.
+    /// Removes an idle lease for its return to the owner.
     pub fn release(&mut self, slot: SlotKey) -> Option<LeaseKey> {
         let held = self.leases.get(&slot)?;
         if !matches!(held.usage, Usage::Idle(_)) {
@@ -205,14 +206,14 @@
         Some(lease)
     }
 
-    /// Marks a lease to go back to its owner once it is idle.
+    /// Marks a lease as recalled: it goes back to its owner once it is idle.
     pub fn recall(&mut self, slot: SlotKey) {
         if let Some(held) = self.leases.get_mut(&slot) {
             held.recalled = true;
         }
     }
 
-    /// Marks a running call as counted among the slow ones.
+    /// Marks a running call as counted among the slow calls.
     pub fn mark_slow(&mut self, slot: SlotKey) {
         if let Some(held) = self.leases.get_mut(&slot)
             && let Usage::Busy(since, _) = held.usage
@@ -221,14 +222,14 @@
         }
     }
 
-    /// Notes that a renewal of this lease is sent now.
+    /// Records that a renewal of this lease is sent now.
     pub fn note_renewal(&mut self, slot: SlotKey, now: Moment) {
         if let Some(held) = self.leases.get_mut(&slot) {
             held.asked = Some(now);
         }
     }
 
-    /// Takes in that the leases named in the renewal sent at `asked` go on.
+    /// Extends the leases named in the renewal sent at `asked`, other than those in `except`.
     pub fn renewed(&mut self, asked: Moment, except: &[LeaseKey], now: Moment) {
         for held in self.leases.values_mut() {
             let named = held.asked == Some(asked) && !except.contains(&held.lease);
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Takes in that a lease is over at its owner; returns whether it was idle here.
+    /// Ends a lease that is over at its owner. Returns whether the lease was idle here.
     pub fn end(&mut self, lease: LeaseKey, now: Moment) -> bool {
         match self.leases.get_mut(&lease.slot) {
             Some(held) if held.lease == lease && matches!(held.usage, Usage::Idle(_)) => {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Forgets idle leases that have ended and returns their slots.
+    /// Removes idle leases that have ended and returns their slots.
     pub fn expire_idle(&mut self, now: Moment) -> Vec<SlotKey> {
         let ended: Vec<SlotKey> = self
             .leases
--- a/components/coordination/src/slots/lease_table.rs
+++ b/components/coordination/src/slots/lease_table.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's owner knows of the slots that are out.
+//! The owner's table of the leases granted for one endpoint.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use super::message::{EndpointHandoff, HandoffLease, LeaseKey, SlotKey};
 use super::timing::{FENCE_DURATION, LEASE_TERM};
 
-/// The leases of one endpoint's slots, at its owner.
+/// The leases of one endpoint's slots, at the endpoint's owner.
 ///
 /// The owner counts each term from the moment it *receives* a renewal, the
-/// holder from the moment it *sent* it, so the owner's view of a lease ends
-/// last whatever the delay. A slot is leased anew only after that.
+/// holder from the moment it *sent* the renewal. The owner therefore sees a
+/// lease end last, whatever the delay, and leases a slot again only after that.
 #[value]
 pub struct LeaseTable {
     endpoint: EndpointKey,
@@ -20,12 +20,12 @@
     fence: Moment,
 }
 
-/// One slot's entry.
+/// The state of one slot.
 #[tag]
 enum SlotState {
-    /// Nobody can hold it, once the fence is over.
+    /// No host can hold the slot once the fence is over.
     Free,
-    /// It is leased.
+    /// The slot is leased.
     Leased {
         lease: LeaseKey,
         holder: HostKey,
@@ -33,28 +33,28 @@
     },
 }
 
-/// What an owner says to a renewal.
+/// An owner's answer to the renewal of a lease.
 #[tag]
 pub enum Renewal {
-    /// The lease goes on for a term.
+    /// The lease is extended by one term.
     Kept,
     /// The lease is over.
     Ended,
-    /// It can't be said yet.
+    /// The owner cannot decide yet.
     Pending,
 }
 
-/// A lease that is out.
+/// A granted lease.
 #[tag]
 pub struct GrantedLease {
     /// The lease.
     pub lease: LeaseKey,
-    /// Who holds it, as far as the owner has heard.
+    /// The holder, as far as the owner knows.
     pub holder: HostKey,
 }
 
 impl LeaseTable {
-    /// Returns the ledger of a new owner that knows nothing of what is out.
+    /// Returns the table of a new owner that does not know which slots are leased.
     pub fn with_fence(endpoint: EndpointKey, slots: u32, now: Moment) -> LeaseTable {
         LeaseTable {
             endpoint,
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Returns the ledger as the earlier owner left it.
+    /// Returns the table that an earlier owner handed off.
     ///
-    /// Its remaining times are counted from the receipt: later than at the
-    /// giver, so no lease ends here before it ends there.
+    /// Remaining times count from the receipt, which is later than at the earlier
+    /// owner. No lease therefore ends here before it ends there.
     pub fn from_handoff(handoff: &EndpointHandoff, slots: u32, now: Moment) -> LeaseTable {
         let mut lease_table = LeaseTable {
             endpoint: handoff.endpoint,
@@ -79,7 +79,7 @@
         lease_table
     }
 
-    /// Returns what the next owner has to know.
+    /// Returns the state that the next owner needs.
     pub fn handoff(&self, cap: u32, revision: u64, now: Moment) -> EndpointHandoff {
         let leases = self.slots.iter().filter_map(|slot| match *slot {
             SlotState::Leased {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Changes the number of slots; leases above it end by themselves.
+    /// Changes the number of slots. Leases of slots above the new number run out.
     pub fn resize(&mut self, slots: u32) {
         while self.slots.len() > slots as usize {
             match self.slots.last() {
@@ -113,22 +113,22 @@
         self.slots.resize(slots as usize, SlotState::Free);
     }
 
-    /// Returns whether slots may be leased: what was out before is known or over.
+    /// Returns whether slots may be leased: all earlier leases are known or over.
     pub fn is_open(&self, now: Moment) -> bool {
         self.fence <= now
     }
 
-    /// Returns whether nothing was ever leased or adopted here.
+    /// Returns whether the fence is up and no lease was granted or adopted yet.
     pub fn is_untouched(&self, now: Moment) -> bool {
         !self.is_open(now) && self.leased() == 0
     }
 
-    /// Returns how many slots are out.
+    /// Returns the number of leased slots.
     pub fn leased(&self) -> u32 {
         self.leases().count() as u32
     }
 
-    /// Returns the leases that are out.
+    /// Returns the granted leases.
     pub fn leases(&self) -> impl Iterator<Item = GrantedLease> {
         self.slots.iter().filter_map(|slot| match *slot {
             SlotState::Leased { lease, holder, .. } => Some(GrantedLease { lease, holder }),
@@ -155,7 +155,7 @@
         ended
     }
 
-    /// Leases a free slot under `serial`, where one is free and the fence is over.
+    /// Leases a free slot under `serial`, if there is one and the fence is over.
     pub fn grant(&mut self, holder: HostKey, serial: u64, now: Moment) -> Option<LeaseKey> {
         if !self.is_open(now) {
             return None;
@@ -177,12 +177,12 @@
         Some(lease)
     }
 
-    /// Renews a lease for whoever shows its latest hop.
+    /// Renews a lease for the host that shows the lease's latest hop.
     ///
-    /// Behind the fence an unknown lease is adopted: a live holder reports it,
-    /// and this owner has leased nothing yet that could clash with it. Not
-    /// before the earlier owner has surely stopped, though: it might still
-    /// lease the same slot to another host.
+    /// While the fence is up, an unknown lease is adopted: a live holder reports it,
+    /// and this owner has not yet granted any lease that could conflict with it.
+    /// Adoption waits until the earlier owner has certainly stopped, because that
+    /// owner might still lease the same slot to another host.
     pub fn renew(&mut self, lease: LeaseKey, holder: HostKey, now: Moment) -> Renewal {
         let waits = self.fence_left(now) > LEASE_TERM;
         let open = self.is_open(now);
@@ -204,7 +204,7 @@
         Renewal::Kept
     }
 
-    /// Frees a slot that its holder gives back; returns whether it was that lease.
+    /// Frees a slot that its holder returned. Returns false if the lease is out of date.
     pub fn give_back(&mut self, lease: LeaseKey) -> bool {
         let Some(slot) = self.slots.get_mut(lease.slot.number as usize) else {
             return false;
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Returns the time left until the fence is over.
+    /// Returns the time until the fence is over.
     pub fn fence_left(&self, now: Moment) -> Duration {
         now.until(self.fence)
     }
--- a/components/coordination/src/slots/message.rs
+++ b/components/coordination/src/slots/message.rs
@@ -1,4 +1,4 @@
-//! What entry hosts say to each other about slots.
+//! Messages about slots between entry hosts.
 
 use std::time::Duration;
 
@@ -10,132 +10,132 @@
 pub struct SlotKey {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// The slot's number, from 0.
+    /// The number of the slot, from 0.
     pub number: u32,
 }
 
 /// Names one lease of a slot.
 ///
-/// The owner draws a new `serial` each time it leases a free slot; `hop`
-/// counts the times that lease was handed from holder to holder. A message
-/// about an earlier serial or hop is out of date.
+/// The owner uses a new `serial` each time it leases a free slot. `hop` counts
+/// the transfers of that lease from holder to holder. A message about an earlier
+/// serial or hop is out of date.
 #[key]
 pub struct LeaseKey {
     /// The slot.
     pub slot: SlotKey,
-    /// Drawn by the owner, never twice.
+    /// A number chosen by the owner, never used twice.
     pub serial: u64,
-    /// Counts handovers.
+    /// The number of transfers so far.
     pub hop: u32,
 }
 
-/// A moment of another host's own clock in microseconds, opaque to everyone else.
+/// A reading of another host's clock, in microseconds and opaque to all other hosts.
 ///
-/// It is only ever sent back to the host that stamped it, which then knows
-/// that what comes with it was decided after that moment.
+/// A stamp is only sent back to the host that created it. That host then knows
+/// that the sender decided after that time.
 #[key]
 #[derive(Default)]
 pub struct Stamp {
-    /// The incarnation of the host that stamped it.
+    /// The incarnation of the host that created the stamp.
     pub incarnation: u64,
-    /// Its clock.
+    /// The clock of that host, in microseconds.
     pub clock: u64,
 }
 
 /// A message about slots.
 #[value]
 pub struct SlotMessage {
-    /// The sender's incarnation and clock as it sent this.
+    /// The incarnation and clock of the sender when it sent the message.
     pub stamp: Stamp,
-    /// What it says.
+    /// The content of the message.
     pub body: SlotBody,
 }
 
-/// What a message about slots says.
+/// The content of a message about slots.
 #[value]
 pub enum SlotBody {
-    /// Holder to owner: these leases are still held; this was seen of your endpoints.
+    /// Holder to owner: renews leases and reports call statistics of the owner's endpoints.
     Renew {
         /// The leases to renew.
         leases: Vec<LeaseKey>,
-        /// What calls showed since the last message.
+        /// Call statistics since the last message.
         stats: Vec<CallStats>,
     },
-    /// Owner to holder: the leases of the renewal you stamped so go on, but for these.
+    /// Owner to holder: answers a renewal. Leases that are not listed are extended.
     Renewed {
         /// The stamp of the renewal.
         echo: Stamp,
         /// Leases that are over.
         ended: Vec<LeaseKey>,
-        /// Leases the owner can't renew yet: to be asked again soon.
+        /// Leases that the owner cannot renew yet; the holder has to retry soon.
         pending: Vec<LeaseKey>,
     },
-    /// Owner to holder: give these back as soon as they are idle.
+    /// Owner to holder: asks for leases to be returned as soon as they are idle.
     Recall(Vec<LeaseKey>),
-    /// Holder to owner: these are no longer held.
+    /// Holder to owner: returns leases and reports call statistics.
     Return {
-        /// The leases.
+        /// The returned leases.
         leases: Vec<ReturnedLease>,
-        /// What calls showed since the last message.
+        /// Call statistics since the last message.
         stats: Vec<CallStats>,
     },
-    /// Holder or owner to the next holder: these are yours.
+    /// Holder or owner to the next holder: transfers leases.
     Transfer {
-        /// The receiver's stamp that the giver knew.
+        /// The latest stamp of the receiver that the sender knew.
         echo: Stamp,
-        /// The leases.
+        /// The transferred leases.
         leases: Vec<TransferredLease>,
     },
-    /// Host to broker: how it stands with a service here.
+    /// Host to broker: demand and supply of a service at the sender.
     Demand(Demand),
-    /// Broker to holder: hand slots straight to another host as they come free.
+    /// Broker to holder: asks for slots to be transferred to another host as they become idle.
     TransferRequest {
         /// The service.
         service: ServiceKey,
-        /// Who shall have them.
+        /// The host that gets the slots.
         to: HostKey,
-        /// Its stamp as the broker knows it.
+        /// The latest stamp of that host that the broker knew.
         echo: Stamp,
-        /// How many.
+        /// The number of slots.
         count: u32,
-        /// How long the oldest call waits that they are for.
+        /// How long the oldest call that needs one of the slots has waited.
         oldest: Duration,
     },
     /// Broker to host: whether calls wait that no idle slot can serve.
     Shortage {
         /// The service.
         service: ServiceKey,
-        /// Idle slots are wanted at once.
+        /// Whether the shortage lasts, so that idle slots are needed at once.
         active: bool,
     },
-    /// Earlier owner to the next one: this is out, and I lease no more.
+    /// Earlier owner to the next one: the state of its endpoints, which it leases no more.
     Handoff(Vec<EndpointHandoff>),
 }
 
-/// What an entry host saw of an endpoint's answers since it last said so.
+/// An entry host's statistics of an endpoint's calls since its last message.
 #[value]
 pub struct CallStats {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Calls that took far longer than the service's calls do.
+    /// The number of calls that took far longer than is usual for the service.
     pub slow: u32,
-    /// All calls.
+    /// The number of all calls.
     pub total: u32,
 }
 
-/// A lease given back to its owner.
+/// A lease returned to its owner.
 #[value]
 pub struct ReturnedLease {
     /// The lease.
     pub lease: LeaseKey,
-    /// Why.
+    /// The reason for the return.
     pub reason: Reason,
 }
 
-/// Why a lease is given back.
+/// The reason for the return of a lease.
 #[tag]
 pub enum Reason {
-    /// It was not needed or recalled.
+    /// The lease was not needed or was recalled.
     Idle,
     /// The backend server refused the call.
     Shed,
@@ -143,58 +143,58 @@
     Unreachable,
 }
 
-/// A lease handed to the next holder.
+/// A lease transferred to the next holder.
 #[value]
 pub struct TransferredLease {
-    /// The lease, with its hop counted up.
+    /// The lease, with its hop count incremented.
     pub lease: LeaseKey,
-    /// What was left of it at the giver.
+    /// The remaining time of the lease at the sender.
     pub left: Duration,
-    /// It is for one call only, to try an endpoint in doubt.
+    /// Whether the lease is for a single call, to try an endpoint that may be unhealthy.
     pub single_use: bool,
 }
 
-/// How a host stands with one service.
+/// A host's demand and supply of one service.
 #[value]
 pub struct Demand {
     /// The service.
     pub service: ServiceKey,
-    /// Calls that wait.
+    /// The number of waiting calls.
     pub waiting: u32,
-    /// How long the oldest of them has waited.
+    /// How long the oldest of the waiting calls has waited.
     pub oldest: Duration,
-    /// Slots wanted beyond that, so that the next calls needn't wait.
+    /// The number of slots wanted in addition, so that the next calls need not wait.
     pub spare: u32,
-    /// Slots held.
+    /// The number of slots held.
     pub held: u32,
-    /// Slots held that are idle.
+    /// The number of idle slots held.
     pub idle: u32,
-    /// Slots handed to this host so far, so that the broker knows which are on their way.
+    /// The number of slots received so far, which tells the broker how many are in transit.
     pub received: u32,
 }
 
-/// An endpoint's leases as its earlier owner leaves them.
+/// The state of an endpoint's leases that an earlier owner hands off.
 #[value]
 pub struct EndpointHandoff {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// The revision of the configuration by which the giver laid it down.
+    /// The revision of the configuration that ended the sender's ownership.
     pub revision: u64,
-    /// How long slots that are not named may still be in use by leases unknown to the giver.
+    /// How long slots that are not listed may be in use under leases unknown to the sender.
     pub fence: Duration,
-    /// The cap on slots out.
+    /// The cap on leased slots.
     pub cap: u32,
-    /// The leases that are out.
+    /// The granted leases.
     pub leases: Vec<HandoffLease>,
 }
 
-/// One lease of an estate.
+/// One lease of a handoff.
 #[value]
 pub struct HandoffLease {
     /// The lease.
     pub lease: LeaseKey,
-    /// Who holds it.
+    /// The holder of the lease.
     pub holder: HostKey,
-    /// What is left of it at the owner.
+    /// The remaining time of the lease at the earlier owner.
     pub left: Duration,
 }
--- a/components/coordination/src/slots/mod.rs
+++ b/components/coordination/src/slots/mod.rs
@@ -1,10 +1,10 @@
 //! Slots of backend servers, shared between entry hosts.
 //!
-//! Each endpoint has one owner that leases its slots, each service a broker
-//! that says where idle ones are wanted, and every host holds leases and
-//! queues its calls. [`SlotManager`] is all three roles of one host: it takes calls,
-//! messages and the time, and returns what to do. It has no clock, no socket
-//! and no random numbers.
+//! Each endpoint has one owner that leases its slots. Each service has a broker
+//! per region that directs idle slots to where calls wait. Every host holds leases
+//! and queues its calls. [`SlotManager`] runs all three roles of one host: it takes
+//! calls, messages and the time, and returns the actions to perform. It has no
+//! clock, socket or random numbers.
 
 mod assignment;
 pub mod broker;
@@ -41,97 +41,97 @@
 use timing::AUTHORITY_WINDOW;
 use transfers::TRANSFER_REQUEST_TTL;
 
-/// Who this host is.
+/// The identity of this host.
 #[value]
 pub struct Identity {
-    /// Its key.
+    /// The key of the host.
     pub host: HostKey,
-    /// Its incarnation, drawn anew each time the process starts.
+    /// The incarnation of the host, drawn at random each time the process starts.
     pub incarnation: u64,
-    /// The data centre it stands in.
+    /// The data centre of the host.
     pub centre: DataCentreKey,
 }
 
-/// A call that asks for a slot.
+/// A call that needs a slot.
 #[value]
 pub struct Arrival {
     /// The call.
     pub call: CallKey,
     /// The service called.
     pub service: ServiceKey,
-    /// When its answer is of no more use.
+    /// When the caller stops waiting for the answer.
     pub deadline: Moment,
-    /// Endpoints that have failed it already.
+    /// Endpoints on which the call has already failed.
     pub tried: Vec<EndpointKey>,
 }
 
 /// How a started call ended.
 #[tag]
 pub enum Ending {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered,
-    /// The backend server refused it and said so.
+    /// The backend server refused the call explicitly.
     Shed,
-    /// No connection could be opened, so that nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     Unreachable,
-    /// The connection broke or went silent after something was sent.
+    /// The connection broke or became silent after something was sent.
     Broken,
-    /// The call was given up and its work has stopped.
+    /// The call was cancelled and its work has stopped.
     Cancelled,
-    /// It was never sent.
+    /// The call was never sent.
     Unused,
 }
 
-/// Why a call is not started. Its work has not run.
+/// Why a call is not started. A refused call has not run.
 #[tag]
 pub enum Refusal {
     /// No service has this key.
     UnknownService,
-    /// Too many calls wait already.
+    /// Too many calls are waiting already.
     QueueFull,
-    /// It can't be served in time; to be tried again after this time.
+    /// The call cannot be served before its deadline. Contains the time to wait before a retry.
     TooLate(Duration),
-    /// Its deadline passed while it waited.
+    /// The call's deadline passed while it waited.
     Expired,
-    /// No backend server may take it.
+    /// No backend server may take the call.
     NoBackend,
     /// This host is shutting down.
     Stopping,
 }
 
-/// What is to be done.
+/// An action for the caller of the state machine.
 #[value]
 pub enum Effect {
-    /// Send a message.
+    /// Sends a message.
     Send(HostKey, SlotMessage),
-    /// Start a call on a lease.
+    /// Starts a call on a lease.
     Start {
         /// The call.
         call: CallKey,
-        /// The lease it runs on.
+        /// The lease that the call runs on.
         lease: LeaseKey,
-        /// Where the endpoint listens.
+        /// The address that the endpoint listens on.
         address: SocketAddr,
     },
-    /// Refuse a call.
+    /// Refuses a call.
     Refuse(CallKey, Refusal),
-    /// Ask an endpoint for its load report.
+    /// Probes an endpoint for its load report.
     Probe(EndpointKey, SocketAddr),
 }
 
-/// How a service stands at this host, for operators and metrics.
+/// The state of a service at this host, for operators and metrics.
 #[value]
 #[derive(Default)]
 pub struct ServiceStatus {
-    /// Calls that wait.
+    /// The number of waiting calls.
     pub waiting: u32,
-    /// Slots held.
+    /// The number of slots held.
     pub held: u32,
-    /// Slots held that are idle.
+    /// The number of idle slots held.
     pub idle: u32,
 }
 
-/// The slots of one entry host: holder, owner and broker.
+/// The slots of one entry host in its roles as holder, owner and broker.
 #[derive(Debug)]
 pub struct SlotManager {
     me: Identity,
@@ -142,7 +142,7 @@
     brokers: BTreeMap<ServiceKey, Broker>,
     stamps: BTreeMap<HostKey, LatestStamp>,
     handoffs: BTreeMap<EndpointKey, EarlyHandoff>,
-    /// Endpoints laid down lately of which slots had been leased here.
+    /// When this host recently stopped owning endpoints of which it had leased slots.
     recently_leased: BTreeMap<EndpointKey, Moment>,
     revision: u64,
     call_stats: BTreeMap<EndpointKey, CallStats>,
@@ -151,7 +151,7 @@
     returns: Vec<ReturnedLease>,
     transfers: BTreeMap<HostKey, PendingTransfer>,
     confirmed: Option<Moment>,
-    /// The revision of the last configuration, where that had no members.
+    /// The revision of the last configuration, if that had no members.
     empty_revision: Option<u64>,
     serial: u64,
     stopping: bool,
@@ -167,14 +167,14 @@
     at: Moment,
 }
 
-/// Leases on their way to another host.
+/// Leases to be sent to another host.
 #[derive(Debug)]
 struct PendingTransfer {
     echo: Stamp,
     leases: Vec<TransferredLease>,
 }
 
-/// An estate that came before the configuration that calls for it.
+/// A handoff that arrived before the configuration that makes this host the owner.
 #[derive(Debug)]
 struct EarlyHandoff {
     from: HostKey,
@@ -184,11 +184,11 @@
 
 /// The time between two sweeps of deadlines, leases and owned endpoints.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(5);
-/// An estate that no configuration called for is forgotten after this.
+/// How long a handoff is kept that no configuration has made use of.
 const HANDOFF_TTL: Duration = Duration::from_millis(10_000);
 
 impl SlotManager {
-    /// Returns the slots of a host that knows no configuration yet.
+    /// Returns the state of a host that has no configuration yet.
     pub fn new(me: Identity, now: Moment) -> SlotManager {
         SlotManager {
             serial: me.incarnation,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Takes over a configuration, or a new view of who is alive.
+    /// Applies a configuration, or a new set of living members.
     pub fn configure(&mut self, config: &Config, alive: &BTreeSet<HostKey>, now: Moment) {
         self.revision = config.revision;
         let before = std::mem::replace(&mut self.roles, RoleMap::new(config, self.me.host, alive));
@@ -234,11 +234,11 @@
         self.finish_step(now);
     }
 
-    /// Begins a new life as a member, after this host was removed and joins anew.
+    /// Starts a new incarnation of this member, after the host was removed and joins again.
     ///
-    /// Other hosts may own by now what this one owned and have leased it to
-    /// others. Acting on what it knew then would put two calls on one slot, so
-    /// nothing of it is taken along; leases held end by their own term.
+    /// Other hosts may by now own the endpoints of this host and have leased their
+    /// slots. Acting on the old state would put two calls on one slot, so all of it
+    /// is dropped. Leases that this host holds end with their own term.
     pub fn renew_incarnation(&mut self, incarnation: u64) {
         if incarnation == self.me.incarnation {
             return;
@@ -252,14 +252,14 @@
         self.renewals.clear();
     }
 
-    /// Notes that the configuration was shown to be the current one at `shown`.
+    /// Records that the configuration was proved to be the current one at `shown`.
     ///
-    /// A host that was paused or cut off may own endpoints that another host
-    /// has owned meanwhile. One would notice two calls on one slot. So an
-    /// owner acts only within [`AUTHORITY_WINDOW`] of that moment, and after a
-    /// longer gap takes nothing it knew for granted. The moment is that of the
-    /// proof and not of hearing of it: counted from the latter, an owner would
-    /// act for twice as long as its successor waits.
+    /// A host that was paused or cut off may consider itself the owner of endpoints
+    /// that another host has owned meanwhile, and two calls could run on one slot.
+    /// An owner therefore acts only within [`AUTHORITY_WINDOW`] of the proof, and after a
+    /// longer gap it fences all its endpoints. `shown` is the time of the proof, not
+    /// of its receipt: counted from the receipt, an owner would act for twice as long
+    /// as its successor waits.
     pub fn confirm(&mut self, shown: Moment) {
         let gap = self.confirmed.map_or(Duration::ZERO, |at| shown.since(at));
         let now = self.confirmed.map_or(shown, |at| at.max(shown));
@@ -276,10 +276,10 @@
         }
     }
 
-    /// Takes in a message of another host.
+    /// Handles a message of another host.
     ///
-    /// Those of a host that is no member, or of an earlier life of one, are
-    /// ignored: they speak of leases and clocks that are gone.
+    /// Messages of a host that is not a member, or of an earlier incarnation of a
+    /// member, are ignored, because their leases and clocks are no longer valid.
     pub fn receive(&mut self, from: HostKey, message: SlotMessage, now: Moment) {
         let known = self.roles.members.get(&from);
         if known.is_none_or(|p| p.incarnation != message.stamp.incarnation) {
@@ -299,7 +299,7 @@
         self.finish_step(now);
     }
 
-    /// Takes in what a probe found, none where it got no answer.
+    /// Records the result of a probe, `None` if the endpoint did not answer.
     pub fn probed(&mut self, endpoint: EndpointKey, report: Option<&LoadReport>, now: Moment) {
         if let (Some(owned), Some(report)) = (self.owned.get_mut(&endpoint), report) {
             owned.capacity.note_report(report, now);
@@ -308,7 +308,7 @@
         self.finish_step(now);
     }
 
-    /// Does what is due by time.
+    /// Performs the work that is due by now.
     pub fn tick(&mut self, now: Moment) {
         if now.since(self.last_sweep) >= SWEEP_INTERVAL {
             self.last_sweep = now;
@@ -336,12 +336,12 @@
         reports.min().map_or(sweep, |due| due.min(sweep))
     }
 
-    /// Takes what is to be done.
+    /// Takes the actions collected since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns how a service stands here.
+    /// Returns the state of a service at this host.
     pub fn status(&self, service: ServiceKey) -> Option<ServiceStatus> {
         self.pools.get(&service).map(|pool| ServiceStatus {
             waiting: pool.queue.len() as u32,
@@ -350,22 +350,22 @@
         })
     }
 
-    /// Returns the leases this host holds.
+    /// Returns the leases that this host holds.
     pub fn held_leases(&self) -> &HeldLeases {
         &self.leases
     }
 
-    /// Returns the endpoints this host owns.
+    /// Returns the endpoints that this host owns.
     pub fn owned(&self) -> &BTreeMap<EndpointKey, OwnedEndpoint> {
         &self.owned
     }
 
-    /// Returns what was worked out from the configuration.
+    /// Returns the roles derived from the configuration.
     pub fn roles(&self) -> &RoleMap {
         &self.roles
     }
 
-    /// Finishes one step: own messages, reports, brokerage, and what has piled up to send.
+    /// Finishes a step: handles messages to itself, sends reports, runs the brokers and flushes.
     fn finish_step(&mut self, now: Moment) {
         loop {
             while let Some(message) = self.inbox.pop_front() {
@@ -433,7 +433,7 @@
         }
     }
 
-    /// Returns the latest stamp of a host, where it is fresh enough to hand it a lease.
+    /// Returns the latest stamp of a host if it is fresh enough for a transfer.
     fn fresh_stamp(&self, host: HostKey, now: Moment) -> Option<Stamp> {
         if host == self.me.host {
             return Some(self.stamp(now));
@@ -448,11 +448,11 @@
             .is_some_and(|at| now.since(at) <= AUTHORITY_WINDOW)
     }
 
-    /// Returns whether this host is the first member after there was none.
+    /// Returns whether this host is the first member after a configuration without members.
     ///
-    /// A member that is the last one leaves by its own word, after it has
-    /// drained, so nothing is out when there are no members. The first to join
-    /// then owned every endpoint, if only for a moment.
+    /// The last member leaves by its own command after it has drained, so no slot is
+    /// leased while there are no members. The first host to join then owned every
+    /// endpoint, if only for a moment.
     fn is_first(&self, config: &Config) -> bool {
         let joined = config.members.get(&self.me.host).map(|m| m.joined);
         let next = self.empty_revision.map(|revision| revision + 1);
@@ -464,5 +464,5 @@
     }
 }
 
-/// A stamp older than this would leave too little of a lease handed with it.
+/// An older stamp would leave too little time of a lease that is transferred with it.
 const STAMP_TTL: Duration = Duration::from_millis(1_500);
--- a/components/coordination/src/slots/owned_endpoint.rs
+++ b/components/coordination/src/slots/owned_endpoint.rs
@@ -1,4 +1,4 @@
-//! What an owner does for one endpoint: leases, the cap, the only probes.
+//! The owner's state of one endpoint: leases, the cap on them, and probes.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use super::message::{EndpointHandoff, LeaseKey};
 use super::role_map::ServiceRoles;
 
-/// One endpoint at its owner.
+/// An endpoint at its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnedEndpoint {
-    /// The slots that are out.
+    /// The slots and their leases.
     pub lease_table: LeaseTable,
-    /// How much it bears.
+    /// How many calls the endpoint can take.
     pub capacity: Capacity,
     budget: ProbeBudget,
     urgent: bool,
     last_recall: Moment,
     trial: Option<(u64, Moment)>,
-    /// Since when another host owns it, until that has been told what is out.
+    /// When another host became the owner, until the handoff to that host was sent.
     pub superseded_at: Option<Moment>,
 }
 
@@ -29,17 +29,17 @@
 pub struct Grant {
     /// The lease.
     pub lease: LeaseKey,
-    /// It is for one call only.
+    /// Whether the lease is for a single call.
     pub single_use: bool,
 }
 
 /// The time between two recalls of the same leases.
 const RECALL_INTERVAL: Duration = Duration::from_millis(100);
-/// A trial that has not come back for this long is recalled.
+/// A trial lease that was not returned for this long is recalled.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl OwnedEndpoint {
-    /// Returns an endpoint that this host has come to own, with its estate if there is one.
+    /// Returns the state of an endpoint that this host now owns, with the handoff if there is one.
     pub fn new(
         endpoint: EndpointKey,
         service_roles: &ServiceRoles,
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Forgets what is out: another host may have owned the endpoint meanwhile.
+    /// Discards the leases, because another host may have owned the endpoint meanwhile.
     pub fn fence(&mut self, endpoint: EndpointKey, service_roles: &ServiceRoles, now: Moment) {
         self.lease_table = LeaseTable::with_fence(endpoint, service_roles.slots, now);
         self.trial = None;
     }
 
-    /// Takes over the sizes of a new configuration.
+    /// Applies the slot counts and probe cost of a new configuration.
     pub fn resize(&mut self, service_roles: &ServiceRoles, now: Moment) {
         self.lease_table.resize(service_roles.slots);
         self.capacity
@@ -81,19 +81,19 @@
         }
     }
 
-    /// Asks for a probe as soon as the budget lets one go.
+    /// Requests a probe as soon as the budget allows one.
     pub fn request_probe(&mut self) {
         self.urgent = true;
     }
 
-    /// Returns whether to probe now, and counts it.
+    /// Returns whether to probe now, and counts the probe.
     pub fn take_probe(&mut self, now: Moment) -> bool {
         let probe = self.budget.take(self.urgent, now);
         self.urgent &= !probe;
         probe
     }
 
-    /// Leases the next slot to `broker`, as far as the cap allows.
+    /// Leases the next slot to `broker`, up to the cap.
     pub fn grant(&mut self, broker: HostKey, serial: u64, now: Moment) -> Option<Grant> {
         if self.lease_table.leased() < self.capacity.cap() {
             let lease = self.lease_table.grant(broker, serial, now)?;
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Returns the leases to call back: those above the cap.
+    /// Returns the leases to recall: those above the cap.
     pub fn leases_to_recall(&mut self, leaving: bool, now: Moment) -> Vec<GrantedLease> {
         let cap = if leaving { 0 } else { self.capacity.cap() };
         let above = self.lease_table.leased().saturating_sub(cap) as usize;
--- a/components/coordination/src/slots/owner.rs
+++ b/components/coordination/src/slots/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side: leasing slots of the endpoints this host owns.
+//! The owner role: leases slots of the endpoints that this host owns.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::{EarlyHandoff, Effect, SlotManager};
 
 impl SlotManager {
-    /// Answers a renewal, where this host may act as an owner.
+    /// Answers a renewal, if this host may act as an owner.
     pub(super) fn on_renew(
         &mut self,
         from: HostKey,
@@ -50,7 +50,7 @@
         self.lease_to(from, now);
     }
 
-    /// Takes leases back and leases them anew.
+    /// Handles returned leases and leases the slots again.
     pub(super) fn on_return(&mut self, leases: &[ReturnedLease], stats: &[CallStats], now: Moment) {
         self.note_stats(stats, now);
         for returned in leases {
@@ -72,11 +72,10 @@
         }
     }
 
-    /// Takes in what the earlier owner has left.
+    /// Handles the handoffs of an earlier owner.
     ///
-    /// Believed only from a host that owned the endpoint by the configuration
-    /// this host knew or knows, and only until something was leased on other
-    /// grounds.
+    /// Only members can hand off. A handoff is used until this host has granted or
+    /// adopted a lease of the endpoint by other means.
     pub(super) fn on_handoff(
         &mut self,
         from: HostKey,
@@ -105,12 +104,12 @@
         }
     }
 
-    /// Passes an estate on that came when this host was no longer the owner.
+    /// Forwards a handoff that arrived after this host stopped being the owner.
     ///
-    /// When hosts join one after another, an endpoint changes hands faster
-    /// than its estate travels; its last owner would wait behind its fence and
-    /// callers would miss its slots for seconds. Not where this host leased
-    /// any of its slots meanwhile: the estate does not tell of those.
+    /// When hosts join one after another, the ownership of an endpoint moves faster
+    /// than its handoff. The last owner would wait behind its fence, and callers would
+    /// lack its slots for seconds. A handoff is not forwarded if this host has leased
+    /// slots of the endpoint meanwhile, because the handoff does not list those leases.
     fn forward_handoff(&mut self, handoff: EndpointHandoff, now: Moment) {
         let recently_leased = self.recently_leased.get(&handoff.endpoint);
         let endpoint_roles = self.roles.endpoints.get(&handoff.endpoint);
@@ -132,7 +131,7 @@
         endpoint_roles.and_then(|s| s.owner) == Some(self.me.host)
     }
 
-    /// Takes up and lays down ownership as the configuration says.
+    /// Starts and ends the ownership of endpoints according to the configuration.
     pub(super) fn configure_owned(&mut self, first: bool, now: Moment) {
         let me = Some(self.me.host);
         if first {
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Does what is due at the endpoints owned: ends, growth, recalls, leases, probes.
+    /// Performs due work on owned endpoints: expiry, growth, recalls, leases and probes.
     pub(super) fn sweep_owned(&mut self, now: Moment) {
         if !self.has_authority(now) {
             return;
@@ -185,7 +184,7 @@
         }
     }
 
-    /// Leases what is free at an endpoint to its broker, as far as the cap allows.
+    /// Leases the free slots of an endpoint to its broker, up to the cap.
     pub(super) fn lease_out(&mut self, endpoint: EndpointKey, now: Moment) {
         let endpoint_roles = self.roles.endpoints.get(&endpoint);
         if endpoint_roles.is_none_or(|s| s.leaving) || !self.has_authority(now) {
@@ -194,8 +193,8 @@
         let Some(broker) = self.roles.broker_of(endpoint) else {
             return;
         };
-        // A stopping host gives back at once what it is leased. Leasing to itself
-        // then would go on for ever, and a shutdown would never end.
+        // A stopping host returns at once what it is leased. If it leased slots to
+        // itself, that would go on forever and the shutdown would never end.
         if self.stopping && broker == self.me.host {
             return;
         }
@@ -274,11 +273,11 @@
         }
     }
 
-    /// Tells the next owners what is out, where this host may still speak for it.
+    /// Sends handoffs to the next owners, if this host still has the authority to.
     ///
-    /// After a gap in its authority it may not: others may have owned the
-    /// endpoint meanwhile. What it knew is then forgotten, and the next owner
-    /// waits behind its fence.
+    /// After a gap in this host's authority other hosts may have owned the endpoint.
+    /// The state of this host is then discarded, and the next owner waits behind its
+    /// fence.
     fn send_handoffs(&mut self, now: Moment) {
         let fresh = self.has_authority(now);
         let revision = self.revision;
@@ -307,7 +306,7 @@
         }
     }
 
-    /// Takes up every endpoint as its first owner ever: nothing can be out.
+    /// Takes ownership of every endpoint as the first owner, when no slot can be leased.
     fn own_all_unleased(&mut self, now: Moment) {
         let endpoints: Vec<EndpointKey> = self.roles.endpoints.keys().copied().collect();
         for endpoint in endpoints {
--- a/components/coordination/src/slots/pool.rs
+++ b/components/coordination/src/slots/pool.rs
@@ -1,4 +1,4 @@
-//! One service at one entry host: its waiting calls, its idle slots, its demand.
+//! The pool of one service at one entry host: idle slots, waiting calls and demand.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,40 +11,40 @@
 
 use super::message::{Demand, SlotKey, Stamp};
 
-/// A broker's word to hand slots to another host.
+/// A broker's request to transfer slots to another host.
 #[value]
 pub struct TransferRequest {
-    /// Who shall have them.
+    /// The host that gets the slots.
     pub to: HostKey,
-    /// Its stamp.
+    /// The stamp of that host.
     pub echo: Stamp,
-    /// How many.
+    /// The number of slots.
     pub count: u32,
-    /// When the oldest call that they are for arrived.
+    /// When the oldest call that needs one of the slots arrived.
     pub since: Moment,
-    /// After this it is void.
+    /// When the request expires.
     pub until: Moment,
 }
 
-/// One service at this host.
+/// The idle slots, waiting calls and demand of one service at this host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotPool {
-    /// The calls that wait.
+    /// The waiting calls.
     pub queue: Queue,
-    /// Decides who may wait.
+    /// Decides which calls may wait.
     pub admission: AdmissionControl,
-    /// What calls usually take.
+    /// The usual duration of the service's calls.
     pub latency: LatencyBaseline,
     /// Idle slots.
     pub idle: Vec<SlotKey>,
-    /// Slots held, idle or not.
+    /// The number of slots held, idle or busy.
     pub held: u32,
-    /// Slots handed to this host so far.
+    /// The number of slots received from the broker so far, wrapping around.
     pub received: u32,
-    /// The broker says that calls wait elsewhere.
+    /// Whether the broker reports that calls wait at other hosts.
     pub shortage: bool,
     last_offer: Moment,
-    /// Slots promised to other hosts.
+    /// Pending requests of the broker to transfer slots to other hosts.
     pub transfer_requests: VecDeque<TransferRequest>,
     rate: Rate,
     min_idle: u32,
@@ -65,21 +65,21 @@
     since: Moment,
 }
 
-/// The least time between two reports where calls have begun to wait.
+/// The minimum time between two reports when calls have begun to wait or the queue has grown.
 const URGENT_REPORT_INTERVAL: Duration = Duration::from_micros(200);
-/// The least time between two reports where little has changed.
+/// The minimum time between two reports when the queue has become shorter.
 const REPORT_INTERVAL: Duration = Duration::from_millis(2);
-/// The time between reports of an unchanged queue.
+/// The time between two reports while the queue is unchanged and not empty.
 const QUEUE_REPORT_INTERVAL: Duration = Duration::from_millis(4);
-/// The time between reports where nothing is wanted.
+/// The time between two reports while no call waits.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Slots that stay idle for this long beyond the spare are given up.
+/// Slots above the spare count that stay idle for this long are given up.
 const SURPLUS_WINDOW: Duration = Duration::from_millis(100);
-/// The time a spare slot has to bridge: to the broker and back, with a margin.
+/// The time that spare slots must cover, in seconds: a round trip to the broker and a margin.
 const REPLENISH_SECONDS: f64 = 0.002;
 
 impl SlotPool {
-    /// Returns an empty desk.
+    /// Returns an empty pool whose queue holds at most `limit` calls.
     pub fn new(limit: usize, now: Moment) -> SlotPool {
         SlotPool {
             queue: Queue::new(limit),
@@ -102,15 +102,15 @@
         }
     }
 
-    /// Counts an arrival.
+    /// Counts an arriving call.
     pub fn note_arrival(&mut self) {
         self.rate.count += 1;
     }
 
-    /// Counts a slot that the broker handed to this host.
+    /// Counts a slot that this host received from the broker.
     ///
-    /// The broker takes a call that it sent a slot for as served, so the next
-    /// one that waits is news to it.
+    /// The broker counts a call as served once it has sent a slot for it, so the
+    /// next call that waits has to be reported as a new one.
     pub fn note_received(&mut self) {
         self.received = self.received.wrapping_add(1);
         if let Some(last_report) = &mut self.last_report {
@@ -118,16 +118,17 @@
         }
     }
 
-    /// Notes that an idle slot was taken.
+    /// Records that an idle slot was taken.
     pub fn note_taken(&mut self) {
         self.min_idle = self.min_idle.min(self.idle.len() as u32);
     }
 
     /// Returns how many idle slots to keep for the next calls.
     ///
-    /// Made so that nearly every call starts without a message, while idle
-    /// slots don't pile up where they aren't needed: enough for the arrivals
-    /// expected until the broker can send more, and their spread.
+    /// Load pattern: steady arrivals. With enough spare slots nearly every call
+    /// starts without a message to the broker, and idle slots do not pile up where
+    /// they are not needed. The count covers the arrivals expected until the
+    /// broker can send more slots, plus their standard deviation.
     pub fn spare(&self) -> u32 {
         let expected = self.rate.per_second * REPLENISH_SECONDS;
         if self.rate.per_second < 1.0 {
@@ -136,10 +137,11 @@
         (expected + expected.sqrt()).ceil() as u32
     }
 
-    /// Returns whether an idle slot goes to the broker now, and counts it.
+    /// Returns whether to offer an idle slot to the broker now, and records the offer.
     ///
-    /// One a step: calls that wait elsewhere are few as a rule, and a host that
-    /// gave all its idle slots for them would have to ask for some at once.
+    /// At most one slot is offered at a given time: as a rule few calls wait
+    /// elsewhere, and a host that gave away all its idle slots for them would have
+    /// to request some at once.
     pub fn should_offer(&mut self, now: Moment) -> bool {
         let offers = self.shortage && self.last_offer < now;
         if offers {
@@ -148,7 +150,7 @@
         offers
     }
 
-    /// Moves the windows on; returns how many idle slots to give up.
+    /// Starts the next window when it is due. Returns how many idle slots to give up.
     pub fn take_surplus(&mut self, now: Moment) -> u32 {
         if now.since(self.window_start) < SURPLUS_WINDOW {
             return 0;
@@ -160,7 +162,7 @@
         surplus
     }
 
-    /// Takes the next valid order of the broker, where its call is older than those here.
+    /// Takes one slot of the first valid transfer request whose call is older than those here.
     pub fn take_transfer_request(&mut self, now: Moment) -> Option<TransferRequest> {
         self.transfer_requests
             .retain(|o| o.until > now && o.count > 0);
@@ -174,7 +176,7 @@
         Some(request.clone())
     }
 
-    /// Returns when the next report to the broker is due, if one is.
+    /// Returns when the next report to the broker is due, if any.
     pub fn report_due(&self) -> Option<Moment> {
         let waiting = self.queue.len() as u32;
         let Some(last_report) = &self.last_report else {
@@ -193,7 +195,7 @@
         Some(last_report.at + pause)
     }
 
-    /// Returns the report to the broker and notes it as sent.
+    /// Returns the report to the broker and records it as sent.
     pub fn report(&mut self, service: ServiceKey, now: Moment) -> Demand {
         let demand = self.demand(service, now);
         self.last_report = Some(SentReport {
@@ -203,7 +205,7 @@
         demand
     }
 
-    /// Returns how this host stands with the service.
+    /// Returns this host's demand and supply of the service.
     pub fn demand(&self, service: ServiceKey, now: Moment) -> Demand {
         Demand {
             service,
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Makes the next report due at once: the broker is a new one.
+    /// Makes the next report due at once, for a new broker.
     pub fn forget_broker(&mut self) {
         self.last_report = None;
         self.shortage = false;
--- a/components/coordination/src/slots/renewals.rs
+++ b/components/coordination/src/slots/renewals.rs
@@ -1,4 +1,4 @@
-//! The holder's side: renewals of leases, and what calls have shown.
+//! The holder role: renewals of leases, and statistics of calls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use super::message::{CallStats, LeaseKey, SlotBody, SlotKey, Stamp};
 use super::timing::RENEWAL_INTERVAL;
 
-/// A lease with less than this left is renewed before its owner's turn.
+/// A lease with less time left is renewed before the owner's regular renewal.
 const EARLY_RENEWAL_LIMIT: Duration = Duration::from_millis(1_300);
-/// The pause before an early renewal, so that several go together.
+/// The delay of an early renewal or report, so that several are sent together.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// The pause before a renewal that was left unanswered or undecided is repeated.
+/// The delay before a renewal is repeated that was not answered or not decided.
 const RENEWAL_RETRY: Duration = Duration::from_millis(200);
 
 impl SlotManager {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends the renewals that are due, batched an owner, with what calls have shown.
+    /// Sends the renewals that are due, one message per owner, with call statistics.
     pub(super) fn renew(&mut self, now: Moment) {
         let mut owners: BTreeMap<HostKey, Vec<LeaseKey>> = BTreeMap::new();
         for owner in self.brokered_owners() {
@@ -101,7 +101,7 @@
         own.into_values().collect()
     }
 
-    /// Returns whether something slow was seen at an endpoint of this owner.
+    /// Returns whether slow calls were counted at an endpoint of this owner.
     fn has_slow_calls(&self, owner: HostKey) -> bool {
         self.call_stats.values().any(|stats| {
             let endpoint_roles = self.roles.endpoints.get(&stats.endpoint);
@@ -150,10 +150,10 @@
         }
     }
 
-    /// Counts running calls as slow without waiting for their end.
+    /// Counts running calls as slow before they end.
     ///
-    /// A backend server that has become twenty times slower answers nothing
-    /// for a long time; its owner must hear of it before the first answer.
+    /// A backend server that has become twenty times slower sends no answer for a
+    /// long time, and its owner must know before the first answer.
     pub(super) fn count_slow_calls(&mut self, now: Moment) {
         let pools = &self.pools;
         let slow: Vec<SlotKey> = self
--- a/components/coordination/src/slots/role_map.rs
+++ b/components/coordination/src/slots/role_map.rs
@@ -1,4 +1,4 @@
-//! Who does what for which service, worked out from the configuration.
+//! The owner and broker of every service, derived from the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,56 +14,56 @@
 #[key]
 pub struct RegionKey(pub u64);
 
-/// One endpoint, as placing sees it.
+/// The location and owner of one endpoint.
 #[value]
 pub struct EndpointRoles {
-    /// Its service.
+    /// The service of the endpoint.
     pub service: ServiceKey,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// The data centre of the endpoint.
     pub centre: DataCentreKey,
-    /// The region it stands in.
+    /// The region of the endpoint.
     pub region: RegionKey,
-    /// The entry host that leases its slots.
+    /// The entry host that leases the endpoint's slots.
     pub owner: Option<HostKey>,
-    /// Operators have taken it out.
+    /// Whether operators have taken the endpoint out of service.
     pub leaving: bool,
 }
 
-/// One service's sizes.
+/// The limits, brokers and endpoints of one service.
 #[value]
 pub struct ServiceRoles {
-    /// Calls one endpoint bears at once.
+    /// The number of calls that one endpoint takes at the same time.
     pub slots: u32,
-    /// Calls one cold endpoint bears at once.
+    /// The number of calls that one cold endpoint takes at the same time.
     pub cold_slots: u32,
-    /// Calls that may wait at one entry host.
+    /// The number of calls that may wait at one entry host.
     pub queue: usize,
-    /// What one probe costs.
+    /// The processing time that one probe costs a backend server.
     pub probe_cost: Duration,
     /// The broker of each region that has endpoints.
     pub brokers: BTreeMap<RegionKey, HostKey>,
-    /// The region whose broker this host asks.
+    /// The region whose broker this host uses.
     pub home_region: Option<RegionKey>,
-    /// Its endpoints that are not leaving.
+    /// The endpoints that are not leaving.
     pub endpoints: Vec<EndpointKey>,
 }
 
-/// One member, as the slots see it.
+/// A member's incarnation and location.
 #[value]
 pub struct MemberInfo {
-    /// Its incarnation.
+    /// The incarnation of the member.
     pub incarnation: u64,
-    /// The data centre it stands in.
+    /// The data centre of the member.
     pub centre: DataCentreKey,
-    /// The region it stands in.
+    /// The region of the member.
     pub region: RegionKey,
-    /// Operators have taken it or its data centre out.
+    /// Whether operators have taken the member or its data centre out of service.
     pub leaving: bool,
 }
 
-/// The whole of it.
+/// The roles of all members for all services.
 #[value]
 #[derive(Default)]
 pub struct RoleMap {
@@ -76,11 +76,11 @@
 }
 
 impl RoleMap {
-    /// Works out the map for the host `me`; `alive` are the members not suspected.
+    /// Derives the roles as the host `me` sees them; `alive` lists the members not suspected.
     ///
-    /// Owners follow the configuration alone, since two owners of an endpoint
-    /// would lease a slot twice. Brokers follow who is alive: two of them only
-    /// cost time.
+    /// Owners depend on the configuration alone, because two owners of an endpoint
+    /// would lease a slot twice. Brokers also depend on which members are alive:
+    /// two brokers of a service only cost waiting time.
     pub fn new(config: &Config, me: HostKey, alive: &BTreeSet<HostKey>) -> RoleMap {
         let regions = regions(config);
         let members = config
@@ -98,7 +98,7 @@
         map
     }
 
-    /// Returns the broker that is told of free slots of this endpoint.
+    /// Returns the broker that gets the free slots of this endpoint.
     pub fn broker_of(&self, endpoint: EndpointKey) -> Option<HostKey> {
         let endpoint_roles = self.endpoints.get(&endpoint)?;
         self.services
@@ -108,7 +108,7 @@
             .copied()
     }
 
-    /// Returns the broker this host asks for slots of a service.
+    /// Returns the broker that this host uses for a service.
     pub fn broker(&self, service: ServiceKey) -> Option<HostKey> {
         let service_roles = self.services.get(&service)?;
         service_roles
@@ -164,7 +164,7 @@
         self.services.insert(key, service_roles);
     }
 
-    /// Elects a member by rendezvous: staying ones of the region first, then any staying, then any.
+    /// Elects a member by rendezvous hashing. Prefers members that stay, then those of the region.
     fn elect(
         &self,
         item: u64,
--- a/components/coordination/src/slots/transfers.rs
+++ b/components/coordination/src/slots/transfers.rs
@@ -1,4 +1,4 @@
-//! The broker's side, and the handing over of slots between holders.
+//! The broker role, and the transfer of slots between holders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use super::pool::TransferRequest;
 use super::{PendingTransfer, SlotManager};
 
-/// An order to hand slots over is void after this.
+/// How long a transfer request stays valid.
 pub(super) const TRANSFER_REQUEST_TTL: Duration = Duration::from_millis(10);
 
 impl SlotManager {
-    /// Decides about one idle slot; returns whether it stays idle here.
+    /// Decides on one idle slot. Returns whether the slot stays idle here.
     ///
-    /// In turn: slots promised by the broker's order go out first, since an
-    /// older call waits there. A broker gives each slot to the oldest call it
-    /// knows of, here or elsewhere. Any other host starts its own calls, and
-    /// lends idle slots to the broker while calls wait elsewhere.
+    /// The order is: pending transfer requests of the broker come first, because an
+    /// older call waits there. A broker gives each slot to the oldest call that it
+    /// knows of, here or elsewhere. Any other host starts its own calls, and offers
+    /// idle slots to the broker while calls wait elsewhere.
     pub(super) fn assign_slot(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) -> bool {
         if self.serve_transfer_request(service, slot, now) {
             return false;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Hands an idle slot to another host; returns false where that can't be.
+    /// Transfers an idle slot to another host. Returns false if that is not possible.
     pub(super) fn transfer_to(
         &mut self,
         to: HostKey,
@@ -115,7 +115,7 @@
         self.assign_idle(service, now);
     }
 
-    /// Takes up and lays down brokerage as the configuration says.
+    /// Starts and ends this host's broker roles according to the configuration.
     pub(super) fn configure_brokers(&mut self, now: Moment) {
         let me = self.me.host;
         let (roles, brokers) = (&self.roles, &mut self.brokers);
@@ -132,9 +132,9 @@
         brokers.retain(|service, _| roles.services.contains_key(service));
     }
 
-    /// Returns the owners of the endpoints this host brokers for.
+    /// Returns the owners of the endpoints that this host is the broker of.
     ///
-    /// They need its stamp to lease it what becomes free.
+    /// An owner needs this host's stamp to lease free slots to it.
     pub(super) fn brokered_owners(&self) -> Vec<HostKey> {
         let me = Some(self.me.host);
         self.brokers
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Lets each broker move slots and tell whether calls wait.
+    /// Lets each broker plan transfers and announce changes of its shortage.
     pub(super) fn review_brokers(&mut self, now: Moment) {
         let me = self.me.host;
         let stamp = self.stamp(now);
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Sends what has piled up in this step.
+    /// Sends the transfers and returned leases collected during this step.
     pub(super) fn flush(&mut self, now: Moment) {
         for (to, transfer) in std::mem::take(&mut self.transfers) {
             let PendingTransfer { echo, leases } = transfer;
--- a/components/coordination/tests/claim_bounds.rs
+++ b/components/coordination/tests/claim_bounds.rs
@@ -1,4 +1,4 @@
-//! What a home of claims spends and keeps at the most.
+//! Limits on the appends, keys and cached answers of a claims home.
 
 use std::time::Duration;
 
@@ -67,8 +67,8 @@
     home.replies().pop().expect("a repeat is answered").answer
 }
 
-// The log's appends are for the whole site: a home with more claims than ever
-// must not take those that operators need.
+// The store's appends are shared by the whole site. A home with an unusual
+// number of claims must not take the appends that operators need.
 #[test]
 fn append_budget() {
     let mut budget = AppendBudget::new(30.0, 10.0, second(0));
@@ -77,8 +77,9 @@
     assert!((300..=310).contains(&spent), "{spent} appends in 10 s");
 }
 
-// Too many keys in two hours. A home that forgot the oldest would let a deposit
-// run twice; new ones are refused instead, and nothing of them is appended.
+// More keys within their TTL of two hours than a table holds. A home that dropped
+// the oldest would let a deposit run twice; new keys are refused instead, without
+// any append.
 #[test]
 fn full_table() {
     let mut home = Home::new(CARRY_AFTER);
@@ -97,8 +98,8 @@
     assert_eq!(repeat(&mut home, 0, second(2)), Answer::Started);
 }
 
-// Answers are kept for repeats. They may not take all memory, whatever their
-// size; a repeat of one that was dropped hears that the call was started.
+// The cache of answers must not take all memory, whatever the size of the
+// answers. A repeat of a dropped one is answered that the call was started.
 #[rstest]
 #[case::few_small(10, 1_000, true)]
 #[case::too_large(10, CACHED_ANSWER_LIMIT, false)]
@@ -120,8 +121,8 @@
     assert_eq!(repeat(&mut home, 0, later), Answer::Started);
 }
 
-// Answers to deposits are kept for ten minutes. Each was a slice of the buffer it
-// came in, and an entry host grew by twice what it counted.
+// Answers to deposits are cached for ten minutes. When each was a slice of its
+// receive buffer, an entry host grew by twice the size that it counted.
 #[test]
 fn kept_apart() {
     let buffer = Bytes::from(vec![b'x'; 65_536]);
@@ -133,5 +134,5 @@
     let kept = answer.detached();
     assert_eq!(kept, answer);
     drop(answer);
-    assert!(buffer.is_unique(), "the kept answer holds the buffer");
+    assert!(buffer.is_unique(), "the cached answer holds the buffer");
 }
--- a/components/coordination/tests/claim_races.rs
+++ b/components/coordination/tests/claim_races.rs
@@ -1,4 +1,4 @@
-//! One key, one run: homes doubled, answers lost, appends that land late, hosts that crash.
+//! A key runs at most one call, with duplicate homes, lost answers, late appends and crashes.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 const CARRY: Duration = Duration::from_secs(20);
 const ENTRY: HostKey = HostKey(9);
 
-/// What an entry host knows of one call.
+/// What an entry host knows about one call.
 struct Call {
     key: ClaimKey,
     made: Moment,
@@ -30,11 +30,11 @@
     Open,
     /// Sent to a backend server.
     Ran,
-    /// Sent, and surely not run: the backend server shed it.
+    /// Sent, but certainly not run: the backend server shed it.
     Freed,
-    /// Told "not run" without having been sent.
+    /// Answered "not run" without having been sent.
     GivenUp,
-    /// Told of an earlier call.
+    /// Answered with the state of an earlier call.
     Repeat,
 }
 
@@ -47,7 +47,7 @@
     mail: Vec<Reply>,
 }
 
-/// What becomes of an append.
+/// The outcome of an append.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
     Answered,
@@ -329,10 +329,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Callers repeat a deposit at other entry hosts while homes are doubled and
-    // crash, appends land late or without an answer, and replies are lost or
-    // overtake each other. No deposit may be taken twice while its key is
-    // remembered; `World::run` fails the test where one is.
+    // Callers repeat a deposit at other entry hosts while streams have several homes,
+    // homes crash, appends land late or without an answer, and replies are lost or
+    // reordered. No deposit may run twice within the TTL of its key; `World::run`
+    // fails the test if one does.
     #[test]
     fn never_twice(ops in proptest::collection::vec(op(), 10..120)) {
         replay(ops);
@@ -346,7 +346,7 @@
         ..ProptestConfig::default()
     })]
 
-    // The same from another seed, which found that a "go" taken up after its
+    // The same with another seed, which found that a grant processed after its
     // call's deadline let a key run twice.
     #[test]
     fn never_twice_late(ops in proptest::collection::vec(op(), 10..120)) {
@@ -369,8 +369,7 @@
         .count()
 }
 
-// The same key comes to two entry hosts at the same moment, and each has
-// another home in mind.
+// Two entry hosts request the same key at the same time from different homes.
 #[test]
 fn two_homes() {
     let mut world = World::new(2);
@@ -383,8 +382,8 @@
     assert_eq!(world.calls[first].state, CallState::Repeat);
 }
 
-// The append took effect and its answer was lost. Reading tells; the caller
-// notices nothing.
+// An append takes effect but its answer is lost. The home finds the record when
+// it reads the stream, and the caller notices nothing.
 #[test]
 fn lost_answer() {
     let mut world = World::new(1);
@@ -395,9 +394,9 @@
     assert_eq!(world.log.len(), 1);
 }
 
-// The log answers nothing, and reading it fails too. The caller is told "not
-// run" and comes again; the first append lands only after that. It must not
-// run, and must not keep the second from running.
+// The store answers no append, and reading fails too. The caller is answered "not
+// run" and retries; the first append lands only after that. It must not run, and
+// must not keep the second from running.
 #[test]
 fn late_landing() {
     let mut world = World::new(1);
@@ -418,8 +417,8 @@
     assert_eq!(ran(&world), 1);
 }
 
-// The late append lands before the caller comes again: the key is blocked until
-// the record that gives the claim up is folded, in the same append as the repeat.
+// The late append lands before the caller retries. The key is blocked until the
+// record that releases the claim is folded, in the same append as the retry.
 #[test]
 fn landed_before_repeat() {
     let mut world = World::new(1);
@@ -435,7 +434,7 @@
     assert_eq!(world.calls[second].state, CallState::Ran);
 }
 
-// A repeat while the first is running waits for its answer.
+// A repeat waits for the answer of the first call while that is running.
 #[rstest]
 #[case::answered(0, CallState::Repeat)]
 #[case::unknown(1, CallState::Repeat)]
@@ -460,7 +459,7 @@
     assert_eq!(ran(&world), 1);
 }
 
-// The same key with another deposit: one of the two is a mistake.
+// Two different deposits with the same key: one of them is a mistake.
 #[test]
 fn other_request() {
     let mut world = World::new(1);
@@ -471,8 +470,8 @@
     assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Mismatch));
 }
 
-// The entry host that ran the call is lost between "sent" and "answered", or
-// the key's home is. Whoever asks again hears that the call was started.
+// The entry host that ran the call is lost before the answer, or the home of the
+// key is. A repeat is answered that the call was started.
 #[rstest]
 #[case::entry_lost(false)]
 #[case::home_lost(true)]
@@ -493,9 +492,9 @@
     assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Started));
 }
 
-// The log keeps records for a limited time. A key that is still to be
-// remembered is written again before its record falls off, so that a home that
-// starts later and reads only what is left knows it.
+// The store keeps records for a limited time. A key within its TTL is written
+// again before its record is trimmed, so that a home that starts later and reads
+// only the remaining records knows the key.
 #[test]
 fn carried_over() {
     let mut world = World::new(1);
@@ -522,14 +521,14 @@
         late.replies().pop().map(|r| r.answer),
         Some(Answer::Started)
     );
-    // Its age is carried too: the key is free after its time, not later.
+    // The age is carried over too: the key expires on time, not later.
     let over = world.now + Duration::from_secs(36);
     late.request(ENTRY, request(78), over + KEY_TTL, over);
     assert_eq!(late.replies(), []);
     assert!(late.has_claims());
 }
 
-// A key may be used again once its time is over.
+// A key may be used again once its TTL is over.
 #[test]
 fn forgotten_key() {
     let mut world = World::new(2);
@@ -547,9 +546,8 @@
     assert_eq!(world.calls[soon].state, CallState::Repeat);
 }
 
-// The claim is given up, the record that says so stands on the log, and only
-// then the claim itself lands. Taken for a holder, it would keep every repeat
-// from running until the key's time is over.
+// A claim lands after the record that releases it. If it became the holder, it
+// would keep every repeat from running until the TTL of the key is over.
 #[test]
 fn landed_after_release() {
     let mut world = World::new(1);
@@ -566,8 +564,9 @@
     assert_eq!(world.calls[repeat].state, CallState::Ran);
 }
 
-// The log goes down after a deposit was started. Its repeat must hear so: "not
-// run" would be read as "the deposit was not taken". A new key is refused.
+// The store becomes unreachable after a deposit was started. "Not run" would tell
+// the caller that the deposit was not taken, so its repeat must be answered that
+// it was started. A new key is refused.
 #[test]
 fn known_offline() {
     let mut world = World::new(1);
@@ -591,9 +590,9 @@
     }
 }
 
-// An entry host is paused while "go" is on its way, for longer than the key is
-// remembered. Another call runs under the key meanwhile; the first, taken up
-// after the pause, must not run too.
+// An entry host is paused for longer than the TTL of the key while a grant is on
+// its way. Another call runs under the key meanwhile; the first, processed after
+// the pause, must not run too.
 #[test]
 fn late_go() {
     let mut world = World::new(1);
@@ -611,7 +610,7 @@
     assert_eq!(world.calls[paused].state, CallState::GivenUp);
 }
 
-// A preset forgets keys sooner than its calls may take.
+// A preset with a key TTL that is shorter than its calls may take.
 #[test]
 fn short_memory() {
     let keep = key_ttl(Duration::from_secs(5), PATIENCE);
--- a/components/coordination/tests/failure_detector.rs
+++ b/components/coordination/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Who is seen as alive, suspected and removed, among detectors that exchange messages at once.
+//! Which members detectors consider alive, suspected or lost, with messages delivered at once.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const STEP: Duration = Duration::from_millis(10);
 const TICK: u64 = 5;
 
-/// Detectors whose messages arrive within a step, but for what is cut.
+/// Detectors whose messages arrive within a step, except on links that are cut.
 struct Net {
     now: Moment,
     steps: u64,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Folds the removals written in this step, at each host that runs.
+    /// Folds the removals written in this step at each running host.
     fn read_log(&mut self) {
         let written: Vec<MemberId> = self.removals.iter().map(|r| r.1).collect();
         for id in written {
@@ -159,8 +159,8 @@
     assert_eq!(net.removals, []);
 }
 
-// A host's process dies without a word. Callers of the hosts that still ask it
-// for slots would wait, so all must know within a second.
+// A host's process dies without notice. Calls of hosts that still request slots
+// from it would wait, so all hosts must suspect it within a second.
 #[rstest]
 #[case::two(2)]
 #[case::four(4)]
@@ -173,15 +173,11 @@
     net.stopped.insert(dead);
     net.run(Duration::from_secs(1));
     assert_eq!(net.suspecting(dead), count - 1);
-    assert_eq!(
-        net.suspected.len(),
-        count - 1,
-        "somebody else was suspected"
-    );
+    assert_eq!(net.suspected.len(), count - 1, "another host was suspected");
 }
 
-// The watchers write the removal once, not five times: the log takes several
-// hundred appends a second, and a rack's loss is many removals at once.
+// The watchers write a removal once, not five times: the store takes several
+// hundred appends a second, and the loss of a rack is many removals at once.
 #[test]
 fn one_removal() {
     let mut net = Net::new(17);
@@ -199,8 +195,8 @@
     );
 }
 
-// A noisy neighbour takes the processor for 200 ms. Suspected, the host would
-// lose its slots' traffic for nothing.
+// Another process on the machine takes the processor for 200 ms. If the host were
+// suspected, its slots would lose their traffic without a reason.
 #[test]
 fn short_pause() {
     let mut net = Net::new(17);
@@ -214,8 +210,8 @@
     assert_eq!(net.suspected, []);
 }
 
-// A host is paused for two seconds and resumes. It is suspected meanwhile, it
-// must not suspect the others itself, and it must be trusted again at once.
+// A host is paused for two seconds and resumes. It is suspected meanwhile, must
+// not suspect the others itself, and must be considered alive again at once.
 #[test]
 fn long_pause() {
     let mut net = Net::new(17);
@@ -231,9 +227,9 @@
     assert_eq!(net.removals, []);
 }
 
-// The path between two data centres drops what goes one way. Hosts of both can
-// still talk to the third data centre, and none of them is dead: nobody may be
-// suspected or removed, or one broken switch would take a third of the hosts.
+// The path between two data centres drops messages in one direction. Hosts of
+// both still reach the third data centre. No host may be suspected or removed, or
+// one broken switch would take out a third of the hosts.
 #[test]
 fn one_way_loss() {
     let mut net = Net::new(17);
@@ -251,9 +247,9 @@
     assert_eq!(net.removals, []);
 }
 
-// Six of seventeen hosts lose sight of the rest, while the log is in reach of
-// all. Were silence enough, each side would remove the other and nobody would
-// own a slot: only the side that a majority answers may remove.
+// Six of seventeen hosts lose the connection to the rest, while all can reach the
+// log. If silence were enough, each side would remove the other and no host would
+// own a slot. Only the side that gets answers from a majority may remove hosts.
 #[test]
 fn split() {
     let mut net = Net::new(17);
@@ -274,9 +270,9 @@
     assert!(net.removals.iter().all(|r| few.contains(&r.1.host)));
 }
 
-// More than half of the hosts are lost at once, so nobody has a majority. The
-// platform's list, which names those that are left, confirms the loss; an
-// empty list says nothing and must not remove anybody.
+// More than half of the hosts are lost at once, so no side has a majority. The
+// platform's list names the remaining hosts and confirms the loss. An empty list
+// proves nothing and must not remove any host.
 #[rstest]
 #[case::confirmed(true)]
 #[case::empty_list(false)]
@@ -298,8 +294,8 @@
     assert_eq!(removed, if confirmed { lost } else { BTreeSet::new() });
 }
 
-// The platform's list lags: it lacks a host that has just come, or names one
-// as leaving that stays. A host that is heard is never removed.
+// The platform's list lags: it lacks a new host, or reports a host as leaving that
+// stays. A host that sends heartbeats is never removed.
 #[test]
 fn stale_list() {
     let mut net = Net::new(6);
@@ -311,7 +307,7 @@
     assert_eq!(net.removals, []);
 }
 
-// At letter 1's size a host may not beat to all others.
+// With 300 members, a host must not send heartbeats to all the others.
 #[test]
 fn watch_spread() {
     let config = config(300);
--- a/components/coordination/tests/joining.rs
+++ b/components/coordination/tests/joining.rs
@@ -1,4 +1,4 @@
-//! When a host joins, joins again, and leaves.
+//! When a host joins, rejoins and leaves.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Moment::from_millis(seconds * 1_000)
 }
 
-// A host that has not read the log's end knows too little to own anything.
+// A host that has not read the log to its end knows too little to own endpoints.
 #[test]
 fn caught_up_first() {
     let mut membership = Membership::new(second(0));
@@ -20,8 +20,8 @@
     assert_eq!(membership.step(true, true, second(6)), Step::Wait);
 }
 
-// The host joins and is removed before it has looked at its membership once.
-// Under the same incarnation it would come back as one whom all hold for ended.
+// A host is removed before it has checked its membership once. Under the same
+// incarnation it would rejoin as a member that all others consider ended.
 #[test]
 fn removed_unseen() {
     let mut membership = Membership::new(second(0));
@@ -30,8 +30,9 @@
     assert_eq!(membership.step(false, true, second(2)), Step::Renew);
 }
 
-// Nobody reaches the host, but it reads the log: it joins and is removed over
-// and over. Each time slots change their owner, so it must come ever less often.
+// A host that no other host reaches still reads the log, so it joins and is
+// removed again and again. Slots change their owner each time, so it must rejoin
+// less and less often.
 #[test]
 fn flapping() {
     let mut membership = Membership::new(second(0));
--- a/components/coordination/tests/owner_rule.rs
+++ b/components/coordination/tests/owner_rule.rs
@@ -55,8 +55,9 @@
     }
 }
 
-// The log is down. An owner goes on while most of its watchers know of nothing
-// newer; when it is cut off from them, it must stop before its successor starts.
+// The log is unreachable. An owner goes on while most of its watchers know of
+// nothing newer. Once it is cut off from them, it must stop before its successor
+// starts.
 #[rstest]
 #[case::most_agree(&[7, 7, 7], 1_000, true)]
 #[case::one_lags(&[7, 7, 3], 1_000, true)]
@@ -70,8 +71,8 @@
     assert_eq!(may_act(moment(now), 7, None, &watchers, &answers), acts);
 }
 
-// The owner's process is paused between asking and deciding: what it knew then
-// is worth nothing after the pause.
+// The owner's process is paused between request and decision: its knowledge is
+// outdated after the pause.
 #[test]
 fn paused_owner() {
     let watchers: Vec<MemberId> = (0..5).map(id).collect();
@@ -81,7 +82,7 @@
     assert!(!may_act(moment(62_900), 7, read, &watchers, &answers));
 }
 
-// A host alone has nobody to tell it that it was removed: it relies on the log.
+// A host without watchers learns of its removal only from the log.
 #[test]
 fn lone_host() {
     let none = BTreeMap::new();
@@ -100,8 +101,8 @@
     (history, map.watchers(id(owner)).to_vec())
 }
 
-// A removed host may not know it. Its successor waits until most of its
-// watchers have shown the removal, and then until what it leased is over.
+// A removed host may not know of its removal. Its successor waits until most of
+// its watchers have applied it, and then until all that it leased has ended.
 #[test]
 fn removed_owner() {
     let (history, watchers) = removed(4);
@@ -119,7 +120,7 @@
     assert!(takeover.may_take_over(status, TERM, moment(6_250)));
 }
 
-// An owner that is alive and shows the change itself hands over at once.
+// A live owner that has applied the change itself hands over at once.
 #[test]
 fn living_owner() {
     let (history, _) = removed(4);
@@ -129,8 +130,8 @@
     assert!(Takeover::default().may_take_over(status, TERM, moment(0)));
 }
 
-// A host that starts after the owner was last heard can't know under which
-// watchers the owner may still be acting: it waits far longer.
+// A host that starts after the owner was last reachable cannot know under which
+// watchers the owner may still be acting, so it waits far longer.
 #[test]
 fn late_starter() {
     let mut history = WatchHistory::default();
@@ -148,10 +149,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    // Some hosts are cut off from the log at some revision while the others go
-    // on changing the members, that owner's watchers among them, and at last
-    // remove the owner. An owner that still finds a majority to agree with it
-    // must never be taken for one that has stopped.
+    // Some hosts are cut off from the log at some revision, while others go on
+    // changing the members, including watchers of that owner, and finally remove the
+    // owner. An owner that still gets a majority must never be considered stopped.
     #[test]
     fn never_both(
         seed in proptest::collection::vec((0_u64..24, any::<bool>()), 1..40),
@@ -193,7 +193,7 @@
         let acts = at(owner) > 0 && may_act(asked, at(owner), None, watchers, &answers);
         prop_assert!(
             !(acts && status != OwnerStatus::MayAct),
-            "the owner acts at {}, settled {status:?} at {revision}",
+            "the owner acts at offset {}, but has the status {status:?} at {revision}",
             at(owner)
         );
     }
--- a/components/coordination/tests/slot_faults.rs
+++ b/components/coordination/tests/slot_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of backend servers and entry hosts, as the slots of a few hosts meet them.
+//! Faults of backend servers and entry hosts, and their effect on the slots of a few hosts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,10 +12,10 @@
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment};
 
 const SLOTS: u32 = 6;
-/// A step of the site, and a message's way, in milliseconds.
+/// The length of a step and the delay of a message, in milliseconds.
 const STEP: u64 = 1;
 
-/// Some hosts with two data centres of backend servers, in steps of a millisecond.
+/// Some hosts and the backend servers of two data centres, simulated in steps of 1 ms.
 struct Site {
     config: Config,
     now: u64,
@@ -62,7 +62,7 @@
 }
 
 impl Site {
-    /// Returns a site whose backend servers are warm and whose slots are out.
+    /// Returns a site whose backend servers are warm and whose slots are all leased.
     fn new(hosts: u64) -> Site {
         let centre = |name: &str| DataCentre {
             name: name.to_owned(),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Passes `millis` with a call each `gap` milliseconds, spread over the hosts.
+    /// Runs for `millis` with a call every `gap` milliseconds, spread over the hosts.
     fn run(&mut self, millis: u64, gap: u64) {
         for _ in 0..millis / STEP {
             self.now += STEP;
@@ -213,7 +213,7 @@
         assert!(self.at(endpoint) <= SLOTS as usize);
     }
 
-    /// Returns the calls at one endpoint now.
+    /// Returns the number of calls that run at one endpoint now.
     fn at(&self, endpoint: EndpointKey) -> usize {
         let there = |r: &&(u64, usize, LeaseKey)| r.2.slot.endpoint == endpoint;
         self.running.iter().filter(there).count()
@@ -231,7 +231,7 @@
         (0..4).map(|n| self.leased(endpoint(n))).sum()
     }
 
-    /// Returns whether `slots` are held at one moment of the next 200 ms, none on its way.
+    /// Returns whether `slots` are held, with none in transit, at some step of the next 200 ms.
     fn settles(&mut self, slots: usize) -> bool {
         (0..200).any(|_| {
             self.run(STEP, 0);
@@ -257,9 +257,9 @@
     assert!(site.settles(24));
 }
 
-// A backend server turns cold in the middle of a peak, under the same address,
-// and bears one call. It refuses what is too much; within a few milliseconds
-// of the first refusal all hosts together send it one call at a time.
+// A backend server restarts cold at the peak, under the same address, and takes one
+// call at a time. It sheds the rest. Within a few milliseconds of the first shed
+// all hosts together must send it one call at a time.
 #[test]
 fn cold_at_peak() {
     let mut site = Site::new(4);
@@ -277,7 +277,7 @@
     assert!(site.at(endpoint(0)) <= 1);
 }
 
-// The backend server becomes warm again: its answers bring its slots back.
+// A backend server becomes warm again: its answers restore its slots.
 #[test]
 fn warm_again() {
     let mut site = Site::new(4);
@@ -289,9 +289,9 @@
     assert_eq!(site.leased(endpoint(0)), SLOTS as usize);
 }
 
-// A backend server answers forty times slower while its report says warm and
-// idle. Its callers wait; once its running calls show it, it gets a trial a
-// second, and the others carry on.
+// A backend server answers forty times slower while its report says warm and idle.
+// Once its running calls show it, it gets one trial a second, and the other
+// servers carry on.
 #[test]
 fn slow_server() {
     let mut site = Site::new(4);
@@ -308,8 +308,8 @@
     assert_eq!(site.leased(endpoint(0)), SLOTS as usize);
 }
 
-// Every backend server becomes slow at once, as when a database behind them
-// does. None is to blame, and shutting them out would leave callers nothing.
+// All backend servers become slow at once, as with a slow database behind them.
+// Taking them out of service would leave no server for callers.
 #[test]
 fn all_slow() {
     let mut site = Site::new(4);
@@ -321,8 +321,8 @@
     assert!(site.all_leased() >= 12, "{}", site.all_leased());
 }
 
-// Operators take a data centre out. From the moment a host knows it, it starts
-// nothing there; running calls end in peace and the slots go home.
+// Operators take a data centre out of service. A host that knows this starts no
+// more calls there; running calls may finish, and the slots are returned.
 #[test]
 fn centre_leaves() {
     let mut site = Site::new(4);
@@ -343,13 +343,13 @@
     site.config.revision += 1;
     site.config.leaving_centres.clear();
     site.configure();
-    // A slot on its way as the owners changed comes back after its term.
+    // A slot in transit when the owners changed is leased again after its term.
     site.run(LEASE_TERM.as_millis() as u64 + 500, 4);
     assert!(site.settles(24));
 }
 
-// An entry host dies with slots in hand. They rest until its leases have ended
-// at their owners, one term at most, and serve again then.
+// An entry host dies while it holds slots. They are unused until its leases have
+// ended at their owners, after at most one term, and then serve calls again.
 #[test]
 fn holder_dies() {
     let mut site = Site::new(4);
@@ -368,8 +368,8 @@
     }
 }
 
-// The broker dies with idle slots in its pool. The members elect another by
-// who is alive, and calls find slots through it.
+// The broker dies while it holds idle slots. The members elect another one from
+// those alive, and calls find slots through it.
 #[test]
 fn broker_dies() {
     let mut site = Site::new(5);
@@ -385,8 +385,8 @@
     assert!(site.refused.is_empty(), "{:?}", site.refused);
 }
 
-// An owner leaves the members and says what is out. The next owner goes on
-// from there: no slot rests, and none is leased twice.
+// An owner leaves and hands off its leases. The next owner continues with them: no
+// slot stays unused, and none is leased twice.
 #[test]
 fn owner_changes() {
     let mut site = Site::new(4);
@@ -403,7 +403,7 @@
     assert!(site.refused.is_empty());
 }
 
-// More entry hosts must not mean more probes: each endpoint has one prober.
+// More entry hosts must not cause more probes: each endpoint has one prober.
 #[test]
 fn probes_same() {
     let count = |hosts| {
@@ -418,8 +418,8 @@
     assert!(few.abs_diff(many) <= 8, "{few} {many}");
 }
 
-// Twice what all slots bear, for seconds. Refusals come as calls arrive, and
-// every slot stays busy.
+// Load of twice what all slots can take, for seconds. Calls are refused as they
+// arrive, and every slot stays busy.
 #[test]
 fn saturated() {
     let mut site = Site::new(4);
--- a/components/coordination/tests/slot_leases.rs
+++ b/components/coordination/tests/slot_leases.rs
@@ -17,7 +17,7 @@
     Moment::from_millis(millis)
 }
 
-/// Returns a ledger of one slot behind its fence, and the moment that is over.
+/// Returns a table of one slot behind its fence, and the time when the fence is over.
 fn open() -> (LeaseTable, Moment) {
     let table = LeaseTable::with_fence(ENDPOINT, 1, at(0));
     (table, at(0) + FENCE_DURATION)
@@ -49,8 +49,8 @@
     assert_eq!(table.leased(), 0);
 }
 
-// A holder hands its lease on, and its own renewal of it comes late. The owner
-// must not give the slot back to the host that no longer has it.
+// A holder transfers its lease, and its own renewal arrives late. The owner must
+// not return the slot to the host that no longer holds it.
 #[test]
 fn late_renewal() {
     let (mut table, opens) = open();
@@ -63,8 +63,8 @@
     assert!(table.give_back(second));
 }
 
-// A lease ends unrenewed and the slot is leased anew; then a renewal of the
-// old lease arrives, held up on a silent link.
+// A lease ends without renewal and the slot is leased again. Then a delayed
+// renewal of the old lease arrives.
 #[test]
 fn old_serial() {
     let (mut table, opens) = open();
@@ -76,8 +76,8 @@
     assert_eq!(table.renew(new, B, later), Renewal::Kept);
 }
 
-// An owner dies. The next one knows nothing, and live holders report what they
-// have: it keeps those leases once the earlier owner has surely stopped.
+// An owner dies. The next one knows no leases, and live holders report theirs: it
+// keeps those leases once the earlier owner has certainly stopped.
 #[test]
 fn adopted_behind_fence() {
     let lease = LeaseKey {
@@ -112,8 +112,8 @@
     assert_ne!(granted.slot, lease.slot);
 }
 
-// A host is paused past its lease with a call in hand, then goes on. The owner
-// has leased the slot to another host meanwhile, so the call must not be sent.
+// A host is paused before it sends a call, for longer than its lease. The owner has
+// leased the slot to another host meanwhile, so the call must not be sent.
 #[test]
 fn paused_holder() {
     let (mut table, opens) = open();
@@ -129,8 +129,8 @@
     assert_eq!(holder.free(lease, resumed), Freed::Expired);
 }
 
-// The answer to a renewal comes after the lease has ended. The holder must not
-// revive it: the owner may have leased the slot anew.
+// The answer to a renewal arrives after the lease has ended. The holder must not
+// extend it: the owner may have leased the slot to another host.
 #[test]
 fn no_revival() {
     let (mut table, opens) = open();
--- a/components/coordination/tests/slot_safety.rs
+++ b/components/coordination/tests/slot_safety.rs
@@ -18,10 +18,10 @@
 const HOSTS: u64 = 4;
 const ENDPOINTS: u16 = 3;
 const SLOTS: u32 = 3;
-/// One step of the world.
+/// The length of one step, in microseconds.
 const STEP: u64 = 5_000;
 
-/// How rough a run is, in thousandths a step and host, and in steps.
+/// The faults of a run, as chances in 10,000, with delays in microseconds.
 #[derive(Clone, Debug)]
 struct Weather {
     seed: u64,
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Pauses, kills and reconfigures by chance.
+    /// Pauses, kills and reconfigures hosts at random.
     fn trouble(&mut self) {
         for n in 0..self.hosts.len() {
             if self.chance(self.weather.paused) {
@@ -214,11 +214,11 @@
         }
     }
 
-    /// One awake host: configuration, authority, calls, time.
+    /// Runs one step of a host that is not paused: configuration, authority, calls and time.
     fn step(&mut self, n: usize) {
         let now = Moment(self.now);
-        // The configuration reaches a host sooner or later; only one that
-        // knows the newest is told that it may act, as the log's end shows.
+        // The configuration reaches each host after some time. Only a host with the
+        // newest one gets a proof that it is current, as from reading the end of the log.
         if self.hosts[n].seen.revision != self.config.revision && self.chance(50) {
             let alive = self.config.members.keys().copied().collect();
             self.hosts[n].seen = self.config.clone();
@@ -293,7 +293,7 @@
         self.mail.insert(at, (self.hosts[n].key, to, message));
     }
 
-    /// No two hosts, asleep or not, may hold a slot by their own view at once.
+    /// Checks that no two hosts, paused or not, consider themselves holders of the same slot.
     fn check(&self) -> Result<(), TestCaseError> {
         let mut holders: BTreeMap<SlotKey, HostKey> = BTreeMap::new();
         for host in &self.hosts {
@@ -344,9 +344,9 @@
     wanted.and_then(|n| n.parse().ok()).unwrap_or(24)
 }
 
-// Messages are lost or late, hosts are paused for seconds or killed, members
-// come and go. A slot with two holders would put seven calls on a backend
-// server that bears six.
+// Messages are lost or late, hosts are paused for seconds or killed, and members
+// join and leave. A slot with two holders would put, for instance, seven calls on
+// a backend server that takes six.
 #[test]
 fn one_holder() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
@@ -361,7 +361,7 @@
     outcome.unwrap();
 }
 
-// In fair weather the same machines must be of use: calls get slots.
+// Without faults the same state machines must be useful: calls get slots.
 #[test]
 fn fair_weather() {
     let mut world = World::new(Weather {
--- a/components/coordination/tests/slot_shutdown.rs
+++ b/components/coordination/tests/slot_shutdown.rs
@@ -1,4 +1,4 @@
-//! An entry host that shuts down leaves its slots to the others.
+//! An entry host that shuts down gives its slots to the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -65,9 +65,9 @@
     SlotManager::new(identity, Moment(0))
 }
 
-/// The last host of a site is told to stop. It is the holder, the owner and
-/// the broker of every slot, and once it leased each slot it gave up straight
-/// back to itself, without end: the operator's shutdown never finished.
+/// The last host of a site is stopped while it is the holder, owner and broker of
+/// every slot. It once leased each slot that it gave up to itself again, without
+/// end, and the shutdown never finished.
 #[test]
 fn lone_host() {
     let now = Moment::from_millis(1);
@@ -108,9 +108,9 @@
     assert_eq!(status.idle, 0);
 }
 
-/// An operator restarts one of two entry hosts. Once its endpoints' free slots
-/// rested until the next owner could be sure of them, and callers of the other
-/// host were refused for seconds. Marked as draining it hands them on at once.
+/// An operator restarts one of two entry hosts. Before hosts were marked as draining,
+/// the free slots of its endpoints stayed unused until the next owner's fence was over,
+/// and callers of the other host were refused for seconds.
 #[test]
 fn roles_handed_on() {
     let names = ["north", "south"];
@@ -149,7 +149,7 @@
     );
 }
 
-/// Runs both hosts for some milliseconds; messages take one.
+/// Runs both hosts for `millis` milliseconds; a message takes one.
 fn run(hosts: &mut [SlotManager; 2], keys: [HostKey; 2], now: &mut Moment, millis: u64) {
     let mut mail = Vec::new();
     for _ in 0..millis {
