--- a/components/coordination/src/claims/answer_cache.rs
+++ b/components/coordination/src/claims/answer_cache.rs
@@ -40,8 +40,8 @@
 
     /// Returns the answer to the call that ran under claim `id`.
     pub fn get(&self, key: ClaimKey, id: ClaimId) -> Option<&CachedAnswer> {
-        let (kept, answer) = self.answers.get(&key)?;
-        (*kept == id).then_some(answer)
+        let (cached, answer) = self.answers.get(&key)?;
+        (*cached == id).then_some(answer)
     }
 
     /// Drops expired answers.
--- a/components/coordination/src/claims/home.rs
+++ b/components/coordination/src/claims/home.rs
@@ -66,8 +66,8 @@
     running: BTreeMap<ClaimId, HostKey>,
     freeing: BTreeSet<ClaimId>,
     attempted: BTreeSet<ClaimId>,
-    ends: VecDeque<Entry>,
-    sent_ends: Vec<Entry>,
+    endings: VecDeque<Entry>,
+    sent_endings: Vec<Entry>,
     cache: AnswerCache,
     replies: Vec<Reply>,
 }
@@ -88,8 +88,8 @@
             running: BTreeMap::new(),
             freeing: BTreeSet::new(),
             attempted: BTreeSet::new(),
-            ends: VecDeque::new(),
-            sent_ends: Vec::new(),
+            endings: VecDeque::new(),
+            sent_endings: Vec::new(),
             cache: AnswerCache::default(),
             replies: Vec::new(),
         }
@@ -160,16 +160,16 @@
         match ending {
             Ending::Answered(answer) => {
                 self.cache.insert(key, id, &answer, now);
-                self.write_end(id, key, Outcome::Done);
-                self.settle_waiting(key, now);
+                self.queue_ending(id, key, Outcome::Done);
+                self.answer_waiting(key, now);
             }
             Ending::AnsweredLarge => {
-                self.write_end(id, key, Outcome::Done);
-                self.release_waiting(key);
+                self.queue_ending(id, key, Outcome::Done);
+                self.answer_started(key);
             }
             Ending::Unknown => {
-                self.write_end(id, key, Outcome::Unknown);
-                self.release_waiting(key);
+                self.queue_ending(id, key, Outcome::Unknown);
+                self.answer_started(key);
             }
             Ending::NotRun => self.free(id, key),
             Ending::GivenUp => {
@@ -186,7 +186,7 @@
     /// Frees the key, and lets waiting requests claim it in the same record.
     fn free(&mut self, id: ClaimId, key: ClaimKey) {
         self.freeing.insert(id);
-        self.write_end(id, key, Outcome::NotRun);
+        self.queue_ending(id, key, Outcome::NotRun);
         let waiting = self.waiting.remove(&key).unwrap_or_default();
         self.queue.extend(waiting);
     }
@@ -204,7 +204,7 @@
             .collect();
         self.running.retain(|_, runner| *runner != host);
         for key in keys {
-            self.release_waiting(key);
+            self.answer_started(key);
         }
     }
 
@@ -238,7 +238,7 @@
     /// `carry` is whether this host carries old keys over.
     pub fn has_work(&self, carry: bool, now: Moment) -> bool {
         let due = || carry && self.ready && self.table.has_due(self.carry_after, now);
-        self.has_claims() || !self.ends.is_empty() || due()
+        self.has_claims() || !self.endings.is_empty() || due()
     }
 
     /// Returns the next record to append, or `None` if there is nothing to write.
@@ -247,9 +247,9 @@
     pub fn next_batch(&mut self, carry: bool, now: Moment) -> Option<Batch> {
         let mut entries: Vec<Entry> = Vec::new();
         // Endings come first, so that a key freed here can be claimed in the same record.
-        let ends = self.ends.len().min(BATCH_LIMIT);
-        self.sent_ends = self.ends.drain(..ends).collect();
-        entries.extend(self.sent_ends.iter().cloned());
+        let endings = self.endings.len().min(BATCH_LIMIT);
+        self.sent_endings = self.endings.drain(..endings).collect();
+        entries.extend(self.sent_endings.iter().cloned());
         let requests = self.queue.len().min(BATCH_LIMIT);
         self.inflight = self.queue.drain(..requests).collect();
         for pending in &self.inflight {
@@ -314,9 +314,9 @@
             }
         }
         if !landed {
-            self.restore_ends();
+            self.requeue_endings();
         }
-        self.sent_ends.clear();
+        self.sent_endings.clear();
         self.table.end_carry();
     }
 
@@ -336,7 +336,7 @@
         for pending in inflight.into_iter().chain(queued) {
             self.reply(&pending, Answer::NotRun(RETRY));
         }
-        self.restore_ends();
+        self.requeue_endings();
         self.table.end_carry();
     }
 
@@ -346,8 +346,8 @@
         let Some(holder) = self.table.holder(request.key).copied() else {
             return false;
         };
-        let kept = self.cache.get(request.key, holder.id).cloned();
-        match kept {
+        let cached = self.cache.get(request.key, holder.id).cloned();
+        match cached {
             _ if self.freeing.contains(&holder.id) => return false,
             _ if holder.id != request.id && holder.is_over(now) => return false,
             _ if holder.id == request.id => {
@@ -366,7 +366,7 @@
         true
     }
 
-    fn settle_waiting(&mut self, key: ClaimKey, now: Moment) {
+    fn answer_waiting(&mut self, key: ClaimKey, now: Moment) {
         for pending in self.waiting.remove(&key).unwrap_or_default() {
             if !self.answer_from_table(&pending, now) {
                 self.reply(&pending, Answer::Started);
@@ -374,25 +374,25 @@
         }
     }
 
-    fn release_waiting(&mut self, key: ClaimKey) {
+    fn answer_started(&mut self, key: ClaimKey) {
         for pending in self.waiting.remove(&key).unwrap_or_default() {
             self.reply(&pending, Answer::Started);
         }
     }
 
-    fn write_end(&mut self, id: ClaimId, key: ClaimKey, outcome: Outcome) {
-        if self.ends.len() >= ENDINGS_LIMIT {
-            let dropped = self.ends.pop_front();
+    fn queue_ending(&mut self, id: ClaimId, key: ClaimKey, outcome: Outcome) {
+        if self.endings.len() >= ENDINGS_LIMIT {
+            let dropped = self.endings.pop_front();
             if let Some(Entry::Ended { id, .. }) = dropped {
                 self.freeing.remove(&id);
             }
         }
-        self.ends.push_back(Entry::Ended { id, key, outcome });
+        self.endings.push_back(Entry::Ended { id, key, outcome });
     }
 
-    fn restore_ends(&mut self) {
-        for entry in std::mem::take(&mut self.sent_ends).into_iter().rev() {
-            self.ends.push_front(entry);
+    fn requeue_endings(&mut self) {
+        for entry in std::mem::take(&mut self.sent_endings).into_iter().rev() {
+            self.endings.push_front(entry);
         }
     }
 
--- a/components/coordination/src/claims/table.rs
+++ b/components/coordination/src/claims/table.rs
@@ -129,7 +129,7 @@
             let Some(holder) = holder.filter(|h| h.written == written) else {
                 continue;
             };
-            entries.push(holder.renewal(key, now));
+            entries.push(holder.carry_entry(key, now));
             self.carrying.push((written, key));
         }
         entries
@@ -185,7 +185,7 @@
                 age,
             } => {
                 let claimed = now - i64::try_from(age).unwrap_or(i64::MAX);
-                self.carry_in(
+                self.add_carried(
                     key,
                     KeyHolder {
                         id,
@@ -201,7 +201,7 @@
 
     /// Adds a carried holder. Of two holders the one that claimed later is the right
     /// one, because a key changes its holder only after the earlier claim is over.
-    fn carry_in(&mut self, key: ClaimKey, carried: KeyHolder) {
+    fn add_carried(&mut self, key: ClaimKey, carried: KeyHolder) {
         match self.holders.get_mut(&key) {
             Some(h) if h.id == carried.id => {
                 h.written = carried.written;
@@ -245,7 +245,7 @@
         u64::try_from(now - self.claimed).unwrap_or(0)
     }
 
-    fn renewal(&self, key: ClaimKey, now: i64) -> Entry {
+    fn carry_entry(&self, key: ClaimKey, now: i64) -> Entry {
         let age = self.age(now);
         match age >= self.ttl_ms {
             true => Entry::Expired { id: self.id, key },
--- a/components/coordination/src/members/detector.rs
+++ b/components/coordination/src/members/detector.rs
@@ -23,15 +23,15 @@
 /// The gap between two ticks after which the silence of other members proves nothing.
 ///
 /// A host that was itself paused finds all others silent when it resumes.
-const OWN_PAUSE: Duration = Duration::from_millis(250);
+const PAUSE_LIMIT: Duration = Duration::from_millis(250);
 
 /// How long a host may lag behind a peer's offset before it requests the peer's configuration.
 ///
 /// Normally the log brings the same records within milliseconds.
-const BEHIND: Duration = Duration::from_millis(500);
+const LAG_LIMIT: Duration = Duration::from_millis(500);
 
 /// The number of heartbeats whose time of sending is kept, for their acknowledgements.
-const ASKED_LIMIT: usize = 64;
+const SENT_LIMIT: usize = 64;
 
 /// An action for the caller of the detector.
 #[value]
@@ -66,13 +66,13 @@
     pub(super) watched: BTreeMap<MemberId, WatchedMember>,
     pub(super) gossip_state: GossipState,
     suspected: BTreeSet<MemberId>,
-    pub(super) asked: BTreeMap<u64, Moment>,
-    pub(super) answers: BTreeMap<MemberId, WatcherAck>,
+    pub(super) sent: BTreeMap<u64, Moment>,
+    pub(super) acks: BTreeMap<MemberId, WatcherAck>,
     log_read: Option<Moment>,
     pub(super) ahead: Option<(HostKey, Moment)>,
     unlisted: BTreeSet<HostKey>,
     pub(super) poll: Option<RemovalPoll>,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Detector {
@@ -93,13 +93,13 @@
             watched: BTreeMap::new(),
             gossip_state: GossipState::default(),
             suspected: BTreeSet::new(),
-            asked: BTreeMap::new(),
-            answers: BTreeMap::new(),
+            sent: BTreeMap::new(),
+            acks: BTreeMap::new(),
             log_read: None,
             ahead: None,
             unlisted: BTreeSet::new(),
             poll: None,
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -131,7 +131,7 @@
         }
         self.watched = watched;
         self.gossip_state.retain(&self.map);
-        self.answers
+        self.acks
             .retain(|id, _| self.map.member(id.host) == Some(*id));
         self.announce_removals(&old);
         self.refresh(now);
@@ -165,9 +165,9 @@
         self.forward_gossip(&gossip, None);
     }
 
-    /// Records that the end of the log was read by a request sent at `asked`.
-    pub fn note_log_end(&mut self, asked: Moment) {
-        self.log_read = self.log_read.max(Some(asked));
+    /// Records that the end of the log was read by a request sent at `sent`.
+    pub fn note_log_end(&mut self, sent: Moment) {
+        self.log_read = self.log_read.max(Some(sent));
     }
 
     /// Sets the members that a usable list of the platform lacks or reports as leaving.
@@ -190,7 +190,7 @@
 
     /// Performs due work. The caller has to call it every 50 ms.
     pub fn tick(&mut self, now: Moment) {
-        if now.since(self.last_tick) > OWN_PAUSE {
+        if now.since(self.last_tick) > PAUSE_LIMIT {
             self.reset_silence(now);
         }
         self.last_tick = now;
@@ -202,12 +202,12 @@
         for id in watched {
             self.watch(id, now);
         }
-        self.settle_poll(now);
+        self.update_poll(now);
         if let Some((host, since)) = self.ahead
-            && now.since(since) >= BEHIND
+            && now.since(since) >= LAG_LIMIT
         {
             self.ahead = None;
-            self.out.push(Action::AskConfig(host));
+            self.actions.push(Action::AskConfig(host));
         }
         self.gossip_state.expire(now);
         self.refresh(now);
@@ -215,13 +215,13 @@
 
     /// Takes the actions collected since the last call.
     pub fn actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Asks `host` for the offset up to which it has applied the configuration.
     pub fn ask(&mut self, host: HostKey, now: Moment) {
-        let heartbeat = self.next(true, now);
-        self.out.push(Action::Send(host, heartbeat));
+        let heartbeat = self.new_heartbeat(true, now);
+        self.actions.push(Action::Send(host, heartbeat));
     }
 
     /// Returns whether the current configuration contains this process as a member.
@@ -237,7 +237,7 @@
     /// Returns when this member's configuration was last proved to be the current one.
     pub fn current_at(&self) -> Option<Moment> {
         let watchers = self.map.watchers(self.me);
-        let latest = current_at(self.offset, self.log_read, watchers, &self.answers);
+        let latest = current_at(self.offset, self.log_read, watchers, &self.acks);
         latest.filter(|_| self.is_member())
     }
 
@@ -266,7 +266,7 @@
             return;
         };
         if member.should_redial(now) {
-            self.out.push(Action::Redial(id.host));
+            self.actions.push(Action::Redial(id.host));
         }
         if member.should_query(now) {
             let query = LivenessQuery {
@@ -277,17 +277,17 @@
             };
             for watcher in self.map.watchers(id).iter().filter(|w| **w != self.me) {
                 let message = MemberMessage::LivenessQuery(query.clone());
-                self.out.push(Action::Send(watcher.host, message));
+                self.actions.push(Action::Send(watcher.host, message));
             }
         }
         if !member.is_agreed(now, other_watchers.len()) {
             return;
         }
-        let before = other_watchers.iter().filter(|f| **f < self.me).count();
-        let lost = member.is_lost(now, &other_watchers, u32::try_from(before).unwrap_or(0));
+        let before = other_watchers.iter().filter(|w| **w < self.me).count();
+        let lost = member.is_removable(now, &other_watchers, u32::try_from(before).unwrap_or(0));
         let round = member.silence(now).as_secs();
         let epoch = member.epoch;
-        if self.gossip_state.is_stale(id, now) {
+        if self.gossip_state.is_repeat_due(id, now) {
             let gossip = Gossip {
                 host: id.host,
                 incarnation: id.incarnation,
@@ -310,17 +310,17 @@
     }
 
     fn start_poll(&mut self, target: MemberId, now: Moment) {
-        let heartbeat = self.next(true, now);
+        let heartbeat = self.new_heartbeat(true, now);
         self.poll = Some(RemovalPoll::new(target, self.sequence, now));
         let region: Vec<MemberId> = self.map.region(target.host).collect();
         for id in region {
             if id != self.me && id != target {
-                self.out.push(Action::Send(id.host, heartbeat.clone()));
+                self.actions.push(Action::Send(id.host, heartbeat.clone()));
             }
         }
     }
 
-    fn settle_poll(&mut self, now: Moment) {
+    fn update_poll(&mut self, now: Moment) {
         let Some(poll) = &mut self.poll else {
             return;
         };
@@ -333,7 +333,7 @@
         let silent = self.watched.get(&target);
         let silent = silent.is_some_and(|s| s.silence(now) >= super::watched::REMOVE_AFTER);
         if silent && poll.should_remove(region, listed, now) {
-            self.out.push(Action::Remove(target));
+            self.actions.push(Action::Remove(target));
         }
         if !silent || poll.is_over(now) {
             self.poll = None;
@@ -342,18 +342,19 @@
 
     fn send_heartbeats(&mut self, now: Moment) {
         let wants_ack = (self.sequence + 1).is_multiple_of(HEARTBEATS_PER_ACK);
-        let heartbeat = self.next(wants_ack, now);
+        let heartbeat = self.new_heartbeat(wants_ack, now);
         for watcher in self.map.watchers(self.me) {
-            self.out.push(Action::Send(watcher.host, heartbeat.clone()));
+            self.actions
+                .push(Action::Send(watcher.host, heartbeat.clone()));
         }
     }
 
-    fn next(&mut self, wants_ack: bool, now: Moment) -> MemberMessage {
+    fn new_heartbeat(&mut self, wants_ack: bool, now: Moment) -> MemberMessage {
         self.sequence += 1;
         if wants_ack {
-            self.asked.insert(self.sequence, now);
-            while self.asked.len() > ASKED_LIMIT {
-                self.asked.pop_first();
+            self.sent.insert(self.sequence, now);
+            while self.sent.len() > SENT_LIMIT {
+                self.sent.pop_first();
             }
         }
         MemberMessage::Heartbeat(Heartbeat {
@@ -382,7 +383,7 @@
     }
 
     pub(super) fn send(&mut self, to: HostKey, message: MemberMessage) {
-        self.out.push(Action::Send(to, message));
+        self.actions.push(Action::Send(to, message));
     }
 
     fn reset_silence(&mut self, now: Moment) {
@@ -399,11 +400,11 @@
         let is_suspected = |id: &MemberId| self.gossip_state.suspected(*id, now).is_some();
         let suspected: BTreeSet<MemberId> = self.map.members().filter(is_suspected).collect();
         for id in suspected.difference(&self.suspected) {
-            self.out.push(Action::Suspected(id.host));
+            self.actions.push(Action::Suspected(id.host));
         }
         for id in self.suspected.difference(&suspected) {
             if self.map.member(id.host) == Some(*id) {
-                self.out.push(Action::Refuted(id.host));
+                self.actions.push(Action::Refuted(id.host));
             }
         }
         self.suspected = suspected;
--- a/components/coordination/src/members/gossip.rs
+++ b/components/coordination/src/members/gossip.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns whether it is time to repeat a suspicion.
-    pub fn is_stale(&self, id: MemberId, now: Moment) -> bool {
+    pub fn is_repeat_due(&self, id: MemberId, now: Moment) -> bool {
         self.suspicions
             .get(&id)
             .is_none_or(|s| now.since(s.at) >= SUSPICION_INTERVAL)
--- a/components/coordination/src/members/quorum.rs
+++ b/components/coordination/src/members/quorum.rs
@@ -35,7 +35,7 @@
     /// The offset that the watcher has applied.
     pub offset: u64,
     /// When this host sent the acknowledged heartbeat.
-    pub asked: Moment,
+    pub sent: Moment,
 }
 
 /// Decides whether this host may act as an owner, by the time from [`current_at`].
@@ -68,17 +68,17 @@
     answers: &BTreeMap<MemberId, WatcherAck>,
 ) -> Option<Moment> {
     let agreed = watchers.iter().filter_map(|w| answers.get(w));
-    let mut asked: Vec<Moment> = agreed
+    let mut sent: Vec<Moment> = agreed
         .filter(|e| e.offset <= offset)
-        .map(|e| e.asked)
+        .map(|e| e.sent)
         .collect();
-    asked.sort_unstable_by(|a, b| b.cmp(a));
+    sent.sort_unstable_by(|a, b| b.cmp(a));
     let needed = majority(watchers.len());
-    let vouched = match watchers {
+    let confirmed = match watchers {
         [] => None,
-        _ => asked.get(needed - 1).copied(),
+        _ => sent.get(needed - 1).copied(),
     };
-    log_read.max(vouched)
+    log_read.max(confirmed)
 }
 
 /// Whether a previous owner may still act after a change of the configuration.
--- a/components/coordination/src/members/receive.rs
+++ b/components/coordination/src/members/receive.rs
@@ -61,12 +61,12 @@
     fn ack(&mut self, from: MemberId, ack: &HeartbeatAck, now: Moment) {
         self.gossip_state.note_applied(from, ack.offset);
         self.note_peer_offset(from.host, ack.offset, now);
-        if let Some(asked) = self.asked.get(&ack.sequence) {
-            let evidence = WatcherAck {
+        if let Some(sent) = self.sent.get(&ack.sequence) {
+            let watcher_ack = WatcherAck {
                 offset: ack.offset,
-                asked: *asked,
+                sent: *sent,
             };
-            self.answers.insert(from, evidence);
+            self.acks.insert(from, watcher_ack);
         }
         if let Some(poll) = &mut self.poll {
             poll.note_answer(from, ack.sequence);
--- a/components/coordination/src/members/removal.rs
+++ b/components/coordination/src/members/removal.rs
@@ -33,7 +33,7 @@
 /// region answers may remove a member, so at most one side of a split does.
 pub struct RemovalPoll {
     target: MemberId,
-    asked: Moment,
+    started: Moment,
     sequence: u64,
     answered: BTreeSet<MemberId>,
     removed: Option<Moment>,
@@ -44,7 +44,7 @@
     pub fn new(target: MemberId, sequence: u64, now: Moment) -> RemovalPoll {
         RemovalPoll {
             target,
-            asked: now,
+            started: now,
             sequence,
             answered: BTreeSet::new(),
             removed: None,
@@ -67,7 +67,7 @@
     pub fn is_over(&self, now: Moment) -> bool {
         match self.removed {
             Some(at) => now.since(at) >= RETRY_AFTER,
-            None => now.since(self.asked) >= POLL_TIMEOUT,
+            None => now.since(self.started) >= POLL_TIMEOUT,
         }
     }
 
@@ -75,8 +75,8 @@
     ///
     /// `region` is the number of members of the region, including the target and this host.
     pub fn should_remove(&mut self, region: usize, listed: Listed, now: Moment) -> bool {
-        let heard = self.answered.len() + 1;
-        let agreed = heard >= majority(region) || listed == Listed::Unlisted;
+        let answered = self.answered.len() + 1;
+        let agreed = answered >= majority(region) || listed == Listed::Unlisted;
         let due = agreed && self.removed.is_none();
         if due {
             self.removed = Some(now);
--- a/components/coordination/src/members/watched.rs
+++ b/components/coordination/src/members/watched.rs
@@ -91,8 +91,8 @@
 
     /// Returns whether it is time to query the other watchers.
     pub fn should_query(&mut self, now: Moment) -> bool {
-        let told = |at: Moment| now.since(at) < QUERY_INTERVAL;
-        let due = self.silence(now) >= QUERY_AFTER && !self.last_query.is_some_and(told);
+        let is_recent = |at: Moment| now.since(at) < QUERY_INTERVAL;
+        let due = self.silence(now) >= QUERY_AFTER && !self.last_query.is_some_and(is_recent);
         if due {
             self.last_query = Some(now);
         }
@@ -112,12 +112,11 @@
     ///
     /// `rank` is the number of watchers before this one. They go first, so that a
     /// lost member costs one append and not five.
-    pub fn is_lost(&self, now: Moment, other_watchers: &[MemberId], rank: u32) -> bool {
+    pub fn is_removable(&self, now: Moment, other_watchers: &[MemberId], rank: u32) -> bool {
         self.silence(now) >= REMOVE_AFTER + REMOVER_STAGGER * rank
-            && other_watchers.iter().all(|f| {
-                self.concurring_watchers(now)
-                    .any(|concurring_watchers| concurring_watchers == *f)
-            })
+            && other_watchers
+                .iter()
+                .all(|f| self.concurring_watchers(now).any(|watcher| watcher == *f))
     }
 
     fn concurring_watchers(&self, now: Moment) -> impl Iterator<Item = MemberId> {
--- a/components/coordination/src/slots/broker.rs
+++ b/components/coordination/src/slots/broker.rs
@@ -28,7 +28,7 @@
     stamp: Stamp,
     waiting: u32,
     unmet: u32,
-    since: Moment,
+    oldest_since: Moment,
     spare: u32,
     held: u32,
     idle: u32,
@@ -102,7 +102,7 @@
         entry.requested.drain(..served.min(entry.requested.len()));
         entry.waiting = demand.waiting;
         entry.unmet = demand.waiting.saturating_sub(entry.incoming.len() as u32);
-        entry.since = now - demand.oldest;
+        entry.oldest_since = now - demand.oldest;
         entry.spare = demand.spare;
         entry.held = demand.held;
         entry.idle = demand.idle;
@@ -129,7 +129,7 @@
         self.demands
             .iter()
             .filter(|(host, c)| Some(**host) != except && c.unmet(now) > 0)
-            .map(|(host, c)| (*host, c.age(now)))
+            .map(|(host, c)| (*host, c.estimated_wait(now)))
             .max_by_key(|(host, age)| (*age, *host))
     }
 
@@ -138,7 +138,7 @@
         self.demands
             .iter()
             .filter(|(_, c)| c.unmet(now) > c.requested.len() as u32)
-            .map(|(host, c)| (*host, c.age(now)))
+            .map(|(host, c)| (*host, c.estimated_wait(now)))
             .max_by_key(|(host, age)| (*age, *host))
     }
 
@@ -239,7 +239,7 @@
             .demands
             .iter()
             .filter(|(_, c)| c.held as usize > c.outgoing.len())
-            .map(|(host, c)| (*host, c.age(now)))
+            .map(|(host, c)| (*host, c.estimated_wait(now)))
             .collect();
         donors.sort_by_key(|(host, age)| (*age, *host));
         donors
@@ -252,7 +252,7 @@
             stamp: Stamp::default(),
             waiting: 0,
             unmet: 0,
-            since: now,
+            oldest_since: now,
             spare: 0,
             held: 0,
             idle: 0,
@@ -280,10 +280,10 @@
     }
 
     /// Estimates the wait of the oldest call without a slot in transit.
-    fn age(&self, now: Moment) -> Duration {
+    fn estimated_wait(&self, now: Moment) -> Duration {
         match (self.waiting, self.unmet(now)) {
             (0, _) | (_, 0) => Duration::ZERO,
-            (waiting, unmet) => now.since(self.since) * unmet / waiting.max(unmet),
+            (waiting, unmet) => now.since(self.oldest_since) * unmet / waiting.max(unmet),
         }
     }
 
--- a/components/coordination/src/slots/calls.rs
+++ b/components/coordination/src/slots/calls.rs
@@ -43,13 +43,13 @@
             return;
         };
         let service = held.service;
-        if let Usage::Busy(since, flagged) = held.usage {
+        if let Usage::Busy(since, counted) = held.usage {
             self.note_ending(
                 service,
                 lease.slot.endpoint,
                 ending,
                 now.since(since),
-                flagged,
+                counted,
                 now,
             );
         }
@@ -86,18 +86,18 @@
     /// Gives an idle slot to the broker, or returns it to its owner if that is not possible.
     pub(super) fn give_up_slot(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) {
         let broker = self.roles.broker(service).filter(|b| *b != self.me.host);
-        let handed = match broker {
+        let transferred = match broker {
             Some(broker) => self.transfer_to(broker, None, slot, now),
             None => false,
         };
-        if !handed && let Some(lease) = self.leases.release(slot) {
-            self.give_back(lease, Reason::Idle);
+        if !transferred && let Some(lease) = self.leases.release(slot) {
+            self.return_lease(lease, Reason::Idle);
         }
         self.forget_idle(service, slot);
         self.decrement_held(service);
     }
 
-    pub(super) fn give_back(&mut self, lease: LeaseKey, reason: Reason) {
+    pub(super) fn return_lease(&mut self, lease: LeaseKey, reason: Reason) {
         self.returns.push(ReturnedLease { lease, reason });
     }
 
@@ -131,10 +131,10 @@
         if echo.incarnation != self.me.incarnation {
             return;
         }
-        let asked = Moment(echo.clock);
+        let since = Moment(echo.clock);
         let mut touched = Vec::new();
-        for handed in leases {
-            let slot = handed.lease.slot;
+        for transferred in leases {
+            let slot = transferred.lease.slot;
             let Some(endpoint_roles) = self.roles.endpoints.get(&slot.endpoint) else {
                 continue;
             };
@@ -145,11 +145,11 @@
             if self.roles.broker(service) == Some(from) {
                 pool.note_received();
             }
-            let lapsed = self.leases.get(slot).is_some_and(|h| h.end <= now);
-            if lapsed {
+            let expired = self.leases.get(slot).is_some_and(|h| h.end <= now);
+            if expired {
                 pool.idle.retain(|s| *s != slot);
             }
-            if !self.leases.accept(handed, service, asked, now) {
+            if !self.leases.accept(transferred, service, since, now) {
                 continue;
             }
             // While this host stops, the lease is dropped rather than returned: the owner
@@ -161,10 +161,10 @@
             }
             if endpoint_roles.leaving {
                 self.leases.release(slot);
-                self.give_back(handed.lease, Reason::Idle);
+                self.return_lease(transferred.lease, Reason::Idle);
                 continue;
             }
-            if !lapsed {
+            if !expired {
                 pool.held += 1;
             }
             pool.idle.push(slot);
@@ -179,15 +179,15 @@
 
     /// Removes leases that have ended and frees the slots whose abandoned work has stopped.
     pub(super) fn sweep_leases(&mut self, now: Moment) {
-        let lapsing: Vec<(ServiceKey, SlotKey)> = self
+        let ended: Vec<(ServiceKey, SlotKey)> = self
             .leases
             .iter()
             .filter(|h| h.end <= now)
             .map(|h| (h.service, h.lease.slot))
             .collect();
-        let lapsed = self.leases.expire_idle(now);
-        for (service, slot) in lapsing {
-            if lapsed.contains(&slot) {
+        let expired = self.leases.expire_idle(now);
+        for (service, slot) in ended {
+            if expired.contains(&slot) {
                 self.forget_idle(service, slot);
                 self.decrement_held(service);
             }
@@ -333,7 +333,7 @@
                 }
             }
             Freed::Return(lease) => {
-                self.give_back(lease, Reason::Idle);
+                self.return_lease(lease, Reason::Idle);
                 self.decrement_held(service);
             }
             Freed::Expired => self.decrement_held(service),
@@ -354,7 +354,7 @@
     ) {
         self.leases.recall(lease.slot);
         if let Freed::Return(lease) = self.leases.free(lease, now) {
-            self.give_back(lease, reason);
+            self.return_lease(lease, reason);
         }
         self.decrement_held(service);
         let endpoint = lease.slot.endpoint;
@@ -375,7 +375,7 @@
         };
         match self.leases.release(slot) {
             Some(lease) => {
-                self.give_back(lease, Reason::Idle);
+                self.return_lease(lease, Reason::Idle);
                 self.forget_idle(service, slot);
                 self.decrement_held(service);
             }
@@ -389,7 +389,7 @@
         endpoint: EndpointKey,
         ending: Ending,
         took: Duration,
-        flagged: bool,
+        counted: bool,
         now: Moment,
     ) {
         let Some(pool) = self.pools.get_mut(&service) else {
@@ -401,7 +401,7 @@
             Ending::Cancelled if pool.latency.is_slow(took) => true,
             Ending::Cancelled | Ending::Unused | Ending::Shed | Ending::Unreachable => return,
         };
-        if !flagged {
+        if !counted {
             self.count_call(endpoint, slow, now);
         }
     }
--- a/components/coordination/src/slots/held.rs
+++ b/components/coordination/src/slots/held.rs
@@ -19,7 +19,7 @@
     /// When the lease ends, by this host's own clock.
     pub end: Moment,
     /// When the last renewal that named the lease was sent.
-    pub asked: Option<Moment>,
+    pub renewal_sent: Option<Moment>,
     /// What the lease is used for.
     pub usage: Usage,
     /// Whether the lease goes back to its owner as soon as it is idle.
@@ -65,36 +65,36 @@
 pub const MIN_TRANSFER_TERM: Duration = Duration::from_millis(100);
 
 impl HeldLeases {
-    /// Adds a lease that was granted or transferred after `asked`, a time of this host's own clock.
+    /// Adds a lease that was granted or transferred after `since`, a time of this host's own clock.
     ///
     /// Returns false if the lease has ended on the way, or if a call still runs
     /// on an older lease of the slot. That call has outlived its lease, and
     /// accepting the new lease would put two calls on one slot.
     pub fn accept(
         &mut self,
-        handed: &TransferredLease,
+        transferred: &TransferredLease,
         service: ServiceKey,
-        asked: Moment,
+        since: Moment,
         now: Moment,
     ) -> bool {
-        let end = asked + handed.left.min(LEASE_TERM);
-        let clash = self
+        let end = since + transferred.left.min(LEASE_TERM);
+        let conflict = self
             .leases
-            .get(&handed.lease.slot)
+            .get(&transferred.lease.slot)
             .is_some_and(|h| !matches!(h.usage, Usage::Idle(_)) || h.end > now);
-        if end <= now || clash {
+        if end <= now || conflict {
             return false;
         }
         let held = HeldLease {
-            lease: handed.lease,
+            lease: transferred.lease,
             service,
             end,
-            asked: None,
+            renewal_sent: None,
             usage: Usage::Idle(now),
             recalled: false,
-            single_use: handed.single_use,
+            single_use: transferred.single_use,
         };
-        self.leases.insert(handed.lease.slot, held);
+        self.leases.insert(transferred.lease.slot, held);
         true
     }
 
@@ -225,16 +225,16 @@
     /// Records that a renewal of this lease is sent now.
     pub fn note_renewal(&mut self, slot: SlotKey, now: Moment) {
         if let Some(held) = self.leases.get_mut(&slot) {
-            held.asked = Some(now);
+            held.renewal_sent = Some(now);
         }
     }
 
-    /// Extends the leases named in the renewal sent at `asked`, other than those in `except`.
-    pub fn renewed(&mut self, asked: Moment, except: &[LeaseKey], now: Moment) {
+    /// Extends the leases named in the renewal sent at `sent`, other than those in `except`.
+    pub fn renewed(&mut self, sent: Moment, except: &[LeaseKey], now: Moment) {
         for held in self.leases.values_mut() {
-            let named = held.asked == Some(asked) && !except.contains(&held.lease);
+            let named = held.renewal_sent == Some(sent) && !except.contains(&held.lease);
             if named && held.end > now {
-                held.end = held.end.max(asked + LEASE_TERM);
+                held.end = held.end.max(sent + LEASE_TERM);
             }
         }
     }
--- a/components/coordination/src/slots/lease_table.rs
+++ b/components/coordination/src/slots/lease_table.rs
@@ -37,7 +37,7 @@
 #[tag]
 pub enum Renewal {
     /// The lease is extended by one term.
-    Kept,
+    Extended,
     /// The lease is over.
     Ended,
     /// The owner cannot decide yet.
@@ -201,11 +201,11 @@
             _ => {}
         }
         self.note(lease, holder, now + LEASE_TERM);
-        Renewal::Kept
+        Renewal::Extended
     }
 
     /// Frees a slot that its holder returned. Returns false if the lease is out of date.
-    pub fn give_back(&mut self, lease: LeaseKey) -> bool {
+    pub fn return_lease(&mut self, lease: LeaseKey) -> bool {
         let Some(slot) = self.slots.get_mut(lease.slot.number as usize) else {
             return false;
         };
--- a/components/coordination/src/slots/mod.rs
+++ b/components/coordination/src/slots/mod.rs
@@ -150,7 +150,7 @@
     renewals: BTreeMap<HostKey, Moment>,
     returns: Vec<ReturnedLease>,
     transfers: BTreeMap<HostKey, PendingTransfer>,
-    confirmed: Option<Moment>,
+    confirmed_at: Option<Moment>,
     /// The revision of the last configuration, if that had no members.
     empty_revision: Option<u64>,
     serial: u64,
@@ -207,7 +207,7 @@
             renewals: BTreeMap::new(),
             returns: Vec::new(),
             transfers: BTreeMap::new(),
-            confirmed: None,
+            confirmed_at: None,
             empty_revision: None,
             stopping: false,
             last_sweep: now,
@@ -245,25 +245,27 @@
         }
         self.me.incarnation = incarnation;
         self.serial = incarnation;
-        self.confirmed = None;
+        self.confirmed_at = None;
         self.stats_due = None;
         self.owned.clear();
         self.handoffs.clear();
         self.renewals.clear();
     }
 
-    /// Records that the configuration was proved to be the current one at `shown`.
+    /// Records that the configuration was proved to be the current one at `proved_at`.
     ///
     /// A host that was paused or cut off may consider itself the owner of endpoints
     /// that another host has owned meanwhile, and two calls could run on one slot.
     /// An owner therefore acts only within [`AUTHORITY_WINDOW`] of the proof, and after a
-    /// longer gap it fences all its endpoints. `shown` is the time of the proof, not
+    /// longer gap it fences all its endpoints. `proved_at` is the time of the proof, not
     /// of its receipt: counted from the receipt, an owner would act for twice as long
     /// as its successor waits.
-    pub fn confirm(&mut self, shown: Moment) {
-        let gap = self.confirmed.map_or(Duration::ZERO, |at| shown.since(at));
-        let now = self.confirmed.map_or(shown, |at| at.max(shown));
-        self.confirmed = Some(now);
+    pub fn confirm(&mut self, proved_at: Moment) {
+        let gap = self
+            .confirmed_at
+            .map_or(Duration::ZERO, |at| proved_at.since(at));
+        let now = self.confirmed_at.map_or(proved_at, |at| at.max(proved_at));
+        self.confirmed_at = Some(now);
         if gap > AUTHORITY_WINDOW {
             for (endpoint, owned) in &mut self.owned {
                 let endpoint_roles = self.roles.endpoints.get(endpoint);
@@ -317,7 +319,7 @@
             self.sweep_owned(now);
             self.renew(now);
             self.handoffs
-                .retain(|_, left| now.since(left.at) < HANDOFF_TTL);
+                .retain(|_, early| now.since(early.at) < HANDOFF_TTL);
             self.recently_leased
                 .retain(|_, at| now.since(*at) < HANDOFF_TTL);
         }
@@ -405,7 +407,7 @@
                     echo,
                     count,
                     since: now - oldest,
-                    until: now + TRANSFER_REQUEST_TTL,
+                    expires: now + TRANSFER_REQUEST_TTL,
                 };
                 self.on_transfer_request(from, service, request, now);
             }
@@ -444,7 +446,7 @@
 
     /// Returns whether this host may act as an owner now.
     fn has_authority(&self, now: Moment) -> bool {
-        self.confirmed
+        self.confirmed_at
             .is_some_and(|at| now.since(at) <= AUTHORITY_WINDOW)
     }
 
--- a/components/coordination/src/slots/owned_endpoint.rs
+++ b/components/coordination/src/slots/owned_endpoint.rs
@@ -123,11 +123,11 @@
         }
         self.last_recall = now;
         let trial = self.trial;
-        let spared = move |out: &GrantedLease| match trial {
-            Some((serial, at)) => serial == out.lease.serial && now.since(at) < TRIAL_TIMEOUT,
+        let is_exempt = move |granted: &GrantedLease| match trial {
+            Some((serial, at)) => serial == granted.lease.serial && now.since(at) < TRIAL_TIMEOUT,
             None => false,
         };
-        let leases = self.lease_table.leases().filter(|o| !spared(o));
+        let leases = self.lease_table.leases().filter(|o| !is_exempt(o));
         leases.take(above).collect()
     }
 }
--- a/components/coordination/src/slots/owner.rs
+++ b/components/coordination/src/slots/owner.rs
@@ -34,7 +34,7 @@
                 .filter(|o| o.superseded_at.is_none())
                 .map(|o| o.lease_table.renew(*lease, from, now))
             {
-                Some(Renewal::Kept) => {}
+                Some(Renewal::Extended) => {}
                 Some(Renewal::Ended) => ended.push(*lease),
                 Some(Renewal::Pending) | None => pending.push(*lease),
             }
@@ -58,7 +58,7 @@
             let Some(owned) = self.owned.get_mut(&endpoint) else {
                 continue;
             };
-            owned.lease_table.give_back(returned.lease);
+            owned.lease_table.return_lease(returned.lease);
             match returned.reason {
                 Reason::Idle => {}
                 Reason::Shed => owned.capacity.note_shed(now),
@@ -94,12 +94,12 @@
             } else if self.revision >= handoff.revision && !self.owns(endpoint) {
                 self.forward_handoff(handoff, now);
             } else if !self.owned.contains_key(&endpoint) {
-                let left = EarlyHandoff {
+                let early = EarlyHandoff {
                     from,
                     handoff,
                     at: now,
                 };
-                self.handoffs.insert(endpoint, left);
+                self.handoffs.insert(endpoint, early);
             }
         }
     }
@@ -160,9 +160,9 @@
         let revision = self.revision;
         let passed = self
             .handoffs
-            .extract_if(.., |_, left| left.handoff.revision <= revision);
-        for left in passed.map(|(_, left)| left).collect::<Vec<_>>() {
-            self.forward_handoff(left.handoff, now);
+            .extract_if(.., |_, early| early.handoff.revision <= revision);
+        for early in passed.map(|(_, early)| early).collect::<Vec<_>>() {
+            self.forward_handoff(early.handoff, now);
         }
     }
 
@@ -253,8 +253,11 @@
             return;
         };
         let mut holders: BTreeMap<HostKey, Vec<LeaseKey>> = BTreeMap::new();
-        for out in owned.leases_to_recall(leaving, now) {
-            holders.entry(out.holder).or_default().push(out.lease);
+        for granted in owned.leases_to_recall(leaving, now) {
+            holders
+                .entry(granted.holder)
+                .or_default()
+                .push(granted.lease);
         }
         for (holder, leases) in holders {
             self.send(holder, SlotBody::Recall(leases), now);
@@ -332,8 +335,8 @@
             owned.resize(service_roles, now);
             return;
         }
-        let left = self.handoffs.remove(&endpoint);
-        let known = left.filter(|l| self.roles.members.contains_key(&l.from));
+        let early = self.handoffs.remove(&endpoint);
+        let known = early.filter(|l| self.roles.members.contains_key(&l.from));
         let handoff = known.as_ref().map(|l| {
             let late = now.since(l.at);
             let mut handoff = l.handoff.clone();
--- a/components/coordination/src/slots/pool.rs
+++ b/components/coordination/src/slots/pool.rs
@@ -23,7 +23,7 @@
     /// When the oldest call that needs one of the slots arrived.
     pub since: Moment,
     /// When the request expires.
-    pub until: Moment,
+    pub expires: Moment,
 }
 
 /// The idle slots, waiting calls and demand of one service at this host.
@@ -165,7 +165,7 @@
     /// Takes one slot of the first valid transfer request whose call is older than those here.
     pub fn take_transfer_request(&mut self, now: Moment) -> Option<TransferRequest> {
         self.transfer_requests
-            .retain(|o| o.until > now && o.count > 0);
+            .retain(|o| o.expires > now && o.count > 0);
         let oldest = self.queue.oldest(now);
         let empty = self.queue.is_empty();
         let request = self
--- a/components/coordination/src/slots/role_map.rs
+++ b/components/coordination/src/slots/role_map.rs
@@ -169,15 +169,15 @@
         &self,
         item: u64,
         region: RegionKey,
-        may: impl Fn(HostKey) -> bool,
+        is_eligible: impl Fn(HostKey) -> bool,
     ) -> Option<HostKey> {
         self.members
             .iter()
-            .filter(|(host, _)| may(**host))
-            .max_by_key(|(host, peer)| {
+            .filter(|(host, _)| is_eligible(**host))
+            .max_by_key(|(host, member)| {
                 (
-                    !peer.leaving,
-                    peer.region == region,
+                    !member.leaving,
+                    member.region == region,
                     rendezvous(host.0, item),
                 )
             })
--- a/components/coordination/src/slots/transfers.rs
+++ b/components/coordination/src/slots/transfers.rs
@@ -59,7 +59,7 @@
         let Some(echo) = echo.or_else(|| self.fresh_stamp(to, now)) else {
             return false;
         };
-        let Some(handed) = self.leases.transfer(slot, now) else {
+        let Some(transferred) = self.leases.transfer(slot, now) else {
             return false;
         };
         let transfer = self.transfers.entry(to).or_insert_with(|| PendingTransfer {
@@ -67,7 +67,7 @@
             leases: Vec::new(),
         });
         transfer.echo = transfer.echo.min(echo);
-        transfer.leases.push(handed);
+        transfer.leases.push(transferred);
         true
     }
 
@@ -221,11 +221,11 @@
         else {
             return false;
         };
-        let handed = self.transfer_to(request.to, Some(request.echo), slot, now);
-        if handed {
+        let transferred = self.transfer_to(request.to, Some(request.echo), slot, now);
+        if transferred {
             self.decrement_held(service);
         }
-        handed
+        transferred
     }
 
     fn assign_pooled(&mut self, service: ServiceKey, slot: SlotKey, now: Moment) -> bool {
--- a/components/coordination/tests/claim_bounds.rs
+++ b/components/coordination/tests/claim_bounds.rs
@@ -92,8 +92,8 @@
         );
     }
     home.request(ENTRY, request(u128::MAX), second(30), second(2));
-    let told = home.replies().pop().map(|r| r.answer);
-    assert!(matches!(told, Some(Answer::NotRun(_))), "{told:?}");
+    let reply = home.replies().pop().map(|r| r.answer);
+    assert!(matches!(reply, Some(Answer::NotRun(_))), "{reply:?}");
     assert!(!home.has_claims());
     assert_eq!(repeat(&mut home, 0, second(2)), Answer::Started);
 }
@@ -106,10 +106,10 @@
 #[case::too_many(1_000, ANSWER_CACHE_LIMIT / 500, false)]
 fn kept_answers(#[case] keys: u128, #[case] size: usize, #[case] first_is_kept: bool) {
     let mut home = answered(keys, size, second(1));
-    let told = repeat(&mut home, 0, second(2));
+    let reply = repeat(&mut home, 0, second(2));
     match first_is_kept {
-        true => assert_eq!(told, Answer::Known(answer(size))),
-        false => assert_eq!(told, Answer::Started),
+        true => assert_eq!(reply, Answer::Known(answer(size))),
+        false => assert_eq!(reply, Answer::Started),
     }
 }
 
@@ -124,7 +124,7 @@
 // Answers to deposits are cached for ten minutes. When each was a slice of its
 // receive buffer, an entry host grew by twice the size that it counted.
 #[test]
-fn kept_apart() {
+fn detached_answer() {
     let buffer = Bytes::from(vec![b'x'; 65_536]);
     let answer = CachedAnswer {
         status: 201,
--- a/components/coordination/tests/claim_races.rs
+++ b/components/coordination/tests/claim_races.rs
@@ -13,7 +13,7 @@
 use state::{HostKey, Moment};
 
 const KEY_TTL: Duration = Duration::from_secs(60);
-const PATIENCE: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const CARRY: Duration = Duration::from_secs(20);
 const ENTRY: HostKey = HostKey(9);
 
@@ -49,7 +49,7 @@
 
 /// The outcome of an append.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum AppendOutcome {
     Answered,
     AnswerLost,
     Late,
@@ -66,7 +66,7 @@
     },
     Append {
         home: usize,
-        fate: Fate,
+        outcome: AppendOutcome,
         reads: bool,
     },
     LandLate,
@@ -76,12 +76,12 @@
     },
     GiveUp {
         which: usize,
-        told: bool,
+        sent: bool,
     },
     Finish {
         which: usize,
         how: usize,
-        told: bool,
+        sent: bool,
     },
     Crash {
         home: usize,
@@ -113,7 +113,7 @@
     fn call(&mut self, key: u128, digest: u128, homes: &[usize]) -> usize {
         let id = ClaimId(self.calls.len() as u128);
         let key = ClaimKey(key);
-        let until = self.now + PATIENCE;
+        let until = self.now + CALL_TIMEOUT;
         self.calls.push(Call {
             key,
             made: self.now,
@@ -133,24 +133,24 @@
         self.calls.len() - 1
     }
 
-    fn append(&mut self, home: usize, fate: Fate, reads: bool) {
+    fn append(&mut self, home: usize, outcome: AppendOutcome, reads: bool) {
         let now = self.now;
         let Some(batch) = self.homes[home].next_batch(true, now) else {
             return;
         };
-        match fate {
-            Fate::Answered | Fate::AnswerLost => self.log.push(batch),
-            Fate::Late => self.late.push(batch),
-            Fate::Refused => {}
+        match outcome {
+            AppendOutcome::Answered | AppendOutcome::AnswerLost => self.log.push(batch),
+            AppendOutcome::Late => self.late.push(batch),
+            AppendOutcome::Refused => {}
         }
-        match fate {
-            Fate::Refused => self.homes[home].fail_append(true),
+        match outcome {
+            AppendOutcome::Refused => self.homes[home].fail_append(true),
             _ if !reads => self.homes[home].fail_append(false),
-            Fate::Answered => {
+            AppendOutcome::Answered => {
                 self.read(home);
                 self.homes[home].complete_append(true, now);
             }
-            Fate::AnswerLost | Fate::Late => {
+            AppendOutcome::AnswerLost | AppendOutcome::Late => {
                 self.read(home);
                 self.homes[home].complete_append(false, now);
             }
@@ -178,7 +178,7 @@
         if self.calls[index].state != CallState::Open {
             return;
         }
-        let deadline = self.calls[index].made + PATIENCE;
+        let deadline = self.calls[index].made + CALL_TIMEOUT;
         match reply.answer {
             Answer::Granted if !may_start(self.now, deadline) => self.give_up(index, true),
             Answer::Granted => self.run(index),
@@ -204,14 +204,14 @@
         self.calls[index].state = CallState::Ran;
     }
 
-    fn give_up(&mut self, index: usize, told: bool) {
+    fn give_up(&mut self, index: usize, sent: bool) {
         if self.calls[index].state == CallState::Open {
             self.calls[index].state = CallState::GivenUp;
-            self.end(index, &Ending::GivenUp, told);
+            self.end(index, &Ending::GivenUp, sent);
         }
     }
 
-    fn finish(&mut self, index: usize, how: usize, told: bool) {
+    fn finish(&mut self, index: usize, how: usize, sent: bool) {
         if self.calls[index].state != CallState::Ran {
             return;
         }
@@ -223,14 +223,14 @@
         if ending == Ending::NotRun {
             self.calls[index].state = CallState::Freed;
         }
-        self.end(index, &ending, told);
+        self.end(index, &ending, sent);
     }
 
-    fn end(&mut self, index: usize, ending: &Ending, told: bool) {
+    fn end(&mut self, index: usize, ending: &Ending, sent: bool) {
         let id = ClaimId(index as u128);
         let key = self.calls[index].key;
         for home in self.calls[index].homes.clone() {
-            if told {
+            if sent {
                 self.homes[home].end_call(id, key, ending.clone(), self.now);
             }
         }
@@ -249,7 +249,11 @@
                 let homes: Vec<usize> = [home].into_iter().chain(second).collect();
                 self.call(key, digest, &homes);
             }
-            Op::Append { home, fate, reads } => self.append(home, fate, reads),
+            Op::Append {
+                home,
+                outcome,
+                reads,
+            } => self.append(home, outcome, reads),
             Op::LandLate => {
                 if !self.late.is_empty() {
                     let batch = self.late.remove(0);
@@ -262,11 +266,11 @@
                     self.deliver(&reply);
                 }
             }
-            Op::GiveUp { which, told } if !self.calls.is_empty() => {
-                self.give_up(which % self.calls.len(), told);
+            Op::GiveUp { which, sent } if !self.calls.is_empty() => {
+                self.give_up(which % self.calls.len(), sent);
             }
-            Op::Finish { which, how, told } if !self.calls.is_empty() => {
-                self.finish(which % self.calls.len(), how, told);
+            Op::Finish { which, how, sent } if !self.calls.is_empty() => {
+                self.finish(which % self.calls.len(), how, sent);
             }
             Op::Crash { home } => {
                 self.homes[home] = Home::new(CARRY);
@@ -299,24 +303,24 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Late),
-        1 => Just(Fate::Refused),
+    let outcome = prop_oneof![
+        4 => Just(AppendOutcome::Answered),
+        2 => Just(AppendOutcome::AnswerLost),
+        2 => Just(AppendOutcome::Late),
+        1 => Just(AppendOutcome::Refused),
     ];
     prop_oneof![
         4 => (0_u128..2, 0_u128..8, 0_usize..3, proptest::option::of(0_usize..3)).prop_map(
             |(key, digest, home, second)| Op::Call { key, digest: digest / 7, home, second }
         ),
-        6 => (0_usize..3, fate, prop::bool::weighted(0.8))
-            .prop_map(|(home, fate, reads)| Op::Append { home, fate, reads }),
+        6 => (0_usize..3, outcome, prop::bool::weighted(0.8))
+            .prop_map(|(home, outcome, reads)| Op::Append { home, outcome, reads }),
         2 => Just(Op::LandLate),
         8 => (any::<usize>(), prop::bool::weighted(0.1))
             .prop_map(|(which, lost)| Op::Deliver { which, lost }),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, told)| Op::GiveUp { which, told }),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, sent)| Op::GiveUp { which, sent }),
         3 => (any::<usize>(), any::<usize>(), prop::bool::weighted(0.8))
-            .prop_map(|(which, how, told)| Op::Finish { which, how, told }),
+            .prop_map(|(which, how, sent)| Op::Finish { which, how, sent }),
         1 => (0_usize..3).prop_map(|home| Op::Crash { home }),
         1 => (1_u64..40).prop_map(|seconds| Op::Wait { seconds }),
     ]
@@ -375,8 +379,8 @@
     let mut world = World::new(2);
     let first = world.call(1, 0, &[0]);
     let second = world.call(1, 0, &[1]);
-    world.append(1, Fate::Answered, true);
-    world.append(0, Fate::Answered, true);
+    world.append(1, AppendOutcome::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[second].state, CallState::Ran);
     assert_eq!(world.calls[first].state, CallState::Repeat);
@@ -388,7 +392,7 @@
 fn lost_answer() {
     let mut world = World::new(1);
     let call = world.call(1, 0, &[0]);
-    world.append(0, Fate::AnswerLost, true);
+    world.append(0, AppendOutcome::AnswerLost, true);
     world.deliver_all();
     assert_eq!(world.calls[call].state, CallState::Ran);
     assert_eq!(world.log.len(), 1);
@@ -401,17 +405,17 @@
 fn late_landing() {
     let mut world = World::new(1);
     let first = world.call(1, 0, &[0]);
-    world.append(0, Fate::Late, false);
+    world.append(0, AppendOutcome::Late, false);
     world.deliver_all();
     assert_eq!(world.calls[first].state, CallState::GivenUp);
     let second = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[second].state, CallState::Ran);
     world.step(Op::LandLate);
     let third = world.call(1, 0, &[0]);
     world.finish(second, 0, true);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[third].state, CallState::Repeat);
     assert_eq!(ran(&world), 1);
@@ -423,12 +427,12 @@
 fn landed_before_repeat() {
     let mut world = World::new(1);
     let first = world.call(1, 0, &[0]);
-    world.append(0, Fate::Late, false);
+    world.append(0, AppendOutcome::Late, false);
     world.deliver_all();
     world.step(Op::LandLate);
     world.read(0);
     let second = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[first].state, CallState::GivenUp);
     assert_eq!(world.calls[second].state, CallState::Ran);
@@ -442,18 +446,18 @@
 fn waiting_repeat(#[case] how: usize, #[case] repeat: CallState) {
     let mut world = World::new(1);
     let first = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     let second = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
-    let told = world.mail.pop().map(|r| r.answer);
-    assert_eq!(told, Some(Answer::InProgress));
+    world.append(0, AppendOutcome::Answered, true);
+    let answer = world.mail.pop().map(|r| r.answer);
+    assert_eq!(answer, Some(Answer::InProgress));
     assert!(
         world.mail.is_empty(),
         "the repeat was answered before the first ended"
     );
     world.finish(first, how, true);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[second].state, repeat);
     assert_eq!(ran(&world), 1);
@@ -464,7 +468,7 @@
 fn other_request() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.call(1, 5, &[0]);
     assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Mismatch));
@@ -478,7 +482,7 @@
 fn lost_host(#[case] home: bool) {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     if home {
         world.step(Op::Crash { home: 0 });
@@ -499,11 +503,11 @@
 fn carried_over() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.now = world.now + Duration::from_secs(25);
-    world.append(0, Fate::Refused, true);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Refused, true);
+    world.append(0, AppendOutcome::Answered, true);
     assert_eq!(world.log.len(), 2, "the key was not carried over");
     let mut late = Home::new(CARRY);
     late.restart(1);
@@ -530,18 +534,18 @@
 
 // A key may be used again once its TTL is over.
 #[test]
-fn forgotten_key() {
+fn expired_key() {
     let mut world = World::new(2);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.now = world.now + KEY_TTL;
     let again = world.call(1, 3, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[again].state, CallState::Ran);
     let soon = world.call(1, 3, &[1]);
-    world.append(1, Fate::Answered, true);
+    world.append(1, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[soon].state, CallState::Repeat);
 }
@@ -552,14 +556,14 @@
 fn landed_after_release() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Late, false);
+    world.append(0, AppendOutcome::Late, false);
     world.deliver_all();
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     assert_eq!(world.log.len(), 1);
     world.step(Op::LandLate);
     world.read(0);
     let repeat = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[repeat].state, CallState::Ran);
 }
@@ -571,11 +575,11 @@
 fn known_offline() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.homes[0].host_lost(ENTRY);
     let until = world.now + KEY_TTL;
-    for (key, told) in [
+    for (key, expected) in [
         (1, Answer::Started),
         (2, Answer::NotRun(Duration::from_secs(1))),
     ] {
@@ -586,7 +590,10 @@
             ttl: KEY_TTL,
         };
         world.homes[0].request_offline(ENTRY, request, until, world.now);
-        assert_eq!(world.homes[0].replies().pop().map(|r| r.answer), Some(told));
+        assert_eq!(
+            world.homes[0].replies().pop().map(|r| r.answer),
+            Some(expected)
+        );
     }
 }
 
@@ -594,14 +601,14 @@
 // its way. Another call runs under the key meanwhile; the first, processed after
 // the pause, must not run too.
 #[test]
-fn late_go() {
+fn late_grant() {
     let mut world = World::new(1);
     let paused = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     let late: Vec<Reply> = world.mail.drain(..).collect();
     world.now = world.now + KEY_TTL;
     let repeat = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[repeat].state, CallState::Ran);
     for reply in &late {
@@ -612,8 +619,8 @@
 
 // A preset with a key TTL that is shorter than its calls may take.
 #[test]
-fn short_memory() {
-    let keep = key_ttl(Duration::from_secs(5), PATIENCE);
-    assert!(keep > PATIENCE);
-    assert_eq!(key_ttl(KEY_TTL * 120, PATIENCE), KEY_TTL * 120);
+fn short_ttl() {
+    let keep = key_ttl(Duration::from_secs(5), CALL_TIMEOUT);
+    assert!(keep > CALL_TIMEOUT);
+    assert_eq!(key_ttl(KEY_TTL * 120, CALL_TIMEOUT), KEY_TTL * 120);
 }
--- a/components/coordination/tests/failure_detector.rs
+++ b/components/coordination/tests/failure_detector.rs
@@ -152,7 +152,7 @@
 #[case::four(4)]
 #[case::seventeen(17)]
 #[case::thirty_four(34)]
-fn quiet_day(#[case] count: usize) {
+fn no_faults(#[case] count: usize) {
     let mut net = Net::new(count);
     net.run(Duration::from_secs(10));
     assert_eq!(net.suspected, []);
--- a/components/coordination/tests/owner_rule.rs
+++ b/components/coordination/tests/owner_rule.rs
@@ -25,13 +25,13 @@
     Moment::from_millis(millis)
 }
 
-fn answers(offsets: &[u64], asked: Moment) -> BTreeMap<MemberId, WatcherAck> {
+fn answers(offsets: &[u64], sent: Moment) -> BTreeMap<MemberId, WatcherAck> {
     let answer = |(index, offset): (usize, &u64)| {
         (
             id(index as u64),
             WatcherAck {
                 offset: *offset,
-                asked,
+                sent,
             },
         )
     };
@@ -154,8 +154,8 @@
     // owner. An owner that still gets a majority must never be considered stopped.
     #[test]
     fn never_both(
-        seed in proptest::collection::vec((0_u64..24, any::<bool>()), 1..40),
-        stuck in proptest::collection::vec(0_u64..40, 24),
+        changes in proptest::collection::vec((0_u64..24, any::<bool>()), 1..40),
+        cut_off_at in proptest::collection::vec(0_u64..40, 24),
     ) {
         let owner = 0;
         let mut members: Vec<u64> = (0..12).collect();
@@ -169,12 +169,12 @@
             maps.push(map);
         };
         publish(&members, revision);
-        for (host, joins) in seed {
-            let there = members.contains(&host);
+        for (host, joins) in changes {
+            let is_member = members.contains(&host);
             match joins {
                 _ if host == owner => continue,
-                true if !there => members.push(host),
-                false if there && members.len() > 2 => members.retain(|m| *m != host),
+                true if !is_member => members.push(host),
+                false if is_member && members.len() > 2 => members.retain(|m| *m != host),
                 _ => continue,
             }
             revision += 1;
@@ -183,14 +183,14 @@
         members.retain(|m| *m != owner);
         revision += 1;
         publish(&members, revision);
-        let at = |host: u64| stuck[host as usize].min(revision);
+        let at = |host: u64| cut_off_at[host as usize].min(revision);
         let shown: BTreeMap<MemberId, u64> = (0..24).map(|h| (id(h), at(h))).collect();
         let status = history.owner_status(id(owner), revision, &shown);
-        let asked = moment(1_000);
+        let sent = moment(1_000);
         let watchers = maps[at(owner) as usize].watchers(id(owner));
-        let answer = |w: &MemberId| (*w, WatcherAck { offset: shown[w], asked });
+        let answer = |w: &MemberId| (*w, WatcherAck { offset: shown[w], sent });
         let answers = watchers.iter().map(answer).collect();
-        let acts = at(owner) > 0 && may_act(asked, at(owner), None, watchers, &answers);
+        let acts = at(owner) > 0 && may_act(sent, at(owner), None, watchers, &answers);
         prop_assert!(
             !(acts && status != OwnerStatus::MayAct),
             "the owner acts at offset {}, but has the status {status:?} at {revision}",
--- a/components/coordination/tests/slot_faults.rs
+++ b/components/coordination/tests/slot_faults.rs
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn all_slots_out() {
+fn all_slots_leased() {
     let mut site = Site::new(4);
     assert_eq!(site.all_leased(), 24);
     site.run(1_000, 1);
--- a/components/coordination/tests/slot_leases.rs
+++ b/components/coordination/tests/slot_leases.rs
@@ -23,7 +23,7 @@
     (table, at(0) + FENCE_DURATION)
 }
 
-fn handed(lease: LeaseKey, left: Duration) -> TransferredLease {
+fn transferred(lease: LeaseKey, left: Duration) -> TransferredLease {
     TransferredLease {
         lease,
         left,
@@ -57,10 +57,10 @@
     let first = table.grant(A, 1, opens).unwrap();
     let second = LeaseKey { hop: 1, ..first };
     let now = opens + Duration::from_millis(500);
-    assert_eq!(table.renew(second, B, now), Renewal::Kept);
+    assert_eq!(table.renew(second, B, now), Renewal::Extended);
     assert_eq!(table.renew(first, A, now), Renewal::Ended);
-    assert!(!table.give_back(first));
-    assert!(table.give_back(second));
+    assert!(!table.return_lease(first));
+    assert!(table.return_lease(second));
 }
 
 // A lease ends without renewal and the slot is leased again. Then a delayed
@@ -73,7 +73,7 @@
     table.expire(later);
     let new = table.grant(B, 2, later).unwrap();
     assert_eq!(table.renew(old, A, later), Renewal::Ended);
-    assert_eq!(table.renew(new, B, later), Renewal::Kept);
+    assert_eq!(table.renew(new, B, later), Renewal::Extended);
 }
 
 // An owner dies. The next one knows no leases, and live holders report theirs: it
@@ -91,7 +91,7 @@
     let (mut table, opens) = open();
     assert_eq!(table.renew(lease, A, at(10)), Renewal::Pending);
     let stopped = opens - LEASE_TERM;
-    assert_eq!(table.renew(lease, A, stopped), Renewal::Kept);
+    assert_eq!(table.renew(lease, A, stopped), Renewal::Extended);
     let other = LeaseKey {
         serial: 78,
         ..lease
@@ -100,14 +100,14 @@
 }
 
 #[test]
-fn estate_opens_at_once() {
+fn handoff_opens_at_once() {
     let (mut before, opens) = open();
     before.resize(2);
     let lease = before.grant(A, 1, opens).unwrap();
     let handoff = before.handoff(2, 1, opens);
     let mut after = LeaseTable::from_handoff(&handoff, 2, opens);
     assert_eq!(after.leased(), 1);
-    assert_eq!(after.renew(lease, A, opens), Renewal::Kept);
+    assert_eq!(after.renew(lease, A, opens), Renewal::Extended);
     let granted = after.grant(B, 2, opens).unwrap();
     assert_ne!(granted.slot, lease.slot);
 }
@@ -119,7 +119,7 @@
     let (mut table, opens) = open();
     let lease = table.grant(A, 1, opens).unwrap();
     let mut holder = HeldLeases::default();
-    assert!(holder.accept(&handed(lease, LEASE_TERM), SERVICE, opens, opens));
+    assert!(holder.accept(&transferred(lease, LEASE_TERM), SERVICE, opens, opens));
     holder.start(lease.slot, opens).unwrap();
     assert!(holder.may_send(lease, opens + LEASE_TERM - Duration::from_millis(1)));
     let resumed = opens + LEASE_TERM;
@@ -132,11 +132,11 @@
 // The answer to a renewal arrives after the lease has ended. The holder must not
 // extend it: the owner may have leased the slot to another host.
 #[test]
-fn no_revival() {
+fn no_late_extension() {
     let (mut table, opens) = open();
     let lease = table.grant(A, 1, opens).unwrap();
     let mut holder = HeldLeases::default();
-    holder.accept(&handed(lease, LEASE_TERM), SERVICE, opens, opens);
+    holder.accept(&transferred(lease, LEASE_TERM), SERVICE, opens, opens);
     let asked = opens + Duration::from_millis(2_900);
     holder.note_renewal(lease.slot, asked);
     holder.renewed(asked, &[], opens + LEASE_TERM);
@@ -147,15 +147,15 @@
 fn handover_keeps_end() {
     let (mut table, opens) = open();
     let lease = table.grant(A, 1, opens).unwrap();
-    let mut giver = HeldLeases::default();
-    giver.accept(&handed(lease, LEASE_TERM), SERVICE, opens, opens);
+    let mut sender = HeldLeases::default();
+    sender.accept(&transferred(lease, LEASE_TERM), SERVICE, opens, opens);
     let now = opens + Duration::from_millis(1_000);
-    let given = giver.transfer(lease.slot, now).unwrap();
-    assert_eq!(given.left, Duration::from_millis(2_000));
-    assert!(!giver.may_send(lease, now));
-    let mut taker = HeldLeases::default();
+    let sent = sender.transfer(lease.slot, now).unwrap();
+    assert_eq!(sent.left, Duration::from_millis(2_000));
+    assert!(!sender.may_send(lease, now));
+    let mut receiver = HeldLeases::default();
     let asked = now - Duration::from_millis(5);
-    assert!(taker.accept(&given, SERVICE, asked, now));
-    let end = taker.get(lease.slot).unwrap().end;
+    assert!(receiver.accept(&sent, SERVICE, asked, now));
+    let end = receiver.get(lease.slot).unwrap().end;
     assert!(end <= opens + LEASE_TERM);
 }
--- a/components/coordination/tests/slot_safety.rs
+++ b/components/coordination/tests/slot_safety.rs
@@ -23,7 +23,7 @@
 
 /// The faults of a run, as chances in 10,000, with delays in microseconds.
 #[derive(Clone, Debug)]
-struct Weather {
+struct Faults {
     seed: u64,
     lost: u32,
     delay: u64,
@@ -38,12 +38,12 @@
     incarnation: u64,
     slots: SlotManager,
     seen: Config,
-    asleep_until: u64,
+    paused_until: u64,
     running: Vec<(LeaseKey, u64)>,
 }
 
 struct World {
-    weather: Weather,
+    faults: Faults,
     rng: StdRng,
     now: u64,
     config: Config,
@@ -92,10 +92,10 @@
 }
 
 impl World {
-    fn new(weather: Weather) -> World {
+    fn new(faults: Faults) -> World {
         let mut world = World {
-            rng: StdRng::seed_from_u64(weather.seed),
-            weather,
+            rng: StdRng::seed_from_u64(faults.seed),
+            faults,
             now: 0,
             config: config(),
             hosts: Vec::new(),
@@ -130,7 +130,7 @@
             incarnation,
             slots,
             seen: empty,
-            asleep_until: 0,
+            paused_until: 0,
             running: Vec::new(),
         }
     }
@@ -150,12 +150,12 @@
     }
 
     fn run(&mut self) -> Result<(), TestCaseError> {
-        for _ in 0..self.weather.steps {
+        for _ in 0..self.faults.steps {
             self.now += STEP;
-            self.trouble();
+            self.inject_faults();
             self.deliver();
             for n in 0..self.hosts.len() {
-                if self.hosts[n].asleep_until <= self.now {
+                if self.hosts[n].paused_until <= self.now {
                     self.step(n);
                 }
             }
@@ -165,13 +165,13 @@
     }
 
     /// Pauses, kills and reconfigures hosts at random.
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         for n in 0..self.hosts.len() {
-            if self.chance(self.weather.paused) {
+            if self.chance(self.faults.paused) {
                 let pause = self.rng.random_range(100_000..9_000_000);
-                self.hosts[n].asleep_until = self.now + pause;
+                self.hosts[n].paused_until = self.now + pause;
             }
-            if self.chance(self.weather.killed) {
+            if self.chance(self.faults.killed) {
                 let key = self.hosts[n].key;
                 self.hosts[n] = self.host(key);
                 self.config.members.remove(&key);
@@ -179,7 +179,7 @@
                 self.join(n);
             }
         }
-        if self.chance(self.weather.changed) {
+        if self.chance(self.faults.changed) {
             let n = self.rng.random_range(0..self.hosts.len());
             let key = self.hosts[n].key;
             if self.config.members.remove(&key).is_none() {
@@ -203,8 +203,8 @@
             let Some(n) = self.hosts.iter().position(|h| h.key == to) else {
                 continue;
             };
-            if self.hosts[n].asleep_until > self.now {
-                let later = (self.hosts[n].asleep_until, key.1);
+            if self.hosts[n].paused_until > self.now {
+                let later = (self.hosts[n].paused_until, key.1);
                 self.mail.insert(later, (from, to, message));
                 continue;
             }
@@ -284,11 +284,11 @@
     }
 
     fn post(&mut self, n: usize, to: HostKey, message: SlotMessage) {
-        if self.chance(self.weather.lost) {
+        if self.chance(self.faults.lost) {
             return;
         }
         self.next += 1;
-        let late = self.rng.random_range(0..=self.weather.delay);
+        let late = self.rng.random_range(0..=self.faults.delay);
         let at = (self.now + late, self.next);
         self.mail.insert(at, (self.hosts[n].key, to, message));
     }
@@ -315,20 +315,20 @@
         Ok(())
     }
 
-    fn chance(&mut self, thousandths: u32) -> bool {
-        self.rng.random_range(0..10_000) < thousandths
+    fn chance(&mut self, per_10_000: u32) -> bool {
+        self.rng.random_range(0..10_000) < per_10_000
     }
 }
 
-fn weather() -> impl Strategy<Value = Weather> {
-    let rough = (
+fn faults() -> impl Strategy<Value = Faults> {
+    let chances = (
         0..2_000_u32,
         0..1_500_000_u64,
         0..20_u32,
         0..5_u32,
         0..10_u32,
     );
-    (any::<u64>(), rough).prop_map(|(seed, (lost, delay, paused, killed, changed))| Weather {
+    (any::<u64>(), chances).prop_map(|(seed, (lost, delay, paused, killed, changed))| Faults {
         seed,
         lost,
         delay,
@@ -357,14 +357,14 @@
         ..Cases::default()
     };
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let outcome = runner.run(&weather(), |weather| World::new(weather).run());
+    let outcome = runner.run(&faults(), |faults| World::new(faults).run());
     outcome.unwrap();
 }
 
 // Without faults the same state machines must be useful: calls get slots.
 #[test]
-fn fair_weather() {
-    let mut world = World::new(Weather {
+fn no_faults() {
+    let mut world = World::new(Faults {
         seed: 5,
         lost: 0,
         delay: 500,
--- a/components/coordination/tests/slot_shutdown.rs
+++ b/components/coordination/tests/slot_shutdown.rs
@@ -112,7 +112,7 @@
 /// the free slots of its endpoints stayed unused until the next owner's fence was over,
 /// and callers of the other host were refused for seconds.
 #[test]
-fn roles_handed_on() {
+fn roles_handed_over() {
     let names = ["north", "south"];
     let keys = names.map(HostKey::named);
     let mut hosts = [host("north", 1), host("south", 2)];
