--- a/components/coordination/src/slots/owner.rs
+++ b/components/coordination/src/slots/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side: leasing slots of the endpoints this host owns.
+//! The owner role: leases slots of the endpoints that this host owns.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::{EarlyHandoff, Effect, SlotManager};
 
 impl SlotManager {
-    /// Answers a renewal, where this host may act as an owner.
+    /// Answers a renewal, if this host may act as an owner.
     pub(super) fn on_renew(
         &mut self,
         from: HostKey,
@@ -34,7 +34,7 @@
                 .filter(|o| o.superseded_at.is_none())
                 .map(|o| o.lease_table.renew(*lease, from, now))
             {
-                Some(Renewal::Kept) => {}
+                Some(Renewal::Extended) => {}
                 Some(Renewal::Ended) => ended.push(*lease),
                 Some(Renewal::Pending) | None => pending.push(*lease),
             }
@@ -50,7 +50,7 @@
         self.lease_to(from, now);
     }
 
-    /// Takes leases back and leases them anew.
+    /// Handles returned leases and leases the slots again.
     pub(super) fn on_return(&mut self, leases: &[ReturnedLease], stats: &[CallStats], now: Moment) {
         self.note_stats(stats, now);
         for returned in leases {
@@ -58,7 +58,7 @@
             let Some(owned) = self.owned.get_mut(&endpoint) else {
                 continue;
             };
-            owned.lease_table.give_back(returned.lease);
+            owned.lease_table.return_lease(returned.lease);
             match returned.reason {
                 Reason::Idle => {}
                 Reason::Shed => owned.capacity.note_shed(now),
@@ -72,11 +72,10 @@
         }
     }
 
-    /// Takes in what the earlier owner has left.
+    /// Handles the handoffs of an earlier owner.
     ///
-    /// Believed only from a host that owned the endpoint by the configuration
-    /// this host knew or knows, and only until something was leased on other
-    /// grounds.
+    /// Only members can hand off. A handoff is used until this host has granted or
+    /// adopted a lease of the endpoint by other means.
     pub(super) fn on_handoff(
         &mut self,
         from: HostKey,
@@ -95,22 +94,22 @@
             } else if self.revision >= handoff.revision && !self.owns(endpoint) {
                 self.forward_handoff(handoff, now);
             } else if !self.owned.contains_key(&endpoint) {
-                let left = EarlyHandoff {
+                let early = EarlyHandoff {
                     from,
                     handoff,
                     at: now,
                 };
-                self.handoffs.insert(endpoint, left);
+                self.handoffs.insert(endpoint, early);
             }
         }
     }
 
-    /// Passes an estate on that came when this host was no longer the owner.
+    /// Forwards a handoff that arrived after this host stopped being the owner.
     ///
-    /// When hosts join one after another, an endpoint changes hands faster
-    /// than its estate travels; its last owner would wait behind its fence and
-    /// callers would miss its slots for seconds. Not where this host leased
-    /// any of its slots meanwhile: the estate does not tell of those.
+    /// When hosts join one after another, the ownership of an endpoint moves faster
+    /// than its handoff. The last owner would wait behind its fence, and callers would
+    /// lack its slots for seconds. A handoff is not forwarded if this host has leased
+    /// slots of the endpoint meanwhile, because the handoff does not list those leases.
     fn forward_handoff(&mut self, handoff: EndpointHandoff, now: Moment) {
         let recently_leased = self.recently_leased.get(&handoff.endpoint);
         let endpoint_roles = self.roles.endpoints.get(&handoff.endpoint);
@@ -132,7 +131,7 @@
         endpoint_roles.and_then(|s| s.owner) == Some(self.me.host)
     }
 
-    /// Takes up and lays down ownership as the configuration says.
+    /// Starts and ends the ownership of endpoints according to the configuration.
     pub(super) fn configure_owned(&mut self, first: bool, now: Moment) {
         let me = Some(self.me.host);
         if first {
@@ -161,13 +160,13 @@
         let revision = self.revision;
         let passed = self
             .handoffs
-            .extract_if(.., |_, left| left.handoff.revision <= revision);
-        for left in passed.map(|(_, left)| left).collect::<Vec<_>>() {
-            self.forward_handoff(left.handoff, now);
+            .extract_if(.., |_, early| early.handoff.revision <= revision);
+        for early in passed.map(|(_, early)| early).collect::<Vec<_>>() {
+            self.forward_handoff(early.handoff, now);
         }
     }
 
-    /// Does what is due at the endpoints owned: ends, growth, recalls, leases, probes.
+    /// Performs due work on owned endpoints: expiry, growth, recalls, leases and probes.
     pub(super) fn sweep_owned(&mut self, now: Moment) {
         if !self.has_authority(now) {
             return;
@@ -185,7 +184,7 @@
         }
     }
 
-    /// Leases what is free at an endpoint to its broker, as far as the cap allows.
+    /// Leases the free slots of an endpoint to its broker, up to the cap.
     pub(super) fn lease_out(&mut self, endpoint: EndpointKey, now: Moment) {
         let endpoint_roles = self.roles.endpoints.get(&endpoint);
         if endpoint_roles.is_none_or(|s| s.leaving) || !self.has_authority(now) {
@@ -194,8 +193,8 @@
         let Some(broker) = self.roles.broker_of(endpoint) else {
             return;
         };
-        // A stopping host gives back at once what it is leased. Leasing to itself
-        // then would go on for ever, and a shutdown would never end.
+        // A stopping host returns at once what it is leased. If it leased slots to
+        // itself, that would go on forever and the shutdown would never end.
         if self.stopping && broker == self.me.host {
             return;
         }
@@ -254,8 +253,11 @@
             return;
         };
         let mut holders: BTreeMap<HostKey, Vec<LeaseKey>> = BTreeMap::new();
-        for out in owned.leases_to_recall(leaving, now) {
-            holders.entry(out.holder).or_default().push(out.lease);
+        for granted in owned.leases_to_recall(leaving, now) {
+            holders
+                .entry(granted.holder)
+                .or_default()
+                .push(granted.lease);
         }
         for (holder, leases) in holders {
             self.send(holder, SlotBody::Recall(leases), now);
@@ -274,11 +276,11 @@
         }
     }
 
-    /// Tells the next owners what is out, where this host may still speak for it.
+    /// Sends handoffs to the next owners, if this host still has the authority to.
     ///
-    /// After a gap in its authority it may not: others may have owned the
-    /// endpoint meanwhile. What it knew is then forgotten, and the next owner
-    /// waits behind its fence.
+    /// After a gap in this host's authority other hosts may have owned the endpoint.
+    /// The state of this host is then discarded, and the next owner waits behind its
+    /// fence.
     fn send_handoffs(&mut self, now: Moment) {
         let fresh = self.has_authority(now);
         let revision = self.revision;
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Takes up every endpoint as its first owner ever: nothing can be out.
+    /// Takes ownership of every endpoint as the first owner, when no slot can be leased.
     fn own_all_unleased(&mut self, now: Moment) {
         let endpoints: Vec<EndpointKey> = self.roles.endpoints.keys().copied().collect();
         for endpoint in endpoints {
@@ -333,8 +335,8 @@
             owned.resize(service_roles, now);
             return;
         }
-        let left = self.handoffs.remove(&endpoint);
-        let known = left.filter(|l| self.roles.members.contains_key(&l.from));
+        let early = self.handoffs.remove(&endpoint);
+        let known = early.filter(|l| self.roles.members.contains_key(&l.from));
         let handoff = known.as_ref().map(|l| {
             let late = now.since(l.at);
             let mut handoff = l.handoff.clone();
--- a/components/coordination/tests/slot_leases.rs
+++ b/components/coordination/tests/slot_leases.rs
@@ -17,13 +17,13 @@
     Moment::from_millis(millis)
 }
 
-/// Returns a ledger of one slot behind its fence, and the moment that is over.
+/// Returns a table of one slot behind its fence, and the time when the fence is over.
 fn open() -> (LeaseTable, Moment) {
     let table = LeaseTable::with_fence(ENDPOINT, 1, at(0));
     (table, at(0) + FENCE_DURATION)
 }
 
-fn handed(lease: LeaseKey, left: Duration) -> TransferredLease {
+fn transferred(lease: LeaseKey, left: Duration) -> TransferredLease {
     TransferredLease {
         lease,
         left,
@@ -49,22 +49,22 @@
     assert_eq!(table.leased(), 0);
 }
 
-// A holder hands its lease on, and its own renewal of it comes late. The owner
-// must not give the slot back to the host that no longer has it.
+// A holder transfers its lease, and its own renewal arrives late. The owner must
+// not return the slot to the host that no longer holds it.
 #[test]
 fn late_renewal() {
     let (mut table, opens) = open();
     let first = table.grant(A, 1, opens).unwrap();
     let second = LeaseKey { hop: 1, ..first };
     let now = opens + Duration::from_millis(500);
-    assert_eq!(table.renew(second, B, now), Renewal::Kept);
+    assert_eq!(table.renew(second, B, now), Renewal::Extended);
     assert_eq!(table.renew(first, A, now), Renewal::Ended);
-    assert!(!table.give_back(first));
-    assert!(table.give_back(second));
+    assert!(!table.return_lease(first));
+    assert!(table.return_lease(second));
 }
 
-// A lease ends unrenewed and the slot is leased anew; then a renewal of the
-// old lease arrives, held up on a silent link.
+// A lease ends without renewal and the slot is leased again. Then a delayed
+// renewal of the old lease arrives.
 #[test]
 fn old_serial() {
     let (mut table, opens) = open();
@@ -73,11 +73,11 @@
     table.expire(later);
     let new = table.grant(B, 2, later).unwrap();
     assert_eq!(table.renew(old, A, later), Renewal::Ended);
-    assert_eq!(table.renew(new, B, later), Renewal::Kept);
+    assert_eq!(table.renew(new, B, later), Renewal::Extended);
 }
 
-// An owner dies. The next one knows nothing, and live holders report what they
-// have: it keeps those leases once the earlier owner has surely stopped.
+// An owner dies. The next one knows no leases, and live holders report theirs: it
+// keeps those leases once the earlier owner has certainly stopped.
 #[test]
 fn adopted_behind_fence() {
     let lease = LeaseKey {
@@ -91,7 +91,7 @@
     let (mut table, opens) = open();
     assert_eq!(table.renew(lease, A, at(10)), Renewal::Pending);
     let stopped = opens - LEASE_TERM;
-    assert_eq!(table.renew(lease, A, stopped), Renewal::Kept);
+    assert_eq!(table.renew(lease, A, stopped), Renewal::Extended);
     let other = LeaseKey {
         serial: 78,
         ..lease
@@ -100,26 +100,26 @@
 }
 
 #[test]
-fn estate_opens_at_once() {
+fn handoff_opens_at_once() {
     let (mut before, opens) = open();
     before.resize(2);
     let lease = before.grant(A, 1, opens).unwrap();
     let handoff = before.handoff(2, 1, opens);
     let mut after = LeaseTable::from_handoff(&handoff, 2, opens);
     assert_eq!(after.leased(), 1);
-    assert_eq!(after.renew(lease, A, opens), Renewal::Kept);
+    assert_eq!(after.renew(lease, A, opens), Renewal::Extended);
     let granted = after.grant(B, 2, opens).unwrap();
     assert_ne!(granted.slot, lease.slot);
 }
 
-// A host is paused past its lease with a call in hand, then goes on. The owner
-// has leased the slot to another host meanwhile, so the call must not be sent.
+// A host is paused before it sends a call, for longer than its lease. The owner has
+// leased the slot to another host meanwhile, so the call must not be sent.
 #[test]
 fn paused_holder() {
     let (mut table, opens) = open();
     let lease = table.grant(A, 1, opens).unwrap();
     let mut holder = HeldLeases::default();
-    assert!(holder.accept(&handed(lease, LEASE_TERM), SERVICE, opens, opens));
+    assert!(holder.accept(&transferred(lease, LEASE_TERM), SERVICE, opens, opens));
     holder.start(lease.slot, opens).unwrap();
     assert!(holder.may_send(lease, opens + LEASE_TERM - Duration::from_millis(1)));
     let resumed = opens + LEASE_TERM;
@@ -129,14 +129,14 @@
     assert_eq!(holder.free(lease, resumed), Freed::Expired);
 }
 
-// The answer to a renewal comes after the lease has ended. The holder must not
-// revive it: the owner may have leased the slot anew.
+// The answer to a renewal arrives after the lease has ended. The holder must not
+// extend it: the owner may have leased the slot to another host.
 #[test]
-fn no_revival() {
+fn no_late_extension() {
     let (mut table, opens) = open();
     let lease = table.grant(A, 1, opens).unwrap();
     let mut holder = HeldLeases::default();
-    holder.accept(&handed(lease, LEASE_TERM), SERVICE, opens, opens);
+    holder.accept(&transferred(lease, LEASE_TERM), SERVICE, opens, opens);
     let asked = opens + Duration::from_millis(2_900);
     holder.note_renewal(lease.slot, asked);
     holder.renewed(asked, &[], opens + LEASE_TERM);
@@ -147,15 +147,15 @@
 fn handover_keeps_end() {
     let (mut table, opens) = open();
     let lease = table.grant(A, 1, opens).unwrap();
-    let mut giver = HeldLeases::default();
-    giver.accept(&handed(lease, LEASE_TERM), SERVICE, opens, opens);
+    let mut sender = HeldLeases::default();
+    sender.accept(&transferred(lease, LEASE_TERM), SERVICE, opens, opens);
     let now = opens + Duration::from_millis(1_000);
-    let given = giver.transfer(lease.slot, now).unwrap();
-    assert_eq!(given.left, Duration::from_millis(2_000));
-    assert!(!giver.may_send(lease, now));
-    let mut taker = HeldLeases::default();
+    let sent = sender.transfer(lease.slot, now).unwrap();
+    assert_eq!(sent.left, Duration::from_millis(2_000));
+    assert!(!sender.may_send(lease, now));
+    let mut receiver = HeldLeases::default();
     let asked = now - Duration::from_millis(5);
-    assert!(taker.accept(&given, SERVICE, asked, now));
-    let end = taker.get(lease.slot).unwrap().end;
+    assert!(receiver.accept(&sent, SERVICE, asked, now));
+    let end = receiver.get(lease.slot).unwrap().end;
     assert!(end <= opens + LEASE_TERM);
 }
