--- a/components/protocol/src/claim.rs
+++ b/components/protocol/src/claim.rs
@@ -1,4 +1,4 @@
-//! The forms of claims: records of the log's `claims` streams, and messages to a key's home.
+//! The formats of claims: records of the log's `claims` streams, and messages to a key's home.
 
 use std::time::Duration;
 
@@ -12,7 +12,10 @@
 
 use crate::peer::ProtocolError;
 
-/// The version of the records. A home that meets a newer one answers nobody.
+/// The version of the record format.
+///
+/// A home that reads a record of another version stops answering requests, since
+/// it no longer knows which claims are held.
 pub const RECORD_VERSION: u32 = 1;
 
 #[derive(Clone, PartialEq, Message)]
@@ -31,7 +34,9 @@
     entries: Vec<WireEntry>,
 }
 
-/// One entry. Claims are many, so all kinds share one flat form.
+/// An entry of a batch.
+///
+/// Claims are frequent, so all kinds share one flat message without nesting.
 #[derive(Clone, PartialEq, Message)]
 struct WireEntry {
     #[prost(uint32, tag = "1")]
@@ -57,7 +62,7 @@
     low: u64,
 }
 
-/// A message about claims, as it travels.
+/// Encoded form of a message about a claim.
 #[derive(Clone, PartialEq, Message)]
 pub struct WireClaim {
     #[prost(message, required, tag = "1")]
@@ -131,7 +136,7 @@
     value: Bytes,
 }
 
-/// Returns the record of a `claims` stream.
+/// Encodes a batch as a record of a `claims` stream.
 pub fn encode_batch(batch: &Batch) -> Bytes {
     let entries = batch.entries.iter().map(wire_entry).collect();
     let body: Bytes = WireBatch { entries }.encode_to_vec().into();
@@ -143,12 +148,13 @@
     record.encode_to_vec().into()
 }
 
-/// Reads a record of a `claims` stream.
+/// Decodes a record of a `claims` stream.
 ///
 /// # Errors
 ///
-/// Tells a damaged record, which every host passes over alike, from a newer
-/// one, after which this host can't tell who holds a key.
+/// Returns [`ProtocolError::Version`] for a record of another version, after which
+/// this host no longer knows who holds a key, and another error for a damaged
+/// record, which every host skips.
 pub fn decode_batch(data: &Bytes) -> Result<Batch, ProtocolError> {
     let damaged = |e: prost::DecodeError| ProtocolError::Damaged(e.to_string());
     let record = WireRecord::decode(data.clone()).map_err(damaged)?;
--- a/components/protocol/src/config_record.rs
+++ b/components/protocol/src/config_record.rs
@@ -1,4 +1,4 @@
-//! Records of the log's `config` topic.
+//! The format of records in the log's `config` topic.
 
 use bytes::Bytes;
 use coordination::config::{Change, Command, CommandId, Record, Snapshot, Unreadable};
@@ -6,14 +6,14 @@
 use state::HostKey;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version of records, and of the rules by which they are folded.
+/// The version of the record format and of the rules by which hosts apply records.
 ///
-/// Two hosts that decide one command differently would hold two configurations
-/// under one revision; so this grows with every change of the rules, also with
-/// a change of what a preset may say.
+/// Two hosts that decide a command differently would hold different
+/// configurations under the same revision. The version is therefore increased
+/// with every change of these rules, including the rules for valid presets.
 pub const VERSION: u32 = 1;
 
-/// A record as it stands on the log. The checksum covers the body.
+/// A record as stored in the log. The checksum is the XXH3-64 hash of the body.
 #[derive(Clone, PartialEq, Message)]
 struct Envelope {
     #[prost(uint32, tag = "1")]
@@ -34,10 +34,11 @@
 enum Kind {
     #[prost(message, tag = "1")]
     Command(CommandBody),
-    /// A [`Snapshot`] in JSON: written a few times a day, read by few.
+    /// A [`Snapshot`] as JSON. It is written only a few times a day and read
+    /// rarely, so a compact form isn't needed.
     #[prost(bytes = "bytes", tag = "2")]
     Snapshot(Bytes),
-    /// A preset's text.
+    /// The text of the preset that starts a new configuration.
     #[prost(string, tag = "3")]
     Begin(String),
 }
@@ -96,7 +97,7 @@
     incarnation: u64,
 }
 
-/// Returns the bytes of a command's record.
+/// Encodes the record of a command.
 pub fn encode_command(command: &Command) -> Bytes {
     let body = CommandBody {
         id_high: (command.id.0 >> 64) as u64,
@@ -107,27 +108,27 @@
     seal(Kind::Command(body))
 }
 
-/// Returns the bytes of a snapshot's record, also as peers hand it on.
+/// Encodes the record of a snapshot, for the log and for messages between peers.
 ///
 /// # Panics
 ///
-/// Never: a snapshot has no map that JSON can't hold.
+/// Never in practice: all maps of a snapshot have keys that JSON allows.
 pub fn encode_snapshot(snapshot: &Snapshot) -> Bytes {
     let json = serde_json::to_vec(snapshot).expect("a snapshot can be written as JSON");
     seal(Kind::Snapshot(json.into()))
 }
 
-/// Returns the bytes of a record that begins anew with a preset's text.
+/// Encodes the record that replaces the configuration by one with only this preset.
 pub fn encode_begin(text: &str) -> Bytes {
     seal(Kind::Begin(text.to_owned()))
 }
 
-/// Reads a record of the `config` stream.
+/// Decodes a record of the `config` topic.
 ///
 /// # Errors
 ///
-/// Says whether the bytes are damaged or of a newer version; either is to be
-/// skipped and reported, since a host that stopped here would stop for good.
+/// Returns whether the bytes are damaged or of a newer version. The caller must
+/// skip and report such a record: a host that stopped there would never get past it.
 pub fn decode_record(data: &Bytes) -> Result<Record, Unreadable> {
     let envelope = Envelope::decode(data.clone()).map_err(|_| Unreadable::Damaged)?;
     match envelope {
--- a/components/protocol/src/crash_report.rs
+++ b/components/protocol/src/crash_report.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell each other of requests that crash endpoints.
+//! Reports between entry hosts on requests that crash endpoints.
 
 use std::time::Duration;
 
@@ -7,25 +7,29 @@
 use state::fleet::quarantine::QuarantineUpdate;
 use state::fleet::{Fingerprint, Fingerprints};
 
-/// Runs that ended with their endpoint, or requests that are quarantined or cleared.
+/// Requests that were running when their endpoint crashed, and changes of the quarantine.
 #[value]
 pub struct CrashReport {
-    /// Whether the receiver is to tell the hosts of its data centre.
+    /// Whether the sender is in another data centre.
+    ///
+    /// The receiver then distributes the report within its own data centre.
     pub cross_centre: bool,
-    /// Runs that ended with their endpoint.
+    /// The requests that were running when their endpoint crashed.
     pub runs: Vec<CrashedRun>,
-    /// Requests that are quarantined, or were lately.
+    /// The requests that are quarantined, or were until recently.
     pub findings: Vec<QuarantineUpdate>,
 }
 
-/// A run that ended with its endpoint, in times that any host can read.
+/// A request that was running when its endpoint crashed.
+///
+/// Times are durations relative to sending, so that any host can interpret them.
 #[value]
 pub struct CrashedRun {
-    /// The request that ran.
+    /// The fingerprints of the request.
     pub request: Fingerprints,
-    /// How long it ran.
+    /// How long the request had been running.
     pub ran: Duration,
-    /// How long ago it ended.
+    /// How long ago the endpoint crashed.
     pub age: Duration,
 }
 
--- a/components/protocol/src/heartbeat.rs
+++ b/components/protocol/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The wire form of the failure detector's messages.
+//! The wire format of the failure detector's messages.
 
 use coordination::members::{
     Gossip, GossipEvent, Heartbeat, HeartbeatAck, LivenessQuery, LivenessReply, MemberMessage,
@@ -7,7 +7,7 @@
 
 use crate::peer::ProtocolError;
 
-/// One message of the failure detector, as it travels.
+/// Encoded form of a message of the failure detector.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireMember {
     #[prost(oneof = "WireKind", tags = "1, 2, 3, 4, 5")]
--- a/components/protocol/src/lib.rs
+++ b/components/protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! The protocol layer: typed messages between entry hosts and on the log, and their codecs.
+//! The protocol layer: typed messages between entry hosts, records of the log, and their codecs.
 //!
-//! Everything that arrives is distrusted: a message that is cut, too long, of
-//! another version or of an unknown kind is an error and never a panic.
+//! Received bytes are untrusted: a truncated, oversized or unknown message, or
+//! one of another version, decodes to an error and never causes a panic.
 
 pub mod claim;
 pub mod config_record;
--- a/components/protocol/src/limit_report.rs
+++ b/components/protocol/src/limit_report.rs
@@ -1,15 +1,17 @@
-//! What entry hosts tell each other of rate limits that endpoints advertise.
+//! Reports between entry hosts on rate limits that endpoints advertise.
 
 use prost::Message;
 use state::EndpointKey;
 use state::fleet::rate_limit::RateLimitUpdate;
 
-/// Limits that endpoints have named, or name no more.
+/// Changes of the rate limits that endpoints advertise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitReport {
-    /// Whether the receiver is to tell the hosts of its data centre.
+    /// Whether the sender is in another data centre.
+    ///
+    /// The receiver then distributes the report within its own data centre.
     pub cross_centre: bool,
-    /// One entry an endpoint.
+    /// One entry for each endpoint.
     pub advice: Vec<RateLimitUpdate>,
 }
 
@@ -23,7 +25,7 @@
 struct WireAdvice {
     #[prost(fixed64, tag = "1")]
     endpoint: u64,
-    /// Requests a second from all hosts together.
+    /// Requests per second from all hosts together.
     #[prost(double, optional, tag = "2")]
     rate: Option<f64>,
 }
@@ -41,7 +43,7 @@
 }
 
 impl WireLimits {
-    /// Reads the message; a limit that is no number of requests is left out.
+    /// Decodes the report and drops limits that are negative or not finite.
     pub(crate) fn read(self, cross_centre: bool) -> LimitReport {
         let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
         let advice = self.advice.into_iter();
--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -1,7 +1,8 @@
-//! What entry hosts of one data centre tell each other of the store.
+//! Messages by which entry hosts share what they read from the platform's store.
 //!
-//! Each message is one datagram, or fragments of one each where it is too large.
-//! One that is lost costs a read of the store, never a promise.
+//! Each message is sent as one datagram, or as several fragments with a datagram
+//! each if it is too large. A lost datagram costs an additional read of the store
+//! and never affects correctness.
 
 use std::net::SocketAddr;
 
@@ -15,174 +16,187 @@
 use crate::crash_report::{CrashReport, WireCrashes};
 use crate::limit_report::{LimitReport, WireLimits};
 
-/// The version of this protocol; others are refused.
+/// The protocol version, sent as the first byte of each datagram.
+///
+/// Datagrams of any other version are refused.
 const VERSION: u8 = 3;
 
-/// Bytes of a message that goes into one datagram, well below what one may hold.
+/// Maximum size in bytes of records sent in one datagram.
+///
+/// The limit is well below the maximum size of a datagram.
 pub const DATAGRAM_LIMIT: usize = 16 * 1024;
 
-/// Which topic of the store a message is about.
+/// The topic of the store that a message refers to.
 #[tag]
 pub enum Topic {
-    /// What operators write.
+    /// The topic that operators write to.
     Operators,
-    /// What endpoints write of themselves.
+    /// The topic in which endpoints register themselves.
     Endpoints,
 }
 
-/// One message between neighbours.
+/// A message between entry hosts, most often between neighbours.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NeighbourMessage {
-    /// The sender is here.
+    /// Announces the sender.
     Hello(Hello),
-    /// The sender has read the store.
+    /// Contains records that a host has read from the store.
     Update(RecordUpdate),
-    /// The sender has begun to read this topic by itself.
+    /// Announces that the sender has started to read this topic from the store.
     ReadStarted(Topic),
-    /// The sender could not read this topic.
+    /// Reports that the sender failed to read this topic from the store.
     ReadFailed(Topic),
-    /// The sender knows nothing of this topic and can't read it.
+    /// Requests all records of this topic, since the sender has none and can't read the store.
     SnapshotRequest(Topic),
-    /// All that the sender knows of a topic, in answer to the former.
+    /// Contains the newest record of each key of a topic.
     Snapshot(TopicSnapshot),
-    /// The sender lacks the records of a topic from this offset on.
+    /// Requests the records of a topic from this offset on.
     RecordsRequest(Topic, u64),
-    /// A piece of a message about a topic that fits into no datagram.
+    /// Contains a fragment of a message about a topic that is too large for one datagram.
     Fragment(Topic, Fragment),
-    /// The sender lacks fragments of a message about a topic.
+    /// Requests missing fragments of a message about a topic.
     FragmentRequest(Topic, FragmentRequest),
-    /// The sender may ask endpoints hardly any more questions; each request has a number.
+    /// Requests probes from the receiver's budget, since the sender's is nearly used up.
+    ///
+    /// The value numbers the sender's requests.
     Borrow(u32),
-    /// Questions that the receiver may ask in the sender's place.
+    /// Transfers probes from the sender's budget to the receiver's.
     Lend(ProbeLoan),
-    /// Requests that crash endpoints.
+    /// Reports requests that crash endpoints.
     CrashReport(CrashReport),
-    /// Rate limits that endpoints advertise.
+    /// Reports rate limits that endpoints advertise.
     LimitReport(LimitReport),
 }
 
-/// Questions lent in answer to a request.
+/// Probes lent to a neighbour, in answer to its request.
+///
+/// The lender may send fewer probes to endpoints and the borrower more, so that all
+/// hosts together keep the limit.
 #[tag]
 pub struct ProbeLoan {
-    /// The request's number.
+    /// The number of the request that is answered.
     pub request_id: u32,
-    /// How many questions.
+    /// The number of probes lent.
     pub probes: u32,
 }
 
-/// A greeting.
+/// Announces a host, and exchanges the addresses of others.
 #[value]
 pub struct Hello {
     /// The sender's data centre.
     pub centre: String,
-    /// Whether the sender asks whom the other knows.
+    /// Whether the sender requests the hosts that the receiver knows.
     pub wants_hosts: bool,
-    /// The hosts there that the sender knows, in answer to one that asks.
+    /// The hosts of the sender's data centre that the sender knows; only in an answer.
     pub neighbours: Vec<SocketAddr>,
-    /// A few hosts of other data centres, in answer to one that asks.
+    /// A few remote hosts, which are in other data centres; only in an answer.
     pub contacts: Vec<Contact>,
 }
 
-/// All that a neighbour knows of a topic.
+/// The newest record of each key of a topic.
 #[value]
 pub struct TopicSnapshot {
-    /// The topic.
+    /// The topic that the records belong to.
     pub topic: Topic,
-    /// Where to read on.
+    /// The offset at which to continue reading.
     pub next: u64,
-    /// The newest record of each key, as they lie in the store.
+    /// The newest record of each key, encoded as in the store.
     pub records: Vec<Bytes>,
-    /// Whether all hosts of the data centre are handed the same.
+    /// Whether this message is sent to all hosts of the data centre.
     pub shared: bool,
 }
 
-/// Records that a neighbour has read.
+/// Consecutive records of a topic that a host has read from the store.
 #[value]
 pub struct RecordUpdate {
-    /// The topic.
+    /// The topic that the records belong to.
     pub topic: Topic,
-    /// The host that read them; nobody's address in a message that goes in fragments.
+    /// The host that read the records; `0.0.0.0:0` in a message that is sent in fragments.
     pub reader: SocketAddr,
-    /// The host that tells its data centre first, the reader or one that heard of it.
+    /// The root of the relay tree within a data centre.
+    ///
+    /// It is the reader, or the host that received the message from another data centre.
     pub relay_root: SocketAddr,
-    /// Whether the reader is of another data centre, and the receiver to tell its own.
+    /// Whether the reader is in another data centre.
+    ///
+    /// The receiver then distributes the message within its own data centre.
     pub cross_centre: bool,
     /// The offset of the first record.
     pub from: u64,
-    /// The records, as they lie in the store.
+    /// The records, encoded as in the store.
     pub records: Vec<Bytes>,
 }
 
-/// Why a datagram can't be understood.
+/// Why a datagram can't be decoded.
 #[derive(Debug, Error)]
 pub enum DatagramError {
-    /// It is empty or of another version.
-    #[error("the datagram is of another version")]
+    /// The datagram is empty or has another protocol version.
+    #[error("the datagram has another protocol version")]
     OtherVersion,
-    /// It is damaged.
-    #[error("the datagram can't be read: {0}")]
+    /// The datagram is truncated or damaged.
+    #[error("the datagram can't be decoded: {0}")]
     Damaged(#[from] prost::DecodeError),
-    /// It names a topic that doesn't exist.
-    #[error("the datagram is about an unknown topic")]
+    /// The datagram refers to an unknown topic.
+    #[error("the datagram refers to an unknown topic")]
     UnknownTopic,
-    /// It names a neighbour by something that is no address.
-    #[error("the datagram names a neighbour by {0:?}, which is no address")]
+    /// The datagram contains an invalid address of a host.
+    #[error("the datagram contains {0:?}, which is not an IP address and port")]
     NoAddress(String),
 }
 
 #[derive(Clone, PartialEq, Message)]
 struct WireNews {
-    /// 0 for a hello, the topic's number, what is borrowed or lent, crashes, or limits.
+    /// The topic's number, or the number of a kind of message without a topic.
     #[prost(uint32, tag = "1")]
     topic: u32,
     #[prost(uint64, tag = "2")]
     from: u64,
     #[prost(bytes = "bytes", repeated, tag = "3")]
     records: Vec<Bytes>,
-    /// Addresses as text, in a hello.
+    /// In a hello, addresses as text.
     #[prost(string, repeated, tag = "4")]
     neighbours: Vec<String>,
-    /// Whether the topic could not be read.
+    /// Whether the sender failed to read the topic.
     #[prost(bool, tag = "5")]
     failed: bool,
-    /// The sender's data centre, in a hello.
+    /// In a hello, the sender's data centre.
     #[prost(string, tag = "6")]
     centre: String,
     /// The reader's address, as text.
     #[prost(string, tag = "7")]
     reader: String,
-    /// Whether the sender of a hello asks whom the other knows.
+    /// In a hello, whether the sender requests the hosts that the receiver knows.
     #[prost(bool, tag = "8")]
     wants_hosts: bool,
-    /// Whether all that is known of the topic is asked for.
+    /// Whether all records of the topic are requested.
     #[prost(bool, tag = "9")]
     wanted: bool,
-    /// Whether the records are all that is known.
+    /// Whether the records are the newest of each key.
     #[prost(bool, tag = "10")]
     held: bool,
-    /// Whether the records from `from` on are asked for.
+    /// Whether the records from `from` on are requested.
     #[prost(bool, tag = "12")]
     missing: bool,
     #[prost(message, optional, tag = "13")]
     fragment: Option<WireFragment>,
     #[prost(message, optional, tag = "14")]
     lacking: Option<WireLacking>,
-    /// The number of a request to borrow.
+    /// The number of a request for probes.
     #[prost(uint32, tag = "15")]
     number: u32,
     #[prost(uint32, tag = "16")]
     questions: u32,
-    /// The teller's address, as text.
+    /// The address of the relay tree's root, as text.
     #[prost(string, tag = "17")]
     relay_root: String,
     #[prost(bool, tag = "18")]
     cross_centre: bool,
     #[prost(message, repeated, tag = "19")]
     contacts: Vec<WireContact>,
-    /// Whether the sender has begun to read the topic.
+    /// Whether the sender has started to read the topic.
     #[prost(bool, tag = "20")]
     reading: bool,
-    /// Whether all hosts of the data centre are handed the same.
+    /// Whether the message is sent to all hosts of the data centre.
     #[prost(bool, tag = "21")]
     shared: bool,
     #[prost(message, optional, tag = "22")]
@@ -236,9 +250,10 @@
 const LIMITS: u32 = 6;
 
 impl RecordUpdate {
-    /// Returns these news as any host that read the same would tell them.
+    /// Returns the same records without the addresses of hosts.
     ///
-    /// Large news are named by what they hold, so the reader must not be in them.
+    /// Fragmented messages are identified by the digest of their content, so
+    /// hosts that read the same records must send identical messages.
     pub fn without_addresses(self) -> RecordUpdate {
         let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
         RecordUpdate {
@@ -248,9 +263,10 @@
         }
     }
 
-    /// Returns these news for a host of another data centre.
+    /// Returns the message for a host of another data centre.
     ///
-    /// It reads by itself what fits into no datagram.
+    /// Records that don't fit into one datagram are left out: the receiver reads
+    /// them from the store.
     pub fn for_other_centres(&self) -> RecordUpdate {
         let fits = self.size() <= DATAGRAM_LIMIT;
         RecordUpdate {
@@ -265,19 +281,19 @@
         }
     }
 
-    /// Returns where to read on after these records.
+    /// Returns the offset after the last record, at which to continue reading.
     pub fn next(&self) -> u64 {
         self.from + self.records.len() as u64
     }
 
-    /// Returns the bytes of the records.
+    /// Returns the total size of the records in bytes.
     pub fn size(&self) -> usize {
         self.records.iter().map(Bytes::len).sum()
     }
 }
 
 impl NeighbourMessage {
-    /// Returns the name of this kind of message, for counts.
+    /// Returns the message's kind, under which sent and received messages are counted.
     pub fn kind(&self) -> &'static str {
         match self {
             NeighbourMessage::Hello(hello) if hello.neighbours.is_empty() => "greeting",
@@ -298,7 +314,7 @@
         }
     }
 
-    /// Returns the datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let wire = match self {
             NeighbourMessage::Hello(hello) => WireNews {
@@ -389,11 +405,11 @@
         datagram
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Says why it can't be understood.
+    /// Returns an error if the datagram is not a valid message of this version.
     pub fn decode(datagram: &[u8]) -> Result<NeighbourMessage, DatagramError> {
         let body = match datagram.split_first() {
             Some((&VERSION, body)) => body,
--- a/components/protocol/src/peer.rs
+++ b/components/protocol/src/peer.rs
@@ -1,4 +1,4 @@
-//! The envelope of every message between two entry hosts.
+//! The envelope of all messages between two entry hosts.
 
 use bytes::Bytes;
 use coordination::claims::{Answer, ClaimMessage, Ending};
@@ -12,111 +12,114 @@
 use crate::heartbeat::WireMember;
 use crate::slots::WireSlots;
 
-/// The version of the messages between entry hosts.
+/// The protocol version of the messages between entry hosts.
 ///
-/// A host of another version is refused rather than half understood.
+/// Messages of any other version are refused: misread, they could for instance
+/// free a slot that is in use.
 pub const VERSION: u32 = 1;
 
-/// The longest message before the sender is known to be a member, in bytes.
+/// Maximum size in bytes of a message from a host that is not yet known to be a member.
 pub const HELLO_LIMIT: usize = 1_024;
 
-/// The longest message of a member, in bytes: a whole configuration with room to grow.
+/// Maximum size in bytes of a message from a member.
+///
+/// Large enough for a whole configuration, with room for its growth.
 pub const MESSAGE_LIMIT: usize = 1_024 * 1_024;
 
-/// The longest name of a host, in bytes.
+/// Maximum length of a host's name in bytes.
 pub const NAME_LIMIT: usize = 255;
 
-/// One message between two entry hosts.
+/// A message between two entry hosts.
 #[value]
 pub enum PeerMessage {
-    /// The first message on a link, each way.
+    /// The first message on a link, in each direction.
     Hello(Hello),
-    /// The answer to a hello that was not accepted; the link ends with it.
+    /// The answer to a rejected hello; the sender closes the link after it.
     Refused(Refused),
     /// A message of the failure detector.
     Member(MemberMessage),
-    /// A message about claims of idempotency keys.
+    /// A message about a claim of an idempotency key.
     Claim(ClaimMessage),
-    /// Asks for the sender's configuration; also from a host that is no member yet.
+    /// Requests the receiver's configuration; hosts that are not yet members may send it.
     AskConfig,
-    /// A newer configuration, handed over.
+    /// A configuration that is newer than the receiver's.
     Config(ConfigOffer),
-    /// A message about slots.
+    /// A message about slots and their leases.
     Slots(SlotMessage),
 }
 
-/// Says who speaks on a link.
+/// Identifies the sender at the start of a link.
 #[value]
 pub struct Hello {
-    /// The speaker's name.
+    /// The sender's name.
     pub name: String,
-    /// The speaker's incarnation.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// The name of the host the speaker means to reach.
+    /// The name of the host that the sender means to connect to.
     pub to: String,
-    /// The revision of the speaker's configuration.
+    /// The revision of the sender's configuration.
     pub revision: u64,
-    /// The log's offset up to which the speaker has folded the configuration.
+    /// The log offset up to which the sender has applied configuration records.
     pub offset: u64,
 }
 
-/// Says why a hello was not accepted.
+/// Rejects a hello.
 #[value]
 pub struct Refused {
-    /// The reason.
+    /// Why the hello was rejected.
     pub reason: RefusedReason,
-    /// The revision of the refusing host's configuration.
+    /// The revision of the rejecting host's configuration.
     pub revision: u64,
-    /// The offset of the refusing host's configuration.
+    /// The log offset up to which the rejecting host has applied configuration records.
     pub offset: u64,
 }
 
-/// Why a hello was not accepted.
+/// Why a hello was rejected.
 #[tag]
 pub enum RefusedReason {
-    /// The speaker, in this incarnation, is no member of the configuration.
+    /// The configuration has no member of this name and incarnation.
     NoMember,
-    /// The speaker meant another host.
+    /// The sender meant to connect to another host.
     OtherHost,
-    /// The first message was no hello.
+    /// The first message on the link was not a hello.
     NoHello,
 }
 
-/// A configuration handed from one host to another.
+/// A configuration that one host sends to another.
 #[value]
 pub struct ConfigOffer {
-    /// Its revision.
+    /// The configuration's revision.
     pub revision: u64,
-    /// Its offset.
+    /// The log offset up to which its records are applied.
     pub offset: u64,
-    /// The configuration in the form of the log's snapshot record.
+    /// The configuration, encoded as a snapshot record of the log.
     pub body: Bytes,
 }
 
-/// Why bytes are no message.
+/// Why bytes can't be decoded as a message or record.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// The bytes are cut or damaged.
-    #[error("the message can't be read: {0}")]
+    /// The bytes are truncated or damaged.
+    #[error("the message can't be decoded: {0}")]
     Damaged(String),
-    /// The sender speaks another version.
+    /// The sender uses another protocol version.
     #[error(
-        "the message is of version {0}, this host speaks {VERSION}: run one release on all hosts"
+        "the message has version {0}, this host uses {VERSION}: run the same release on all hosts"
     )]
     Version(u32),
-    /// A required part is missing, or its kind is not known.
-    #[error("the message lacks its {0}")]
+    /// A required field is missing, or its value is unknown.
+    #[error("the message has no valid {0}")]
     Missing(&'static str),
-    /// A part is longer than allowed.
+    /// A field is longer than allowed.
     #[error("the message's {0} is too long")]
     TooLong(&'static str),
 }
 
 impl PeerMessage {
-    /// Returns whether the message may wait while others go first.
+    /// Returns whether the message is large and must be sent after all others in the queue.
     ///
-    /// A configuration of some hundred kilobytes ahead of a heartbeat would
-    /// make a living host look lost.
+    /// A configuration of some hundred kilobytes that is sent ahead of a heartbeat
+    /// would delay it until the receiver suspects a running host.
     pub fn is_bulk(&self) -> bool {
         match self {
             PeerMessage::Claim(ClaimMessage::Answer(_, answer)) => {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Returns the message's kind, as metrics name it.
+    /// Returns the message's kind for the `kind` label of metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::Hello(_) => "hello",
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Returns the message as it travels, without the frame's length.
+    /// Encodes the message, without the length prefix of its frame.
     pub fn encode(&self) -> Bytes {
         let envelope = Envelope {
             version: VERSION,
@@ -151,11 +154,11 @@
         envelope.encode_to_vec().into()
     }
 
-    /// Reads a message.
+    /// Decodes a message from the payload of one frame.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with bytes that are no message of this version.
+    /// Returns an error if the bytes are not a valid message of this version.
     pub fn decode(bytes: Bytes) -> Result<PeerMessage, ProtocolError> {
         let envelope =
             Envelope::decode(bytes).map_err(|e| ProtocolError::Damaged(e.to_string()))?;
--- a/components/protocol/src/slots.rs
+++ b/components/protocol/src/slots.rs
@@ -1,4 +1,4 @@
-//! The wire form of messages about slots.
+//! The wire format of slot messages.
 
 use std::time::Duration;
 
@@ -11,12 +11,14 @@
 
 use crate::peer::ProtocolError;
 
-/// The most leases in one message; more can't be out at the size this is made for.
+/// Maximum number of entries in one list of a message.
+///
+/// At the deployment size that the system is built for, fewer leases are in use.
 const LEASES: usize = 4_096;
-/// The highest number of a slot.
+/// The highest slot number that is accepted.
 const NUMBER: u32 = 1_024;
 
-/// One message about slots, as it travels.
+/// Encoded form of a slot message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireSlots {
     #[prost(fixed64, tag = "1")]
--- a/components/protocol/tests/bad_bytes.rs
+++ b/components/protocol/tests/bad_bytes.rs
@@ -1,4 +1,4 @@
-//! Peer messages and records of claims that are cut, damaged, or of another version.
+//! Decoding of truncated, damaged and other-version peer messages and claim records.
 
 use std::time::Duration;
 
@@ -114,9 +114,9 @@
     }
 }
 
-// A host of the last release is still running while the others are replaced.
-// Half understood, its messages could free a slot that is in use; it is told
-// apart by the version, and operators read which host to replace.
+// During an upgrade, a host of the previous release is still running. If its
+// messages were misread, they could free a slot that is in use, so they are
+// refused by their version, and the error says that a host has to be replaced.
 #[test]
 fn other_version() {
     let mut bytes = hello().encode().to_vec();
@@ -127,7 +127,7 @@
     );
 }
 
-// A message without its body, as a newer release with a new kind would send it.
+// A newer release that sends a new kind of message appears as a message without a body.
 #[test]
 fn unknown_kind() {
     let bytes = Bytes::from_static(&[8, 1]);
@@ -142,8 +142,8 @@
     assert_eq!(decode_batch(&encode_batch(&batch())), Ok(batch()));
 }
 
-// A record of a newer release stands on the stream. Passed over, it could hide
-// who holds a key, so it must be told apart from a damaged one.
+// A claim record of a newer release must not be skipped like a damaged one: it may
+// say who holds a key.
 #[test]
 fn newer_record() {
     let mut bytes = encode_batch(&batch()).to_vec();
@@ -166,8 +166,8 @@
     );
 }
 
-// A link is cut in the middle of a message, or something that is no entry host
-// writes to the peer port. Nothing may panic, whatever the bytes are.
+// Links break in the middle of a message, and other programs connect to the peer
+// port. No input may cause a panic.
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(26), ..ProptestConfig::default() })]
 
--- a/components/protocol/tests/config_record.rs
+++ b/components/protocol/tests/config_record.rs
@@ -1,4 +1,4 @@
-//! Records of the `config` stream: whole there and back, and never a panic.
+//! Encoding and decoding of records of the `config` topic.
 
 use bytes::Bytes;
 use coordination::config::{Change, Command, CommandId, Fold, Record, Unreadable};
@@ -80,11 +80,11 @@
     assert_eq!(read, Ok(Record::Begin(ORDINARY.to_owned())));
 }
 
-// A newer release has written to the log. This one says so and folds on.
+// A record of a newer release is reported as such and skipped.
 #[test]
 fn newer_version() {
     let mut record = encode_command(&put()).to_vec();
-    assert_eq!(record[..2], [8, 1], "the version stands first");
+    assert_eq!(record[..2], [8, 1], "the record starts with the version");
     record[1] = 9;
     assert_eq!(decode_record(&record.into()), Err(Unreadable::Newer(9)));
 }
@@ -92,7 +92,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Bytes that were changed on the way never pass for a command.
+    /// The checksum detects every changed byte.
     #[test]
     fn damaged_byte(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
         let mut record = encode_command(&put()).to_vec();
--- a/components/protocol/tests/neighbour_messages.rs
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -1,4 +1,4 @@
-//! What neighbours tell each other, and what is refused.
+//! Encoding and decoding of messages between neighbours.
 
 use std::time::Duration;
 
@@ -112,7 +112,7 @@
         ),
     ];
     for message in messages {
-        let read = NeighbourMessage::decode(&message.encode()).expect("it is whole");
+        let read = NeighbourMessage::decode(&message.encode()).expect("the message is valid");
         assert_eq!(read, message);
     }
 }
@@ -129,12 +129,13 @@
 proptest! {
     #[test]
     fn any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        // Whatever comes, it is read or refused.
+        // No input may cause a panic.
         let _ = NeighbourMessage::decode(&bytes);
     }
 }
 
-/// A limit that is no number of requests must not reach what counts by it.
+/// A limit that isn't a finite number of zero or more is dropped, since it would
+/// break the rate limiter that uses it.
 #[test]
 fn senseless_limits() {
     let rates = [f64::NAN, f64::INFINITY, -1.0, 2.0];
@@ -148,12 +149,12 @@
     });
     let Ok(NeighbourMessage::LimitReport(read)) = NeighbourMessage::decode(&message.encode())
     else {
-        panic!("it is read");
+        panic!("the message is not decoded as limits");
     };
     assert_eq!(read.advice, advice[3..]);
 }
 
-/// Reports go to all hosts, so that their size counts hundreds of times.
+/// Reports are sent to all hosts, so each byte of a report is sent hundreds of times.
 #[test]
 fn small_reports() {
     let CrashReport { runs, findings, .. } = crashes();
--- a/components/protocol/tests/slot_messages.rs
+++ b/components/protocol/tests/slot_messages.rs
@@ -1,4 +1,4 @@
-//! Messages about slots, there and back, and bytes that are none.
+//! Encoding and decoding of slot messages, and decoding of damaged ones.
 
 use std::time::Duration;
 
@@ -73,8 +73,8 @@
     assert_eq!(PeerMessage::decode(message.encode()), Ok(message));
 }
 
-// A damaged or hostile message names a lease that lasts for hours. Taken at
-// its word, its slot would be held by two hosts; it lasts one term at most.
+// A damaged or malicious message has a lease of several hours. If it were accepted
+// as it is, two hosts could hold the slot, so the duration is limited to one term.
 #[test]
 fn long_lease_cut() {
     let body = SlotBody::Transfer {
@@ -87,10 +87,10 @@
     };
     let message = PeerMessage::Slots(SlotMessage { stamp: STAMP, body });
     let PeerMessage::Slots(read) = PeerMessage::decode(message.encode()).unwrap() else {
-        panic!("another kind");
+        panic!("unexpected kind of message");
     };
     let SlotBody::Transfer { leases, .. } = read.body else {
-        panic!("another kind");
+        panic!("unexpected kind of message");
     };
     assert_eq!(leases[0].left, LEASE_TERM);
 }
