--- a/components/derives/src/lib.rs
+++ b/components/derives/src/lib.rs
@@ -1,11 +1,10 @@
-//! The common sets of derives, one attribute each.
+//! Attribute macros that stand for the sets of derives used most often.
 //!
-//! A set is named for what the type is, so that a reader sees at once whether
-//! it is a key, a value or a part of a configuration file.
+//! Each set is named after the role of the type: key, value or tag.
 
 use proc_macro::TokenStream;
 
-/// Derives what a small `Copy` key needs: ordering, hashing and printing.
+/// Derives the traits of a small `Copy` key, with ordering and hashing.
 #[proc_macro_attribute]
 pub fn key(_attribute: TokenStream, item: TokenStream) -> TokenStream {
     derive(
@@ -14,13 +13,13 @@
     )
 }
 
-/// Derives what plain data needs: cloning, comparing and printing.
+/// Derives the traits of plain data: `Clone`, `Debug`, `PartialEq` and `Eq`.
 #[proc_macro_attribute]
 pub fn value(_attribute: TokenStream, item: TokenStream) -> TokenStream {
     derive("Clone, Debug, PartialEq, Eq", item)
 }
 
-/// Derives what a small closed set of `Copy` data needs.
+/// Derives the traits of a small `Copy` type, such as an enum without data.
 #[proc_macro_attribute]
 pub fn tag(_attribute: TokenStream, item: TokenStream) -> TokenStream {
     derive("Clone, Copy, Debug, PartialEq, Eq", item)
