--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
-//! The command line, one documented grammar.
+//! The grammar of the command line, with the help texts.
 //!
-//! Flags of an entry host may also be given as environment variables: the flag
-//! `--peer-address` is the variable `CARDAMOMVALE_PEER_ADDRESS`.
+//! The flags of `entry` may also be given as environment variables: the variable
+//! of the flag `--peer-address` is `CARDAMOMVALE_PEER_ADDRESS`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,33 +13,33 @@
     cmd cardamomvale {
         /// Run an entry host.
         cmd entry {
-            /// The host's name, unlike every other entry host's.
+            /// The host's name, unique among entry hosts.
             optional --name name: String
-            /// The data centre the host stands in.
+            /// The data centre that the host is in.
             optional --data-centre name: String
-            /// Where callers reach it, an IP number and a port.
+            /// The address for callers' requests, an IP address and a port.
             optional --caller-address address: String
-            /// Where its peers reach it, an IP number and a port.
+            /// The address for connections from other entry hosts, an IP address and a port.
             optional --peer-address address: String
-            /// Where operators reach it, an IP number and a port.
+            /// The address for operators' requests, an IP address and a port.
             optional --admin-address address: String
-            /// Where the platform's log listens, an IP number and a port.
+            /// The address of the platform's store, an IP address and a port.
             optional --log-address address: String
-            /// How calls are placed: shared (the default), or a baseline to measure
-            /// against: random, round-robin, least-in-flight, two-choices, fixed-share.
+            /// How backend servers are chosen: shared (the default), or a baseline for
+            /// comparison: random, round-robin, least-in-flight, two-choices, fixed-share.
             optional --policy policy: String
-            /// How long calls in flight may take to end on shutdown, in seconds.
+            /// Maximum time for calls in flight to end on shutdown, in seconds.
             optional --drain-seconds seconds: String
-            /// Write one call in this many as a trace to standard output, 0 for none.
+            /// Write a trace of one in this many calls to standard output, 0 for none.
             optional --trace-every calls: String
-            /// How much is logged: error, warn, info, debug or trace.
+            /// The log level: error, warn, info, debug or trace.
             optional --log-level level: String
         }
-        /// Run an entry host on the platform, by its settings file.
+        /// Run an entry host on the platform, with a settings file.
         cmd serve {
-            /// The settings file; by default what CARDAMOMVALE_SETTINGS names.
+            /// The settings file; by default the path in CARDAMOMVALE_SETTINGS.
             optional --settings file: PathBuf
-            /// How much is logged: error, warn, info, debug or trace.
+            /// The log level: error, warn, info, debug or trace.
             optional --log-level level: String
         }
         /// Check a settings file of `serve` without starting anything.
@@ -47,42 +47,42 @@
             /// The settings file, in TOML.
             required file: PathBuf
         }
-        /// Check, accept, show and choose presets.
+        /// Check, submit, show and choose presets.
         cmd preset {
-            /// Check a preset file without taking it.
+            /// Check a preset file without submitting it.
             cmd check {
-                /// The preset's file, in TOML.
+                /// The preset file, in TOML.
                 required file: PathBuf
                 /// Print JSON for scripts.
                 optional --json
             }
-            /// Offer a preset file; it is taken whole or not at all.
+            /// Submit a preset file; the whole preset is accepted or nothing.
             cmd put {
-                /// The preset's file, in TOML.
+                /// The preset file, in TOML.
                 required file: PathBuf
-                /// Where the platform's log listens.
+                /// The address of the platform's store.
                 optional --log-address address: String
-                /// An entry host's admin port, in place of the log.
+                /// The admin address of an entry host that is used instead of the store.
                 optional --entry address: String
-                /// Repeat an earlier command by its id.
+                /// The id of an earlier command to repeat.
                 optional --id id: String
                 /// Print JSON for scripts.
                 optional --json
             }
-            /// Begin anew with a preset in force, where the log has forgotten all.
+            /// Start a new configuration with a preset in force, if the store has lost the old one.
             cmd begin {
-                /// The preset's file, in TOML.
+                /// The preset file, in TOML.
                 required file: PathBuf
-                /// Where the platform's log listens.
+                /// The address of the platform's store.
                 optional --log-address address: String
                 /// Print JSON for scripts.
                 optional --json
             }
             /// List the accepted presets.
             cmd list {
-                /// Where the platform's log listens.
+                /// The address of the platform's store.
                 optional --log-address address: String
-                /// An entry host's admin port, in place of the log.
+                /// The admin address of an entry host that is used instead of the store.
                 optional --entry address: String
                 /// Print JSON for scripts.
                 optional --json
@@ -91,9 +91,9 @@
             cmd show {
                 /// The preset's name.
                 optional name: String
-                /// Where the platform's log listens.
+                /// The address of the platform's store.
                 optional --log-address address: String
-                /// An entry host's admin port, in place of the log.
+                /// The admin address of an entry host that is used instead of the store.
                 optional --entry address: String
                 /// Print JSON for scripts.
                 optional --json
@@ -102,103 +102,103 @@
             cmd choose {
                 /// The preset's name.
                 required name: String
-                /// Where the platform's log listens.
+                /// The address of the platform's store.
                 optional --log-address address: String
-                /// An entry host's admin port, in place of the log.
+                /// The admin address of an entry host that is used instead of the store.
                 optional --entry address: String
-                /// The revision the choice was decided on; by default the newest.
+                /// The revision that the choice is based on, by default the newest.
                 optional --revision revision: u64
-                /// Repeat an earlier command by its id.
+                /// The id of an earlier command to repeat.
                 optional --id id: String
                 /// Print JSON for scripts.
                 optional --json
             }
         }
-        /// Take a data centre out, or bring it back.
+        /// Take a data centre out of service, or return it.
         cmd data-centre {
             /// `leave` or `return`.
             required action: String
             /// The data centre's name.
             required name: String
-            /// Where the platform's log listens.
+            /// The address of the platform's store.
             optional --log-address address: String
-            /// An entry host's admin port, in place of the log.
+            /// The admin address of an entry host that is used instead of the store.
             optional --entry address: String
-            /// The revision the change was decided on; by default the newest.
+            /// The revision that the change is based on, by default the newest.
             optional --revision revision: u64
-            /// Repeat an earlier command by its id.
+            /// The id of an earlier command to repeat.
             optional --id id: String
             /// Print JSON for scripts.
             optional --json
         }
-        /// Take a host out, or bring it back.
+        /// Take a host out of service, or return it.
         cmd host {
             /// `leave` or `return`.
             required action: String
-            /// The host's name or IP number.
+            /// The host's name or IP address.
             required name: String
-            /// Where the platform's log listens.
+            /// The address of the platform's store.
             optional --log-address address: String
-            /// An entry host's admin port, in place of the log.
+            /// The admin address of an entry host that is used instead of the store.
             optional --entry address: String
-            /// The revision the change was decided on; by default the newest.
+            /// The revision that the change is based on, by default the newest.
             optional --revision revision: u64
-            /// Repeat an earlier command by its id.
+            /// The id of an earlier command to repeat.
             optional --id id: String
             /// Print JSON for scripts.
             optional --json
         }
-        /// Show what an entry host knows, or what the log says of the configuration.
+        /// Show the status of an entry host, or the configuration from the store.
         cmd status {
-            /// The entry host's admin port.
+            /// The admin address of the entry host.
             optional --entry address: String
-            /// Where the platform's log listens, where no entry host is asked.
+            /// The address of the platform's store, used if no entry host is given.
             optional --log-address address: String
             /// Print JSON for scripts.
             optional --json
         }
-        /// Show the whole system at work on this machine, then print what it did.
+        /// Run the whole system under load on this machine, then print the results.
         cmd demo {
-            /// Stay up afterwards, with the addresses printed.
+            /// Keep running afterwards, and print the addresses.
             optional --keep
             /// Print JSON for scripts.
             optional --json
-            /// How long to drive the load, in seconds.
+            /// The duration of the load in seconds.
             optional --seconds seconds: u64
         }
-        /// Drive load from an experiment file and report what callers saw.
+        /// Generate load from an experiment file and report the callers' results.
         cmd load {
-            /// The experiment's file, in TOML.
+            /// The experiment file, in TOML.
             required file: PathBuf
-            /// Where the report and the plot go.
+            /// The directory for the report and the plot.
             optional --out directory: PathBuf
-            /// Run it over these policies, separated by commas.
+            /// Run with these policies, separated by commas.
             optional --policies policies: String
             /// Print JSON for scripts.
             optional --json
         }
-        /// Run a stand-in of what lies outside: the platform's log, or backend servers.
+        /// Run a stand-in of an external system: the platform's store, or backend servers.
         cmd stand-in {
-            /// Run the platform's log.
+            /// Run a stand-in of the platform's store.
             cmd log {
-                /// Where it listens.
+                /// The address to listen on.
                 optional --address address: SocketAddr
-                /// Records kept a stream.
+                /// The number of records kept in each topic.
                 optional --retain records: usize
-                /// Appends taken a second.
+                /// The number of appends accepted per second.
                 optional --appends per_second: u32
             }
-            /// Run backend servers.
+            /// Run stand-ins of backend servers.
             cmd backend {
-                /// Where each listens, given once a backend server; port 0 for any free one.
+                /// The address of a backend server, given once for each; port 0 for any free port.
                 repeated --address address: SocketAddr
-                /// Where their faults are set and their journal is read.
+                /// The address for setting faults and reading the servers' journal.
                 optional --control-address address: SocketAddr
-                /// Calls each bears at once.
+                /// The number of calls that each server runs at once.
                 optional --slots slots: u32
-                /// Calls each bears at once while cold.
+                /// The number of calls that each server runs at once while cold.
                 optional --cold-slots slots: u32
-                /// Start cold rather than warm.
+                /// Start the servers cold instead of warm.
                 optional --cold
             }
         }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,11 +1,11 @@
-//! Checks a settings file of an entry host on the platform.
+//! The command `check-settings`, which checks a settings file of `serve`.
 
 use std::process::ExitCode;
 
 use super::serve::EXIT_SETTINGS;
 use crate::{cli, host_file};
 
-/// Ends with 0 where the file is whole, and with 2 and all its faults where not.
+/// Checks the file; exits with 0 if it is valid, otherwise prints all errors and exits with 2.
 pub fn run(flags: &cli::CheckSettings) -> ExitCode {
     match host_file::read(&flags.file) {
         Ok(settings) => {
--- a/src/cmd/data_centre.rs
+++ b/src/cmd/data_centre.rs
@@ -1,4 +1,4 @@
-//! Takes a data centre out, or brings it back.
+//! The command `data-centre`, which takes a data centre out of service or returns it.
 
 use std::process::ExitCode;
 
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: the whole system at work on this machine.
+//! The command `demo`, which runs the whole system on this machine.
 
 use std::process::ExitCode;
 
@@ -8,11 +8,11 @@
 
 use crate::{cli, logs};
 
-/// Runs the demo; ends with 1 where a promise was broken or a call was hurt.
+/// Runs the demo; exits with 1 if a guarantee was violated or a call was harmed.
 ///
 /// # Errors
 ///
-/// Fails where the demo's processes' parts can't be started.
+/// Fails if a component of the demo can't be started.
 pub fn run(flags: &cli::Demo) -> Result<ExitCode> {
     logs::start(LevelFilter::Warn)?;
     let runtime = tokio::runtime::Runtime::new().wrap_err("can't start the runtime")?;
@@ -45,7 +45,7 @@
 }
 
 async fn keep(demo: &Demo) -> Result<()> {
-    eprintln!("\nstill up, until Ctrl-C; try:");
+    eprintln!("\nrunning until Ctrl-C; try:");
     for line in demo.hints() {
         eprintln!("  {line}");
     }
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -1,4 +1,4 @@
-//! Runs an entry host until it is told to stop.
+//! The command `entry`, which runs an entry host until a signal stops it.
 
 use std::process::ExitCode;
 
@@ -12,16 +12,16 @@
 
 const EXIT_SETTINGS: u8 = 2;
 
-/// Runs an entry host; ends with 0 once every call in flight has ended.
+/// Runs an entry host; exits with 0 after a signal, once the host has drained.
 ///
 /// # Errors
 ///
-/// Fails where a port can't be had.
+/// Fails if the host can't listen on one of its ports.
 pub fn run(flags: cli::Entry) -> eyre::Result<ExitCode> {
     match settings::check(flags) {
         Ok(checked) => serve(checked),
         Err(faults) => {
-            eprintln!("error: the settings are at fault:");
+            eprintln!("error: invalid settings:");
             for fault in faults {
                 eprintln!("  {fault}");
             }
--- a/src/cmd/host.rs
+++ b/src/cmd/host.rs
@@ -1,4 +1,4 @@
-//! Takes a host out, or brings it back.
+//! The command `host`, which takes a host out of service or returns it.
 
 use std::process::ExitCode;
 
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `load`: an experiment over one or more policies.
+//! The command `load`, which runs an experiment with one or more policies.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -11,18 +11,20 @@
 
 use crate::{cli, logs};
 
-/// Runs an experiment file and prints its table; ends with 1 where our own
-/// policy broke a promise.
+/// Runs an experiment file and prints a table of results.
+///
+/// Exits with 1 if a guarantee was violated under the policy `shared`. The other
+/// policies are baselines, which don't keep all guarantees.
 ///
 /// # Errors
 ///
-/// Fails where the file is at fault or the deployment can't be started.
+/// Fails if the file is invalid or the deployment can't be started.
 pub fn run(flags: &cli::Load) -> Result<ExitCode> {
     logs::start(LevelFilter::Warn)?;
     let file = flags.file.display();
     let text =
         std::fs::read_to_string(&flags.file).wrap_err_with(|| format!("can't read {file}"))?;
-    let experiment = Experiment::parse(&text).wrap_err_with(|| format!("{file} is at fault"))?;
+    let experiment = Experiment::parse(&text).wrap_err_with(|| format!("{file} is invalid"))?;
     let experiment = Arc::new(experiment);
     let policies = policies(flags.policies.as_deref())?;
     let runtime = tokio::runtime::Runtime::new().wrap_err("can't start the runtime")?;
@@ -45,7 +47,7 @@
         .filter(|r| r.measured.summary.report.policy == Policy::Shared.name());
     let faults: Vec<_> = ours.flat_map(|r| &r.measured.faults).collect();
     for fault in faults.iter().take(10) {
-        eprintln!("broken promise: {fault}");
+        eprintln!("violated guarantee: {fault}");
     }
     Ok(match faults.is_empty() {
         true => ExitCode::SUCCESS,
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The commands of the program, with one module for each.
 
 pub mod check;
 pub mod data_centre;
--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -1,4 +1,4 @@
-//! What the operators' commands share: where they go, what they print, how they end.
+//! Common parts of the operators' commands: target, output and exit code.
 
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::process::ExitCode;
@@ -14,43 +14,46 @@
     submit_by_log,
 };
 
-/// The command was refused.
+/// Exit code of a command that was refused.
 pub const EXIT_REFUSED: u8 = 1;
-/// The command line or a file is at fault.
+/// Exit code for errors in the command line or a file.
 pub const EXIT_USAGE: u8 = 2;
-/// What came of the command is not known: ask again with its id.
+/// Exit code of a command whose outcome is unknown: it can be repeated with its id.
 pub const EXIT_UNKNOWN: u8 = 3;
-/// Nothing was done, since log or entry host can't be reached.
+/// Exit code if the store or entry host can't be reached and nothing was changed.
 pub const EXIT_UNREACHABLE: u8 = 4;
 
-/// How long a command waits for its answer.
+/// Maximum time that a command waits for an answer.
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// How long a log that has forgotten is watched for a host's snapshot before
-/// anything is begun anew: five times the wait of hosts that notice together.
+/// How long `preset begin` waits for a host to write a snapshot to a store that has
+/// lost the configuration, before a new configuration is started.
+///
+/// The time is five times as long as hosts that notice the loss together wait
+/// before one of them writes the snapshot.
 const QUIET: Duration = Duration::from_secs(10);
 
-/// Names the log's address where no flag does.
+/// The environment variable with the store's address, used if no flag gives it.
 const LOG_VARIABLE: &str = "CARDAMOMVALE_LOG_ADDRESS";
 
-/// Where a command goes, and how it prints.
+/// Where a command is sent, and how its result is printed.
 #[value]
 pub struct Target {
-    /// Where the platform's log listens.
+    /// The address of the platform's store.
     pub log_address: Option<String>,
-    /// An entry host's admin port, in place of the log.
+    /// The admin address of an entry host that is used instead of the store.
     pub entry: Option<String>,
-    /// Print JSON for scripts.
+    /// Whether the result is printed as JSON.
     pub json: bool,
 }
 
-/// What an operator knows of a command beyond the change itself.
+/// Optional properties of a command.
 #[value]
 #[derive(Default)]
 pub struct Grounds {
-    /// The revision it was decided on; the newest where none is given.
+    /// The revision that the command is based on, by default the newest.
     pub revision: Option<u64>,
-    /// The id of an earlier try whose outcome is unknown, in hex.
+    /// The id, in hexadecimal, of an earlier attempt whose outcome is unknown.
     pub id: Option<String>,
 }
 
@@ -59,12 +62,12 @@
     Entry(String),
 }
 
-/// What an operator says of a data centre or a host.
+/// An action on a data centre or a host.
 #[tag]
 pub enum Action {
-    /// It is taken out.
+    /// Takes it out of service.
     Leave,
-    /// It is brought back.
+    /// Returns it to service.
     Return,
 }
 
@@ -75,13 +78,13 @@
         match text {
             "leave" => Ok(Action::Leave),
             "return" => Ok(Action::Return),
-            other => Err(format!("\"{other}\" is no action: say leave or return")),
+            other => Err(format!("\"{other}\" is not an action: say leave or return")),
         }
     }
 }
 
 impl Action {
-    /// Returns what is said once it is done to what `whose` names.
+    /// Returns the message after the action on the object that `whose` describes.
     pub fn done(self, whose: &str) -> String {
         match self {
             Action::Leave => format!("{whose} gets no new work"),
@@ -91,7 +94,7 @@
 }
 
 impl Target {
-    /// Returns where a command goes, and how it prints.
+    /// Creates a target from the flags of a command.
     pub fn new(log_address: Option<String>, entry: Option<String>, json: bool) -> Target {
         Target {
             log_address,
@@ -108,16 +111,16 @@
             (Some(log), None, _) => resolve(log).map(Route::Log),
             (None, None, Some(log)) => resolve(&log).map(Route::Log),
             (None, None, None) => Err(format!(
-                "say where to go: --log-address IP:port, --entry IP:port, or {LOG_VARIABLE}"
+                "no target: give --log-address IP:port, --entry IP:port, or set {LOG_VARIABLE}"
             )),
         }
     }
 
-    /// Returns the configuration in force, or prints why there is none.
+    /// Returns the configuration in force, or prints why it can't be read.
     ///
     /// # Errors
     ///
-    /// Returns the exit code.
+    /// Returns the exit code of the command.
     pub fn read(&self) -> Result<Arc<Config>, ExitCode> {
         let route = self.route().map_err(|e| self.usage(&e))?;
         let read = match &route {
@@ -127,7 +130,7 @@
         read.map_err(|reason| self.finish(&Outcome::Unreachable { reason }, ""))
     }
 
-    /// Hands `change` on and prints what came of it; `done` says it in words.
+    /// Submits `change` and prints its outcome; `done` is the message if it is accepted.
     pub fn submit(&self, change: Change, grounds: &Grounds, done: &str) -> ExitCode {
         let route = match self.route() {
             Ok(route) => route,
@@ -149,24 +152,24 @@
         self.finish(&outcome, done)
     }
 
-    /// Begins the configuration anew with a preset's text, where the log has forgotten it.
+    /// Starts a new configuration with a preset's text, if the store has lost the old one.
     pub fn begin(&self, text: &str, done: &str) -> ExitCode {
         let address = match self.route() {
             Ok(Route::Log(address)) => address,
-            Ok(Route::Entry(_)) => return self.usage("begin goes to the log: --log-address"),
+            Ok(Route::Entry(_)) => return self.usage("begin needs the store: give --log-address"),
             Err(message) => return self.usage(&message),
         };
         let outcome = begin_by_log(address, text, QUIET, LIMIT);
         match outcome {
             Outcome::Unknown { .. } if !self.json => {
-                eprintln!("unknown: it may have been done; see `preset list` before another try");
+                eprintln!("unknown: it may have been done; see `preset list` before you try again");
                 ExitCode::from(EXIT_UNKNOWN)
             }
             outcome => self.finish(&outcome, done),
         }
     }
 
-    /// Prints a fault of the command line or of a file.
+    /// Prints an error in the command line or a file, and returns the exit code.
     pub fn usage(&self, message: &str) -> ExitCode {
         match self.json {
             true => println!(
@@ -203,12 +206,12 @@
     }
 }
 
-/// Returns the address that `log` names.
+/// Resolves the address of the store, a host name or IP address with a port.
 ///
 /// # Errors
 ///
-/// Says what to mend where it names none.
+/// Returns a message if `log` can't be resolved.
 pub fn resolve(log: &str) -> Result<SocketAddr, String> {
     let found = log.to_socket_addrs().ok().and_then(|mut a| a.next());
-    found.ok_or_else(|| format!("{log:?} is no address of a log: give IP:port"))
+    found.ok_or_else(|| format!("can't resolve the store's address {log:?}: give IP:port"))
 }
--- a/src/cmd/preset.rs
+++ b/src/cmd/preset.rs
@@ -1,4 +1,4 @@
-//! Checks, puts, lists, shows and chooses presets.
+//! The command `preset`, which checks, submits, lists, shows and chooses presets.
 
 use std::fs;
 use std::path::Path;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Checks a preset's file without taking it.
+/// Checks a preset's file without submitting it.
 fn check(file: &Path, target: &Target) -> ExitCode {
     let (_, preset) = match load(file, target) {
         Ok(loaded) => loaded,
@@ -57,7 +57,7 @@
     ExitCode::SUCCESS
 }
 
-/// Offers a preset's file to the log; it is taken whole or not at all.
+/// Submits a preset's file; the whole preset is accepted or nothing.
 fn put(file: &Path, grounds: &Grounds, target: &Target) -> ExitCode {
     match load(file, target) {
         Ok((text, preset)) => {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Begins anew with a preset's file in force, where the log has forgotten all.
+/// Starts a new configuration with a preset in force, if the store has lost the old one.
 fn begin(file: &Path, target: &Target) -> ExitCode {
     match load(file, target) {
         Ok((text, preset)) => {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Brings a preset into force.
+/// Puts a preset in force.
 fn choose(name: &str, grounds: &Grounds, target: &Target) -> ExitCode {
     let change = Change::ChoosePreset {
         name: name.to_owned(),
@@ -87,7 +87,7 @@
     target.submit(change, grounds, &format!("preset {name} is in force"))
 }
 
-/// Lists the presets, the one in force marked, with what is leaving.
+/// Lists the presets and marks the one in force; lists leaving data centres and hosts.
 fn list(target: &Target) -> ExitCode {
     let config = match target.read() {
         Ok(config) => config,
@@ -129,7 +129,7 @@
     ExitCode::SUCCESS
 }
 
-/// Shows a preset as TOML, or JSON; the one in force where no name is given.
+/// Shows a preset as TOML or JSON, by default the one in force.
 fn show(name: Option<&str>, target: &Target) -> ExitCode {
     let config = match target.read() {
         Ok(config) => config,
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! Runs an entry host on the platform until it is told to stop.
+//! The command `serve`, which runs an entry host on the platform until a signal stops it.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,17 +15,17 @@
 
 use crate::{cli, host_file, logs};
 
-/// What a script sees where the settings are at fault.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 
-/// How often it is looked whether the settings file has changed without a signal.
+/// How often the settings file is checked for changes, in addition to a signal.
 const LOOK_EVERY: Duration = Duration::from_secs(5);
 
-/// Runs an entry host; ends with 0 once it has drained.
+/// Runs an entry host; exits with 0 after a signal, once the host has drained.
 ///
 /// # Errors
 ///
-/// Fails where a port can't be had.
+/// Fails if the host can't listen on one of its ports.
 pub fn run(flags: cli::Serve) -> eyre::Result<ExitCode> {
     let level = match flags.log_level.as_deref().map(str::parse::<LevelFilter>) {
         None => LevelFilter::Info,
@@ -45,9 +45,9 @@
     }
 }
 
-/// Prints the faults of a settings file.
+/// Prints the errors of a settings file.
 pub fn tell(faults: &[String]) {
-    eprintln!("error: the settings are at fault:");
+    eprintln!("error: invalid settings:");
     for fault in faults {
         eprintln!("  {fault}");
     }
@@ -55,7 +55,7 @@
 
 fn serve(settings: Settings, path: &Path, level: LevelFilter) -> eyre::Result<ExitCode> {
     logs::start(level)?;
-    // One thread: a host has a fraction of a core, and state needs no locks.
+    // One thread is enough, since a host has a fraction of a core, and the state needs no locks.
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -80,11 +80,11 @@
     })
 }
 
-/// Takes over what has changed in the settings file, on a signal or without one.
+/// Applies changes of the settings file, periodically and on SIGHUP.
 ///
-/// What is promised to operators and how many callers are held changes at once.
-/// Names, addresses and the store are fixed for a process's life: a change of
-/// them is told in the log and waits for the next start.
+/// The limits that operators set and the maximum number of callers change at once.
+/// Names, addresses and the store stay the same while the process runs: a change of
+/// them is logged and takes effect at the next start.
 async fn watch_settings(path: PathBuf, started: Settings, gateway: Rc<Gateway>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         log::error!("E0506 signal-unavailable signal=SIGHUP");
@@ -95,7 +95,7 @@
     let mut seen = started;
     loop {
         tokio::select! {
-            _ = hangup.recv() => log::info!("E0507 settings-reload-asked"),
+            _ = hangup.recv() => log::info!("E0507 settings-reload-requested"),
             _ = ticks.tick() => {}
         }
         match host_file::read(&path) {
@@ -107,11 +107,13 @@
                 }
                 seen.live = now.live.clone();
                 if now != seen {
-                    log::warn!("E0508 settings-changed; the rest waits for the next start");
+                    log::warn!(
+                        "E0508 settings-changed; the other changes take effect at the next start"
+                    );
                 }
                 seen = now;
             }
-            Err(faults) => log::warn!("E0509 settings-at-fault faults={faults:?}"),
+            Err(faults) => log::warn!("E0509 settings-invalid faults={faults:?}"),
         }
     }
 }
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stand-in log` and `stand-in backend`: what lies outside, as processes.
+//! The commands `stand-in log` and `stand-in backend`, which run external systems as processes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -12,14 +12,14 @@
 use crate::cli::{self, StandInCmd};
 use crate::logs;
 
-/// A free port of the loopback address.
+/// The loopback address with any free port.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Runs the stand-in that `flags` name until the process is ended by SIGTERM or SIGINT.
+/// Runs the stand-in that `flags` select until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails where an address can't be listened on.
+/// Fails if the stand-in can't listen on an address.
 pub fn run(flags: cli::StandIn) -> Result<ExitCode> {
     logs::start(LevelFilter::Info)?;
     let runtime = tokio::runtime::Runtime::new().wrap_err("can't start the runtime")?;
@@ -32,7 +32,7 @@
     })
 }
 
-/// Prints one line `log IP:PORT`.
+/// Runs a stand-in of the platform's store; prints a line `log IP:PORT` once it listens.
 async fn run_log(flags: &cli::Log) -> Result<()> {
     let usual = Behaviour::default();
     let behaviour = Behaviour {
@@ -45,7 +45,9 @@
     until_told().await
 }
 
-/// Prints one line `backend IP:PORT` each, then `control IP:PORT`.
+/// Runs stand-ins of backend servers.
+///
+/// Prints a line `backend IP:PORT` for each, then a line `control IP:PORT`.
 async fn run_backends(flags: &cli::Backend) -> Result<()> {
     ensure!(
         !flags.address.is_empty(),
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! Shows what an entry host knows, or what the log says.
+//! The command `status`, which shows the status of an entry host or the configuration.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use super::operator::{EXIT_UNREACHABLE, EXIT_USAGE};
 use crate::{cli, settings};
 
-/// How long the log may take.
+/// Maximum time for reading the configuration from the store.
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// Prints a host's status, or the log's configuration, as a table or as JSON.
+/// Prints a host's status, or the configuration from the store, as a table or as JSON.
 ///
 /// # Errors
 ///
-/// Fails where the answer is no status.
+/// Fails if the answer isn't valid JSON.
 pub fn run(flags: cli::Status) -> Result<ExitCode> {
     let entry = settings::or_env("entry", flags.entry);
     let log = settings::or_env("log-address", flags.log_address);
@@ -28,7 +28,7 @@
         (None, Some(log)) => ask_log(&log),
         (None, None) => {
             eprintln!(
-                "error: whom to ask? give --entry IP:PORT, its admin address, or --log-address"
+                "error: no target: give --entry IP:PORT, the admin address, or --log-address"
             );
             return Ok(ExitCode::from(EXIT_USAGE));
         }
@@ -40,7 +40,7 @@
             return Ok(ExitCode::from(EXIT_UNREACHABLE));
         }
     };
-    let status: Value = serde_json::from_str(&body).wrap_err("the answer is no status")?;
+    let status: Value = serde_json::from_str(&body).wrap_err("the status is not valid JSON")?;
     if flags.json {
         println!("{status}");
     } else {
@@ -57,7 +57,7 @@
         .map_err(told)
 }
 
-/// Returns what the log says, without what only entry hosts know.
+/// Returns the configuration from the store as JSON, without the status of entry hosts.
 fn ask_log(log: &str) -> Result<String, String> {
     let config = read_by_log(resolve(log)?, LIMIT)?;
     let members: Vec<Value> = config
@@ -85,7 +85,7 @@
     .to_string())
 }
 
-/// Prints plain values first, then a table for each list of records.
+/// Prints simple values first, then a table for each list of objects.
 fn print_table(status: &Value) {
     let Some(fields) = status.as_object() else {
         return;
--- a/src/host_file.rs
+++ b/src/host_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of an entry host on the platform.
+//! The settings file of `serve`, which runs an entry host on the platform.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,96 +13,100 @@
 /// The environment variable that names the settings file.
 pub const VARIABLE: &str = "CARDAMOMVALE_SETTINGS";
 
-/// What the settings file holds, in TOML. Unknown keys are passed by, since
-/// the platform adds some at times.
+/// The contents of the settings file, in TOML.
+///
+/// Unknown keys are ignored, since the platform may add some.
 #[derive(Debug, Deserialize)]
 struct HostFile {
-    /// The host's name, unlike every other entry host's.
+    /// The host's name, unique among entry hosts.
     name: String,
-    /// The data centre the host stands in.
+    /// The data centre that the host is in.
     data_centre: String,
-    /// Where callers reach it, an IP number and a port.
+    /// The IP address and port on which the host accepts callers' requests.
     caller_address: String,
-    /// Where the platform's balancer asks whether it is ready.
+    /// The address on which the host answers readiness checks of the platform's balancer.
     readiness_address: String,
-    /// Where the other hosts of its data centre reach it, by datagrams.
+    /// The address on which the host receives datagrams from other entry hosts.
     peer_address: String,
-    /// Addresses of a few hosts to greet first; only their IP numbers count,
-    /// since all hosts have the same peer port.
+    /// The addresses of a few hosts to contact first.
+    ///
+    /// Only their IP addresses are used, since all hosts have the same peer port.
     #[serde(default)]
     seeds: Vec<String>,
-    /// Where the platform's log listens.
+    /// The address of the platform's store.
     log_address: String,
-    /// Whether the whole site starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     #[serde(default)]
     first_start: bool,
-    /// Partitions of each topic of the log.
+    /// The number of partitions of each topic of the store.
     #[serde(default = "default_partitions")]
     partitions: usize,
-    /// Open files that the process may have.
+    /// The maximum number of files that the process may have open.
     #[serde(default = "default_files")]
     open_files: usize,
-    /// Seconds that the process may take to end.
+    /// The time in seconds that the process may take to shut down.
     #[serde(default = "default_grace")]
     grace_seconds: f64,
-    /// Repeats granted for each request.
+    /// The number of retries granted per request, usually a fraction.
     #[serde(default = "default_ratio")]
     repeat_ratio: f64,
-    /// Repeats granted to all hosts together besides, in each window.
+    /// The number of additional retries granted to all hosts together in each window.
     #[serde(default)]
     repeat_slack: f64,
-    /// Seconds of the window in which repeats are counted.
+    /// The length in seconds of the window in which retries are counted.
     #[serde(default = "default_window")]
     repeat_window_seconds: f64,
-    /// Health checks a second that one endpoint may get from all hosts together.
+    /// Probes per second that one endpoint may receive from all hosts together.
     #[serde(default = "default_asks")]
     probes_per_second: f64,
-    /// The region of each data centre; one that isn't named lies in the same.
+    /// The region of each data centre.
+    ///
+    /// A data centre that is not listed is assumed to be in the same region as any other.
     #[serde(default)]
     regions: BTreeMap<String, String>,
 }
 
-/// Partitions of a topic where the file doesn't say: what the platform had first.
+/// Returns the default of `partitions`, the platform's original number.
 fn default_partitions() -> usize {
     12
 }
 
-/// Health checks a second where the file doesn't say: what operators grant today.
+/// Returns the default of `probes_per_second`, the rate that operators grant at present.
 fn default_asks() -> f64 {
     60.0
 }
 
-/// Open files where the file doesn't say: the smallest host's.
+/// Returns the default of `open_files`, the limit of the smallest hosts.
 fn default_files() -> usize {
     1_024
 }
 
-/// The time to end in where the file doesn't say: common for service managers.
+/// Returns the default of `grace_seconds`, a common default of service managers.
 fn default_grace() -> f64 {
     10.0
 }
 
-/// A fifth of the requests, the customary bound of repeats.
+/// Returns the default of `repeat_ratio`: a fifth of the requests, a common limit for retries.
 fn default_ratio() -> f64 {
     0.2
 }
 
-/// The window of repeats where the file doesn't say.
+/// Returns the default of `repeat_window_seconds`.
 fn default_window() -> f64 {
     10.0
 }
 
-/// Open files that are not for callers: ports, the store, files.
+/// The number of open files reserved for listeners, connections to the store, and regular files.
 const OTHER_FILES: usize = 300;
 
-/// The share of open files that callers may take; the rest is for endpoints.
+/// The divisor for the share of open files that callers may use; the rest is for endpoints.
 const CALLERS_SHARE: usize = 2;
 
-/// Returns where the settings file is: the flag's, or the environment's.
+/// Returns the path of the settings file, from the flag or from the environment variable.
 ///
 /// # Errors
 ///
-/// Says so where neither names one.
+/// Returns a message if neither is set.
 pub fn path(flag: Option<PathBuf>) -> Result<PathBuf, Vec<String>> {
     flag.or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from))
         .ok_or_else(|| {
@@ -116,7 +120,7 @@
 ///
 /// # Errors
 ///
-/// Returns one line for each fault, each saying what to mend.
+/// Returns one line for each error, which says how to correct it.
 pub fn read(path: &Path) -> Result<Settings, Vec<String>> {
     let text = fs::read_to_string(path)
         .map_err(|e| vec![format!("{}: {e}; is the path right?", path.display())])?;
@@ -199,7 +203,7 @@
         Ok(address) => Some(address),
         Err(_) => {
             faults.push(format!(
-                "{key}: must be an IP number and a port, is {text:?}"
+                "{key}: must be an IP address and a port, is {text:?}"
             ));
             None
         }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,13 +1,13 @@
-//! Starts the log lines of a process.
+//! Sets up logging.
 
 use log::LevelFilter;
 use simplelog::{ColorChoice, ConfigBuilder, TermLogger, TerminalMode};
 
-/// Starts logging to standard error, one numbered event a line.
+/// Starts logging to standard error, with one numbered event per line.
 ///
 /// # Errors
 ///
-/// Fails where the process has started its logs before.
+/// Fails if logging is already set up in this process.
 pub fn start(level: LevelFilter) -> eyre::Result<()> {
     let config = ConfigBuilder::new()
         .set_time_format_rfc3339()
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line program: parse, run one command, print what went wrong.
+//! The command line program: parses the arguments, runs a command and prints its error.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 mod logs;
 mod settings;
 
-/// What a script sees where the command line or a file is at fault.
+/// Exit code for errors in the command line.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! An entry host's settings, from flags and environment variables.
+//! The settings of `entry`, from flags and environment variables.
 //!
-//! All faults are gathered before any is told, so that an operator mends them
-//! in one go and nothing starts on half a configuration.
+//! All errors are collected and reported together, so that an operator can correct
+//! them at once. Nothing is started with incomplete settings.
 
 use std::env;
 use std::fmt::Display;
@@ -19,13 +19,13 @@
 
 /// Checked settings of the `entry` command.
 pub struct EntrySettings {
-    /// What the entry host itself needs.
+    /// The settings of the entry host itself.
     pub host: Settings,
-    /// How much is logged.
+    /// The most detailed level that is logged.
     pub level: LevelFilter,
 }
 
-/// Returns the flag's value, or that of the environment variable of the same name.
+/// Returns the flag's value or, if not given, that of its environment variable.
 pub fn or_env(flag: &str, given: Option<String>) -> Option<String> {
     given.or_else(|| {
         env::var(variable(flag))
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Returns one line for each fault, each saying what to mend.
+/// Returns one line for each error, which says how to correct it.
 pub fn check(flags: cli::Entry) -> Result<EntrySettings, Vec<String>> {
     let mut reader = Reader { faults: Vec::new() };
     let name: Option<String> = reader.required("name", flags.name);
@@ -121,8 +121,9 @@
 
     fn forbid_blanks(&mut self, flag: &str, text: &str) {
         if text.is_empty() || text.contains(char::is_whitespace) {
-            self.faults
-                .push(format!("--{flag} is {text:?}: use a name without blanks"));
+            self.faults.push(format!(
+                "--{flag} is {text:?}: use a name without whitespace"
+            ));
         }
     }
 
@@ -130,7 +131,7 @@
         let [(first, a), (second, b)] = pair;
         if a == b && a.port() != 0 {
             self.faults.push(format!(
-                "--{first} and --{second} are both {a}: use two ports"
+                "--{first} and --{second} are both {a}: use different ports"
             ));
         }
     }
