--- a/components/protocol/src/claim.rs
+++ b/components/protocol/src/claim.rs
@@ -42,11 +42,11 @@
     #[prost(uint32, tag = "1")]
     kind: u32,
     #[prost(message, required, tag = "2")]
-    id: WireWide,
+    id: WireU128,
     #[prost(message, required, tag = "3")]
-    key: WireWide,
+    key: WireU128,
     #[prost(message, optional, tag = "4")]
-    digest: Option<WireWide>,
+    digest: Option<WireU128>,
     #[prost(uint64, tag = "5")]
     ttl_ms: u64,
     #[prost(uint64, tag = "6")]
@@ -55,7 +55,7 @@
 
 /// A 128-bit number.
 #[derive(Clone, Copy, PartialEq, Message)]
-struct WireWide {
+struct WireU128 {
     #[prost(fixed64, tag = "1")]
     high: u64,
     #[prost(fixed64, tag = "2")]
@@ -66,9 +66,9 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct WireClaim {
     #[prost(message, required, tag = "1")]
-    id: WireWide,
+    id: WireU128,
     #[prost(message, optional, tag = "2")]
-    key: Option<WireWide>,
+    key: Option<WireU128>,
     #[prost(oneof = "WireKind", tags = "3, 4, 5, 6, 7")]
     kind: Option<WireKind>,
 }
@@ -76,26 +76,26 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 enum WireKind {
     #[prost(message, tag = "3")]
-    Ask(WireAsk),
+    Request(WireKeyRequest),
     #[prost(message, tag = "4")]
-    Got(WireNothing),
+    RequestAck(WireEmpty),
     #[prost(message, tag = "5")]
     Answer(WireAnswer),
     #[prost(message, tag = "6")]
     End(WireEnd),
     #[prost(message, tag = "7")]
-    Noted(WireNothing),
+    EndAck(WireEmpty),
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-struct WireNothing {}
+struct WireEmpty {}
 
 #[derive(Clone, Copy, PartialEq, Message)]
-struct WireAsk {
+struct WireKeyRequest {
     #[prost(message, required, tag = "1")]
-    digest: WireWide,
+    digest: WireU128,
     #[prost(uint64, tag = "2")]
-    keep_ms: u64,
+    ttl_ms: u64,
     #[prost(uint64, tag = "3")]
     wait_ms: u64,
 }
@@ -107,7 +107,7 @@
     #[prost(uint64, tag = "2")]
     retry_ms: u64,
     #[prost(message, optional, tag = "3")]
-    kept: Option<WireKept>,
+    cached: Option<WireCachedAnswer>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -115,11 +115,11 @@
     #[prost(uint32, tag = "1")]
     kind: u32,
     #[prost(message, optional, tag = "2")]
-    kept: Option<WireKept>,
+    cached: Option<WireCachedAnswer>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireKept {
+struct WireCachedAnswer {
     #[prost(uint32, tag = "1")]
     status: u32,
     #[prost(message, repeated, tag = "2")]
@@ -138,7 +138,7 @@
 
 /// Encodes a batch as a record of a `claims` stream.
 pub fn encode_batch(batch: &Batch) -> Bytes {
-    let entries = batch.entries.iter().map(wire_entry).collect();
+    let entries = batch.entries.iter().map(encode_entry).collect();
     let body: Bytes = WireBatch { entries }.encode_to_vec().into();
     let record = WireRecord {
         version: RECORD_VERSION,
@@ -166,15 +166,16 @@
         _ => {}
     }
     let batch = WireBatch::decode(record.body).map_err(damaged)?;
-    let entries: Result<Vec<Entry>, ProtocolError> = batch.entries.iter().map(entry).collect();
+    let entries: Result<Vec<Entry>, ProtocolError> =
+        batch.entries.iter().map(decode_entry).collect();
     Ok(Batch { entries: entries? })
 }
 
-fn wire_entry(entry: &Entry) -> WireEntry {
+fn encode_entry(entry: &Entry) -> WireEntry {
     let plain = |kind, id: ClaimId, key: ClaimKey| WireEntry {
         kind,
-        id: wide(id.0),
-        key: wide(key.0),
+        id: encode_u128(id.0),
+        key: encode_u128(key.0),
         digest: None,
         ttl_ms: 0,
         age: 0,
@@ -186,7 +187,7 @@
             digest,
             ttl_ms,
         } => WireEntry {
-            digest: Some(wide(digest)),
+            digest: Some(encode_u128(digest)),
             ttl_ms,
             ..plain(1, id, key)
         },
@@ -202,7 +203,7 @@
             ttl_ms,
             age,
         } => WireEntry {
-            digest: Some(wide(digest)),
+            digest: Some(encode_u128(digest)),
             ttl_ms,
             age,
             ..plain(5, id, key)
@@ -211,12 +212,12 @@
     }
 }
 
-fn entry(wire: &WireEntry) -> Result<Entry, ProtocolError> {
-    let id = ClaimId(number(wire.id));
-    let key = ClaimKey(number(wire.key));
+fn decode_entry(wire: &WireEntry) -> Result<Entry, ProtocolError> {
+    let id = ClaimId(decode_u128(wire.id));
+    let key = ClaimKey(decode_u128(wire.key));
     let digest = || {
         wire.digest
-            .map(number)
+            .map(decode_u128)
             .ok_or(ProtocolError::Missing("digest"))
     };
     let ended = |outcome| Entry::Ended { id, key, outcome };
@@ -246,24 +247,26 @@
 impl From<&ClaimMessage> for WireClaim {
     fn from(message: &ClaimMessage) -> WireClaim {
         let (id, key, kind) = match message {
-            ClaimMessage::Request(ask, wait) => {
-                let wire = WireAsk {
-                    digest: wide(ask.digest),
-                    keep_ms: millis(ask.ttl),
+            ClaimMessage::Request(request, wait) => {
+                let wire = WireKeyRequest {
+                    digest: encode_u128(request.digest),
+                    ttl_ms: millis(request.ttl),
                     wait_ms: millis(*wait),
                 };
-                (ask.id, Some(ask.key), WireKind::Ask(wire))
+                (request.id, Some(request.key), WireKind::Request(wire))
+            }
+            ClaimMessage::RequestAck(id) => (*id, None, WireKind::RequestAck(WireEmpty {})),
+            ClaimMessage::Answer(id, answer) => {
+                (*id, None, WireKind::Answer(encode_answer(answer)))
             }
-            ClaimMessage::RequestAck(id) => (*id, None, WireKind::Got(WireNothing {})),
-            ClaimMessage::Answer(id, answer) => (*id, None, WireKind::Answer(wire_answer(answer))),
             ClaimMessage::End(id, key, ending) => {
-                (*id, Some(*key), WireKind::End(wire_ending(ending)))
+                (*id, Some(*key), WireKind::End(encode_ending(ending)))
             }
-            ClaimMessage::EndAck(id) => (*id, None, WireKind::Noted(WireNothing {})),
+            ClaimMessage::EndAck(id) => (*id, None, WireKind::EndAck(WireEmpty {})),
         };
         WireClaim {
-            id: wide(id.0),
-            key: key.map(|k| wide(k.0)),
+            id: encode_u128(id.0),
+            key: key.map(|k| encode_u128(k.0)),
             kind: Some(kind),
         }
     }
@@ -273,39 +276,39 @@
     type Error = ProtocolError;
 
     fn try_from(wire: WireClaim) -> Result<ClaimMessage, ProtocolError> {
-        let id = ClaimId(number(wire.id));
-        let key = wire.key.map(|k| ClaimKey(number(k)));
+        let id = ClaimId(decode_u128(wire.id));
+        let key = wire.key.map(|k| ClaimKey(decode_u128(k)));
         let key = key.ok_or(ProtocolError::Missing("key"));
         Ok(
             match wire.kind.ok_or(ProtocolError::Missing("claim kind"))? {
-                WireKind::Ask(a) => {
-                    let ask = KeyRequest {
+                WireKind::Request(a) => {
+                    let request = KeyRequest {
                         id,
                         key: key?,
-                        digest: number(a.digest),
-                        ttl: Duration::from_millis(a.keep_ms),
+                        digest: decode_u128(a.digest),
+                        ttl: Duration::from_millis(a.ttl_ms),
                     };
-                    ClaimMessage::Request(ask, Duration::from_millis(a.wait_ms))
+                    ClaimMessage::Request(request, Duration::from_millis(a.wait_ms))
                 }
-                WireKind::Got(_) => ClaimMessage::RequestAck(id),
-                WireKind::Answer(a) => ClaimMessage::Answer(id, answer(a)?),
-                WireKind::End(e) => ClaimMessage::End(id, key?, ending(e)?),
-                WireKind::Noted(_) => ClaimMessage::EndAck(id),
+                WireKind::RequestAck(_) => ClaimMessage::RequestAck(id),
+                WireKind::Answer(a) => ClaimMessage::Answer(id, decode_answer(a)?),
+                WireKind::End(e) => ClaimMessage::End(id, key?, decode_ending(e)?),
+                WireKind::EndAck(_) => ClaimMessage::EndAck(id),
             },
         )
     }
 }
 
-fn wire_answer(answer: &Answer) -> WireAnswer {
+fn encode_answer(answer: &Answer) -> WireAnswer {
     let plain = |kind| WireAnswer {
         kind,
         retry_ms: 0,
-        kept: None,
+        cached: None,
     };
     match answer {
         Answer::Granted => plain(1),
-        Answer::Known(kept) => WireAnswer {
-            kept: Some(wire_kept(kept)),
+        Answer::Known(cached) => WireAnswer {
+            cached: Some(encode_cached(cached)),
             ..plain(2)
         },
         Answer::Started => plain(3),
@@ -318,10 +321,12 @@
     }
 }
 
-fn answer(wire: WireAnswer) -> Result<Answer, ProtocolError> {
+fn decode_answer(wire: WireAnswer) -> Result<Answer, ProtocolError> {
     Ok(match wire.kind {
         1 => Answer::Granted,
-        2 => Answer::Known(kept(wire.kept.ok_or(ProtocolError::Missing("answer"))?)?),
+        2 => Answer::Known(decode_cached(
+            wire.cached.ok_or(ProtocolError::Missing("answer"))?,
+        )?),
         3 => Answer::Started,
         6 => Answer::InProgress,
         4 => Answer::Mismatch,
@@ -330,11 +335,11 @@
     })
 }
 
-fn wire_ending(ending: &Ending) -> WireEnd {
-    let plain = |kind| WireEnd { kind, kept: None };
+fn encode_ending(ending: &Ending) -> WireEnd {
+    let plain = |kind| WireEnd { kind, cached: None };
     match ending {
-        Ending::Answered(kept) => WireEnd {
-            kept: Some(wire_kept(kept)),
+        Ending::Answered(cached) => WireEnd {
+            cached: Some(encode_cached(cached)),
             ..plain(1)
         },
         Ending::AnsweredLarge => plain(2),
@@ -344,9 +349,11 @@
     }
 }
 
-fn ending(wire: WireEnd) -> Result<Ending, ProtocolError> {
+fn decode_ending(wire: WireEnd) -> Result<Ending, ProtocolError> {
     Ok(match wire.kind {
-        1 => Ending::Answered(kept(wire.kept.ok_or(ProtocolError::Missing("answer"))?)?),
+        1 => Ending::Answered(decode_cached(
+            wire.cached.ok_or(ProtocolError::Missing("answer"))?,
+        )?),
         2 => Ending::AnsweredLarge,
         3 => Ending::NotRun,
         4 => Ending::Unknown,
@@ -355,19 +362,19 @@
     })
 }
 
-fn wire_kept(kept: &CachedAnswer) -> WireKept {
+fn encode_cached(cached: &CachedAnswer) -> WireCachedAnswer {
     let field = |(name, value): &(String, Bytes)| WireField {
         name: name.clone(),
         value: value.clone(),
     };
-    WireKept {
-        status: u32::from(kept.status),
-        fields: kept.fields.iter().map(field).collect(),
-        body: kept.body.clone(),
+    WireCachedAnswer {
+        status: u32::from(cached.status),
+        fields: cached.fields.iter().map(field).collect(),
+        body: cached.body.clone(),
     }
 }
 
-fn kept(wire: WireKept) -> Result<CachedAnswer, ProtocolError> {
+fn decode_cached(wire: WireCachedAnswer) -> Result<CachedAnswer, ProtocolError> {
     let fields = wire.fields.into_iter().map(|f| (f.name, f.value));
     Ok(CachedAnswer {
         status: u16::try_from(wire.status).map_err(|_| ProtocolError::Missing("status"))?,
@@ -376,14 +383,14 @@
     })
 }
 
-fn wide(number: u128) -> WireWide {
-    WireWide {
+fn encode_u128(number: u128) -> WireU128 {
+    WireU128 {
         high: (number >> 64) as u64,
         low: number as u64,
     }
 }
 
-fn number(wire: WireWide) -> u128 {
+fn decode_u128(wire: WireU128) -> u128 {
     u128::from(wire.high) << 64 | u128::from(wire.low)
 }
 
--- a/components/protocol/src/config_record.rs
+++ b/components/protocol/src/config_record.rs
@@ -103,9 +103,9 @@
         id_high: (command.id.0 >> 64) as u64,
         id_low: command.id.0 as u64,
         decided_on: command.decided_on,
-        change: Some(change_body(&command.change)),
+        change: Some(encode_change(&command.change)),
     };
-    seal(Kind::Command(body))
+    encode_record(Kind::Command(body))
 }
 
 /// Encodes the record of a snapshot, for the log and for messages between peers.
@@ -115,12 +115,12 @@
 /// Never in practice: all maps of a snapshot have keys that JSON allows.
 pub fn encode_snapshot(snapshot: &Snapshot) -> Bytes {
     let json = serde_json::to_vec(snapshot).expect("a snapshot can be written as JSON");
-    seal(Kind::Snapshot(json.into()))
+    encode_record(Kind::Snapshot(json.into()))
 }
 
 /// Encodes the record that replaces the configuration by one with only this preset.
 pub fn encode_begin(text: &str) -> Bytes {
-    seal(Kind::Begin(text.to_owned()))
+    encode_record(Kind::Begin(text.to_owned()))
 }
 
 /// Decodes a record of the `config` topic.
@@ -139,7 +139,7 @@
     }
     let body = Body::decode(envelope.body).map_err(|_| Unreadable::Damaged)?;
     match body.kind.ok_or(Unreadable::Damaged)? {
-        Kind::Command(body) => command(body)
+        Kind::Command(body) => decode_command(body)
             .ok_or(Unreadable::Damaged)
             .map(Record::Command),
         Kind::Snapshot(json) => serde_json::from_slice(&json)
@@ -149,7 +149,7 @@
     }
 }
 
-fn seal(kind: Kind) -> Bytes {
+fn encode_record(kind: Kind) -> Bytes {
     let body = Bytes::from(Body { kind: Some(kind) }.encode_to_vec());
     let envelope = Envelope {
         version: VERSION,
@@ -159,7 +159,7 @@
     envelope.encode_to_vec().into()
 }
 
-fn change_body(change: &Change) -> ChangeBody {
+fn encode_change(change: &Change) -> ChangeBody {
     match change {
         Change::PutPreset { text } => ChangeBody::PutPreset(text.clone()),
         Change::ChoosePreset { name } => ChangeBody::ChoosePreset(name.clone()),
@@ -178,19 +178,23 @@
             peer: peer.to_string(),
             data_centre: data_centre.clone(),
         }),
-        Change::Remove { host, incarnation } => ChangeBody::Remove(member(*host, *incarnation)),
-        Change::Drain { host, incarnation } => ChangeBody::Drain(member(*host, *incarnation)),
+        Change::Remove { host, incarnation } => {
+            ChangeBody::Remove(encode_member(*host, *incarnation))
+        }
+        Change::Drain { host, incarnation } => {
+            ChangeBody::Drain(encode_member(*host, *incarnation))
+        }
     }
 }
 
-fn member(host: HostKey, incarnation: u64) -> MemberBody {
+fn encode_member(host: HostKey, incarnation: u64) -> MemberBody {
     MemberBody {
         host: host.0,
         incarnation,
     }
 }
 
-fn command(body: CommandBody) -> Option<Command> {
+fn decode_command(body: CommandBody) -> Option<Command> {
     let change = match body.change? {
         ChangeBody::PutPreset(text) => Change::PutPreset { text },
         ChangeBody::ChoosePreset(name) => Change::ChoosePreset { name },
--- a/components/protocol/src/crash_report.rs
+++ b/components/protocol/src/crash_report.rs
@@ -34,15 +34,15 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct WireCrashes {
+pub(crate) struct WireCrashReport {
     #[prost(message, repeated, tag = "1")]
-    ended: Vec<WireEnded>,
+    ended: Vec<WireCrashedRun>,
     #[prost(message, repeated, tag = "2")]
-    findings: Vec<WireFinding>,
+    findings: Vec<WireQuarantineUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireEnded {
+struct WireCrashedRun {
     #[prost(fixed64, tag = "1")]
     content: u64,
     #[prost(fixed64, tag = "2")]
@@ -54,7 +54,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireFinding {
+struct WireQuarantineUpdate {
     #[prost(fixed64, tag = "1")]
     request: u64,
     #[prost(uint32, tag = "2")]
@@ -65,28 +65,36 @@
     age_ms: u32,
 }
 
-impl From<&CrashReport> for WireCrashes {
-    fn from(crashes: &CrashReport) -> WireCrashes {
-        WireCrashes {
-            ended: crashes.runs.iter().map(WireEnded::from).collect(),
-            findings: crashes.findings.iter().map(WireFinding::from).collect(),
+impl From<&CrashReport> for WireCrashReport {
+    fn from(crashes: &CrashReport) -> WireCrashReport {
+        WireCrashReport {
+            ended: crashes.runs.iter().map(WireCrashedRun::from).collect(),
+            findings: crashes
+                .findings
+                .iter()
+                .map(WireQuarantineUpdate::from)
+                .collect(),
         }
     }
 }
 
-impl WireCrashes {
-    pub(crate) fn read(self, cross_centre: bool) -> CrashReport {
+impl WireCrashReport {
+    pub(crate) fn into_report(self, cross_centre: bool) -> CrashReport {
         CrashReport {
             cross_centre,
-            runs: self.ended.iter().map(WireEnded::read).collect(),
-            findings: self.findings.iter().map(WireFinding::read).collect(),
+            runs: self.ended.iter().map(WireCrashedRun::to_run).collect(),
+            findings: self
+                .findings
+                .iter()
+                .map(WireQuarantineUpdate::to_update)
+                .collect(),
         }
     }
 }
 
-impl From<&CrashedRun> for WireEnded {
-    fn from(ended: &CrashedRun) -> WireEnded {
-        WireEnded {
+impl From<&CrashedRun> for WireCrashedRun {
+    fn from(ended: &CrashedRun) -> WireCrashedRun {
+        WireCrashedRun {
             content: ended.request.content.0,
             request: ended.request.request.0,
             ran_ms: millis(ended.ran),
@@ -95,8 +103,8 @@
     }
 }
 
-impl WireEnded {
-    fn read(&self) -> CrashedRun {
+impl WireCrashedRun {
+    fn to_run(&self) -> CrashedRun {
         CrashedRun {
             request: Fingerprints {
                 content: Fingerprint(self.content),
@@ -108,9 +116,9 @@
     }
 }
 
-impl From<&QuarantineUpdate> for WireFinding {
-    fn from(finding: &QuarantineUpdate) -> WireFinding {
-        WireFinding {
+impl From<&QuarantineUpdate> for WireQuarantineUpdate {
+    fn from(finding: &QuarantineUpdate) -> WireQuarantineUpdate {
+        WireQuarantineUpdate {
             request: finding.request.0,
             crashes: finding.crashes,
             left_ms: millis(finding.remaining),
@@ -119,8 +127,8 @@
     }
 }
 
-impl WireFinding {
-    fn read(&self) -> QuarantineUpdate {
+impl WireQuarantineUpdate {
+    fn to_update(&self) -> QuarantineUpdate {
         QuarantineUpdate {
             request: Fingerprint(self.request),
             crashes: self.crashes,
--- a/components/protocol/src/lib.rs
+++ b/components/protocol/src/lib.rs
@@ -6,8 +6,8 @@
 pub mod claim;
 pub mod config_record;
 pub mod crash_report;
-pub mod heartbeat;
 pub mod limit_report;
+pub mod member;
 pub mod neighbour;
 pub mod peer;
 pub mod slots;
--- a/components/protocol/src/limit_report.rs
+++ b/components/protocol/src/limit_report.rs
@@ -16,13 +16,13 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct WireLimits {
+pub(crate) struct WireLimitReport {
     #[prost(message, repeated, tag = "1")]
-    advice: Vec<WireAdvice>,
+    advice: Vec<WireRateLimitUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireAdvice {
+struct WireRateLimitUpdate {
     #[prost(fixed64, tag = "1")]
     endpoint: u64,
     /// Requests per second from all hosts together.
@@ -30,21 +30,21 @@
     rate: Option<f64>,
 }
 
-impl From<&LimitReport> for WireLimits {
-    fn from(limits: &LimitReport) -> WireLimits {
-        let advice = limits.advice.iter().map(|advice| WireAdvice {
+impl From<&LimitReport> for WireLimitReport {
+    fn from(limits: &LimitReport) -> WireLimitReport {
+        let advice = limits.advice.iter().map(|advice| WireRateLimitUpdate {
             endpoint: advice.endpoint.0,
             rate: advice.rate,
         });
-        WireLimits {
+        WireLimitReport {
             advice: advice.collect(),
         }
     }
 }
 
-impl WireLimits {
+impl WireLimitReport {
     /// Decodes the report and drops limits that are negative or not finite.
-    pub(crate) fn read(self, cross_centre: bool) -> LimitReport {
+    pub(crate) fn into_report(self, cross_centre: bool) -> LimitReport {
         let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
         let advice = self.advice.into_iter();
         let advice = advice
--- a/components/protocol/src/heartbeat.rs
+++ b/components/protocol/src/member.rs
@@ -17,19 +17,19 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 enum WireKind {
     #[prost(message, tag = "1")]
-    Heartbeat(WireBeat),
+    Heartbeat(WireHeartbeat),
     #[prost(message, tag = "2")]
-    HeartbeatAck(WireAnswer),
+    HeartbeatAck(WireHeartbeatAck),
     #[prost(message, tag = "3")]
-    LivenessQuery(WireDoubt),
+    LivenessQuery(WireLivenessQuery),
     #[prost(message, tag = "4")]
-    LivenessReply(WireHeard),
+    LivenessReply(WireLivenessReply),
     #[prost(message, tag = "5")]
-    Gossip(WireRumour),
+    Gossip(WireGossip),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireBeat {
+struct WireHeartbeat {
     #[prost(fixed64, tag = "1")]
     incarnation: u64,
     #[prost(uint64, tag = "2")]
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireAnswer {
+struct WireHeartbeatAck {
     #[prost(uint64, tag = "1")]
     sequence: u64,
     #[prost(uint64, tag = "2")]
@@ -53,7 +53,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireDoubt {
+struct WireLivenessQuery {
     #[prost(fixed64, tag = "1")]
     host: u64,
     #[prost(fixed64, tag = "2")]
@@ -65,7 +65,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireHeard {
+struct WireLivenessReply {
     #[prost(fixed64, tag = "1")]
     host: u64,
     #[prost(fixed64, tag = "2")]
@@ -75,13 +75,13 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireRumour {
+struct WireGossip {
     #[prost(fixed64, tag = "1")]
     host: u64,
     #[prost(fixed64, tag = "2")]
     incarnation: u64,
-    #[prost(oneof = "WireNews", tags = "3, 4, 5")]
-    news: Option<WireNews>,
+    #[prost(oneof = "WireGossipEvent", tags = "3, 4, 5")]
+    event: Option<WireGossipEvent>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -93,45 +93,45 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Oneof)]
-enum WireNews {
+enum WireGossipEvent {
     #[prost(message, tag = "3")]
     Suspected(WireSuspected),
     #[prost(uint64, tag = "4")]
     Alive(u64),
     #[prost(uint64, tag = "5")]
-    Shown(u64),
+    Applied(u64),
 }
 
 impl From<&MemberMessage> for WireMember {
     fn from(message: &MemberMessage) -> WireMember {
         let kind = match message {
-            MemberMessage::Heartbeat(b) => WireKind::Heartbeat(WireBeat {
+            MemberMessage::Heartbeat(b) => WireKind::Heartbeat(WireHeartbeat {
                 incarnation: b.incarnation,
                 sequence: b.sequence,
                 epoch: b.epoch,
                 offset: b.offset,
                 wants_ack: b.wants_ack,
             }),
-            MemberMessage::HeartbeatAck(a) => WireKind::HeartbeatAck(WireAnswer {
+            MemberMessage::HeartbeatAck(a) => WireKind::HeartbeatAck(WireHeartbeatAck {
                 sequence: a.sequence,
                 offset: a.offset,
                 suspected: a.suspected,
             }),
-            MemberMessage::LivenessQuery(d) => WireKind::LivenessQuery(WireDoubt {
+            MemberMessage::LivenessQuery(d) => WireKind::LivenessQuery(WireLivenessQuery {
                 host: d.host.0,
                 incarnation: d.incarnation,
                 epoch: d.epoch,
                 silent_ms: d.silent_ms,
             }),
-            MemberMessage::LivenessReply(h) => WireKind::LivenessReply(WireHeard {
+            MemberMessage::LivenessReply(h) => WireKind::LivenessReply(WireLivenessReply {
                 host: h.host.0,
                 incarnation: h.incarnation,
                 ago_ms: h.ago_ms,
             }),
-            MemberMessage::Gossip(r) => WireKind::Gossip(WireRumour {
+            MemberMessage::Gossip(r) => WireKind::Gossip(WireGossip {
                 host: r.host.0,
                 incarnation: r.incarnation,
-                news: Some(wire_news(r.event)),
+                event: Some(encode_event(r.event)),
             }),
         };
         WireMember { kind: Some(kind) }
@@ -169,29 +169,29 @@
             WireKind::Gossip(r) => MemberMessage::Gossip(Gossip {
                 host: HostKey(r.host),
                 incarnation: r.incarnation,
-                event: news(r.news.ok_or(ProtocolError::Missing("news"))?),
+                event: decode_event(r.event.ok_or(ProtocolError::Missing("news"))?),
             }),
         };
         Ok(message)
     }
 }
 
-fn wire_news(news: GossipEvent) -> WireNews {
-    match news {
+fn encode_event(event: GossipEvent) -> WireGossipEvent {
+    match event {
         GossipEvent::Suspected { epoch, round } => {
-            WireNews::Suspected(WireSuspected { epoch, round })
+            WireGossipEvent::Suspected(WireSuspected { epoch, round })
         }
-        GossipEvent::Alive { epoch } => WireNews::Alive(epoch),
-        GossipEvent::Applied { offset } => WireNews::Shown(offset),
+        GossipEvent::Alive { epoch } => WireGossipEvent::Alive(epoch),
+        GossipEvent::Applied { offset } => WireGossipEvent::Applied(offset),
     }
 }
 
-fn news(wire: WireNews) -> GossipEvent {
+fn decode_event(wire: WireGossipEvent) -> GossipEvent {
     match wire {
-        WireNews::Suspected(WireSuspected { epoch, round }) => {
+        WireGossipEvent::Suspected(WireSuspected { epoch, round }) => {
             GossipEvent::Suspected { epoch, round }
         }
-        WireNews::Alive(epoch) => GossipEvent::Alive { epoch },
-        WireNews::Shown(offset) => GossipEvent::Applied { offset },
+        WireGossipEvent::Alive(epoch) => GossipEvent::Alive { epoch },
+        WireGossipEvent::Applied(offset) => GossipEvent::Applied { offset },
     }
 }
--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -13,8 +13,8 @@
 use prost::Message;
 use thiserror::Error;
 
-use crate::crash_report::{CrashReport, WireCrashes};
-use crate::limit_report::{LimitReport, WireLimits};
+use crate::crash_report::{CrashReport, WireCrashReport};
+use crate::limit_report::{LimitReport, WireLimitReport};
 
 /// The protocol version, sent as the first byte of each datagram.
 ///
@@ -145,7 +145,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireNews {
+struct WireMessage {
     /// The topic's number, or the number of a kind of message without a topic.
     #[prost(uint32, tag = "1")]
     topic: u32,
@@ -158,7 +158,7 @@
     neighbours: Vec<String>,
     /// Whether the sender failed to read the topic.
     #[prost(bool, tag = "5")]
-    failed: bool,
+    read_failed: bool,
     /// In a hello, the sender's data centre.
     #[prost(string, tag = "6")]
     centre: String,
@@ -170,17 +170,17 @@
     wants_hosts: bool,
     /// Whether all records of the topic are requested.
     #[prost(bool, tag = "9")]
-    wanted: bool,
+    snapshot_request: bool,
     /// Whether the records are the newest of each key.
     #[prost(bool, tag = "10")]
-    held: bool,
+    snapshot: bool,
     /// Whether the records from `from` on are requested.
     #[prost(bool, tag = "12")]
-    missing: bool,
+    resend: bool,
     #[prost(message, optional, tag = "13")]
     fragment: Option<WireFragment>,
     #[prost(message, optional, tag = "14")]
-    lacking: Option<WireLacking>,
+    fragment_request: Option<WireFragmentRequest>,
     /// The number of a request for probes.
     #[prost(uint32, tag = "15")]
     number: u32,
@@ -195,14 +195,14 @@
     contacts: Vec<WireContact>,
     /// Whether the sender has started to read the topic.
     #[prost(bool, tag = "20")]
-    reading: bool,
+    read_started: bool,
     /// Whether the message is sent to all hosts of the data centre.
     #[prost(bool, tag = "21")]
     shared: bool,
     #[prost(message, optional, tag = "22")]
-    crashes: Option<WireCrashes>,
+    crashes: Option<WireCrashReport>,
     #[prost(message, optional, tag = "23")]
-    limits: Option<WireLimits>,
+    limits: Option<WireLimitReport>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -232,7 +232,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireLacking {
+struct WireFragmentRequest {
     #[prost(fixed64, tag = "1")]
     digest: u64,
     #[prost(uint32, tag = "2")]
@@ -298,8 +298,8 @@
         match self {
             NeighbourMessage::Hello(hello) if hello.neighbours.is_empty() => "greeting",
             NeighbourMessage::Hello(_) => "hosts",
-            NeighbourMessage::Update(news) if news.cross_centre => "news_abroad",
-            NeighbourMessage::Update(news) if news.records.is_empty() => "news_empty",
+            NeighbourMessage::Update(update) if update.cross_centre => "news_abroad",
+            NeighbourMessage::Update(update) if update.records.is_empty() => "news_empty",
             NeighbourMessage::Update(_) => "news",
             NeighbourMessage::ReadStarted(_) => "reading",
             NeighbourMessage::ReadFailed(_) => "trouble",
@@ -317,87 +317,87 @@
     /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let wire = match self {
-            NeighbourMessage::Hello(hello) => WireNews {
+            NeighbourMessage::Hello(hello) => WireMessage {
                 centre: hello.centre.clone(),
                 wants_hosts: hello.wants_hosts,
                 neighbours: hello.neighbours.iter().map(SocketAddr::to_string).collect(),
                 contacts: hello.contacts.iter().map(WireContact::from).collect(),
-                ..WireNews::default()
+                ..WireMessage::default()
             },
-            NeighbourMessage::Update(news) => WireNews {
-                topic: number(news.topic),
-                reader: news.reader.to_string(),
-                relay_root: news.relay_root.to_string(),
-                cross_centre: news.cross_centre,
-                from: news.from,
-                records: news.records.clone(),
-                ..WireNews::default()
+            NeighbourMessage::Update(update) => WireMessage {
+                topic: topic_number(update.topic),
+                reader: update.reader.to_string(),
+                relay_root: update.relay_root.to_string(),
+                cross_centre: update.cross_centre,
+                from: update.from,
+                records: update.records.clone(),
+                ..WireMessage::default()
             },
-            NeighbourMessage::SnapshotRequest(topic) => WireNews {
-                topic: number(*topic),
-                wanted: true,
-                ..WireNews::default()
+            NeighbourMessage::SnapshotRequest(topic) => WireMessage {
+                topic: topic_number(*topic),
+                snapshot_request: true,
+                ..WireMessage::default()
             },
-            NeighbourMessage::RecordsRequest(topic, from) => WireNews {
-                topic: number(*topic),
+            NeighbourMessage::RecordsRequest(topic, from) => WireMessage {
+                topic: topic_number(*topic),
                 from: *from,
-                missing: true,
-                ..WireNews::default()
+                resend: true,
+                ..WireMessage::default()
             },
-            NeighbourMessage::Snapshot(held) => WireNews {
-                topic: number(held.topic),
-                from: held.next,
-                held: true,
-                shared: held.shared,
-                records: held.records.clone(),
-                ..WireNews::default()
+            NeighbourMessage::Snapshot(snapshot) => WireMessage {
+                topic: topic_number(snapshot.topic),
+                from: snapshot.next,
+                snapshot: true,
+                shared: snapshot.shared,
+                records: snapshot.records.clone(),
+                ..WireMessage::default()
             },
-            NeighbourMessage::Fragment(topic, fragment) => WireNews {
-                topic: number(*topic),
+            NeighbourMessage::Fragment(topic, fragment) => WireMessage {
+                topic: topic_number(*topic),
                 fragment: Some(WireFragment::from(fragment)),
-                ..WireNews::default()
+                ..WireMessage::default()
             },
-            NeighbourMessage::FragmentRequest(topic, lacking) => WireNews {
-                topic: number(*topic),
-                lacking: Some(WireLacking {
-                    digest: lacking.message.digest,
-                    count: lacking.message.count,
-                    numbers: lacking.numbers.clone(),
+            NeighbourMessage::FragmentRequest(topic, fragment_request) => WireMessage {
+                topic: topic_number(*topic),
+                fragment_request: Some(WireFragmentRequest {
+                    digest: fragment_request.message.digest,
+                    count: fragment_request.message.count,
+                    numbers: fragment_request.numbers.clone(),
                 }),
-                ..WireNews::default()
+                ..WireMessage::default()
             },
-            NeighbourMessage::Borrow(number) => WireNews {
+            NeighbourMessage::Borrow(number) => WireMessage {
                 topic: BORROW,
                 number: *number,
-                ..WireNews::default()
+                ..WireMessage::default()
             },
-            NeighbourMessage::Lend(loan) => WireNews {
+            NeighbourMessage::Lend(loan) => WireMessage {
                 topic: LEND,
                 number: loan.request_id,
                 questions: loan.probes,
-                ..WireNews::default()
+                ..WireMessage::default()
             },
-            NeighbourMessage::CrashReport(crashes) => WireNews {
+            NeighbourMessage::CrashReport(crashes) => WireMessage {
                 topic: CRASHES,
                 cross_centre: crashes.cross_centre,
-                crashes: Some(WireCrashes::from(crashes)),
-                ..WireNews::default()
+                crashes: Some(WireCrashReport::from(crashes)),
+                ..WireMessage::default()
             },
-            NeighbourMessage::LimitReport(limits) => WireNews {
+            NeighbourMessage::LimitReport(limits) => WireMessage {
                 topic: LIMITS,
                 cross_centre: limits.cross_centre,
-                limits: Some(WireLimits::from(limits)),
-                ..WireNews::default()
+                limits: Some(WireLimitReport::from(limits)),
+                ..WireMessage::default()
             },
-            NeighbourMessage::ReadStarted(topic) => WireNews {
-                topic: number(*topic),
-                reading: true,
-                ..WireNews::default()
+            NeighbourMessage::ReadStarted(topic) => WireMessage {
+                topic: topic_number(*topic),
+                read_started: true,
+                ..WireMessage::default()
             },
-            NeighbourMessage::ReadFailed(topic) => WireNews {
-                topic: number(*topic),
-                failed: true,
-                ..WireNews::default()
+            NeighbourMessage::ReadFailed(topic) => WireMessage {
+                topic: topic_number(*topic),
+                read_failed: true,
+                ..WireMessage::default()
             },
         };
         let mut datagram = vec![VERSION];
@@ -415,7 +415,7 @@
             Some((&VERSION, body)) => body,
             _ => return Err(DatagramError::OtherVersion),
         };
-        let wire = WireNews::decode(body)?;
+        let wire = WireMessage::decode(body)?;
         let topic = match wire.topic {
             HELLO => {
                 return Ok(NeighbourMessage::Hello(Hello {
@@ -435,13 +435,13 @@
             CRASHES => {
                 let crashes = wire.crashes.unwrap_or_default();
                 return Ok(NeighbourMessage::CrashReport(
-                    crashes.read(wire.cross_centre),
+                    crashes.into_report(wire.cross_centre),
                 ));
             }
             LIMITS => {
                 let limits = wire.limits.unwrap_or_default();
                 return Ok(NeighbourMessage::LimitReport(
-                    limits.read(wire.cross_centre),
+                    limits.into_report(wire.cross_centre),
                 ));
             }
             OPERATORS => Topic::Operators,
@@ -449,11 +449,11 @@
             _ => return Err(DatagramError::UnknownTopic),
         };
         match wire {
-            _ if wire.reading => return Ok(NeighbourMessage::ReadStarted(topic)),
-            _ if wire.failed => return Ok(NeighbourMessage::ReadFailed(topic)),
-            _ if wire.missing => return Ok(NeighbourMessage::RecordsRequest(topic, wire.from)),
-            _ if wire.wanted => return Ok(NeighbourMessage::SnapshotRequest(topic)),
-            _ if wire.held => {
+            _ if wire.read_started => return Ok(NeighbourMessage::ReadStarted(topic)),
+            _ if wire.read_failed => return Ok(NeighbourMessage::ReadFailed(topic)),
+            _ if wire.resend => return Ok(NeighbourMessage::RecordsRequest(topic, wire.from)),
+            _ if wire.snapshot_request => return Ok(NeighbourMessage::SnapshotRequest(topic)),
+            _ if wire.snapshot => {
                 return Ok(NeighbourMessage::Snapshot(TopicSnapshot {
                     topic,
                     next: wire.from,
@@ -464,10 +464,13 @@
             _ => {}
         }
         if let Some(fragment) = wire.fragment {
-            return Ok(NeighbourMessage::Fragment(topic, fragment.read()?));
+            return Ok(NeighbourMessage::Fragment(topic, fragment.into_fragment()?));
         }
-        if let Some(lacking) = wire.lacking {
-            return Ok(NeighbourMessage::FragmentRequest(topic, lacking.read()));
+        if let Some(fragment_request) = wire.fragment_request {
+            return Ok(NeighbourMessage::FragmentRequest(
+                topic,
+                fragment_request.into_request(),
+            ));
         }
         Ok(NeighbourMessage::Update(RecordUpdate {
             topic,
@@ -503,7 +506,7 @@
 }
 
 impl WireFragment {
-    fn read(self) -> Result<Fragment, DatagramError> {
+    fn into_fragment(self) -> Result<Fragment, DatagramError> {
         Ok(Fragment {
             message: MessageKey {
                 digest: self.digest,
@@ -517,8 +520,8 @@
     }
 }
 
-impl WireLacking {
-    fn read(self) -> FragmentRequest {
+impl WireFragmentRequest {
+    fn into_request(self) -> FragmentRequest {
         FragmentRequest {
             message: MessageKey {
                 digest: self.digest,
@@ -529,7 +532,7 @@
     }
 }
 
-fn number(topic: Topic) -> u32 {
+fn topic_number(topic: Topic) -> u32 {
     match topic {
         Topic::Operators => OPERATORS,
         Topic::Endpoints => ENDPOINTS,
--- a/components/protocol/src/peer.rs
+++ b/components/protocol/src/peer.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::claim::WireClaim;
-use crate::heartbeat::WireMember;
+use crate::member::WireMember;
 use crate::slots::WireSlots;
 
 /// The protocol version of the messages between entry hosts.
@@ -244,7 +244,7 @@
                 offset: h.offset,
             }),
             PeerMessage::Refused(r) => Body::Refused(WireRefused {
-                reason: reason_number(r.reason),
+                reason: encode_reason(r.reason),
                 revision: r.revision,
                 offset: r.offset,
             }),
@@ -277,7 +277,7 @@
                 offset: h.offset,
             })),
             Body::Refused(r) => Ok(PeerMessage::Refused(Refused {
-                reason: reason(r.reason)?,
+                reason: decode_reason(r.reason)?,
                 revision: r.revision,
                 offset: r.offset,
             })),
@@ -294,7 +294,7 @@
     }
 }
 
-fn reason_number(reason: RefusedReason) -> u32 {
+fn encode_reason(reason: RefusedReason) -> u32 {
     match reason {
         RefusedReason::NoMember => 1,
         RefusedReason::OtherHost => 2,
@@ -302,7 +302,7 @@
     }
 }
 
-fn reason(number: u32) -> Result<RefusedReason, ProtocolError> {
+fn decode_reason(number: u32) -> Result<RefusedReason, ProtocolError> {
     match number {
         1 => Ok(RefusedReason::NoMember),
         2 => Ok(RefusedReason::OtherHost),
--- a/components/protocol/src/slots.rs
+++ b/components/protocol/src/slots.rs
@@ -14,9 +14,9 @@
 /// Maximum number of entries in one list of a message.
 ///
 /// At the deployment size that the system is built for, fewer leases are in use.
-const LEASES: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 /// The highest slot number that is accepted.
-const NUMBER: u32 = 1_024;
+const MAX_SLOT_NUMBER: u32 = 1_024;
 
 /// Encoded form of a slot message.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -40,13 +40,13 @@
     #[prost(message, tag = "6")]
     Return(WireReturn),
     #[prost(message, tag = "7")]
-    Hand(WireHand),
+    Transfer(WireTransfer),
     #[prost(message, tag = "8")]
     Demand(WireDemand),
     #[prost(message, tag = "9")]
-    Yield(WireYield),
+    TransferRequest(WireTransferRequest),
     #[prost(message, tag = "10")]
-    Pulse(WirePulse),
+    Shortage(WireShortage),
     #[prost(message, tag = "11")]
     Handoff(WireHandoff),
 }
@@ -76,7 +76,7 @@
     #[prost(message, repeated, tag = "1")]
     leases: Vec<WireLease>,
     #[prost(message, repeated, tag = "2")]
-    stats: Vec<WireSeen>,
+    stats: Vec<WireCallStats>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -96,7 +96,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct WireReturned {
+struct WireReturnedLease {
     #[prost(message, optional, tag = "1")]
     lease: Option<WireLease>,
     #[prost(uint32, tag = "2")]
@@ -106,13 +106,13 @@
 #[derive(Clone, PartialEq, prost::Message)]
 struct WireReturn {
     #[prost(message, repeated, tag = "1")]
-    leases: Vec<WireReturned>,
+    leases: Vec<WireReturnedLease>,
     #[prost(message, repeated, tag = "2")]
-    stats: Vec<WireSeen>,
+    stats: Vec<WireCallStats>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct WireSeen {
+struct WireCallStats {
     #[prost(fixed64, tag = "1")]
     endpoint: u64,
     #[prost(uint32, tag = "2")]
@@ -122,7 +122,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct WireHanded {
+struct WireTransferredLease {
     #[prost(message, optional, tag = "1")]
     lease: Option<WireLease>,
     #[prost(uint64, tag = "2")]
@@ -132,11 +132,11 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireHand {
+struct WireTransfer {
     #[prost(message, optional, tag = "1")]
     echo: Option<WireStamp>,
     #[prost(message, repeated, tag = "2")]
-    leases: Vec<WireHanded>,
+    leases: Vec<WireTransferredLease>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -158,7 +158,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct WireYield {
+struct WireTransferRequest {
     #[prost(fixed64, tag = "1")]
     service: u64,
     #[prost(fixed64, tag = "2")]
@@ -172,7 +172,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct WirePulse {
+struct WireShortage {
     #[prost(fixed64, tag = "1")]
     service: u64,
     #[prost(bool, tag = "2")]
@@ -182,11 +182,11 @@
 #[derive(Clone, PartialEq, prost::Message)]
 struct WireHandoff {
     #[prost(message, repeated, tag = "1")]
-    estates: Vec<WireEstate>,
+    handoffs: Vec<WireEndpointHandoff>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct WireEstate {
+struct WireEndpointHandoff {
     #[prost(fixed64, tag = "1")]
     endpoint: u64,
     #[prost(uint64, tag = "2")]
@@ -194,13 +194,13 @@
     #[prost(uint32, tag = "3")]
     cap: u32,
     #[prost(message, repeated, tag = "4")]
-    leases: Vec<WireEstateLease>,
+    leases: Vec<WireHandoffLease>,
     #[prost(uint64, tag = "5")]
     revision: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct WireEstateLease {
+struct WireHandoffLease {
     #[prost(message, optional, tag = "1")]
     lease: Option<WireLease>,
     #[prost(fixed64, tag = "2")]
@@ -224,7 +224,7 @@
         match body {
             SlotBody::Renew { leases, stats } => WireKind::Renew(WireRenew {
                 leases: leases.iter().map(WireLease::from).collect(),
-                stats: stats.iter().map(WireSeen::from).collect(),
+                stats: stats.iter().map(WireCallStats::from).collect(),
             }),
             SlotBody::Renewed {
                 echo,
@@ -239,12 +239,12 @@
                 leases: leases.iter().map(WireLease::from).collect(),
             }),
             SlotBody::Return { leases, stats } => WireKind::Return(WireReturn {
-                leases: leases.iter().map(WireReturned::from).collect(),
-                stats: stats.iter().map(WireSeen::from).collect(),
+                leases: leases.iter().map(WireReturnedLease::from).collect(),
+                stats: stats.iter().map(WireCallStats::from).collect(),
             }),
-            SlotBody::Transfer { echo, leases } => WireKind::Hand(WireHand {
+            SlotBody::Transfer { echo, leases } => WireKind::Transfer(WireTransfer {
                 echo: Some(echo.into()),
-                leases: leases.iter().map(WireHanded::from).collect(),
+                leases: leases.iter().map(WireTransferredLease::from).collect(),
             }),
             SlotBody::Demand(demand) => WireKind::Demand(demand.into()),
             SlotBody::TransferRequest {
@@ -253,19 +253,19 @@
                 echo,
                 count,
                 oldest,
-            } => WireKind::Yield(WireYield {
+            } => WireKind::TransferRequest(WireTransferRequest {
                 service: service.0,
                 to: to.0,
                 echo: Some(echo.into()),
                 count: *count,
                 oldest_us: micros(*oldest),
             }),
-            SlotBody::Shortage { service, active } => WireKind::Pulse(WirePulse {
+            SlotBody::Shortage { service, active } => WireKind::Shortage(WireShortage {
                 service: service.0,
                 active: *active,
             }),
-            SlotBody::Handoff(estates) => WireKind::Handoff(WireHandoff {
-                estates: estates.iter().map(WireEstate::from).collect(),
+            SlotBody::Handoff(handoffs) => WireKind::Handoff(WireHandoff {
+                handoffs: handoffs.iter().map(WireEndpointHandoff::from).collect(),
             }),
         }
     }
@@ -291,9 +291,9 @@
     }
 }
 
-impl From<&CallStats> for WireSeen {
-    fn from(stats: &CallStats) -> WireSeen {
-        WireSeen {
+impl From<&CallStats> for WireCallStats {
+    fn from(stats: &CallStats) -> WireCallStats {
+        WireCallStats {
             endpoint: stats.endpoint.0,
             slow: stats.slow,
             total: stats.total,
@@ -301,23 +301,23 @@
     }
 }
 
-impl From<&ReturnedLease> for WireReturned {
-    fn from(returned: &ReturnedLease) -> WireReturned {
+impl From<&ReturnedLease> for WireReturnedLease {
+    fn from(returned: &ReturnedLease) -> WireReturnedLease {
         let reason = match returned.reason {
             Reason::Idle => 0,
             Reason::Shed => 1,
             Reason::Unreachable => 2,
         };
-        WireReturned {
+        WireReturnedLease {
             lease: Some((&returned.lease).into()),
             reason,
         }
     }
 }
 
-impl From<&TransferredLease> for WireHanded {
-    fn from(handed: &TransferredLease) -> WireHanded {
-        WireHanded {
+impl From<&TransferredLease> for WireTransferredLease {
+    fn from(handed: &TransferredLease) -> WireTransferredLease {
+        WireTransferredLease {
             lease: Some((&handed.lease).into()),
             left_us: micros(handed.left),
             single_use: handed.single_use,
@@ -339,18 +339,18 @@
     }
 }
 
-impl From<&EndpointHandoff> for WireEstate {
-    fn from(estate: &EndpointHandoff) -> WireEstate {
-        let leases = estate.leases.iter().map(|entry| WireEstateLease {
+impl From<&EndpointHandoff> for WireEndpointHandoff {
+    fn from(handoff: &EndpointHandoff) -> WireEndpointHandoff {
+        let leases = handoff.leases.iter().map(|entry| WireHandoffLease {
             lease: Some((&entry.lease).into()),
             holder: entry.holder.0,
             left_us: micros(entry.left),
         });
-        WireEstate {
-            endpoint: estate.endpoint.0,
-            revision: estate.revision,
-            fence_us: micros(estate.fence),
-            cap: estate.cap,
+        WireEndpointHandoff {
+            endpoint: handoff.endpoint.0,
+            revision: handoff.revision,
+            fence_us: micros(handoff.fence),
+            cap: handoff.cap,
             leases: leases.collect(),
         }
     }
@@ -377,36 +377,36 @@
     fn try_from(kind: WireKind) -> Result<SlotBody, ProtocolError> {
         Ok(match kind {
             WireKind::Renew(w) => SlotBody::Renew {
-                leases: list(w.leases)?,
-                stats: list(w.stats)?,
+                leases: decode_list(w.leases)?,
+                stats: decode_list(w.stats)?,
             },
             WireKind::Renewed(w) => SlotBody::Renewed {
-                echo: stamp(w.echo)?,
-                ended: list(w.ended)?,
-                pending: list(w.pending)?,
+                echo: decode_stamp(w.echo)?,
+                ended: decode_list(w.ended)?,
+                pending: decode_list(w.pending)?,
             },
-            WireKind::Recall(w) => SlotBody::Recall(list(w.leases)?),
+            WireKind::Recall(w) => SlotBody::Recall(decode_list(w.leases)?),
             WireKind::Return(w) => SlotBody::Return {
-                leases: list(w.leases)?,
-                stats: list(w.stats)?,
+                leases: decode_list(w.leases)?,
+                stats: decode_list(w.stats)?,
             },
-            WireKind::Hand(w) => SlotBody::Transfer {
-                echo: stamp(w.echo)?,
-                leases: list(w.leases)?,
+            WireKind::Transfer(w) => SlotBody::Transfer {
+                echo: decode_stamp(w.echo)?,
+                leases: decode_list(w.leases)?,
             },
             WireKind::Demand(w) => SlotBody::Demand(w.into()),
-            WireKind::Yield(w) => SlotBody::TransferRequest {
+            WireKind::TransferRequest(w) => SlotBody::TransferRequest {
                 service: ServiceKey(w.service),
                 to: HostKey(w.to),
-                echo: stamp(w.echo)?,
-                count: w.count.min(NUMBER),
+                echo: decode_stamp(w.echo)?,
+                count: w.count.min(MAX_SLOT_NUMBER),
                 oldest: Duration::from_micros(w.oldest_us),
             },
-            WireKind::Pulse(w) => SlotBody::Shortage {
+            WireKind::Shortage(w) => SlotBody::Shortage {
                 service: ServiceKey(w.service),
                 active: w.active,
             },
-            WireKind::Handoff(w) => SlotBody::Handoff(list(w.estates)?),
+            WireKind::Handoff(w) => SlotBody::Handoff(decode_list(w.handoffs)?),
         })
     }
 }
@@ -415,7 +415,7 @@
     type Error = ProtocolError;
 
     fn try_from(wire: WireLease) -> Result<LeaseKey, ProtocolError> {
-        if wire.number > NUMBER {
+        if wire.number > MAX_SLOT_NUMBER {
             return Err(ProtocolError::TooLong("slot number"));
         }
         Ok(LeaseKey {
@@ -429,10 +429,10 @@
     }
 }
 
-impl TryFrom<WireSeen> for CallStats {
+impl TryFrom<WireCallStats> for CallStats {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireSeen) -> Result<CallStats, ProtocolError> {
+    fn try_from(wire: WireCallStats) -> Result<CallStats, ProtocolError> {
         Ok(CallStats {
             endpoint: EndpointKey(wire.endpoint),
             slow: wire.slow.min(wire.total),
@@ -441,53 +441,53 @@
     }
 }
 
-impl TryFrom<WireReturned> for ReturnedLease {
+impl TryFrom<WireReturnedLease> for ReturnedLease {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireReturned) -> Result<ReturnedLease, ProtocolError> {
+    fn try_from(wire: WireReturnedLease) -> Result<ReturnedLease, ProtocolError> {
         let reason = match wire.reason {
             0 => Reason::Idle,
             1 => Reason::Shed,
             2 => Reason::Unreachable,
             _ => return Err(ProtocolError::Missing("reason")),
         };
-        let lease = lease(wire.lease)?;
+        let lease = decode_lease(wire.lease)?;
         Ok(ReturnedLease { lease, reason })
     }
 }
 
-impl TryFrom<WireHanded> for TransferredLease {
+impl TryFrom<WireTransferredLease> for TransferredLease {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireHanded) -> Result<TransferredLease, ProtocolError> {
+    fn try_from(wire: WireTransferredLease) -> Result<TransferredLease, ProtocolError> {
         Ok(TransferredLease {
-            lease: lease(wire.lease)?,
+            lease: decode_lease(wire.lease)?,
             left: Duration::from_micros(wire.left_us).min(LEASE_TERM),
             single_use: wire.single_use,
         })
     }
 }
 
-impl TryFrom<WireEstate> for EndpointHandoff {
+impl TryFrom<WireEndpointHandoff> for EndpointHandoff {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireEstate) -> Result<EndpointHandoff, ProtocolError> {
+    fn try_from(wire: WireEndpointHandoff) -> Result<EndpointHandoff, ProtocolError> {
         Ok(EndpointHandoff {
             endpoint: EndpointKey(wire.endpoint),
             revision: wire.revision,
             fence: Duration::from_micros(wire.fence_us).min(FENCE_DURATION),
             cap: wire.cap,
-            leases: list(wire.leases)?,
+            leases: decode_list(wire.leases)?,
         })
     }
 }
 
-impl TryFrom<WireEstateLease> for HandoffLease {
+impl TryFrom<WireHandoffLease> for HandoffLease {
     type Error = ProtocolError;
 
-    fn try_from(wire: WireEstateLease) -> Result<HandoffLease, ProtocolError> {
+    fn try_from(wire: WireHandoffLease) -> Result<HandoffLease, ProtocolError> {
         Ok(HandoffLease {
-            lease: lease(wire.lease)?,
+            lease: decode_lease(wire.lease)?,
             holder: HostKey(wire.holder),
             left: Duration::from_micros(wire.left_us).min(LEASE_TERM),
         })
@@ -508,17 +508,17 @@
     }
 }
 
-fn list<W, T>(wire: Vec<W>) -> Result<Vec<T>, ProtocolError>
+fn decode_list<W, T>(wire: Vec<W>) -> Result<Vec<T>, ProtocolError>
 where
     T: TryFrom<W, Error = ProtocolError>,
 {
-    if wire.len() > LEASES {
+    if wire.len() > MAX_ENTRIES {
         return Err(ProtocolError::TooLong("list"));
     }
     wire.into_iter().map(T::try_from).collect()
 }
 
-fn stamp(wire: Option<WireStamp>) -> Result<Stamp, ProtocolError> {
+fn decode_stamp(wire: Option<WireStamp>) -> Result<Stamp, ProtocolError> {
     let wire = wire.ok_or(ProtocolError::Missing("stamp"))?;
     Ok(Stamp {
         incarnation: wire.incarnation,
@@ -526,7 +526,7 @@
     })
 }
 
-fn lease(wire: Option<WireLease>) -> Result<LeaseKey, ProtocolError> {
+fn decode_lease(wire: Option<WireLease>) -> Result<LeaseKey, ProtocolError> {
     wire.ok_or(ProtocolError::Missing("lease"))?.try_into()
 }
 
--- a/components/protocol/tests/config_record.rs
+++ b/components/protocol/tests/config_record.rs
@@ -34,14 +34,14 @@
 #[case(Change::Join { name: "a-1".to_owned(), incarnation: u64::MAX, peer: "[::1]:9".parse().unwrap(), data_centre: "a".to_owned() })]
 #[case(Change::Drain { host: HostKey(7), incarnation: u64::MAX })]
 #[case(Change::Remove { host: HostKey(u64::MAX), incarnation: 1 })]
-fn there_and_back(#[case] change: Change) {
+fn round_trip(#[case] change: Change) {
     let command = command(change);
     let read = decode_record(&encode_command(&command));
     assert_eq!(read, Ok(Record::Command(command)));
 }
 
 #[test]
-fn snapshot_kept() {
+fn snapshot_round_trip() {
     let mut fold = Fold::default();
     for (offset, change) in (0..).zip([
         put().change,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn beginning_kept() {
+fn begin_round_trip() {
     let read = decode_record(&encode_begin(ORDINARY));
     assert_eq!(read, Ok(Record::Begin(ORDINARY.to_owned())));
 }
--- a/components/protocol/tests/bad_bytes.rs
+++ b/components/protocol/tests/invalid_bytes.rs
@@ -24,7 +24,7 @@
     })
 }
 
-fn kept() -> CachedAnswer {
+fn cached() -> CachedAnswer {
     CachedAnswer {
         status: 201,
         fields: vec![("etag".into(), Bytes::from_static(b"7"))],
@@ -44,9 +44,9 @@
     vec![
         ClaimMessage::Request(ask, Duration::from_millis(9)),
         ClaimMessage::RequestAck(id),
-        ClaimMessage::Answer(id, ClaimAnswer::Known(kept())),
+        ClaimMessage::Answer(id, ClaimAnswer::Known(cached())),
         ClaimMessage::Answer(id, ClaimAnswer::NotRun(Duration::from_secs(1))),
-        ClaimMessage::End(id, key, Ending::Answered(kept())),
+        ClaimMessage::End(id, key, Ending::Answered(cached())),
         ClaimMessage::End(id, key, Ending::GivenUp),
         ClaimMessage::EndAck(id),
     ]
--- a/components/protocol/tests/neighbour_messages.rs
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -14,7 +14,7 @@
 use state::fleet::rate_limit::RateLimitUpdate;
 use state::fleet::{Fingerprint, Fingerprints};
 
-fn news(records: Vec<Vec<u8>>) -> RecordUpdate {
+fn update(records: Vec<Vec<u8>>) -> RecordUpdate {
     RecordUpdate {
         topic: Topic::Endpoints,
         reader: "10.1.2.4:7540".parse().expect("an address"),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn there_and_back() {
+fn round_trip() {
     let messages = [
         NeighbourMessage::CrashReport(crashes()),
         NeighbourMessage::LimitReport(limits()),
@@ -77,7 +77,7 @@
                 address: "10.3.2.3:7540".parse().expect("an address"),
             }],
         }),
-        NeighbourMessage::Update(news(vec![b"one".to_vec(), Vec::new()])),
+        NeighbourMessage::Update(update(vec![b"one".to_vec(), Vec::new()])),
         NeighbourMessage::ReadFailed(Topic::Operators),
         NeighbourMessage::SnapshotRequest(Topic::Endpoints),
         NeighbourMessage::RecordsRequest(Topic::Endpoints, 41),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn bad_datagrams() {
+fn invalid_datagrams() {
     assert!(NeighbourMessage::decode(&[]).is_err());
     assert!(NeighbourMessage::decode(&[9, 1, 2]).is_err());
     assert!(NeighbourMessage::decode(&[3, 8, 77]).is_err());
@@ -137,7 +137,7 @@
 /// A limit that isn't a finite number of zero or more is dropped, since it would
 /// break the rate limiter that uses it.
 #[test]
-fn senseless_limits() {
+fn invalid_limits() {
     let rates = [f64::NAN, f64::INFINITY, -1.0, 2.0];
     let advice = rates.map(|rate| RateLimitUpdate {
         endpoint: EndpointKey(1),
--- a/components/protocol/tests/slot_messages.rs
+++ b/components/protocol/tests/slot_messages.rs
@@ -68,7 +68,7 @@
     cap: 3,
     leases: vec![HandoffLease { lease: lease(0), holder: HostKey(8), left: LEASE_TERM }],
 }]))]
-fn there_and_back(#[case] body: SlotBody) {
+fn round_trip(#[case] body: SlotBody) {
     let message = PeerMessage::Slots(SlotMessage { stamp: STAMP, body });
     assert_eq!(PeerMessage::decode(message.encode()), Ok(message));
 }
@@ -76,7 +76,7 @@
 // A damaged or malicious message has a lease of several hours. If it were accepted
 // as it is, two hosts could hold the slot, so the duration is limited to one term.
 #[test]
-fn long_lease_cut() {
+fn long_lease_limited() {
     let body = SlotBody::Transfer {
         echo: STAMP,
         leases: vec![TransferredLease {
