--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -34,7 +34,7 @@
             false => println!("\n{}", shown.table()),
         }
         if flags.keep {
-            keep(&demo).await?;
+            wait_for_interrupt(&demo).await?;
         }
         demo.stop().await;
         Ok(match shown.is_good() {
@@ -44,7 +44,7 @@
     })
 }
 
-async fn keep(demo: &Demo) -> Result<()> {
+async fn wait_for_interrupt(demo: &Demo) -> Result<()> {
     eprintln!("\nrunning until Ctrl-C; try:");
     for line in demo.hints() {
         eprintln!("  {line}");
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -20,10 +20,10 @@
 pub fn run(flags: cli::Entry) -> eyre::Result<ExitCode> {
     match settings::check(flags) {
         Ok(checked) => serve(checked),
-        Err(faults) => {
+        Err(errors) => {
             eprintln!("error: invalid settings:");
-            for fault in faults {
-                eprintln!("  {fault}");
+            for error in errors {
+                eprintln!("  {error}");
             }
             Ok(ExitCode::from(EXIT_SETTINGS))
         }
--- a/src/cmd/host.rs
+++ b/src/cmd/host.rs
@@ -4,18 +4,18 @@
 
 use coordination::config::Change;
 
-use super::operator::{Action, Grounds, Target};
+use super::operator::{Action, CommandOptions, Target};
 use crate::cli;
 
 /// Runs `host leave NAME` or `host return NAME`.
 pub fn run(flags: cli::Host) -> ExitCode {
     let target = Target::new(flags.log_address, flags.entry, flags.json);
-    let grounds = Grounds {
+    let options = CommandOptions {
         revision: flags.revision,
         id: flags.id,
     };
     let name = flags.name;
-    let whose = format!("host {name}");
+    let object = format!("host {name}");
     let action: Action = match flags.action.parse() {
         Ok(action) => action,
         Err(message) => return target.usage(&message),
@@ -24,5 +24,5 @@
         Action::Leave => Change::LeaveHost { name },
         Action::Return => Change::ReturnHost { name },
     };
-    target.submit(change, &grounds, &action.done(&whose))
+    target.submit(change, &options, &action.message(&object))
 }
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -45,11 +45,11 @@
     let ours = runs
         .iter()
         .filter(|r| r.measured.summary.report.policy == Policy::Shared.name());
-    let faults: Vec<_> = ours.flat_map(|r| &r.measured.faults).collect();
-    for fault in faults.iter().take(10) {
-        eprintln!("violated guarantee: {fault}");
+    let violations: Vec<_> = ours.flat_map(|r| &r.measured.faults).collect();
+    for violation in violations.iter().take(10) {
+        eprintln!("violated guarantee: {violation}");
     }
-    Ok(match faults.is_empty() {
+    Ok(match violations.is_empty() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     })
--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -24,14 +24,14 @@
 pub const EXIT_UNREACHABLE: u8 = 4;
 
 /// Maximum time that a command waits for an answer.
-const LIMIT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long `preset begin` waits for a host to write a snapshot to a store that has
 /// lost the configuration, before a new configuration is started.
 ///
 /// The time is five times as long as hosts that notice the loss together wait
 /// before one of them writes the snapshot.
-const QUIET: Duration = Duration::from_secs(10);
+const SNAPSHOT_WAIT: Duration = Duration::from_secs(10);
 
 /// The environment variable with the store's address, used if no flag gives it.
 const LOG_VARIABLE: &str = "CARDAMOMVALE_LOG_ADDRESS";
@@ -50,7 +50,7 @@
 /// Optional properties of a command.
 #[value]
 #[derive(Default)]
-pub struct Grounds {
+pub struct CommandOptions {
     /// The revision that the command is based on, by default the newest.
     pub revision: Option<u64>,
     /// The id, in hexadecimal, of an earlier attempt whose outcome is unknown.
@@ -84,11 +84,11 @@
 }
 
 impl Action {
-    /// Returns the message after the action on the object that `whose` describes.
-    pub fn done(self, whose: &str) -> String {
+    /// Returns the message after the action on the object that `object` describes.
+    pub fn message(self, object: &str) -> String {
         match self {
-            Action::Leave => format!("{whose} gets no new work"),
-            Action::Return => format!("{whose} takes work again"),
+            Action::Leave => format!("{object} gets no new work"),
+            Action::Return => format!("{object} takes work again"),
         }
     }
 }
@@ -124,30 +124,30 @@
     pub fn read(&self) -> Result<Arc<Config>, ExitCode> {
         let route = self.route().map_err(|e| self.usage(&e))?;
         let read = match &route {
-            Route::Log(address) => read_by_log(*address, LIMIT),
-            Route::Entry(address) => read_by_entry(address, LIMIT).map(Arc::new),
+            Route::Log(address) => read_by_log(*address, REQUEST_TIMEOUT),
+            Route::Entry(address) => read_by_entry(address, REQUEST_TIMEOUT).map(Arc::new),
         };
         read.map_err(|reason| self.finish(&Outcome::Unreachable { reason }, ""))
     }
 
     /// Submits `change` and prints its outcome; `done` is the message if it is accepted.
-    pub fn submit(&self, change: Change, grounds: &Grounds, done: &str) -> ExitCode {
+    pub fn submit(&self, change: Change, options: &CommandOptions, done: &str) -> ExitCode {
         let route = match self.route() {
             Ok(route) => route,
             Err(message) => return self.usage(&message),
         };
-        let id = match grounds.id.clone().map(CommandId::try_from).transpose() {
+        let id = match options.id.clone().map(CommandId::try_from).transpose() {
             Ok(id) => id,
             Err(_) => return self.usage("--id is no id: copy it from the earlier answer"),
         };
         let request = CommandRequest {
             id,
-            decided_on: grounds.revision,
+            decided_on: options.revision,
             change,
         };
         let outcome = match route {
-            Route::Log(address) => submit_by_log(address, &request, LIMIT),
-            Route::Entry(address) => submit_by_entry(&address, &request, LIMIT),
+            Route::Log(address) => submit_by_log(address, &request, REQUEST_TIMEOUT),
+            Route::Entry(address) => submit_by_entry(&address, &request, REQUEST_TIMEOUT),
         };
         self.finish(&outcome, done)
     }
@@ -159,7 +159,7 @@
             Ok(Route::Entry(_)) => return self.usage("begin needs the store: give --log-address"),
             Err(message) => return self.usage(&message),
         };
-        let outcome = begin_by_log(address, text, QUIET, LIMIT);
+        let outcome = begin_by_log(address, text, SNAPSHOT_WAIT, REQUEST_TIMEOUT);
         match outcome {
             Outcome::Unknown { .. } if !self.json => {
                 eprintln!("unknown: it may have been done; see `preset list` before you try again");
--- a/src/cmd/preset.rs
+++ b/src/cmd/preset.rs
@@ -7,7 +7,7 @@
 use coordination::config::{Change, PresetErrors, parse_preset};
 use state::Preset;
 
-use super::operator::{Grounds, Target};
+use super::operator::{CommandOptions, Target};
 use crate::cli::{self, PresetCmd};
 
 /// Runs one of the `preset` commands.
@@ -15,12 +15,12 @@
     match flags.subcommand {
         PresetCmd::Check(f) => check(&f.file, &Target::new(None, None, f.json)),
         PresetCmd::Put(f) => {
-            let grounds = Grounds {
+            let options = CommandOptions {
                 revision: None,
                 id: f.id,
             };
             let target = Target::new(f.log_address, f.entry, f.json);
-            put(&f.file, &grounds, &target)
+            put(&f.file, &options, &target)
         }
         PresetCmd::Begin(f) => begin(&f.file, &Target::new(f.log_address, None, f.json)),
         PresetCmd::List(f) => list(&Target::new(f.log_address, f.entry, f.json)),
@@ -29,12 +29,12 @@
             show(f.name.as_deref(), &target)
         }
         PresetCmd::Choose(f) => {
-            let grounds = Grounds {
+            let options = CommandOptions {
                 revision: f.revision,
                 id: f.id,
             };
             let target = Target::new(f.log_address, f.entry, f.json);
-            choose(&f.name, &grounds, &target)
+            choose(&f.name, &options, &target)
         }
     }
 }
@@ -58,11 +58,11 @@
 }
 
 /// Submits a preset's file; the whole preset is accepted or nothing.
-fn put(file: &Path, grounds: &Grounds, target: &Target) -> ExitCode {
+fn put(file: &Path, options: &CommandOptions, target: &Target) -> ExitCode {
     match load(file, target) {
         Ok((text, preset)) => {
             let done = format!("preset {} is put", preset.name);
-            target.submit(Change::PutPreset { text }, grounds, &done)
+            target.submit(Change::PutPreset { text }, options, &done)
         }
         Err(code) => code,
     }
@@ -80,11 +80,11 @@
 }
 
 /// Puts a preset in force.
-fn choose(name: &str, grounds: &Grounds, target: &Target) -> ExitCode {
+fn choose(name: &str, options: &CommandOptions, target: &Target) -> ExitCode {
     let change = Change::ChoosePreset {
         name: name.to_owned(),
     };
-    target.submit(change, grounds, &format!("preset {name} is in force"))
+    target.submit(change, options, &format!("preset {name} is in force"))
 }
 
 /// Lists the presets and marks the one in force; lists leaving data centres and hosts.
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -13,13 +13,13 @@
 use tokio::time::{MissedTickBehavior, interval};
 use transport::gateway::{Gateway, Settings};
 
-use crate::{cli, host_file, logs};
+use crate::{cli, logs, settings_file};
 
 /// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 
 /// How often the settings file is checked for changes, in addition to a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an entry host; exits with 0 after a signal, once the host has drained.
 ///
@@ -31,25 +31,25 @@
         None => LevelFilter::Info,
         Some(Ok(level)) => level,
         Some(Err(_)) => {
-            tell(&["--log-level: must be error, warn, info, debug or trace".to_owned()]);
+            print_errors(&["--log-level: must be error, warn, info, debug or trace".to_owned()]);
             return Ok(ExitCode::from(EXIT_SETTINGS));
         }
     };
-    let read = host_file::path(flags.settings).and_then(|p| Ok((host_file::read(&p)?, p)));
+    let read = settings_file::path(flags.settings).and_then(|p| Ok((settings_file::read(&p)?, p)));
     match read {
         Ok((settings, path)) => serve(settings, &path, level),
-        Err(faults) => {
-            tell(&faults);
+        Err(errors) => {
+            print_errors(&errors);
             Ok(ExitCode::from(EXIT_SETTINGS))
         }
     }
 }
 
 /// Prints the errors of a settings file.
-pub fn tell(faults: &[String]) {
+pub fn print_errors(errors: &[String]) {
     eprintln!("error: invalid settings:");
-    for fault in faults {
-        eprintln!("  {fault}");
+    for error in errors {
+        eprintln!("  {error}");
     }
 }
 
@@ -90,7 +90,7 @@
         log::error!("E0506 signal-unavailable signal=SIGHUP");
         return;
     };
-    let mut ticks = interval(LOOK_EVERY);
+    let mut ticks = interval(RELOAD_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut seen = started;
     loop {
@@ -98,7 +98,7 @@
             _ = hangup.recv() => log::info!("E0507 settings-reload-requested"),
             _ = ticks.tick() => {}
         }
-        match host_file::read(&path) {
+        match settings_file::read(&path) {
             Ok(now) if now == seen => {}
             Ok(now) => {
                 if now.live != seen.live {
@@ -113,7 +113,7 @@
                 }
                 seen = now;
             }
-            Err(faults) => log::warn!("E0509 settings-invalid faults={faults:?}"),
+            Err(errors) => log::warn!("E0509 settings-invalid faults={errors:?}"),
         }
     }
 }
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -34,15 +34,15 @@
 
 /// Runs a stand-in of the platform's store; prints a line `log IP:PORT` once it listens.
 async fn run_log(flags: &cli::Log) -> Result<()> {
-    let usual = Behaviour::default();
+    let defaults = Behaviour::default();
     let behaviour = Behaviour {
-        keep_records: flags.retain.or(usual.keep_records),
-        appends_second: flags.appends.unwrap_or(usual.appends_second),
-        ..usual
+        keep_records: flags.retain.or(defaults.keep_records),
+        appends_second: flags.appends.unwrap_or(defaults.appends_second),
+        ..defaults
     };
     let log = LogStandIn::start(listen(flags.address.unwrap_or(ANY_PORT))?, behaviour)?;
     println!("log {}", log.address());
-    until_told().await
+    wait_for_signal().await
 }
 
 /// Runs stand-ins of backend servers.
@@ -53,12 +53,12 @@
         !flags.address.is_empty(),
         "no address to listen on: give at least one --address IP:PORT"
     );
-    let usual = Options::default();
+    let defaults = Options::default();
     let options = Options {
-        slots: flags.slots.unwrap_or(usual.slots),
-        cold_slots: flags.cold_slots.unwrap_or(usual.cold_slots),
+        slots: flags.slots.unwrap_or(defaults.slots),
+        cold_slots: flags.cold_slots.unwrap_or(defaults.cold_slots),
         cold: flags.cold,
-        ..usual
+        ..defaults
     };
     let history = History::default();
     let mut backends = Vec::new();
@@ -70,14 +70,14 @@
     let listener = listen(flags.control_address.unwrap_or(ANY_PORT))?;
     println!("control {}", listener.local_addr()?);
     let _control = Control::start(listener, &backends, history)?;
-    until_told().await
+    wait_for_signal().await
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).wrap_err_with(|| format!("can't listen on {address}"))
 }
 
-async fn until_told() -> Result<()> {
+async fn wait_for_signal() -> Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -13,7 +13,7 @@
 use crate::{cli, settings};
 
 /// Maximum time for reading the configuration from the store.
-const LIMIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Prints a host's status, or the configuration from the store, as a table or as JSON.
 ///
@@ -24,8 +24,8 @@
     let entry = settings::or_env("entry", flags.entry);
     let log = settings::or_env("log-address", flags.log_address);
     let read = match (entry, log) {
-        (Some(entry), _) => ask_entry(&entry),
-        (None, Some(log)) => ask_log(&log),
+        (Some(entry), _) => fetch_from_entry(&entry),
+        (None, Some(log)) => fetch_from_log(&log),
         (None, None) => {
             eprintln!(
                 "error: no target: give --entry IP:PORT, the admin address, or --log-address"
@@ -49,17 +49,17 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn ask_entry(entry: &str) -> Result<String, String> {
+fn fetch_from_entry(entry: &str) -> Result<String, String> {
     let answer = ureq::get(format!("http://{entry}/status")).call();
-    let told = |error| format!("no status from {entry}: {error}; is it an admin address?");
+    let describe = |error| format!("no status from {entry}: {error}; is it an admin address?");
     answer
         .and_then(|mut answer| answer.body_mut().read_to_string())
-        .map_err(told)
+        .map_err(describe)
 }
 
 /// Returns the configuration from the store as JSON, without the status of entry hosts.
-fn ask_log(log: &str) -> Result<String, String> {
-    let config = read_by_log(resolve(log)?, LIMIT)?;
+fn fetch_from_log(log: &str) -> Result<String, String> {
+    let config = read_by_log(resolve(log)?, REQUEST_TIMEOUT)?;
     let members: Vec<Value> = config
         .members
         .iter()
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,9 +6,9 @@
 
 mod cli;
 mod cmd;
-mod host_file;
 mod logs;
 mod settings;
+mod settings_file;
 
 /// Exit code for errors in the command line.
 const EXIT_USAGE: u8 = 2;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,7 +14,7 @@
 
 use crate::cli;
 
-const PREFIX: &str = "CARDAMOMVALE_";
+const VARIABLE_PREFIX: &str = "CARDAMOMVALE_";
 const DEFAULT_DRAIN_SECONDS: u64 = 30;
 
 /// Checked settings of the `entry` command.
@@ -40,7 +40,7 @@
 ///
 /// Returns one line for each error, which says how to correct it.
 pub fn check(flags: cli::Entry) -> Result<EntrySettings, Vec<String>> {
-    let mut reader = Reader { faults: Vec::new() };
+    let mut reader = FlagReader { errors: Vec::new() };
     let name: Option<String> = reader.required("name", flags.name);
     let data_centre: Option<String> = reader.required("data-centre", flags.data_centre);
     let callers = reader.required("caller-address", flags.caller_address);
@@ -52,13 +52,13 @@
     let trace_every = reader.optional("trace-every", flags.trace_every, 0);
     let level = reader.optional("log-level", flags.log_level, LevelFilter::Info);
     if let (Some(name), Some(centre)) = (&name, &data_centre) {
-        reader.forbid_blanks("name", name);
-        reader.forbid_blanks("data-centre", centre);
+        reader.check_no_whitespace("name", name);
+        reader.check_no_whitespace("data-centre", centre);
     }
     if let (Some(callers), Some(peers), Some(admin)) = (callers, peers, admin) {
-        reader.forbid_equal([("caller-address", callers), ("peer-address", peers)]);
-        reader.forbid_equal([("caller-address", callers), ("admin-address", admin)]);
-        reader.forbid_equal([("peer-address", peers), ("admin-address", admin)]);
+        reader.check_distinct([("caller-address", callers), ("peer-address", peers)]);
+        reader.check_distinct([("caller-address", callers), ("admin-address", admin)]);
+        reader.check_distinct([("peer-address", peers), ("admin-address", admin)]);
     }
     let settings = (|| {
         Some(Settings {
@@ -74,16 +74,16 @@
         })
     })();
     match settings {
-        Some(host) if reader.faults.is_empty() => Ok(EntrySettings { host, level }),
-        _ => Err(reader.faults),
+        Some(host) if reader.errors.is_empty() => Ok(EntrySettings { host, level }),
+        _ => Err(reader.errors),
     }
 }
 
-struct Reader {
-    faults: Vec<String>,
+struct FlagReader {
+    errors: Vec<String>,
 }
 
-impl Reader {
+impl FlagReader {
     fn required<T>(&mut self, flag: &str, given: Option<String>) -> Option<T>
     where
         T: FromStr,
@@ -91,7 +91,7 @@
     {
         let Some(text) = or_env(flag, given) else {
             let variable = variable(flag);
-            self.faults
+            self.errors
                 .push(format!("--{flag} is missing: give it, or set {variable}"));
             return None;
         };
@@ -115,22 +115,22 @@
         T::Err: Display,
     {
         text.parse()
-            .map_err(|error| self.faults.push(format!("--{flag} is {text:?}: {error}")))
+            .map_err(|error| self.errors.push(format!("--{flag} is {text:?}: {error}")))
             .ok()
     }
 
-    fn forbid_blanks(&mut self, flag: &str, text: &str) {
+    fn check_no_whitespace(&mut self, flag: &str, text: &str) {
         if text.is_empty() || text.contains(char::is_whitespace) {
-            self.faults.push(format!(
+            self.errors.push(format!(
                 "--{flag} is {text:?}: use a name without whitespace"
             ));
         }
     }
 
-    fn forbid_equal(&mut self, pair: [(&str, std::net::SocketAddr); 2]) {
+    fn check_distinct(&mut self, pair: [(&str, std::net::SocketAddr); 2]) {
         let [(first, a), (second, b)] = pair;
         if a == b && a.port() != 0 {
-            self.faults.push(format!(
+            self.errors.push(format!(
                 "--{first} and --{second} are both {a}: use different ports"
             ));
         }
@@ -138,5 +138,5 @@
 }
 
 fn variable(flag: &str) -> String {
-    format!("{PREFIX}{}", flag.replace('-', "_").to_uppercase())
+    format!("{VARIABLE_PREFIX}{}", flag.replace('-', "_").to_uppercase())
 }
--- a/src/host_file.rs
+++ b/src/settings_file.rs
@@ -11,13 +11,13 @@
 use transport::gateway::{Bounds, Live, Settings};
 
 /// The environment variable that names the settings file.
-pub const VARIABLE: &str = "CARDAMOMVALE_SETTINGS";
+pub const SETTINGS_VARIABLE: &str = "CARDAMOMVALE_SETTINGS";
 
 /// The contents of the settings file, in TOML.
 ///
 /// Unknown keys are ignored, since the platform may add some.
 #[derive(Debug, Deserialize)]
-struct HostFile {
+struct SettingsFile {
     /// The host's name, unique among entry hosts.
     name: String,
     /// The data centre that the host is in.
@@ -42,7 +42,7 @@
     #[serde(default = "default_partitions")]
     partitions: usize,
     /// The maximum number of files that the process may have open.
-    #[serde(default = "default_files")]
+    #[serde(default = "default_open_files")]
     open_files: usize,
     /// The time in seconds that the process may take to shut down.
     #[serde(default = "default_grace")]
@@ -57,7 +57,7 @@
     #[serde(default = "default_window")]
     repeat_window_seconds: f64,
     /// Probes per second that one endpoint may receive from all hosts together.
-    #[serde(default = "default_asks")]
+    #[serde(default = "default_probe_rate")]
     probes_per_second: f64,
     /// The region of each data centre.
     ///
@@ -72,12 +72,12 @@
 }
 
 /// Returns the default of `probes_per_second`, the rate that operators grant at present.
-fn default_asks() -> f64 {
+fn default_probe_rate() -> f64 {
     60.0
 }
 
 /// Returns the default of `open_files`, the limit of the smallest hosts.
-fn default_files() -> usize {
+fn default_open_files() -> usize {
     1_024
 }
 
@@ -97,10 +97,10 @@
 }
 
 /// The number of open files reserved for listeners, connections to the store, and regular files.
-const OTHER_FILES: usize = 300;
+const RESERVED_FILES: usize = 300;
 
 /// The divisor for the share of open files that callers may use; the rest is for endpoints.
-const CALLERS_SHARE: usize = 2;
+const CALLERS_DIVISOR: usize = 2;
 
 /// Returns the path of the settings file, from the flag or from the environment variable.
 ///
@@ -108,10 +108,10 @@
 ///
 /// Returns a message if neither is set.
 pub fn path(flag: Option<PathBuf>) -> Result<PathBuf, Vec<String>> {
-    flag.or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from))
+    flag.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from))
         .ok_or_else(|| {
             vec![format!(
-                "no settings file: give --settings or set {VARIABLE}"
+                "no settings file: give --settings or set {SETTINGS_VARIABLE}"
             )]
         })
 }
@@ -124,32 +124,32 @@
 pub fn read(path: &Path) -> Result<Settings, Vec<String>> {
     let text = fs::read_to_string(path)
         .map_err(|e| vec![format!("{}: {e}; is the path right?", path.display())])?;
-    let file: HostFile =
+    let file: SettingsFile =
         toml::from_str(&text).map_err(|e| vec![format!("{}: {e}", path.display())])?;
     check(file)
 }
 
-fn check(file: HostFile) -> Result<Settings, Vec<String>> {
-    let mut faults = Vec::new();
+fn check(file: SettingsFile) -> Result<Settings, Vec<String>> {
+    let mut errors = Vec::new();
     for (key, value) in [("name", &file.name), ("data_centre", &file.data_centre)] {
         if value.is_empty() {
-            faults.push(format!("{key}: must not be empty"));
+            errors.push(format!("{key}: must not be empty"));
         }
     }
-    let callers = address("caller_address", &file.caller_address, &mut faults);
-    let readiness = address("readiness_address", &file.readiness_address, &mut faults);
-    let peers = address("peer_address", &file.peer_address, &mut faults);
+    let callers = address("caller_address", &file.caller_address, &mut errors);
+    let readiness = address("readiness_address", &file.readiness_address, &mut errors);
+    let peers = address("peer_address", &file.peer_address, &mut errors);
     let seeds: Vec<SocketAddr> = file
         .seeds
         .iter()
-        .filter_map(|seed| address("seeds", seed, &mut faults))
+        .filter_map(|seed| address("seeds", seed, &mut errors))
         .collect();
-    let log = address("log_address", &file.log_address, &mut faults);
-    let grace = seconds("grace_seconds", file.grace_seconds, &mut faults);
+    let log = address("log_address", &file.log_address, &mut errors);
+    let grace = seconds("grace_seconds", file.grace_seconds, &mut errors);
     let window = seconds(
         "repeat_window_seconds",
         file.repeat_window_seconds,
-        &mut faults,
+        &mut errors,
     );
     for (key, value) in [
         ("repeat_ratio", file.repeat_ratio),
@@ -157,16 +157,16 @@
         ("probes_per_second", file.probes_per_second),
     ] {
         if !value.is_finite() || value < 0.0 {
-            faults.push(format!("{key}: must be 0 or more, is {value}"));
+            errors.push(format!("{key}: must be 0 or more, is {value}"));
         }
     }
-    if file.open_files <= OTHER_FILES * 2 {
-        faults.push(format!("open_files: must be above {}", OTHER_FILES * 2));
+    if file.open_files <= RESERVED_FILES * 2 {
+        errors.push(format!("open_files: must be above {}", RESERVED_FILES * 2));
     }
     let regions = file.regions.iter().map(|(c, r)| (c.as_str(), r.as_str()));
     match (callers, readiness, peers, log, grace, window) {
         (Some(callers), Some(readiness), Some(peers), Some(log), Some(grace), Some(window))
-            if faults.is_empty() =>
+            if errors.is_empty() =>
         {
             Ok(Settings {
                 name: file.name,
@@ -190,19 +190,19 @@
                         repeat_window: window,
                         ask_rate: file.probes_per_second,
                     },
-                    callers_limit: (file.open_files - OTHER_FILES) / CALLERS_SHARE,
+                    callers_limit: (file.open_files - RESERVED_FILES) / CALLERS_DIVISOR,
                 },
             })
         }
-        _ => Err(faults),
+        _ => Err(errors),
     }
 }
 
-fn address(key: &str, text: &str, faults: &mut Vec<String>) -> Option<SocketAddr> {
+fn address(key: &str, text: &str, errors: &mut Vec<String>) -> Option<SocketAddr> {
     match text.parse() {
         Ok(address) => Some(address),
         Err(_) => {
-            faults.push(format!(
+            errors.push(format!(
                 "{key}: must be an IP address and a port, is {text:?}"
             ));
             None
@@ -210,11 +210,11 @@
     }
 }
 
-fn seconds(key: &str, value: f64, faults: &mut Vec<String>) -> Option<Duration> {
+fn seconds(key: &str, value: f64, errors: &mut Vec<String>) -> Option<Duration> {
     match Duration::try_from_secs_f64(value) {
         Ok(time) if !time.is_zero() => Some(time),
         _ => {
-            faults.push(format!("{key}: must be above 0, is {value}"));
+            errors.push(format!("{key}: must be above 0, is {value}"));
             None
         }
     }
