--- a/components/protocol/src/crash_report.rs
+++ b/components/protocol/src/crash_report.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireCrashReport {
     #[prost(message, repeated, tag = "1")]
-    ended: Vec<WireCrashedRun>,
+    runs: Vec<WireCrashedRun>,
     #[prost(message, repeated, tag = "2")]
     findings: Vec<WireQuarantineUpdate>,
 }
@@ -66,10 +66,10 @@
 }
 
 impl From<&CrashReport> for WireCrashReport {
-    fn from(crashes: &CrashReport) -> WireCrashReport {
+    fn from(report: &CrashReport) -> WireCrashReport {
         WireCrashReport {
-            ended: crashes.runs.iter().map(WireCrashedRun::from).collect(),
-            findings: crashes
+            runs: report.runs.iter().map(WireCrashedRun::from).collect(),
+            findings: report
                 .findings
                 .iter()
                 .map(WireQuarantineUpdate::from)
@@ -82,7 +82,7 @@
     pub(crate) fn into_report(self, cross_centre: bool) -> CrashReport {
         CrashReport {
             cross_centre,
-            runs: self.ended.iter().map(WireCrashedRun::to_run).collect(),
+            runs: self.runs.iter().map(WireCrashedRun::to_run).collect(),
             findings: self
                 .findings
                 .iter()
@@ -93,12 +93,12 @@
 }
 
 impl From<&CrashedRun> for WireCrashedRun {
-    fn from(ended: &CrashedRun) -> WireCrashedRun {
+    fn from(run: &CrashedRun) -> WireCrashedRun {
         WireCrashedRun {
-            content: ended.request.content.0,
-            request: ended.request.request.0,
-            ran_ms: millis(ended.ran),
-            age_ms: millis(ended.age),
+            content: run.request.content.0,
+            request: run.request.request.0,
+            ran_ms: millis(run.ran),
+            age_ms: millis(run.age),
         }
     }
 }
@@ -117,12 +117,12 @@
 }
 
 impl From<&QuarantineUpdate> for WireQuarantineUpdate {
-    fn from(finding: &QuarantineUpdate) -> WireQuarantineUpdate {
+    fn from(update: &QuarantineUpdate) -> WireQuarantineUpdate {
         WireQuarantineUpdate {
-            request: finding.request.0,
-            crashes: finding.crashes,
-            left_ms: millis(finding.remaining),
-            age_ms: millis(finding.age),
+            request: update.request.0,
+            crashes: update.crashes,
+            left_ms: millis(update.remaining),
+            age_ms: millis(update.age),
         }
     }
 }
--- a/components/protocol/src/limit_report.rs
+++ b/components/protocol/src/limit_report.rs
@@ -45,10 +45,10 @@
 impl WireLimitReport {
     /// Decodes the report and drops limits that are negative or not finite.
     pub(crate) fn into_report(self, cross_centre: bool) -> LimitReport {
-        let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
+        let is_valid = |rate: f64| rate.is_finite() && rate >= 0.0;
         let advice = self.advice.into_iter();
         let advice = advice
-            .filter(|a| a.rate.is_none_or(sound))
+            .filter(|a| a.rate.is_none_or(is_valid))
             .map(|a| RateLimitUpdate {
                 endpoint: EndpointKey(a.endpoint),
                 rate: a.rate,
--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -183,9 +183,9 @@
     fragment_request: Option<WireFragmentRequest>,
     /// The number of a request for probes.
     #[prost(uint32, tag = "15")]
-    number: u32,
+    request_id: u32,
     #[prost(uint32, tag = "16")]
-    questions: u32,
+    probes: u32,
     /// The address of the relay tree's root, as text.
     #[prost(string, tag = "17")]
     relay_root: String,
@@ -200,9 +200,9 @@
     #[prost(bool, tag = "21")]
     shared: bool,
     #[prost(message, optional, tag = "22")]
-    crashes: Option<WireCrashReport>,
+    crash_report: Option<WireCrashReport>,
     #[prost(message, optional, tag = "23")]
-    limits: Option<WireLimitReport>,
+    limit_report: Option<WireLimitReport>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -246,8 +246,8 @@
 const ENDPOINTS: u32 = 2;
 const BORROW: u32 = 3;
 const LEND: u32 = 4;
-const CRASHES: u32 = 5;
-const LIMITS: u32 = 6;
+const CRASH_REPORT: u32 = 5;
+const LIMIT_REPORT: u32 = 6;
 
 impl RecordUpdate {
     /// Returns the same records without the addresses of hosts.
@@ -255,10 +255,10 @@
     /// Fragmented messages are identified by the digest of their content, so
     /// hosts that read the same records must send identical messages.
     pub fn without_addresses(self) -> RecordUpdate {
-        let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         RecordUpdate {
-            reader: nobody,
-            relay_root: nobody,
+            reader: unspecified,
+            relay_root: unspecified,
             ..self
         }
     }
@@ -366,27 +366,27 @@
                 }),
                 ..WireMessage::default()
             },
-            NeighbourMessage::Borrow(number) => WireMessage {
+            NeighbourMessage::Borrow(request_id) => WireMessage {
                 topic: BORROW,
-                number: *number,
+                request_id: *request_id,
                 ..WireMessage::default()
             },
             NeighbourMessage::Lend(loan) => WireMessage {
                 topic: LEND,
-                number: loan.request_id,
-                questions: loan.probes,
+                request_id: loan.request_id,
+                probes: loan.probes,
                 ..WireMessage::default()
             },
-            NeighbourMessage::CrashReport(crashes) => WireMessage {
-                topic: CRASHES,
-                cross_centre: crashes.cross_centre,
-                crashes: Some(WireCrashReport::from(crashes)),
+            NeighbourMessage::CrashReport(crash_report) => WireMessage {
+                topic: CRASH_REPORT,
+                cross_centre: crash_report.cross_centre,
+                crash_report: Some(WireCrashReport::from(crash_report)),
                 ..WireMessage::default()
             },
-            NeighbourMessage::LimitReport(limits) => WireMessage {
-                topic: LIMITS,
-                cross_centre: limits.cross_centre,
-                limits: Some(WireLimitReport::from(limits)),
+            NeighbourMessage::LimitReport(limit_report) => WireMessage {
+                topic: LIMIT_REPORT,
+                cross_centre: limit_report.cross_centre,
+                limit_report: Some(WireLimitReport::from(limit_report)),
                 ..WireMessage::default()
             },
             NeighbourMessage::ReadStarted(topic) => WireMessage {
@@ -425,23 +425,23 @@
                     centre: wire.centre,
                 }));
             }
-            BORROW => return Ok(NeighbourMessage::Borrow(wire.number)),
+            BORROW => return Ok(NeighbourMessage::Borrow(wire.request_id)),
             LEND => {
                 return Ok(NeighbourMessage::Lend(ProbeLoan {
-                    request_id: wire.number,
-                    probes: wire.questions,
+                    request_id: wire.request_id,
+                    probes: wire.probes,
                 }));
             }
-            CRASHES => {
-                let crashes = wire.crashes.unwrap_or_default();
+            CRASH_REPORT => {
+                let crash_report = wire.crash_report.unwrap_or_default();
                 return Ok(NeighbourMessage::CrashReport(
-                    crashes.into_report(wire.cross_centre),
+                    crash_report.into_report(wire.cross_centre),
                 ));
             }
-            LIMITS => {
-                let limits = wire.limits.unwrap_or_default();
+            LIMIT_REPORT => {
+                let limit_report = wire.limit_report.unwrap_or_default();
                 return Ok(NeighbourMessage::LimitReport(
-                    limits.into_report(wire.cross_centre),
+                    limit_report.into_report(wire.cross_centre),
                 ));
             }
             OPERATORS => Topic::Operators,
--- a/components/protocol/src/slots.rs
+++ b/components/protocol/src/slots.rs
@@ -316,11 +316,11 @@
 }
 
 impl From<&TransferredLease> for WireTransferredLease {
-    fn from(handed: &TransferredLease) -> WireTransferredLease {
+    fn from(transferred: &TransferredLease) -> WireTransferredLease {
         WireTransferredLease {
-            lease: Some((&handed.lease).into()),
-            left_us: micros(handed.left),
-            single_use: handed.single_use,
+            lease: Some((&transferred.lease).into()),
+            left_us: micros(transferred.left),
+            single_use: transferred.single_use,
         }
     }
 }
--- a/components/protocol/tests/config_record.rs
+++ b/components/protocol/tests/config_record.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use state::HostKey;
 
-const ORDINARY: &str = include_str!("../../../examples/hr-central.toml");
+const PRESET: &str = include_str!("../../../examples/hr-central.toml");
 
 fn command(change: Change) -> Command {
     Command {
@@ -20,12 +20,12 @@
 
 fn put() -> Command {
     command(Change::PutPreset {
-        text: ORDINARY.to_owned(),
+        text: PRESET.to_owned(),
     })
 }
 
 #[rstest]
-#[case(Change::PutPreset { text: ORDINARY.to_owned() })]
+#[case(Change::PutPreset { text: PRESET.to_owned() })]
 #[case(Change::ChoosePreset { name: "peak".to_owned() })]
 #[case(Change::LeaveCentre { name: "a".to_owned() })]
 #[case(Change::ReturnCentre { name: "a".to_owned() })]
@@ -76,8 +76,8 @@
 
 #[test]
 fn begin_round_trip() {
-    let read = decode_record(&encode_begin(ORDINARY));
-    assert_eq!(read, Ok(Record::Begin(ORDINARY.to_owned())));
+    let read = decode_record(&encode_begin(PRESET));
+    assert_eq!(read, Ok(Record::Begin(PRESET.to_owned())));
 }
 
 // A record of a newer release is reported as such and skipped.
