--- a/components/protocol/src/config_record.rs
+++ b/components/protocol/src/config_record.rs
@@ -118,7 +118,7 @@
     encode_record(Kind::Snapshot(json.into()))
 }
 
-/// Encodes the record that replaces the configuration by one with only this preset.
+/// Encodes the record that starts a new configuration with only this preset, in force.
 pub fn encode_begin(text: &str) -> Bytes {
     encode_record(Kind::Begin(text.to_owned()))
 }
--- a/components/protocol/src/member.rs
+++ b/components/protocol/src/member.rs
@@ -169,7 +169,7 @@
             WireKind::Gossip(r) => MemberMessage::Gossip(Gossip {
                 host: HostKey(r.host),
                 incarnation: r.incarnation,
-                event: decode_event(r.event.ok_or(ProtocolError::Missing("news"))?),
+                event: decode_event(r.event.ok_or(ProtocolError::Missing("gossip event"))?),
             }),
         };
         Ok(message)
--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -23,7 +23,7 @@
 
 /// Maximum size in bytes of records sent in one datagram.
 ///
-/// The limit is well below the maximum size of a datagram.
+/// The limit is well below the maximum payload of a datagram.
 pub const DATAGRAM_LIMIT: usize = 16 * 1024;
 
 /// The topic of the store that a message refers to.
@@ -58,7 +58,7 @@
     FragmentRequest(Topic, FragmentRequest),
     /// Requests probes from the receiver's budget, since the sender's is nearly used up.
     ///
-    /// The value numbers the sender's requests.
+    /// The value identifies the request among those of the sender.
     Borrow(u32),
     /// Transfers probes from the sender's budget to the receiver's.
     Lend(ProbeLoan),
@@ -74,7 +74,7 @@
 /// hosts together keep the limit.
 #[tag]
 pub struct ProbeLoan {
-    /// The number of the request that is answered.
+    /// The identifier of the request that is answered.
     pub request_id: u32,
     /// The number of probes lent.
     pub probes: u32,
@@ -181,7 +181,7 @@
     fragment: Option<WireFragment>,
     #[prost(message, optional, tag = "14")]
     fragment_request: Option<WireFragmentRequest>,
-    /// The number of a request for probes.
+    /// The identifier of a request for probes.
     #[prost(uint32, tag = "15")]
     request_id: u32,
     #[prost(uint32, tag = "16")]
--- a/components/protocol/src/peer.rs
+++ b/components/protocol/src/peer.rs
@@ -116,10 +116,10 @@
 }
 
 impl PeerMessage {
-    /// Returns whether the message is large and must be sent after all others in the queue.
+    /// Returns whether the message is bulk data, which is sent after all other queued messages.
     ///
     /// A configuration of some hundred kilobytes that is sent ahead of a heartbeat
-    /// would delay it until the receiver suspects a running host.
+    /// would delay the heartbeat until the receiver suspects a running host.
     pub fn is_bulk(&self) -> bool {
         match self {
             PeerMessage::Claim(ClaimMessage::Answer(_, answer)) => {
--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -84,7 +84,7 @@
 }
 
 impl Action {
-    /// Returns the message after the action on the object that `object` describes.
+    /// Returns the message that confirms the action on `object`.
     pub fn message(self, object: &str) -> String {
         match self {
             Action::Leave => format!("{object} gets no new work"),
