--- a/components/protocol/src/limit_report.rs
+++ b/components/protocol/src/limit_report.rs
@@ -1,52 +1,54 @@
-//! What entry hosts tell each other of rate limits that endpoints advertise.
+//! Reports between entry hosts on rate limits that endpoints advertise.
 
 use prost::Message;
 use state::EndpointKey;
 use state::fleet::rate_limit::RateLimitUpdate;
 
-/// Limits that endpoints have named, or name no more.
+/// Changes of the rate limits that endpoints advertise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitReport {
-    /// Whether the receiver is to tell the hosts of its data centre.
+    /// Whether the sender is in another data centre.
+    ///
+    /// The receiver then distributes the report within its own data centre.
     pub cross_centre: bool,
-    /// One entry an endpoint.
+    /// One entry for each endpoint.
     pub advice: Vec<RateLimitUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct WireLimits {
+pub(crate) struct WireLimitReport {
     #[prost(message, repeated, tag = "1")]
-    advice: Vec<WireAdvice>,
+    advice: Vec<WireRateLimitUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireAdvice {
+struct WireRateLimitUpdate {
     #[prost(fixed64, tag = "1")]
     endpoint: u64,
-    /// Requests a second from all hosts together.
+    /// Requests per second from all hosts together.
     #[prost(double, optional, tag = "2")]
     rate: Option<f64>,
 }
 
-impl From<&LimitReport> for WireLimits {
-    fn from(limits: &LimitReport) -> WireLimits {
-        let advice = limits.advice.iter().map(|advice| WireAdvice {
+impl From<&LimitReport> for WireLimitReport {
+    fn from(limits: &LimitReport) -> WireLimitReport {
+        let advice = limits.advice.iter().map(|advice| WireRateLimitUpdate {
             endpoint: advice.endpoint.0,
             rate: advice.rate,
         });
-        WireLimits {
+        WireLimitReport {
             advice: advice.collect(),
         }
     }
 }
 
-impl WireLimits {
-    /// Reads the message; a limit that is no number of requests is left out.
-    pub(crate) fn read(self, cross_centre: bool) -> LimitReport {
-        let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
+impl WireLimitReport {
+    /// Decodes the report and drops limits that are negative or not finite.
+    pub(crate) fn into_report(self, cross_centre: bool) -> LimitReport {
+        let is_valid = |rate: f64| rate.is_finite() && rate >= 0.0;
         let advice = self.advice.into_iter();
         let advice = advice
-            .filter(|a| a.rate.is_none_or(sound))
+            .filter(|a| a.rate.is_none_or(is_valid))
             .map(|a| RateLimitUpdate {
                 endpoint: EndpointKey(a.endpoint),
                 rate: a.rate,
--- a/components/protocol/tests/config_record.rs
+++ b/components/protocol/tests/config_record.rs
@@ -1,4 +1,4 @@
-//! Records of the `config` stream: whole there and back, and never a panic.
+//! Encoding and decoding of records of the `config` topic.
 
 use bytes::Bytes;
 use coordination::config::{Change, Command, CommandId, Fold, Record, Unreadable};
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use state::HostKey;
 
-const ORDINARY: &str = include_str!("../../../examples/hr-central.toml");
+const PRESET: &str = include_str!("../../../examples/hr-central.toml");
 
 fn command(change: Change) -> Command {
     Command {
@@ -20,12 +20,12 @@
 
 fn put() -> Command {
     command(Change::PutPreset {
-        text: ORDINARY.to_owned(),
+        text: PRESET.to_owned(),
     })
 }
 
 #[rstest]
-#[case(Change::PutPreset { text: ORDINARY.to_owned() })]
+#[case(Change::PutPreset { text: PRESET.to_owned() })]
 #[case(Change::ChoosePreset { name: "peak".to_owned() })]
 #[case(Change::LeaveCentre { name: "a".to_owned() })]
 #[case(Change::ReturnCentre { name: "a".to_owned() })]
@@ -34,14 +34,14 @@
 #[case(Change::Join { name: "a-1".to_owned(), incarnation: u64::MAX, peer: "[::1]:9".parse().unwrap(), data_centre: "a".to_owned() })]
 #[case(Change::Drain { host: HostKey(7), incarnation: u64::MAX })]
 #[case(Change::Remove { host: HostKey(u64::MAX), incarnation: 1 })]
-fn there_and_back(#[case] change: Change) {
+fn round_trip(#[case] change: Change) {
     let command = command(change);
     let read = decode_record(&encode_command(&command));
     assert_eq!(read, Ok(Record::Command(command)));
 }
 
 #[test]
-fn snapshot_kept() {
+fn snapshot_round_trip() {
     let mut fold = Fold::default();
     for (offset, change) in (0..).zip([
         put().change,
@@ -75,16 +75,16 @@
 }
 
 #[test]
-fn beginning_kept() {
-    let read = decode_record(&encode_begin(ORDINARY));
-    assert_eq!(read, Ok(Record::Begin(ORDINARY.to_owned())));
+fn begin_round_trip() {
+    let read = decode_record(&encode_begin(PRESET));
+    assert_eq!(read, Ok(Record::Begin(PRESET.to_owned())));
 }
 
-// A newer release has written to the log. This one says so and folds on.
+// A record of a newer release is reported as such and skipped.
 #[test]
 fn newer_version() {
     let mut record = encode_command(&put()).to_vec();
-    assert_eq!(record[..2], [8, 1], "the version stands first");
+    assert_eq!(record[..2], [8, 1], "the record starts with the version");
     record[1] = 9;
     assert_eq!(decode_record(&record.into()), Err(Unreadable::Newer(9)));
 }
@@ -92,7 +92,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Bytes that were changed on the way never pass for a command.
+    /// The checksum detects every changed byte.
     #[test]
     fn damaged_byte(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
         let mut record = encode_command(&put()).to_vec();
--- a/components/protocol/tests/neighbour_messages.rs
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -1,4 +1,4 @@
-//! What neighbours tell each other, and what is refused.
+//! Encoding and decoding of messages between neighbours.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use state::fleet::rate_limit::RateLimitUpdate;
 use state::fleet::{Fingerprint, Fingerprints};
 
-fn news(records: Vec<Vec<u8>>) -> RecordUpdate {
+fn update(records: Vec<Vec<u8>>) -> RecordUpdate {
     RecordUpdate {
         topic: Topic::Endpoints,
         reader: "10.1.2.4:7540".parse().expect("an address"),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn there_and_back() {
+fn round_trip() {
     let messages = [
         NeighbourMessage::CrashReport(crashes()),
         NeighbourMessage::LimitReport(limits()),
@@ -77,7 +77,7 @@
                 address: "10.3.2.3:7540".parse().expect("an address"),
             }],
         }),
-        NeighbourMessage::Update(news(vec![b"one".to_vec(), Vec::new()])),
+        NeighbourMessage::Update(update(vec![b"one".to_vec(), Vec::new()])),
         NeighbourMessage::ReadFailed(Topic::Operators),
         NeighbourMessage::SnapshotRequest(Topic::Endpoints),
         NeighbourMessage::RecordsRequest(Topic::Endpoints, 41),
@@ -112,13 +112,13 @@
         ),
     ];
     for message in messages {
-        let read = NeighbourMessage::decode(&message.encode()).expect("it is whole");
+        let read = NeighbourMessage::decode(&message.encode()).expect("the message is valid");
         assert_eq!(read, message);
     }
 }
 
 #[test]
-fn bad_datagrams() {
+fn invalid_datagrams() {
     assert!(NeighbourMessage::decode(&[]).is_err());
     assert!(NeighbourMessage::decode(&[9, 1, 2]).is_err());
     assert!(NeighbourMessage::decode(&[3, 8, 77]).is_err());
@@ -129,14 +129,15 @@
 proptest! {
     #[test]
     fn any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        // Whatever comes, it is read or refused.
+        // No input may cause a panic.
         let _ = NeighbourMessage::decode(&bytes);
     }
 }
 
-/// A limit that is no number of requests must not reach what counts by it.
+/// A limit that isn't a finite number of zero or more is dropped, since it would
+/// break the rate limiter that uses it.
 #[test]
-fn senseless_limits() {
+fn invalid_limits() {
     let rates = [f64::NAN, f64::INFINITY, -1.0, 2.0];
     let advice = rates.map(|rate| RateLimitUpdate {
         endpoint: EndpointKey(1),
@@ -148,12 +149,12 @@
     });
     let Ok(NeighbourMessage::LimitReport(read)) = NeighbourMessage::decode(&message.encode())
     else {
-        panic!("it is read");
+        panic!("the message is not decoded as limits");
     };
     assert_eq!(read.advice, advice[3..]);
 }
 
-/// Reports go to all hosts, so that their size counts hundreds of times.
+/// Reports are sent to all hosts, so each byte of a report is sent hundreds of times.
 #[test]
 fn small_reports() {
     let CrashReport { runs, findings, .. } = crashes();
--- a/src/cmd/preset.rs
+++ b/src/cmd/preset.rs
@@ -1,4 +1,4 @@
-//! Checks, puts, lists, shows and chooses presets.
+//! The command `preset`, which checks, submits, lists, shows and chooses presets.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use coordination::config::{Change, PresetErrors, parse_preset};
 use state::Preset;
 
-use super::operator::{Grounds, Target};
+use super::operator::{CommandOptions, Target};
 use crate::cli::{self, PresetCmd};
 
 /// Runs one of the `preset` commands.
@@ -15,12 +15,12 @@
     match flags.subcommand {
         PresetCmd::Check(f) => check(&f.file, &Target::new(None, None, f.json)),
         PresetCmd::Put(f) => {
-            let grounds = Grounds {
+            let options = CommandOptions {
                 revision: None,
                 id: f.id,
             };
             let target = Target::new(f.log_address, f.entry, f.json);
-            put(&f.file, &grounds, &target)
+            put(&f.file, &options, &target)
         }
         PresetCmd::Begin(f) => begin(&f.file, &Target::new(f.log_address, None, f.json)),
         PresetCmd::List(f) => list(&Target::new(f.log_address, f.entry, f.json)),
@@ -29,17 +29,17 @@
             show(f.name.as_deref(), &target)
         }
         PresetCmd::Choose(f) => {
-            let grounds = Grounds {
+            let options = CommandOptions {
                 revision: f.revision,
                 id: f.id,
             };
             let target = Target::new(f.log_address, f.entry, f.json);
-            choose(&f.name, &grounds, &target)
+            choose(&f.name, &options, &target)
         }
     }
 }
 
-/// Checks a preset's file without taking it.
+/// Checks a preset's file without submitting it.
 fn check(file: &Path, target: &Target) -> ExitCode {
     let (_, preset) = match load(file, target) {
         Ok(loaded) => loaded,
@@ -57,18 +57,18 @@
     ExitCode::SUCCESS
 }
 
-/// Offers a preset's file to the log; it is taken whole or not at all.
-fn put(file: &Path, grounds: &Grounds, target: &Target) -> ExitCode {
+/// Submits a preset's file; the whole preset is accepted or nothing.
+fn put(file: &Path, options: &CommandOptions, target: &Target) -> ExitCode {
     match load(file, target) {
         Ok((text, preset)) => {
             let done = format!("preset {} is put", preset.name);
-            target.submit(Change::PutPreset { text }, grounds, &done)
+            target.submit(Change::PutPreset { text }, options, &done)
         }
         Err(code) => code,
     }
 }
 
-/// Begins anew with a preset's file in force, where the log has forgotten all.
+/// Starts a new configuration with a preset in force, if the store has lost the old one.
 fn begin(file: &Path, target: &Target) -> ExitCode {
     match load(file, target) {
         Ok((text, preset)) => {
@@ -79,15 +79,15 @@
     }
 }
 
-/// Brings a preset into force.
-fn choose(name: &str, grounds: &Grounds, target: &Target) -> ExitCode {
+/// Puts a preset in force.
+fn choose(name: &str, options: &CommandOptions, target: &Target) -> ExitCode {
     let change = Change::ChoosePreset {
         name: name.to_owned(),
     };
-    target.submit(change, grounds, &format!("preset {name} is in force"))
+    target.submit(change, options, &format!("preset {name} is in force"))
 }
 
-/// Lists the presets, the one in force marked, with what is leaving.
+/// Lists the presets and marks the one in force; lists leaving data centres and hosts.
 fn list(target: &Target) -> ExitCode {
     let config = match target.read() {
         Ok(config) => config,
@@ -129,7 +129,7 @@
     ExitCode::SUCCESS
 }
 
-/// Shows a preset as TOML, or JSON; the one in force where no name is given.
+/// Shows a preset as TOML or JSON, by default the one in force.
 fn show(name: Option<&str>, target: &Target) -> ExitCode {
     let config = match target.read() {
         Ok(config) => config,
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! Runs an entry host on the platform until it is told to stop.
+//! The command `serve`, which runs an entry host on the platform until a signal stops it.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,49 +13,49 @@
 use tokio::time::{MissedTickBehavior, interval};
 use transport::gateway::{Gateway, Settings};
 
-use crate::{cli, host_file, logs};
+use crate::{cli, logs, settings_file};
 
-/// What a script sees where the settings are at fault.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 
-/// How often it is looked whether the settings file has changed without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// How often the settings file is checked for changes, in addition to a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs an entry host; ends with 0 once it has drained.
+/// Runs an entry host; exits with 0 after a signal, once the host has drained.
 ///
 /// # Errors
 ///
-/// Fails where a port can't be had.
+/// Fails if the host can't listen on one of its ports.
 pub fn run(flags: cli::Serve) -> eyre::Result<ExitCode> {
     let level = match flags.log_level.as_deref().map(str::parse::<LevelFilter>) {
         None => LevelFilter::Info,
         Some(Ok(level)) => level,
         Some(Err(_)) => {
-            tell(&["--log-level: must be error, warn, info, debug or trace".to_owned()]);
+            print_errors(&["--log-level: must be error, warn, info, debug or trace".to_owned()]);
             return Ok(ExitCode::from(EXIT_SETTINGS));
         }
     };
-    let read = host_file::path(flags.settings).and_then(|p| Ok((host_file::read(&p)?, p)));
+    let read = settings_file::path(flags.settings).and_then(|p| Ok((settings_file::read(&p)?, p)));
     match read {
         Ok((settings, path)) => serve(settings, &path, level),
-        Err(faults) => {
-            tell(&faults);
+        Err(errors) => {
+            print_errors(&errors);
             Ok(ExitCode::from(EXIT_SETTINGS))
         }
     }
 }
 
-/// Prints the faults of a settings file.
-pub fn tell(faults: &[String]) {
-    eprintln!("error: the settings are at fault:");
-    for fault in faults {
-        eprintln!("  {fault}");
+/// Prints the errors of a settings file.
+pub fn print_errors(errors: &[String]) {
+    eprintln!("error: invalid settings:");
+    for error in errors {
+        eprintln!("  {error}");
     }
 }
 
 fn serve(settings: Settings, path: &Path, level: LevelFilter) -> eyre::Result<ExitCode> {
     logs::start(level)?;
-    // One thread: a host has a fraction of a core, and state needs no locks.
+    // One thread is enough, since a host has a fraction of a core, and the state needs no locks.
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -80,25 +80,25 @@
     })
 }
 
-/// Takes over what has changed in the settings file, on a signal or without one.
+/// Applies changes of the settings file, periodically and on SIGHUP.
 ///
-/// What is promised to operators and how many callers are held changes at once.
-/// Names, addresses and the store are fixed for a process's life: a change of
-/// them is told in the log and waits for the next start.
+/// The limits that operators set and the maximum number of callers change at once.
+/// Names, addresses and the store stay the same while the process runs: a change of
+/// them is logged and takes effect at the next start.
 async fn watch_settings(path: PathBuf, started: Settings, gateway: Rc<Gateway>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         log::error!("E0506 signal-unavailable signal=SIGHUP");
         return;
     };
-    let mut ticks = interval(LOOK_EVERY);
+    let mut ticks = interval(RELOAD_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut seen = started;
     loop {
         tokio::select! {
-            _ = hangup.recv() => log::info!("E0507 settings-reload-asked"),
+            _ = hangup.recv() => log::info!("E0507 settings-reload-requested"),
             _ = ticks.tick() => {}
         }
-        match host_file::read(&path) {
+        match settings_file::read(&path) {
             Ok(now) if now == seen => {}
             Ok(now) => {
                 if now.live != seen.live {
@@ -107,11 +107,13 @@
                 }
                 seen.live = now.live.clone();
                 if now != seen {
-                    log::warn!("E0508 settings-changed; the rest waits for the next start");
+                    log::warn!(
+                        "E0508 settings-changed; the other changes take effect at the next start"
+                    );
                 }
                 seen = now;
             }
-            Err(faults) => log::warn!("E0509 settings-at-fault faults={faults:?}"),
+            Err(errors) => log::warn!("E0509 settings-invalid faults={errors:?}"),
         }
     }
 }
