--- a/components/state/tests/wait_queue.rs
+++ b/components/state/tests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an endpoint, and which of them asks.
+//! Requests that wait for an endpoint, and which of them probes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 const TICK: Duration = Duration::from_millis(1);
 const SLOTS: u32 = 4;
 
-/// How long an endpoint takes to answer; meanwhile others ask it too.
+/// How long an endpoint takes to answer a probe; others probe it meanwhile.
 const ANSWER: Duration = Duration::from_millis(2);
 
 /// One host whose requests all wait for the same few endpoints.
@@ -25,7 +25,7 @@
     queue: WaitQueue,
     waiting: Vec<Waiting>,
     random: StdRng,
-    /// Requests that endpoints run for other hosts.
+    /// The number of requests that each endpoint runs for all hosts.
     taken: BTreeMap<EndpointKey, u32>,
     asks: usize,
     placed: Vec<(usize, EndpointKey)>,
@@ -54,7 +54,7 @@
 }
 
 impl Host {
-    /// Returns a host beside endpoints that are all full.
+    /// Returns a host whose endpoints are all full.
     fn full(names: &[&str]) -> Host {
         let mut registry = Registry::default();
         let mut taken = BTreeMap::new();
@@ -94,7 +94,7 @@
         });
     }
 
-    /// Lets all requests go on whose time has come.
+    /// Runs all requests that are due.
     fn step(&mut self, now: Moment) {
         for mut waiting in std::mem::take(&mut self.waiting) {
             match waiting.due > now || self.go_on(&mut waiting, now) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Moves one request on; false where it waits no longer.
+    /// Runs one request's next step; returns whether it is still waiting.
     fn go_on(&mut self, waiting: &mut Waiting, now: Moment) -> bool {
         if let Some(key) = waiting.asking.take() {
             self.see(key, now);
@@ -134,7 +134,10 @@
                 true
             }
             Step::Place(key) => {
-                self.registry.get_mut(key).expect("it is known").start();
+                self.registry
+                    .get_mut(key)
+                    .expect("the endpoint is known")
+                    .start();
                 *self.taken.entry(key).or_default() += 1;
                 self.placed.push((waiting.number, key));
                 false
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Lets a request leave the line, and calls who is first then.
+    /// Removes a request from the queue and wakes the new first one.
     fn called(&mut self, ticket: Option<Ticket>, now: Moment) {
         let next = ticket.and_then(|t| self.queue.remove(t));
         self.wake(next, now);
@@ -169,11 +172,11 @@
         };
         self.registry
             .get_mut(key)
-            .expect("it is known")
+            .expect("the endpoint is known")
             .set_sample(look);
     }
 
-    /// Has a request of this host end at an endpoint, which tells its load.
+    /// Ends a request of this host at an endpoint, whose answer reports its load.
     fn end(&mut self, name: &str, left: u32, now: Moment) {
         let key = endpoint(name).key();
         self.taken.insert(key, left);
@@ -198,9 +201,9 @@
     }
 }
 
-/// A burst beyond what all endpoints bear: forty requests wait at one host. Each
-/// asking for itself, the host alone would ask its endpoints 2,000 times in
-/// 300 ms, and a site's hosts would spend more on asking than on serving.
+/// In a burst beyond the capacity of all endpoints forty requests wait at one host. If
+/// each of them probed, this host alone would send its endpoints 2,000 probes in 300 ms,
+/// and the hosts of a site would spend more time on probes than on requests.
 #[test]
 fn one_asks() {
     let mut host = Host::full(&["a", "b", "c", "d"]);
@@ -212,13 +215,13 @@
         Duration::from_millis(300),
     );
     assert!(host.placed.is_empty());
-    // Four endpoints, asked anew every 40 ms.
-    assert!(host.asks <= 4 * 9, "{} questions in 300 ms", host.asks);
+    // Four endpoints, probed again every 40 ms.
+    assert!(host.asks <= 4 * 9, "{} probes in 300 ms", host.asks);
 }
 
-/// A slot comes free as a request of this host ends. The host knows it before
-/// any other can ask: the first in line gets the slot at once, one request only,
-/// and nothing is asked.
+/// A slot becomes free as a request of this host ends. The host knows before any other
+/// host can probe: the first waiting request, and no other, must get the slot at once
+/// without a probe.
 #[test]
 fn slot_handed_on() {
     let mut host = Host::full(&["a", "b"]);
@@ -233,8 +236,8 @@
     assert_eq!(host.asks, 0);
 }
 
-/// Lookups and deposits wait for the same endpoints. A family whose deposit is
-/// refused since lookups came a moment earlier is wronged.
+/// Lookups and deposits wait for the same endpoints. An urgent deposit must not be
+/// rejected because lookups arrived a moment earlier.
 #[test]
 fn urgent_first() {
     let mut host = Host::full(&["a"]);
@@ -249,8 +252,8 @@
     assert_eq!(host.placed, [(2, endpoint("a").key())]);
 }
 
-/// The first one gives up: whoever is next takes over asking, or the whole line
-/// would stand until its time is over.
+/// When the first request gives up, the next one must take over probing, or the whole
+/// queue would stand still until its deadline.
 #[test]
 fn next_is_called() {
     let mut queue = WaitQueue::default();
--- a/components/state/tests/waiting_calls.rs
+++ b/components/state/tests/waiting_calls.rs
@@ -1,4 +1,4 @@
-//! The queue of waiting calls and who may join it.
+//! The queue of waiting calls, and admission to it.
 
 use std::time::Duration;
 
@@ -42,8 +42,8 @@
     assert_eq!(queue.take(EndpointKey(8)).unwrap().call, CallKey(1));
 }
 
-// A call waits past its deadline because every slot runs long work. Its caller
-// must hear "not run" then, and not when a slot comes free at last.
+// A call waits past its deadline because every slot runs long work. It must be answered
+// as not run at its deadline, not when a slot becomes free at last.
 #[test]
 fn expired_leave() {
     let mut queue = Queue::new(9);
@@ -57,7 +57,7 @@
     assert!(queue.is_empty());
 }
 
-/// Returns a gate that has seen a waiting call start each `interval`.
+/// Returns admission control that has seen a waiting call start each `interval`.
 fn fed(interval: u64, starts: u64) -> AdmissionControl {
     let mut gate = AdmissionControl::new(Moment(0));
     for n in 0..starts {
@@ -78,9 +78,9 @@
     assert_eq!(full, Admission::Full);
 }
 
-// Twice the load that all slots bear, for seconds. The queue never empties and
-// every caller would wait as long as it is deep; instead new calls are refused
-// at once, and those admitted wait little.
+// Twice the load that all slots can take, for seconds. The queue never becomes empty, and
+// every call would wait as long as it is deep. New calls must be rejected at once, so
+// that those admitted wait only briefly.
 #[test]
 fn standing_queue() {
     let gate = fed(1, 12_000);
--- a/components/state/tests/windowed_retry_budget.rs
+++ b/components/state/tests/windowed_retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats over all hosts together.
+//! The budget of retries within a window, over all hosts together.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     window: Duration::from_secs(10),
 };
 
-/// Every request of a failing service would be sent again, at hosts that are
-/// unevenly loaded, are killed and start anew, and know nothing of each other.
-/// Without a bound over all of them, the repeats keep the service down.
+/// A failing service's requests would all be retried, at hosts that are unevenly loaded,
+/// are killed and restart, and don't communicate. Without a bound on the total, the
+/// retries keep the service down.
 #[test]
 fn sum_of_hosts() {
     for seed in 0..20 {
@@ -59,12 +59,12 @@
         }
         assert!(
             repeats.len() * 7 > requests.len(),
-            "seed {seed}: hardly any repeat"
+            "seed {seed}: hardly any retries"
         );
     }
 }
 
-/// A host that has served nothing has nothing to send again, but its share.
+/// A host without requests has nothing to retry but its share of the slack.
 #[test]
 fn idle_host() {
     let mut budget = WindowedRetryBudget::new(BOUNDS, Moment(0));
