--- a/components/state/src/admission.rs
+++ b/components/state/src/admission.rs
@@ -26,28 +26,28 @@
 ///
 /// - A call whose estimated wait exceeds its deadline is rejected at once, while "not
 ///   run" is still true and the caller can try elsewhere.
-/// - A queue that has not been empty for [`STANDING`] is a standing queue: it adds delay
+/// - A queue that has not been empty for [`STANDING_AFTER`] is a standing queue: it adds delay
 ///   without improving throughput. The longer it stands, the shorter the wait up to which
-///   new calls are admitted, down to [`TARGET`]. A burst shorter than [`STANDING`] is
+///   new calls are admitted, down to [`STANDING_WAIT_LIMIT`]. A burst shorter than [`STANDING_AFTER`] is
 ///   queued completely, and a busy period of a few seconds below full load still costs no
 ///   call.
 #[value]
 pub struct AdmissionControl {
     interval: Duration,
     samples: u32,
-    started: Option<Moment>,
-    emptied: Moment,
+    last_start: Option<Moment>,
+    last_empty: Moment,
 }
 
 /// A queue that is never empty for this long is a standing queue, not a burst.
-pub const STANDING: Duration = Duration::from_millis(1_000);
+pub const STANDING_AFTER: Duration = Duration::from_millis(1_000);
 /// The estimated wait up to which calls are admitted to a queue that has stood for long.
-pub const TARGET: Duration = Duration::from_millis(100);
+pub const STANDING_WAIT_LIMIT: Duration = Duration::from_millis(100);
 
 /// The number of starts observed before the estimate is used.
-const SAMPLES: u32 = 8;
+const MIN_SAMPLES: u32 = 8;
 /// The newest interval enters the running mean with the weight of one in this many.
-const WEIGHT: u32 = 16;
+const MEAN_WINDOW: u32 = 16;
 
 impl AdmissionControl {
     /// Returns the state of a queue that is empty at `now`, without any observed start.
@@ -55,31 +55,31 @@
         AdmissionControl {
             interval: Duration::ZERO,
             samples: 0,
-            started: None,
-            emptied: now,
+            last_start: None,
+            last_empty: now,
         }
     }
 
     /// Notes that a waiting call was started, and how many calls are still waiting.
     pub fn note_start(&mut self, waiting: usize, now: Moment) {
-        if let Some(last) = self.started {
+        if let Some(last) = self.last_start {
             let interval = now.since(last);
             self.interval = match self.samples {
                 0 => interval,
-                _ => (self.interval * (WEIGHT - 1) + interval) / WEIGHT,
+                _ => (self.interval * (MEAN_WINDOW - 1) + interval) / MEAN_WINDOW,
             };
             self.samples = self.samples.saturating_add(1);
         }
-        self.started = (waiting > 0).then_some(now);
+        self.last_start = (waiting > 0).then_some(now);
         if waiting == 0 {
-            self.emptied = now;
+            self.last_empty = now;
         }
     }
 
     /// Notes that no call is waiting.
     pub fn note_empty(&mut self, now: Moment) {
-        self.started = None;
-        self.emptied = now;
+        self.last_start = None;
+        self.last_empty = now;
     }
 
     /// Returns the estimated wait behind `ahead` calls, once enough starts were observed.
@@ -87,25 +87,27 @@
     /// A sudden drop of the rate shows in the time since the last start before it shows
     /// in the mean.
     pub fn estimate(&self, ahead: usize, now: Moment) -> Option<Duration> {
-        if self.samples < SAMPLES {
+        if self.samples < MIN_SAMPLES {
             return None;
         }
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
-        let silence = self.started.map_or(Duration::ZERO, |at| now.since(at));
+        let since_last_start = self.last_start.map_or(Duration::ZERO, |at| now.since(at));
         let spacing = self.interval.saturating_mul(ahead.saturating_add(1));
-        Some(spacing.max(silence))
+        Some(spacing.max(since_last_start))
     }
 
     /// Returns the wait up to which calls are admitted.
     ///
     /// The limit is one second divided by the number of seconds for which the queue has
     /// stood: 500 ms after two seconds, 100 ms from ten seconds on.
-    fn allowed(&self, now: Moment) -> Duration {
-        let stood = now.since(self.emptied);
-        if stood <= STANDING {
+    fn max_wait(&self, now: Moment) -> Duration {
+        let standing = now.since(self.last_empty);
+        if standing <= STANDING_AFTER {
             return Duration::MAX;
         }
-        STANDING.div_f64(stood.as_secs_f64()).max(TARGET)
+        STANDING_AFTER
+            .div_f64(standing.as_secs_f64())
+            .max(STANDING_WAIT_LIMIT)
     }
 
     /// Decides on a call that would wait behind `ahead` others and has `left` until its
@@ -114,7 +116,7 @@
         let wait = self.estimate(ahead, now);
         let limit = match ahead {
             0 => left,
-            _ => left.min(self.allowed(now)),
+            _ => left.min(self.max_wait(now)),
         };
         match wait {
             _ if full => Admission::Full,
--- a/components/state/src/capacity.rs
+++ b/components/state/src/capacity.rs
@@ -55,27 +55,27 @@
     boot: Option<String>,
     readiness: Option<Readiness>,
     degradation: Option<Degradation>,
-    tempo: SlowRate,
+    slow_rate: SlowRate,
     answered: u32,
-    shed: bool,
-    grown: Moment,
-    trial: Moment,
-    proofs: u32,
+    has_shed: bool,
+    grown_at: Moment,
+    next_trial: Moment,
+    successes: u32,
 }
 
 /// The least time between two increases of a cap.
 ///
 /// A backend server that fails under load does so within a few calls. Growing by one slot
 /// per quarter of a second leaves time for its first sheds to arrive.
-const GROWTH: Duration = Duration::from_millis(250);
+const GROWTH_INTERVAL: Duration = Duration::from_millis(250);
 /// The time between two trial calls to a degraded endpoint.
 ///
 /// One call a second to a server that is twenty times too slow is one in thousands: too
 /// few to affect the 99.9th percentile of a service of today's size.
-pub const TRIAL: Duration = Duration::from_millis(1_000);
+pub const TRIAL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The number of successful trials in a row after which an endpoint is used normally
 /// again.
-const PROOFS: u32 = 3;
+const RECOVERY_TRIALS: u32 = 3;
 
 impl Capacity {
     /// Returns the state of an endpoint about which nothing is known; it starts with the
@@ -88,12 +88,12 @@
             boot: None,
             readiness: None,
             degradation: None,
-            tempo: SlowRate::default(),
+            slow_rate: SlowRate::default(),
             answered: 0,
-            shed: false,
-            grown: now,
-            trial: now,
-            proofs: 0,
+            has_shed: false,
+            grown_at: now,
+            next_trial: now,
+            successes: 0,
         }
     }
 
@@ -133,9 +133,9 @@
     pub fn take_trial(&mut self, now: Moment) -> bool {
         let due = self.degradation.is_some()
             && self.readiness != Some(Readiness::Draining)
-            && self.trial <= now;
+            && self.next_trial <= now;
         if due {
-            self.trial = now + TRIAL;
+            self.next_trial = now + TRIAL_INTERVAL;
         }
         due
     }
@@ -149,27 +149,27 @@
     /// show when it has recovered.
     pub fn note_shed(&mut self, now: Moment) {
         let least = self.cap <= self.cold;
-        self.shed = true;
-        self.chill(now);
+        self.has_shed = true;
+        self.reset_cap(now);
         if least {
-            self.suspect(Degradation::Shedding, now);
+            self.degrade(Degradation::Shedding, now);
         }
     }
 
     /// Notes that no connection could be opened.
     pub fn note_unreachable(&mut self, now: Moment) {
-        self.chill(now);
-        self.suspect(Degradation::Down, now);
+        self.reset_cap(now);
+        self.degrade(Degradation::Down, now);
     }
 
-    /// Notes what an entry host observed: `over` slow calls out of `total`.
-    pub fn note_answers(&mut self, over: u32, total: u32, now: Moment) {
+    /// Notes what an entry host observed: `slow` slow calls out of `total`.
+    pub fn note_answers(&mut self, slow: u32, total: u32, now: Moment) {
         self.answered = self.answered.saturating_add(total);
-        self.tempo.note(over, total);
+        self.slow_rate.note(slow, total);
         match self.degradation {
-            Some(_) if over > 0 => self.proofs = 0,
-            Some(_) if total > 0 => self.prove(now),
-            None if self.tempo.is_slow() => self.suspect(Degradation::Slow, now),
+            Some(_) if slow > 0 => self.successes = 0,
+            Some(_) if total > 0 => self.count_success(now),
+            None if self.slow_rate.is_slow() => self.degrade(Degradation::Slow, now),
             _ => {}
         }
     }
@@ -181,52 +181,52 @@
         self.boot = Some(report.boot.clone());
         self.readiness = Some(report.readiness);
         match report.readiness {
-            Readiness::Cold => self.chill(now),
-            _ if restarted => self.chill(now),
+            Readiness::Cold => self.reset_cap(now),
+            _ if restarted => self.reset_cap(now),
             // Calls may be answered before the first report arrives. If the report were
             // ignored then, a site that starts under load would use a fraction of its
             // slots for seconds and reject the other calls.
-            Readiness::Warm if first && !self.shed && self.degradation.is_none() => {
+            Readiness::Warm if first && !self.has_shed && self.degradation.is_none() => {
                 self.cap = self.slots;
             }
             _ => {}
         }
         if self.degradation == Some(Degradation::Down) {
-            self.trial = self.trial.min(now);
+            self.next_trial = self.next_trial.min(now);
         }
     }
 
     /// Raises the cap by one slot if the leased slots have answered enough calls.
     pub fn grow(&mut self, now: Moment) {
         let held = self.readiness == Some(Readiness::Cold);
-        let proven = self.answered >= self.cap && now.since(self.grown) >= GROWTH;
+        let proven = self.answered >= self.cap && now.since(self.grown_at) >= GROWTH_INTERVAL;
         if held || !proven || self.cap >= self.slots {
             return;
         }
         self.cap += 1;
         self.answered = 0;
-        self.grown = now;
+        self.grown_at = now;
     }
 
-    fn chill(&mut self, now: Moment) {
+    fn reset_cap(&mut self, now: Moment) {
         self.cap = self.cap.min(self.cold);
         self.answered = 0;
-        self.grown = now;
+        self.grown_at = now;
     }
 
-    fn suspect(&mut self, degradation: Degradation, now: Moment) {
+    fn degrade(&mut self, degradation: Degradation, now: Moment) {
         self.degradation = Some(degradation);
-        self.proofs = 0;
-        self.trial = now + TRIAL;
+        self.successes = 0;
+        self.next_trial = now + TRIAL_INTERVAL;
     }
 
-    fn prove(&mut self, now: Moment) {
-        self.proofs += 1;
-        self.trial = now;
-        if self.proofs < PROOFS {
+    fn count_success(&mut self, now: Moment) {
+        self.successes += 1;
+        self.next_trial = now;
+        if self.successes < RECOVERY_TRIALS {
             return;
         }
         self.degradation = None;
-        self.tempo = SlowRate::default();
+        self.slow_rate = SlowRate::default();
     }
 }
--- a/components/state/src/fleet/endpoint.rs
+++ b/components/state/src/fleet/endpoint.rs
@@ -6,7 +6,7 @@
 use derives::value;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::load_sample::{GOOD, LoadSample};
+use super::load_sample::{GOOD_SLOWDOWN, LoadSample};
 use super::outcome::PassiveHealth;
 use crate::{DataCentreKey, EndpointKey, Moment, ServiceKey};
 
@@ -54,7 +54,7 @@
 /// How long an endpoint counts as new.
 ///
 /// Longer than any cold phase, so that the endpoint is still preferred once it is warm.
-const NEWCOMER: Duration = Duration::from_secs(15);
+const NEW_PERIOD: Duration = Duration::from_secs(15);
 
 impl Endpoint {
     /// Returns the key of this instance; a restarted server is another endpoint.
@@ -109,14 +109,14 @@
 
     /// Returns whether the endpoint joined recently and has not been probed by this host
     /// yet.
-    pub fn is_newcomer(&self, now: Moment) -> bool {
-        let lately = self.joined.is_some_and(|at| now.since(at) < NEWCOMER);
-        lately && self.sample.is_none()
+    pub fn is_new(&self, now: Moment) -> bool {
+        let recently = self.joined.is_some_and(|at| now.since(at) < NEW_PERIOD);
+        recently && self.sample.is_none()
     }
 
     /// Returns whether a fresh load sample predicts about the usual service time.
     pub fn is_good(&self, now: Moment) -> bool {
-        self.slowdown(now).is_some_and(|p| p <= GOOD)
+        self.slowdown(now).is_some_and(|p| p <= GOOD_SLOWDOWN)
     }
 
     /// Returns the slowdown predicted by a fresh load sample, or `None` without one.
--- a/components/state/src/fleet/load_sample.rs
+++ b/components/state/src/fleet/load_sample.rs
@@ -29,18 +29,18 @@
 ///
 /// The slowness of a machine changes about every 300 ms. After 30 ms one sample in ten is
 /// outdated, and another probe costs about a millisecond.
-pub const FRESH: Duration = Duration::from_millis(30);
+pub const SAMPLE_TTL: Duration = Duration::from_millis(30);
 
 /// How long a load sample of an endpoint that doesn't report its load is used.
 ///
 /// Such a sample only shows that the endpoint answers, and probing more often than once a
 /// second hardly improves on that.
-const BLIND_FRESH: Duration = Duration::from_secs(1);
+const UNREPORTED_SAMPLE_TTL: Duration = Duration::from_secs(1);
 
 /// The factor on the slowdown of an endpoint that reports itself unhealthy.
 ///
 /// Some endpoints report so although they work, so they are kept as a last resort.
-const ILL_FACTOR: f64 = 4.0;
+const UNHEALTHY_FACTOR: f64 = 4.0;
 
 /// The fraction of busy slots above which endpoints become slower.
 ///
@@ -55,12 +55,16 @@
 ///
 /// Machines disturbed by others (4 times as slow) and nearly full endpoints (1.7 times)
 /// are above it. Differences below it are hidden by the usual variation of service times.
-pub const GOOD: f64 = 1.35;
+pub const GOOD_SLOWDOWN: f64 = 1.35;
 
 impl LoadSample {
     /// Returns whether the sample is recent enough to be used.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        let limit = if self.reported { FRESH } else { BLIND_FRESH };
+        let limit = if self.reported {
+            SAMPLE_TTL
+        } else {
+            UNREPORTED_SAMPLE_TTL
+        };
         now.since(self.at) <= limit
     }
 
@@ -75,29 +79,29 @@
         } else {
             1.0
         };
-        let queue = (f64::from(self.taken(sent)) + 1.0 - slots).max(0.0) / slots;
-        let ill = if self.healthy { 1.0 } else { ILL_FACTOR };
-        slow * knee * ill * (1.0 + queue)
+        let queue = (f64::from(self.requests(sent)) + 1.0 - slots).max(0.0) / slots;
+        let unhealthy = if self.healthy { 1.0 } else { UNHEALTHY_FACTOR };
+        slow * knee * unhealthy * (1.0 + queue)
     }
 
     /// Returns whether the endpoint would be above the knee with one more request.
     pub fn is_loaded(&self, sent: u32) -> bool {
         let slots = f64::from(self.slots.max(1));
-        f64::from(self.taken(sent)) + 1.0 > slots * KNEE
+        f64::from(self.requests(sent)) + 1.0 > slots * KNEE
     }
 
     /// Returns the fraction of busy slots.
     pub fn load(&self, sent: u32) -> f64 {
-        f64::from(self.taken(sent)) / f64::from(self.slots.max(1))
+        f64::from(self.requests(sent)) / f64::from(self.slots.max(1))
     }
 
     /// Returns whether the endpoint has no requests.
     pub fn is_idle(&self, sent: u32) -> bool {
-        self.taken(sent) == 0
+        self.requests(sent) == 0
     }
 
     /// Returns the number of requests there, including `sent` ones since the sample.
-    fn taken(&self, sent: u32) -> u32 {
+    fn requests(&self, sent: u32) -> u32 {
         self.running + self.waiting + sent
     }
 }
--- a/components/state/src/fleet/outcome.rs
+++ b/components/state/src/fleet/outcome.rs
@@ -32,28 +32,28 @@
 /// halves it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PassiveHealth {
-    badness: f64,
+    failure_score: f64,
     avoid_until: Option<Moment>,
-    spells: u32,
+    avoidances: u32,
 }
 
 /// The score from which an endpoint is avoided.
 ///
 /// Reached by two failures in a row, or by a single failure to connect. One failed answer
 /// in 250 is usual and must not take an endpoint out of use.
-const LIMIT: f64 = 1.5;
+const AVOIDANCE_SCORE: f64 = 1.5;
 
 /// How long an endpoint is avoided the first time.
 ///
 /// Crashed endpoints come back after a few seconds. One trial per second finds them soon
 /// and costs a host one request in a hundred.
-const SPELL: Duration = Duration::from_millis(1_000);
+const FIRST_AVOIDANCE: Duration = Duration::from_millis(1_000);
 
 /// How often the time may double: 1 s, 2 s, 4 s.
-const SPELLS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 impl Outcome {
-    fn weight(self) -> f64 {
+    fn penalty(self) -> f64 {
         match self {
             Outcome::Answered => 0.0,
             Outcome::Shed => 0.5,
@@ -67,28 +67,28 @@
 impl PassiveHealth {
     /// Records an outcome.
     ///
-    /// `shedding` is the fraction of requests that all endpoints of the service together
+    /// `shed_rate` is the fraction of requests that all endpoints of the service together
     /// shed, 0 to 1. Shedding as much as the others doesn't count against an endpoint.
-    pub fn note(&mut self, outcome: Outcome, shedding: f64, now: Moment) {
+    pub fn note(&mut self, outcome: Outcome, shed_rate: f64, now: Moment) {
         if outcome == Outcome::Answered {
-            self.badness /= 2.0;
-            if !self.is_avoided(now) && self.badness < 0.2 {
-                self.spells = 0;
+            self.failure_score /= 2.0;
+            if !self.is_avoided(now) && self.failure_score < 0.2 {
+                self.avoidances = 0;
             }
             return;
         }
-        self.badness += match outcome {
-            Outcome::Shed => outcome.weight() * (1.0 - shedding),
-            _ => outcome.weight(),
+        self.failure_score += match outcome {
+            Outcome::Shed => outcome.penalty() * (1.0 - shed_rate),
+            _ => outcome.penalty(),
         };
-        if self.badness < LIMIT {
+        if self.failure_score < AVOIDANCE_SCORE {
             return;
         }
-        let spell = SPELL * 2u32.pow(self.spells.min(SPELLS));
-        self.avoid_until = Some(now + spell);
-        self.spells += 1;
+        let avoidance = FIRST_AVOIDANCE * 2u32.pow(self.avoidances.min(MAX_DOUBLINGS));
+        self.avoid_until = Some(now + avoidance);
+        self.avoidances += 1;
         // One more failure after this time avoids the endpoint again at once.
-        self.badness = LIMIT / 2.0;
+        self.failure_score = AVOIDANCE_SCORE / 2.0;
     }
 
     /// Returns whether the endpoint is avoided as long as there are others.
@@ -104,21 +104,21 @@
 /// they are full.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShedRate {
-    share: f64,
+    rate: f64,
 }
 
 /// The weight of one outcome in the running mean, which settles after twenty outcomes.
-const WEIGHT: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 
 impl ShedRate {
     /// Records an outcome.
     pub fn note(&mut self, outcome: Outcome) {
         let shed = f64::from(u8::from(outcome == Outcome::Shed));
-        self.share += (shed - self.share) * WEIGHT;
+        self.rate += (shed - self.rate) * MEAN_WEIGHT;
     }
 
     /// Returns the fraction of shed requests, 0 to 1.
-    pub fn share(&self) -> f64 {
-        self.share
+    pub fn rate(&self) -> f64 {
+        self.rate
     }
 }
--- a/components/state/src/fleet/placement.rs
+++ b/components/state/src/fleet/placement.rs
@@ -13,7 +13,7 @@
 use derives::tag;
 
 use super::endpoint::EndpointState;
-use super::load_sample::GOOD;
+use super::load_sample::GOOD_SLOWDOWN;
 use super::registry::Registry;
 use super::token_buckets::Quota;
 use crate::topology::{Distance, Topology};
@@ -22,23 +22,23 @@
 /// The most endpoints that one request probes in one round.
 ///
 /// With a third of the endpoints disturbed, all six are slow once in 700 rounds.
-const ASKS: usize = 6;
+const MAX_PROBES: usize = 6;
 
 /// How long a request waits before it probes again when all probed endpoints were slow.
 ///
 /// Disturbances change every 300 ms, and waiting costs nothing as long as the answer
 /// still comes within the objective.
-const PAUSE: Duration = Duration::from_millis(40);
+const REPROBE_DELAY: Duration = Duration::from_millis(40);
 
 /// The factor on the expected service time within which work usually completes.
 ///
 /// Service times vary by about a third around their mean.
-const SPREAD: f64 = 1.5;
+const SERVICE_TIME_MARGIN: f64 = 1.5;
 
 /// The fraction of the expected service time below which placing a request is pointless.
 ///
 /// Hardly any request completes in half of its expected service time.
-const LEAST: f64 = 0.5;
+const MIN_TIME_FRACTION: f64 = 0.5;
 
 /// The properties of a request that placement depends on.
 #[tag]
@@ -87,20 +87,20 @@
 /// The placement state of one request: which endpoints it has probed and tried.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
-    asked: BTreeSet<EndpointKey>,
+    probed: BTreeSet<EndpointKey>,
     tried: BTreeSet<EndpointKey>,
-    dead: BTreeSet<EndpointKey>,
+    unreachable: BTreeSet<EndpointKey>,
 }
 
 /// How a request may find an endpoint.
 #[tag]
-enum Turn {
+enum ProbeMode {
     /// By probing endpoints.
-    Asks,
+    Probe,
     /// By taking an endpoint without a probe, since this host's probe budget is used up.
-    Guesses,
+    Unprobed,
     /// By the load samples that other requests collect.
-    Others,
+    KnownOnly,
 }
 
 /// An endpoint that the request may be sent to.
@@ -108,7 +108,7 @@
     key: EndpointKey,
     state: &'a EndpointState,
     distance: Distance,
-    kept: bool,
+    connected: bool,
     /// Whether the endpoint advertises a rate limit for which this host has a token now.
     limited: bool,
 }
@@ -139,12 +139,12 @@
     /// Notes that the request was sent to `key`, so that its next attempt goes elsewhere.
     pub fn note_tried(&mut self, key: EndpointKey) {
         self.tried.insert(key);
-        self.asked.clear();
+        self.probed.clear();
     }
 
     /// Notes that `key` did not answer a probe.
     pub fn note_unanswered(&mut self, key: EndpointKey) {
-        self.dead.insert(key);
+        self.unreachable.insert(key);
     }
 
     /// Decides the next step; `draw` returns random numbers from 0 to 1.
@@ -176,7 +176,7 @@
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
         let left = now.until(request.deadline);
-        if left < request.service_time.mul_f64(LEAST) {
+        if left < request.service_time.mul_f64(MIN_TIME_FRACTION) {
             return Step::Refuse(Refusal::TooLate);
         }
         let registry = &*context.registry;
@@ -192,7 +192,7 @@
                 distance: context
                     .topology
                     .distance(request.home, state.endpoint.centre),
-                kept: (context.is_connected)(key),
+                connected: (context.is_connected)(key),
                 limited: registry.limits().contains(key),
             })
             .collect();
@@ -208,26 +208,26 @@
             let keys = usable.iter().map(|c| c.key).collect();
             return self.place_cold(context, keys, request, now, draw);
         }
-        let sound: Vec<&Candidate<'_>> = warm
+        let healthy: Vec<&Candidate<'_>> = warm
             .iter()
             .copied()
             .filter(|c| !c.state.health.is_avoided(now))
             .filter(|c| !registry.is_unreachable(c.state.endpoint.centre, now))
             .collect();
-        let chosen = if sound.is_empty() { warm } else { sound };
-        let turn = match (context.is_first, context.may_probe) {
-            (false, _) => Turn::Others,
-            (true, true) => Turn::Asks,
-            (true, false) => Turn::Guesses,
+        let chosen = if healthy.is_empty() { warm } else { healthy };
+        let mode = match (context.is_first, context.may_probe) {
+            (false, _) => ProbeMode::KnownOnly,
+            (true, true) => ProbeMode::Probe,
+            (true, false) => ProbeMode::Unprobed,
         };
-        let step = self.choose(&chosen, request, turn, now, draw);
-        let settled = match step {
-            _ if turn != Turn::Asks => true,
+        let step = self.choose(&chosen, request, mode, now, draw);
+        let is_final = match step {
+            _ if mode != ProbeMode::Probe => true,
             Step::Probe(_) => true,
             Step::Place(key) => chosen.iter().any(|c| c.key == key && c.state.is_good(now)),
             Step::Wait(_) | Step::Refuse(_) => false,
         };
-        if settled {
+        if is_final {
             return step;
         }
         let cold: Vec<EndpointKey> = usable
@@ -256,15 +256,15 @@
             if !registry.cold_buckets_mut().has(*key, quota, draw(), now) {
                 continue;
             }
-            let pace = registry.get(*key).and_then(|s| s.slowdown(now));
-            match pace {
-                Some(pace)
-                    if pace <= GOOD
+            let slowdown = registry.get(*key).and_then(|s| s.slowdown(now));
+            match slowdown {
+                Some(slowdown)
+                    if slowdown <= GOOD_SLOWDOWN
                         && registry.cold_buckets_mut().take(*key, quota, draw(), now) =>
                 {
                     return Some(Step::Place(*key));
                 }
-                None if self.asked.insert(*key) => return Some(Step::Probe(*key)),
+                None if self.probed.insert(*key) => return Some(Step::Probe(*key)),
                 _ => {}
             }
         }
@@ -277,7 +277,7 @@
             && !context.leaving_centres.contains(&centre)
             && context.topology.is_allowed(context.regions, centre)
             && !self.tried.contains(&key)
-            && !self.dead.contains(&key)
+            && !self.unreachable.contains(&key)
     }
 
     /// Chooses among warm endpoints: first those of the same data centre, then waiting,
@@ -292,73 +292,73 @@
         &mut self,
         candidates: &[&Candidate<'_>],
         request: &Request,
-        turn: Turn,
+        mode: ProbeMode,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
-        let near = at(candidates, Distance::SameCentre);
-        if let Some(step) = self.good_or_ask(&near, turn, now, draw) {
+        let near = at_distance(candidates, Distance::SameCentre);
+        if let Some(step) = self.good_or_probe(&near, mode, now, draw) {
             return step;
         }
         let slack = now.until(request.objective);
-        let spare = slack.saturating_sub(request.service_time.mul_f64(SPREAD));
-        let patient = spare > PAUSE;
+        let spare = slack.saturating_sub(request.service_time.mul_f64(SERVICE_TIME_MARGIN));
+        let may_wait = spare > REPROBE_DELAY;
         let disturbed = near.iter().any(|c| is_disturbed(c.state, now));
         let loaded = near.iter().any(|c| is_loaded(c.state, now));
-        if turn == Turn::Asks && patient && disturbed && !loaded {
-            return self.wait(PAUSE);
+        if mode == ProbeMode::Probe && may_wait && disturbed && !loaded {
+            return self.wait(REPROBE_DELAY);
         }
         for distance in [Distance::SameRegion, Distance::OtherRegion] {
-            let far = at(candidates, distance);
-            if let Some(step) = self.good_or_ask(&far, turn, now, draw) {
+            let far = at_distance(candidates, distance);
+            if let Some(step) = self.good_or_probe(&far, mode, now, draw) {
                 return step;
             }
         }
-        if patient {
-            return self.wait(match turn {
-                Turn::Asks | Turn::Guesses => PAUSE,
-                Turn::Others => spare - PAUSE,
+        if may_wait {
+            return self.wait(match mode {
+                ProbeMode::Probe | ProbeMode::Unprobed => REPROBE_DELAY,
+                ProbeMode::KnownOnly => spare - REPROBE_DELAY,
             });
         }
-        match best(candidates, now) {
+        match best_idle(candidates, now) {
             Some(key) => Step::Place(key),
             None => Step::Refuse(Refusal::Full),
         }
     }
 
     fn wait(&mut self, time: Duration) -> Step {
-        self.asked.clear();
+        self.probed.clear();
         Step::Wait(time)
     }
 
     /// Returns a fast endpoint to place the request on, or the next endpoint to probe.
-    fn good_or_ask(
+    fn good_or_probe(
         &mut self,
         candidates: &[&Candidate<'_>],
-        turn: Turn,
+        mode: ProbeMode,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Option<Step> {
-        if let Some(key) = good(candidates, now) {
+        if let Some(key) = least_loaded_good(candidates, now) {
             return Some(Step::Place(key));
         }
-        if turn == Turn::Others {
+        if mode == ProbeMode::KnownOnly {
             return None;
         }
-        let mine = candidates.iter().filter(|c| self.asked.contains(&c.key));
-        if mine.count() >= ASKS {
+        let probed_here = candidates.iter().filter(|c| self.probed.contains(&c.key));
+        if probed_here.count() >= MAX_PROBES {
             return None;
         }
         let key = candidates
             .iter()
-            .filter(|c| !self.asked.contains(&c.key) && c.state.slowdown(now).is_none())
-            .map(|c| (expectation(c, now) + draw() * TIE, c.key))
+            .filter(|c| !self.probed.contains(&c.key) && c.state.slowdown(now).is_none())
+            .map(|c| (expected_slowdown(c, now) + draw() * RANDOM_WEIGHT, c.key))
             .min_by(|a, b| a.0.total_cmp(&b.0))?
             .1;
-        self.asked.insert(key);
-        Some(match turn {
-            Turn::Guesses => Step::Place(key),
-            Turn::Asks | Turn::Others => Step::Probe(key),
+        self.probed.insert(key);
+        Some(match mode {
+            ProbeMode::Unprobed => Step::Place(key),
+            ProbeMode::Probe | ProbeMode::KnownOnly => Step::Probe(key),
         })
     }
 
@@ -377,8 +377,10 @@
                 return Step::Place(key);
             }
         }
-        match now.until(request.deadline) > request.service_time.mul_f64(SPREAD) + PAUSE {
-            true => Step::Wait(PAUSE),
+        match now.until(request.deadline)
+            > request.service_time.mul_f64(SERVICE_TIME_MARGIN) + REPROBE_DELAY
+        {
+            true => Step::Wait(REPROBE_DELAY),
             false => Step::Refuse(Refusal::Full),
         }
     }
@@ -389,7 +391,7 @@
 /// Applies when most endpoints of a service advertise a rate limit and the load exceeds
 /// the limits: a request whose token would come too late is rejected at once.
 fn wait_for_token(token: Moment, request: &Request, now: Moment) -> Step {
-    let done = token + request.service_time.mul_f64(SPREAD);
+    let done = token + request.service_time.mul_f64(SERVICE_TIME_MARGIN);
     match done <= request.objective {
         true => Step::Wait(now.until(token)),
         false => Step::Refuse(Refusal::Limited),
@@ -399,15 +401,15 @@
 /// The weight of the random part in the order in which endpoints are probed.
 ///
 /// Without it all hosts would probe the same endpoint at the same moment.
-const TIE: f64 = 0.5;
+const RANDOM_WEIGHT: f64 = 0.5;
 
 /// How long an outdated load sample still influences the order of probes.
-const MEMORY: Duration = Duration::from_millis(300);
+const OLD_SAMPLE_TTL: Duration = Duration::from_millis(300);
 
 /// Returns the candidates at this distance.
-fn at<'a>(candidates: &[&'a Candidate<'a>], distance: Distance) -> Vec<&'a Candidate<'a>> {
-    let there = candidates.iter().copied();
-    there.filter(|c| c.distance == distance).collect()
+fn at_distance<'a>(candidates: &[&'a Candidate<'a>], distance: Distance) -> Vec<&'a Candidate<'a>> {
+    let all = candidates.iter().copied();
+    all.filter(|c| c.distance == distance).collect()
 }
 
 /// How much sooner an endpoint with an idle connection is probed than others.
@@ -420,22 +422,22 @@
 /// New endpoints get the same preference, otherwise no host would ever use the added
 /// capacity. Endpoints that advertise a rate limit get it because only their answers show
 /// that the limit has ended.
-const KEPT: f64 = 0.5;
+const PREFERENCE: f64 = 0.5;
 
 /// Returns the expected slowdown of an endpoint without a fresh load sample.
-fn expectation(candidate: &Candidate<'_>, now: Moment) -> f64 {
+fn expected_slowdown(candidate: &Candidate<'_>, now: Moment) -> f64 {
     let state = candidate.state;
-    let first = candidate.kept || candidate.limited || state.is_newcomer(now);
-    let kept = if first { KEPT } else { 0.0 };
+    let preferred = candidate.connected || candidate.limited || state.is_new(now);
+    let preference = if preferred { PREFERENCE } else { 0.0 };
     let busy = f64::from(state.running) / f64::from(state.endpoint.slots.max(1));
-    let old = match state.sample {
-        Some(look) if now.since(look.at) < MEMORY => {
-            let age = now.since(look.at).as_secs_f64() / MEMORY.as_secs_f64();
-            (look.slowdown(state.sent) - 1.5) * (1.0 - age)
+    let outdated = match state.sample {
+        Some(sample) if now.since(sample.at) < OLD_SAMPLE_TTL => {
+            let age = now.since(sample.at).as_secs_f64() / OLD_SAMPLE_TTL.as_secs_f64();
+            (sample.slowdown(state.sent) - 1.5) * (1.0 - age)
         }
         _ => 0.0,
     };
-    1.5 + busy + old - kept
+    1.5 + busy + outdated - preference
 }
 
 /// Returns whether a fresh load sample shows an endpoint that is not nearly full, and so
@@ -454,7 +456,7 @@
 }
 
 /// Returns the least loaded of the fast endpoints.
-fn good(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
+fn least_loaded_good(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
     candidates
         .iter()
         .filter(|c| c.state.is_good(now))
@@ -469,7 +471,7 @@
 /// all endpoints, late requests would take slots from requests that can still be in time,
 /// and soon all requests would be late. Giving late requests half of the slots cost a
 /// tenth of the answers in time in the worst seconds.
-fn best(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
+fn best_idle(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
     candidates
         .iter()
         .filter(|c| c.state.sample.is_some_and(|l| l.is_idle(c.state.sent)))
--- a/components/state/src/fleet/probe_budget.rs
+++ b/components/state/src/fleet/probe_budget.rs
@@ -8,38 +8,38 @@
 ///
 /// The rest covers probes sent before a host knows its share, and endpoints that have
 /// left since they were counted.
-const SAFETY: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 
 /// The longest time for which unused probes are saved.
 ///
 /// The limit is defined over a whole day, while probes are needed in bursts of a few
 /// seconds: a host that sends 50 probes a second on average needs 500 then.
-const SAVED: Duration = Duration::from_secs(60);
+const MAX_SAVED: Duration = Duration::from_secs(60);
 
 /// The number of probes that a host may send before it knows its share.
 ///
 /// A host learns its share seconds after its start, and receives requests before that.
-const FIRST: f64 = 1_000.0;
+const INITIAL_PROBES: f64 = 1_000.0;
 
 /// The probes saved at the start of a whole site, as time at the host's rate.
 ///
-/// Together with `SAFETY` this keeps the limit even for a day of less than a minute that
+/// Together with `USED_FRACTION` this keeps the limit even for a day of less than a minute that
 /// starts with a flood of requests.
-const START: Duration = Duration::from_secs(4);
+const SITE_START_SAVED: Duration = Duration::from_secs(4);
 
 /// The probes saved at the restart of a single host, as time at the host's rate.
 ///
 /// The host may have saved more before the restart; those probes are lost.
-const RESTART: Duration = Duration::from_secs(10);
+const HOST_RESTART_SAVED: Duration = Duration::from_secs(10);
 
 /// The probes that a host doesn't lend, as time at its rate.
-const RESERVE: Duration = Duration::from_secs(4);
+const LENDING_RESERVE: Duration = Duration::from_secs(4);
 
 /// The level below which a host borrows probes, as time at its rate.
-const LOW: Duration = Duration::from_secs(1);
+const BORROW_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// The interval between two requests to borrow, each to another neighbour.
-const BORROW_PAUSE: Duration = Duration::from_millis(50);
+const BORROW_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The probes that this host may send: a token bucket filled by its share of the limit.
 ///
@@ -54,40 +54,40 @@
 pub struct HostProbeBudget {
     saved: f64,
     /// The probes saved initially, as time at the host's rate.
-    start: Duration,
+    initial: Duration,
     /// The host's rate in probes per second; none until the host knows its share.
-    granted: Option<f64>,
-    filled: Moment,
-    loan: Loan,
+    granted_rate: Option<f64>,
+    refilled_at: Moment,
+    borrowing: BorrowState,
 }
 
 /// The state of a host's requests to borrow.
 #[derive(Clone, Debug, Default)]
-struct Loan {
+struct BorrowState {
     /// The number of the last request to borrow; its answer carries the same number.
-    number: u32,
+    request_id: u32,
     /// When the next neighbour may be asked.
-    due: Option<Moment>,
+    next_request: Option<Moment>,
     /// Whether the last request is unanswered.
-    open: bool,
+    unanswered: bool,
 }
 
 impl HostProbeBudget {
     /// Returns the budget of a host that started at `now` together with its whole site.
     pub fn new(now: Moment) -> HostProbeBudget {
         HostProbeBudget {
-            saved: FIRST,
-            start: START,
-            granted: None,
-            filled: now,
-            loan: Loan::default(),
+            saved: INITIAL_PROBES,
+            initial: SITE_START_SAVED,
+            granted_rate: None,
+            refilled_at: now,
+            borrowing: BorrowState::default(),
         }
     }
 
     /// Returns the budget of a single host that restarted at `now`.
     pub fn restarted(now: Moment) -> HostProbeBudget {
         HostProbeBudget {
-            start: RESTART,
+            initial: HOST_RESTART_SAVED,
             ..HostProbeBudget::new(now)
         }
     }
@@ -98,20 +98,20 @@
     /// together, `endpoints` the number of endpoints, and `share` this host's share of
     /// all hosts from 0 to 1, which is 0 while unknown.
     pub fn refill(&mut self, rate: f64, endpoints: usize, share: f64, now: Moment) {
-        let mine = rate * endpoints as f64 * share * SAFETY;
-        if self.granted.is_none() && mine > 0.0 {
-            self.saved += mine * self.start.as_secs_f64() - FIRST;
+        let own_rate = rate * endpoints as f64 * share * USED_FRACTION;
+        if self.granted_rate.is_none() && own_rate > 0.0 {
+            self.saved += own_rate * self.initial.as_secs_f64() - INITIAL_PROBES;
         }
-        let known = (mine > 0.0).then_some(mine);
-        self.granted = known.or(self.granted);
-        let most = match self.granted {
-            Some(granted) => granted * SAVED.as_secs_f64(),
-            None => FIRST,
+        let known = (own_rate > 0.0).then_some(own_rate);
+        self.granted_rate = known.or(self.granted_rate);
+        let max_saved = match self.granted_rate {
+            Some(granted_rate) => granted_rate * MAX_SAVED.as_secs_f64(),
+            None => INITIAL_PROBES,
         };
-        let earned = mine * now.since(self.filled).as_secs_f64();
+        let earned = own_rate * now.since(self.refilled_at).as_secs_f64();
         // Borrowed probes may exceed the limit on saved ones.
-        self.saved = (self.saved + earned).min(most.max(self.saved));
-        self.filled = now;
+        self.saved = (self.saved + earned).min(max_saved.max(self.saved));
+        self.refilled_at = now;
     }
 
     /// Returns whether a probe may be sent.
@@ -127,36 +127,39 @@
     /// Returns the number of a new request to borrow, if the budget is low and a request
     /// is due.
     pub fn borrow(&mut self, now: Moment) -> Option<u32> {
-        let low = self.granted? * LOW.as_secs_f64();
-        let waits = self.loan.due.is_some_and(|due| now < due);
+        let low = self.granted_rate? * BORROW_THRESHOLD.as_secs_f64();
+        let waits = self
+            .borrowing
+            .next_request
+            .is_some_and(|next_request| now < next_request);
         if self.saved >= low || waits {
             return None;
         }
-        self.loan.number = self.loan.number.wrapping_add(1);
-        self.loan.due = Some(now + BORROW_PAUSE);
-        self.loan.open = true;
-        Some(self.loan.number)
+        self.borrowing.request_id = self.borrowing.request_id.wrapping_add(1);
+        self.borrowing.next_request = Some(now + BORROW_INTERVAL);
+        self.borrowing.unanswered = true;
+        Some(self.borrowing.request_id)
     }
 
     /// Takes half of the probes that this host can spare from the budget, to lend them.
     pub fn lend(&mut self) -> u32 {
-        let Some(granted) = self.granted else {
+        let Some(granted_rate) = self.granted_rate else {
             return 0;
         };
-        let reserve = granted * RESERVE.as_secs_f64();
+        let reserve = granted_rate * LENDING_RESERVE.as_secs_f64();
         let spare = (self.saved - reserve).max(0.0) / 2.0;
         let lent = spare as u32;
         self.saved -= f64::from(lent);
         lent
     }
 
-    /// Adds the probes that a neighbour lends in answer to request `number`.
+    /// Adds the probes that a neighbour lends in answer to request `request_id`.
     ///
     /// Each request is answered once, so a duplicated datagram counts once.
-    pub fn receive_loan(&mut self, number: u32, questions: u32) {
-        if self.loan.open && number == self.loan.number {
-            self.loan.open = false;
-            self.saved += f64::from(questions);
+    pub fn receive_loan(&mut self, request_id: u32, probes: u32) {
+        if self.borrowing.unanswered && request_id == self.borrowing.request_id {
+            self.borrowing.unanswered = false;
+            self.saved += f64::from(probes);
         }
     }
 }
--- a/components/state/src/fleet/quarantine.rs
+++ b/components/state/src/fleet/quarantine.rs
@@ -15,19 +15,19 @@
 
 /// The number of crashes that quarantine a request; a run counts only if it began after
 /// the crash before it.
-const CRASHES: u32 = 3;
+const CRASH_THRESHOLD: u32 = 3;
 
 /// The length of the first quarantine, after which one trial is allowed.
-const TTL: Duration = Duration::from_secs(10);
+const FIRST_TTL: Duration = Duration::from_secs(10);
 
 /// The factor by which the quarantine grows with each trial that crashes an endpoint.
 const TTL_FACTOR: u32 = 4;
 
 /// How often the quarantine grows by that factor at most.
-const TTL_STEPS: u32 = 4;
+const MAX_TTL_STEPS: u32 = 4;
 
 /// How long no second trial may begin after a trial.
-const TRIAL: Duration = Duration::from_secs(10);
+const TRIAL_TTL: Duration = Duration::from_secs(10);
 
 /// The maximum delay of a report from one host to another.
 ///
@@ -36,16 +36,16 @@
 const REPORT_DELAY: Duration = Duration::from_millis(50);
 
 /// The maximum number of suspects kept.
-const SUSPECTS: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 
 /// How long a suspect is kept after its last crash, and after its quarantine.
-const MEMORY: Duration = Duration::from_secs(600);
+const SUSPECT_TTL: Duration = Duration::from_secs(600);
 
 /// How long a host keeps gossiping that a request was cleared.
-const CLEARED: Duration = Duration::from_secs(10);
+const CLEARED_TTL: Duration = Duration::from_secs(10);
 
 /// The maximum number of updates in one message; each takes about 30 bytes.
-const TOLD: usize = 32;
+const MAX_UPDATES: usize = 32;
 
 /// A request's run during which the endpoint crashed.
 #[tag]
@@ -117,21 +117,24 @@
 
     /// Returns the length of the quarantine after this number of crashes.
     fn ttl(&self) -> Duration {
-        let steps = self.crashes.saturating_sub(CRASHES).min(TTL_STEPS);
-        TTL * TTL_FACTOR.pow(steps)
+        let steps = self
+            .crashes
+            .saturating_sub(CRASH_THRESHOLD)
+            .min(MAX_TTL_STEPS);
+        FIRST_TTL * TTL_FACTOR.pow(steps)
     }
 
     fn is_remembered(&self, now: Moment) -> bool {
         let last = self.until.map_or(self.changed, |u| u.max(self.changed));
-        now.since(last) < MEMORY
+        now.since(last) < SUSPECT_TTL
     }
 
-    fn is_told(&self, now: Moment) -> bool {
-        let cleared = self.crashes == 0 && now.since(self.changed) < CLEARED;
+    fn is_sent(&self, now: Moment) -> bool {
+        let cleared = self.crashes == 0 && now.since(self.changed) < CLEARED_TTL;
         self.until.is_some() || cleared
     }
 
-    fn finding(&self, request: Fingerprint, now: Moment) -> QuarantineUpdate {
+    fn update(&self, request: Fingerprint, now: Moment) -> QuarantineUpdate {
         QuarantineUpdate {
             request,
             crashes: self.crashes,
@@ -159,12 +162,12 @@
 
 impl Quarantine {
     /// Notes a crash, and returns the updates to send to other hosts.
-    pub fn note_crash(&mut self, crash: &Crash, witness: Reporter) -> Vec<QuarantineUpdate> {
+    pub fn note_crash(&mut self, crash: &Crash, reporter: Reporter) -> Vec<QuarantineUpdate> {
         let Fingerprints { content, request } = crash.request;
         let names = [(request, None), (content, Some(request))];
         names
             .into_iter()
-            .filter_map(|(name, caller)| self.count(name, caller, crash, witness))
+            .filter_map(|(name, caller)| self.count(name, caller, crash, reporter))
             .collect()
     }
 
@@ -174,9 +177,9 @@
         name: Fingerprint,
         caller: Option<Fingerprint>,
         crash: &Crash,
-        witness: Reporter,
+        reporter: Reporter,
     ) -> Option<QuarantineUpdate> {
-        let delay = match witness {
+        let delay = match reporter {
             Reporter::ThisHost => Duration::ZERO,
             Reporter::OtherHost => REPORT_DELAY,
         };
@@ -191,11 +194,11 @@
         suspect.crashes = suspect.crashes.saturating_add(1);
         suspect.changed = crash.at;
         suspect.caller = suspect.caller.filter(|known| Some(*known) == caller);
-        if suspect.crashes < CRASHES || suspect.caller.is_some() {
+        if suspect.crashes < CRASH_THRESHOLD || suspect.caller.is_some() {
             return None;
         }
         suspect.until = Some(crash.at + suspect.ttl());
-        Some(suspect.finding(name, crash.at))
+        Some(suspect.update(name, crash.at))
     }
 
     /// Returns the remaining time of a request's quarantine, or `None` if it may be sent.
@@ -212,78 +215,78 @@
     /// The first request after a quarantine is a trial. It renews the quarantine before
     /// it is sent, so that only its answer ends the quarantine, and not the lack of one.
     pub fn admit(&mut self, request: Fingerprints, now: Moment) -> Decision {
-        if let Some(left) = self.remaining(request, now) {
-            return Decision::Reject(left);
+        if let Some(remaining) = self.remaining(request, now) {
+            return Decision::Reject(remaining);
         }
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         for name in [request.request, request.content] {
             let quarantined = self.suspects.get_mut(&name).filter(|s| s.until.is_some());
             if let Some(suspect) = quarantined {
-                suspect.until = Some(now + TRIAL);
+                suspect.until = Some(now + TRIAL_TTL);
                 suspect.changed = now;
-                told.push(suspect.finding(name, now));
+                updates.push(suspect.update(name, now));
             }
         }
-        match told.is_empty() {
+        match updates.is_empty() {
             true => Decision::Pass,
-            false => Decision::Trial(told),
+            false => Decision::Trial(updates),
         }
     }
 
     /// Notes that an endpoint answered a request, and returns the updates to send to
     /// other hosts.
     pub fn note_answer(&mut self, request: Fingerprints, now: Moment) -> Vec<QuarantineUpdate> {
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         for name in [request.request, request.content] {
             let suspected = self.suspects.get_mut(&name).filter(|s| s.crashes > 0);
             if let Some(suspect) = suspected {
                 suspect.crashes = 0;
                 suspect.until = None;
                 suspect.changed = now;
-                told.push(suspect.finding(name, now));
+                updates.push(suspect.update(name, now));
             }
         }
-        told
+        updates
     }
 
     /// Applies another host's update; returns whether this changes whether the request
     /// may be sent.
     ///
     /// An update that arrives late must not undo a more recent answer.
-    pub fn apply(&mut self, finding: &QuarantineUpdate, now: Moment) -> bool {
-        let at = now - finding.age;
-        let known = self.suspects.get(&finding.request).copied();
+    pub fn apply(&mut self, update: &QuarantineUpdate, now: Moment) -> bool {
+        let at = now - update.age;
+        let known = self.suspects.get(&update.request).copied();
         let accepted = match known {
-            None => finding.crashes > 0,
-            Some(known) if finding.crashes == 0 => {
+            None => update.crashes > 0,
+            Some(known) if update.crashes == 0 => {
                 known.crashes > 0 && known.changed <= at + REPORT_DELAY
             }
-            Some(known) if known.crashes > 0 && finding.crashes > known.crashes => true,
+            Some(known) if known.crashes > 0 && update.crashes > known.crashes => true,
             Some(known) => known.changed + REPORT_DELAY < at,
         };
         if !accepted {
             return false;
         }
-        self.make_room(finding.request);
+        self.make_room(update.request);
         let learned = Suspect {
-            crashes: finding.crashes,
+            crashes: update.crashes,
             changed: at,
-            until: (finding.crashes > 0).then(|| now + finding.remaining),
+            until: (update.crashes > 0).then(|| now + update.remaining),
             caller: None,
         };
-        self.suspects.insert(finding.request, learned);
+        self.suspects.insert(update.request, learned);
         known.is_some_and(|k| k.until.is_some()) != learned.until.is_some()
     }
 
     /// Returns the updates to send to another host: current quarantines and recently
     /// cleared requests.
     pub fn updates(&self, now: Moment) -> Vec<QuarantineUpdate> {
-        let told = self.suspects.iter().filter(|(_, s)| s.is_told(now));
-        let mut found: Vec<QuarantineUpdate> =
-            told.map(|(name, s)| s.finding(*name, now)).collect();
-        found.sort_by_key(|f| f.age);
-        found.truncate(TOLD);
-        found
+        let sent = self.suspects.iter().filter(|(_, s)| s.is_sent(now));
+        let mut updates: Vec<QuarantineUpdate> =
+            sent.map(|(name, s)| s.update(*name, now)).collect();
+        updates.sort_by_key(|f| f.age);
+        updates.truncate(MAX_UPDATES);
+        updates
     }
 
     /// Drops suspects that have caused no crash for a long time.
@@ -306,7 +309,7 @@
     /// During an outage thousands of different requests may fail. Those that failed once
     /// are dropped first, so that a request that keeps failing is kept.
     fn make_room(&mut self, name: Fingerprint) {
-        if self.suspects.len() < SUSPECTS || self.suspects.contains_key(&name) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&name) {
             return;
         }
         let rank = |s: &Suspect| (s.until.is_some(), s.crashes, s.changed);
--- a/components/state/src/fleet/rate_limit.rs
+++ b/components/state/src/fleet/rate_limit.rs
@@ -22,10 +22,10 @@
 /// The minimum rate of an endpoint, in requests per second from all hosts together.
 ///
 /// Needed because only an endpoint's answers show that its limit has ended.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// The factor by which a limit has to change to be sent to the other hosts at once.
-const NOTABLE: f64 = 1.25;
+const UPDATE_FACTOR: f64 = 1.25;
 
 /// The kind of answer that an endpoint gave.
 #[tag]
@@ -63,7 +63,7 @@
     }
 
     fn quota(self, share: f64) -> Quota {
-        Quota::new(self.rate.max(LEAST_RATE), share, TOKEN_TTL)
+        Quota::new(self.rate.max(MIN_RATE), share, TOKEN_TTL)
     }
 }
 
@@ -78,17 +78,17 @@
 
 /// A limit, and what other hosts know of it.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownLimit {
     limit: RateLimit,
     /// The limit that was last sent to all hosts.
-    told: f64,
+    sent_rate: f64,
 }
 
-impl Known {
+impl KnownLimit {
     /// Returns whether the limit has changed enough to be sent to the other hosts.
     fn is_outdated(&self, rate: f64) -> bool {
-        let factor = rate.max(LEAST_RATE) / self.told.max(LEAST_RATE);
-        !(1.0 / NOTABLE..=NOTABLE).contains(&factor)
+        let factor = rate.max(MIN_RATE) / self.sent_rate.max(MIN_RATE);
+        !(1.0 / UPDATE_FACTOR..=UPDATE_FACTOR).contains(&factor)
     }
 }
 
@@ -100,7 +100,7 @@
 /// next request.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    limits: BTreeMap<EndpointKey, Known>,
+    limits: BTreeMap<EndpointKey, KnownLimit>,
     buckets: TokenBuckets,
 }
 
@@ -124,25 +124,28 @@
         };
         // An answer to a probe without a limit leaves a known limit unchanged.
         rate?;
-        let news = known.is_none_or(|k| k.is_outdated(limit.rate));
-        let told = known.filter(|_| !news).map_or(limit.rate, |k| k.told);
-        self.limits.insert(endpoint, Known { limit, told });
-        news.then_some(RateLimitUpdate { endpoint, rate })
+        let must_send = known.is_none_or(|k| k.is_outdated(limit.rate));
+        let sent_rate = known
+            .filter(|_| !must_send)
+            .map_or(limit.rate, |k| k.sent_rate);
+        self.limits
+            .insert(endpoint, KnownLimit { limit, sent_rate });
+        must_send.then_some(RateLimitUpdate { endpoint, rate })
     }
 
     /// Applies an update from another host.
-    pub fn apply(&mut self, advice: &RateLimitUpdate) {
-        let Some(rate) = advice.rate else {
-            self.forget(advice.endpoint);
+    pub fn apply(&mut self, update: &RateLimitUpdate) {
+        let Some(rate) = update.rate else {
+            self.forget(update.endpoint);
             return;
         };
-        let known = self.limits.get(&advice.endpoint);
+        let known = self.limits.get(&update.endpoint);
         let probed = known.is_some_and(|k| k.limit.probed);
-        let heard = Known {
+        let received = KnownLimit {
             limit: RateLimit { rate, probed },
-            told: rate,
+            sent_rate: rate,
         };
-        self.limits.insert(advice.endpoint, heard);
+        self.limits.insert(update.endpoint, received);
     }
 
     /// Returns whether an endpoint is known to advertise a limit.
--- a/components/state/src/fleet/reachability.rs
+++ b/components/state/src/fleet/reachability.rs
@@ -11,13 +11,13 @@
 ///
 /// A few endpoints are down at any time, but several different ones rarely fail without
 /// another one answering in between.
-const FAILED: usize = 4;
+const FAILED_ENDPOINTS: usize = 4;
 
 /// How long a data centre is avoided the first time.
-const SPELL: Duration = Duration::from_millis(1_000);
+const FIRST_AVOIDANCE: Duration = Duration::from_millis(1_000);
 
 /// How often the time may double: 1 s, 2 s, 4 s.
-const SPELLS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// The outcomes of this host's requests at the endpoints of one data centre.
 ///
@@ -28,21 +28,23 @@
 pub struct Reachability {
     failed: BTreeSet<EndpointKey>,
     avoid_until: Option<Moment>,
-    spells: u32,
+    avoidances: u32,
 }
 
 impl Reachability {
     /// Notes that an endpoint answered, whatever the answer was.
-    pub fn answered(&mut self) {
+    pub fn note_answer(&mut self) {
         *self = Reachability::default();
     }
 
     /// Records the outcome of a request.
     pub fn note(&mut self, key: EndpointKey, outcome: Outcome, now: Moment) {
         match outcome {
-            Outcome::Answered | Outcome::Slow | Outcome::Failed | Outcome::Shed => self.answered(),
+            Outcome::Answered | Outcome::Slow | Outcome::Failed | Outcome::Shed => {
+                self.note_answer()
+            }
             Outcome::Silent => {}
-            Outcome::Broken => self.fail(key, now),
+            Outcome::Broken => self.note_failure(key, now),
         }
     }
 
@@ -52,12 +54,13 @@
         self.avoid_until.is_some_and(|until| now < until)
     }
 
-    fn fail(&mut self, key: EndpointKey, now: Moment) {
+    fn note_failure(&mut self, key: EndpointKey, now: Moment) {
         self.failed.insert(key);
-        if self.failed.len() < FAILED || self.is_avoided(now) {
+        if self.failed.len() < FAILED_ENDPOINTS || self.is_avoided(now) {
             return;
         }
-        self.avoid_until = Some(now + SPELL * 2u32.pow(self.spells.min(SPELLS)));
-        self.spells += 1;
+        self.avoid_until =
+            Some(now + FIRST_AVOIDANCE * 2u32.pow(self.avoidances.min(MAX_DOUBLINGS)));
+        self.avoidances += 1;
     }
 }
--- a/components/state/src/fleet/registry.rs
+++ b/components/state/src/fleet/registry.rs
@@ -31,13 +31,13 @@
 #[derive(Debug, Default)]
 pub struct Registry {
     endpoints: BTreeMap<EndpointKey, EndpointState>,
-    names: BTreeMap<String, EndpointKey>,
+    keys: BTreeMap<String, EndpointKey>,
     lapsed: BTreeMap<String, Moment>,
     grace_until: Option<Moment>,
-    cold: TokenBuckets,
+    cold_buckets: TokenBuckets,
     limits: RateLimits,
-    shedding: BTreeMap<ServiceKey, ShedRate>,
-    reach: BTreeMap<DataCentreKey, Reachability>,
+    shed_rates: BTreeMap<ServiceKey, ShedRate>,
+    reachability: BTreeMap<DataCentreKey, Reachability>,
 }
 
 impl Registry {
@@ -54,7 +54,7 @@
     /// treated as removed.
     pub fn replace(&mut self, entries: BTreeMap<String, Entry>, now: Moment) {
         let missing: Vec<String> = self
-            .names
+            .keys
             .keys()
             .filter(|name| !entries.contains_key(*name))
             .cloned()
@@ -85,13 +85,13 @@
         if self.lapsed.is_empty() {
             return;
         }
-        let over: Vec<String> = self
+        let expired: Vec<String> = self
             .lapsed
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in over {
+        for name in expired {
             self.lapsed.remove(&name);
             self.remove(&name);
         }
@@ -100,7 +100,7 @@
     /// Drops the token buckets of endpoints that are no longer cold.
     pub fn forget_warm_buckets(&mut self, now: Moment) {
         let endpoints = &self.endpoints;
-        self.cold
+        self.cold_buckets
             .retain(|key| endpoints.get(&key).is_some_and(|s| s.is_cold(now)));
     }
 
@@ -129,31 +129,33 @@
         let Some(state) = self.endpoints.get_mut(&key) else {
             return false;
         };
-        let reach = self.reach.entry(state.endpoint.centre).or_default();
-        reach.note(key, outcome, now);
-        let shedding = self.shedding.entry(state.endpoint.service).or_default();
-        shedding.note(outcome);
+        let reachability = self.reachability.entry(state.endpoint.centre).or_default();
+        reachability.note(key, outcome, now);
+        let shed_rate = self.shed_rates.entry(state.endpoint.service).or_default();
+        shed_rate.note(outcome);
         let before = state.health.is_avoided(now);
-        state.health.note(outcome, shedding.share(), now);
+        state.health.note(outcome, shed_rate.rate(), now);
         !before && state.health.is_avoided(now)
     }
 
     /// Notes that an endpoint answered a probe.
     pub fn note_answer(&mut self, key: EndpointKey) {
         let centre = self.endpoints.get(&key).map(|s| s.endpoint.centre);
-        if let Some(reach) = centre.and_then(|c| self.reach.get_mut(&c)) {
-            reach.answered();
+        if let Some(reachability) = centre.and_then(|c| self.reachability.get_mut(&c)) {
+            reachability.note_answer();
         }
     }
 
     /// Returns whether a data centre's endpoints are avoided as long as there are others.
     pub fn is_unreachable(&self, centre: DataCentreKey, now: Moment) -> bool {
-        self.reach.get(&centre).is_some_and(|r| r.is_avoided(now))
+        self.reachability
+            .get(&centre)
+            .is_some_and(|r| r.is_avoided(now))
     }
 
     /// Returns the token buckets for cold endpoints.
     pub fn cold_buckets_mut(&mut self) -> &mut TokenBuckets {
-        &mut self.cold
+        &mut self.cold_buckets
     }
 
     /// Returns the rate limits advertised by endpoints.
@@ -178,9 +180,9 @@
     /// Updates for unknown endpoints are dropped: the endpoint has left, or this host
     /// will receive the limit later. Keeping them would accumulate limits of endpoints
     /// that are gone.
-    pub fn apply_limit_update(&mut self, advice: &RateLimitUpdate) {
-        if self.endpoints.contains_key(&advice.endpoint) {
-            self.limits.apply(advice);
+    pub fn apply_limit_update(&mut self, update: &RateLimitUpdate) {
+        if self.endpoints.contains_key(&update.endpoint) {
+            self.limits.apply(update);
         }
     }
 
@@ -220,12 +222,12 @@
     fn put(&mut self, name: &str, endpoint: Endpoint, now: Moment) {
         self.lapsed.remove(name);
         let key = endpoint.key();
-        if self.names.get(name).is_some_and(|old| *old != key) {
+        if self.keys.get(name).is_some_and(|old| *old != key) {
             // The server has restarted under the same name: nothing known about its
             // former instance still holds.
             self.remove(name);
         }
-        self.names.insert(name.to_owned(), key);
+        self.keys.insert(name.to_owned(), key);
         match self.endpoints.get_mut(&key) {
             Some(state) => {
                 if !endpoint.cold.is_zero() {
@@ -250,7 +252,7 @@
     }
 
     fn remove(&mut self, name: &str) {
-        if let Some(key) = self.names.remove(name) {
+        if let Some(key) = self.keys.remove(name) {
             self.endpoints.remove(&key);
             self.limits.forget(key);
         }
--- a/components/state/src/fleet/retry_after.rs
+++ b/components/state/src/fleet/retry_after.rs
@@ -9,19 +9,19 @@
 ///
 /// Disturbed machines recover within 300 ms, and slots become free within one service
 /// time.
-const SHORTEST: Duration = Duration::from_millis(50);
+const MIN_DELAY: Duration = Duration::from_millis(50);
 
 /// The fraction of the time until its deadline that a caller may be asked to wait.
 ///
 /// Callers wait for at most a third of that time.
-const LEFT_SHARE: f64 = 0.3;
+const REMAINING_FRACTION: f64 = 0.3;
 
 /// The longest delay before a retry when endpoints rejected a request though they had
 /// room.
 ///
 /// Long enough that hundreds of callers don't retry within one millisecond, and short
 /// enough that the answer can still be in time.
-const AT_ONCE: Duration = Duration::from_millis(20);
+const SHORT_DELAY_LIMIT: Duration = Duration::from_millis(20);
 
 /// Returns the delay before a retry when an endpoint with room rejected a request, or
 /// when the connection was closed before the request was sent.
@@ -30,7 +30,7 @@
 /// good. Waiting longer would make the next attempt no more likely to succeed, only
 /// later.
 pub fn short_delay(draw: f64) -> Duration {
-    AT_ONCE.mul_f64(0.2 + 0.8 * draw)
+    SHORT_DELAY_LIMIT.mul_f64(0.2 + 0.8 * draw)
 }
 
 /// Returns the delay before a retry of a rejected request.
@@ -44,7 +44,11 @@
     let slack = now
         .until(request.objective)
         .saturating_sub(request.service_time.mul_f64(1.2));
-    let left = now.until(request.deadline).mul_f64(LEFT_SHARE);
-    let span = if slack > SHORTEST * 2 { slack } else { left };
-    span.mul_f64(0.4 + 0.6 * draw).max(SHORTEST)
+    let remaining = now.until(request.deadline).mul_f64(REMAINING_FRACTION);
+    let span = if slack > MIN_DELAY * 2 {
+        slack
+    } else {
+        remaining
+    };
+    span.mul_f64(0.4 + 0.6 * draw).max(MIN_DELAY)
 }
--- a/components/state/src/fleet/retry_budget.rs
+++ b/components/state/src/fleet/retry_budget.rs
@@ -9,7 +9,7 @@
 ///
 /// Hosts don't cut their windows at the same moments as the platform, and count a request
 /// when they read it rather than when it was sent.
-const SAFETY: f64 = 0.85;
+const USED_FRACTION: f64 = 0.85;
 
 /// The bounds set by operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,19 +31,19 @@
 #[derive(Clone, Debug)]
 pub struct WindowedRetryBudget {
     bounds: RetryBounds,
-    began: Moment,
+    started: Moment,
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl WindowedRetryBudget {
-    /// Returns the budget of a host that started at `began`.
-    pub fn new(bounds: RetryBounds, began: Moment) -> WindowedRetryBudget {
+    /// Returns the budget of a host that started at `started`.
+    pub fn new(bounds: RetryBounds, started: Moment) -> WindowedRetryBudget {
         WindowedRetryBudget {
             bounds,
-            began,
+            started,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
@@ -54,7 +54,7 @@
 
     /// Counts a caller's request.
     pub fn count(&mut self, now: Moment) {
-        self.forget(now);
+        self.drop_expired(now);
         self.requests.push_back(now);
     }
 
@@ -62,23 +62,23 @@
     ///
     /// `share` is this host's share of all hosts, 0 to 1.
     pub fn take(&mut self, share: f64, now: Moment) -> bool {
-        self.forget(now);
+        self.drop_expired(now);
         let earned = self.requests.len() as f64 * self.bounds.ratio;
-        let slack = match now.since(self.began) < self.bounds.window {
+        let slack = match now.since(self.started) < self.bounds.window {
             // A restarted host doesn't know what it sent before. If all hosts were killed
             // at once, the slack would be spent twice.
             true => 0.0,
             false => self.bounds.slack * share,
         };
-        let allowed = (self.repeats.len() as f64) + 1.0 <= (earned + slack) * SAFETY;
+        let allowed = (self.retries.len() as f64) + 1.0 <= (earned + slack) * USED_FRACTION;
         if allowed {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         allowed
     }
 
-    fn forget(&mut self, now: Moment) {
-        for times in [&mut self.requests, &mut self.repeats] {
+    fn drop_expired(&mut self, now: Moment) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times
                 .front()
                 .is_some_and(|t| now.since(*t) >= self.bounds.window)
--- a/components/state/src/fleet/service_time.rs
+++ b/components/state/src/fleet/service_time.rs
@@ -6,13 +6,13 @@
 ///
 /// Operators set objectives to between two and a half and three times the usual service
 /// time.
-const FIRST_SHARE: f64 = 0.4;
+const INITIAL_FRACTION: f64 = 0.4;
 
 /// The weight of one answer in the running mean.
 ///
 /// The mean settles after twenty answers; a host sees a few answers of each route per
 /// second.
-const WEIGHT: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 
 /// The running mean of one route's service time.
 #[derive(Clone, Copy, Debug)]
@@ -24,17 +24,17 @@
     /// Returns the initial estimate for a route with this objective.
     pub fn new(objective: Duration) -> ServiceTime {
         ServiceTime {
-            mean: objective.as_secs_f64() * FIRST_SHARE,
+            mean: objective.as_secs_f64() * INITIAL_FRACTION,
         }
     }
 
     /// Adds an answer that took `time` at an endpoint with this expected slowdown.
-    pub fn note(&mut self, time: Duration, pace: f64) {
-        let usual = time.as_secs_f64() / pace.max(1.0);
+    pub fn note(&mut self, time: Duration, slowdown: f64) {
+        let typical = time.as_secs_f64() / slowdown.max(1.0);
         // The endpoint may have been disturbed after its load sample; such an answer must
         // not raise the mean by much.
-        let usual = usual.min(self.mean * 3.0);
-        self.mean += (usual - self.mean) * WEIGHT;
+        let typical = typical.min(self.mean * 3.0);
+        self.mean += (typical - self.mean) * MEAN_WEIGHT;
     }
 
     /// Returns the expected service time.
--- a/components/state/src/fleet/token_buckets.rs
+++ b/components/state/src/fleet/token_buckets.rs
@@ -20,13 +20,13 @@
 }
 
 /// The longest interval between two tokens.
-const LONGEST: Duration = Duration::from_secs(24 * 60 * 60);
+const MAX_INTERVAL: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// How long a token for a cold endpoint remains valid.
 ///
 /// If unused tokens were kept, all of them would be used in the second in which a flood
 /// of requests begins.
-const COLD_TOKEN: Duration = Duration::from_millis(500);
+const COLD_TOKEN_TTL: Duration = Duration::from_millis(500);
 
 /// The number of requests that a host may send to one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,7 +48,7 @@
 
     /// Returns the quota for a cold endpoint of a host with this share of all hosts.
     pub fn cold(rate: f64, share: f64) -> Quota {
-        Quota::new(rate, share, COLD_TOKEN)
+        Quota::new(rate, share, COLD_TOKEN_TTL)
     }
 
     /// Returns this host's share of all hosts, 0 to 1.
@@ -60,8 +60,9 @@
     fn interval(self) -> Duration {
         let rate = self.rate * self.share;
         match rate > 0.0 {
-            true => Duration::try_from_secs_f64(1.0 / rate).map_or(LONGEST, |p| p.min(LONGEST)),
-            false => LONGEST,
+            true => Duration::try_from_secs_f64(1.0 / rate)
+                .map_or(MAX_INTERVAL, |p| p.min(MAX_INTERVAL)),
+            false => MAX_INTERVAL,
         }
     }
 }
--- a/components/state/src/fleet/wait_queue.rs
+++ b/components/state/src/fleet/wait_queue.rs
@@ -27,8 +27,8 @@
 /// The requests of one host that wait for one service.
 #[derive(Clone, Debug, Default)]
 pub struct WaitQueue {
-    waiters: BTreeSet<Ticket>,
-    taken: u64,
+    tickets: BTreeSet<Ticket>,
+    next_number: u64,
 }
 
 impl WaitQueue {
@@ -37,27 +37,27 @@
         let ticket = Ticket {
             priority,
             objective,
-            number: self.taken,
+            number: self.next_number,
         };
-        self.taken += 1;
-        self.waiters.insert(ticket);
+        self.next_number += 1;
+        self.tickets.insert(ticket);
         ticket
     }
 
     /// Removes a request; returns the new first request if the first one was removed.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Ticket> {
         let was_first = self.first() == Some(ticket);
-        self.waiters.remove(&ticket);
+        self.tickets.remove(&ticket);
         self.first().filter(|_| was_first)
     }
 
     /// Returns the first request, which may probe.
     pub fn first(&self) -> Option<Ticket> {
-        self.waiters.first().copied()
+        self.tickets.first().copied()
     }
 
     /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.waiters.is_empty()
+        self.tickets.is_empty()
     }
 }
--- a/components/state/src/latency.rs
+++ b/components/state/src/latency.rs
@@ -6,9 +6,9 @@
 /// microseconds.
 const BUCKETS: usize = 128;
 /// The number of calls after which the weight of earlier calls is halved.
-const WINDOW: u32 = 512;
+const HALVING_WINDOW: u32 = 512;
 /// The number of calls needed before any call counts as slow.
-const NEEDED: u32 = 64;
+const MIN_CALLS: u32 = 64;
 
 /// The distribution of a service's recent call durations at one entry host, over all
 /// endpoints.
@@ -21,7 +21,7 @@
 pub struct LatencyBaseline {
     counts: Vec<u32>,
     total: u32,
-    over: f32,
+    slow: f32,
 }
 
 impl Default for LatencyBaseline {
@@ -29,7 +29,7 @@
         LatencyBaseline {
             counts: vec![0; BUCKETS],
             total: 0,
-            over: 0.0,
+            slow: 0.0,
         }
     }
 }
@@ -39,37 +39,37 @@
 ///
 /// Without this limit a slowness shared by all backend servers, such as that of a slow
 /// database behind them, would take all of them out of use.
-const SHARED: f32 = 0.3;
+const SHARED_SLOWNESS: f32 = 0.3;
 
 impl LatencyBaseline {
     /// Records a call and returns whether it counts against its endpoint.
     pub fn record(&mut self, took: Duration) -> bool {
-        let over = self.is_slow(took);
-        self.over += (f32::from(u8::from(over)) - self.over) / 64.0;
-        if self.total >= WINDOW {
+        let slow = self.is_slow(took);
+        self.slow += (f32::from(u8::from(slow)) - self.slow) / 64.0;
+        if self.total >= HALVING_WINDOW {
             self.counts.iter_mut().for_each(|c| *c /= 2);
             self.total = self.counts.iter().sum();
         }
         self.counts[bucket(took)] += 1;
         self.total += 1;
-        over && self.over < SHARED
+        slow && self.slow < SHARED_SLOWNESS
     }
 
     /// Returns whether a call that took, or has been running for, this long is slow.
     pub fn is_slow(&self, took: Duration) -> bool {
-        self.limit().is_some_and(|limit| took > limit)
+        self.threshold().is_some_and(|threshold| took > threshold)
     }
 
     /// Returns whether a call that has been running for this long counts against its
     /// endpoint.
     pub fn is_endpoint_slow(&self, runs: Duration) -> bool {
-        self.over < SHARED && self.is_slow(runs)
+        self.slow < SHARED_SLOWNESS && self.is_slow(runs)
     }
 
     /// Returns the time above which a call is slow, or `None` until enough calls were
     /// recorded.
-    pub fn limit(&self) -> Option<Duration> {
-        if self.total < NEEDED {
+    pub fn threshold(&self) -> Option<Duration> {
+        if self.total < MIN_CALLS {
             return None;
         }
         let rank = self.total - self.total / 10;
@@ -78,7 +78,7 @@
             seen += count;
             seen >= rank
         })?;
-        Some(ceiling(index) * 3 / 2)
+        Some(upper_bound(index) * 3 / 2)
     }
 }
 
@@ -87,7 +87,7 @@
     ((micros.log2() * 4.0) as usize).min(BUCKETS - 1)
 }
 
-fn ceiling(index: usize) -> Duration {
+fn upper_bound(index: usize) -> Duration {
     Duration::from_micros(((index + 1) as f64 / 4.0).exp2() as u64)
 }
 
@@ -99,22 +99,22 @@
 }
 
 /// The number of calls needed before an endpoint counts as slow.
-const EVIDENCE: u32 = 6;
+const MIN_ENDPOINT_CALLS: u32 = 6;
 
 impl SlowRate {
-    /// Adds the observation of an entry host: `over` slow calls out of `total`.
-    pub fn note(&mut self, over: u32, total: u32) {
+    /// Adds the observation of an entry host: `slow` slow calls out of `total`.
+    pub fn note(&mut self, slow: u32, total: u32) {
         if total == 0 {
             return;
         }
         let kept = 0.875_f32.powi(total.min(64) as i32);
-        let share = over.min(total) as f32 / total as f32;
+        let share = slow.min(total) as f32 / total as f32;
         self.share = self.share * kept + share * (1.0 - kept);
         self.seen = self.seen.saturating_add(total);
     }
 
     /// Returns whether most of the endpoint's recent calls were slow.
     pub fn is_slow(&self) -> bool {
-        self.seen >= EVIDENCE && self.share > 0.5
+        self.seen >= MIN_ENDPOINT_CALLS && self.share > 0.5
     }
 }
--- a/components/state/src/policy.rs
+++ b/components/state/src/policy.rs
@@ -68,10 +68,10 @@
         let found = match self {
             Policy::Random => at(draw),
             Policy::RoundRobin => at(turn),
-            Policy::TwoChoices => less(at(draw & 0xffff_ffff), at(draw >> 32)),
+            Policy::TwoChoices => less_busy(at(draw & 0xffff_ffff), at(draw >> 32)),
             Policy::Shared | Policy::LeastInFlight | Policy::FixedShare => (0..count)
                 .map(|n| at(n + draw))
-                .reduce(less)
+                .reduce(less_busy)
                 .unwrap_or(at(0)),
         };
         Some(found.endpoint)
@@ -102,6 +102,6 @@
 
 impl std::error::Error for UnknownPolicy {}
 
-fn less(a: Choice, b: Choice) -> Choice {
+fn less_busy(a: Choice, b: Choice) -> Choice {
     if b.running < a.running { b } else { a }
 }
--- a/components/state/src/probe.rs
+++ b/components/state/src/probe.rs
@@ -7,9 +7,9 @@
 use crate::moment::Moment;
 
 /// The fraction of an endpoint's slot time that probes may use, in thousandths.
-pub const SHARE: u32 = 5;
+pub const PROBE_SHARE_PERMILLE: u32 = 5;
 
-/// Keeps the probes of one endpoint within [`SHARE`] thousandths of its slot time.
+/// Keeps the probes of one endpoint within [`PROBE_SHARE_PERMILLE`] thousandths of its slot time.
 ///
 /// A token bucket of slot time, from which each probe takes its cost. The bucket holds
 /// the cost of at most one probe, so that a backend server in trouble never gets a burst
@@ -18,12 +18,12 @@
 #[value]
 pub struct ProbeBudget {
     cost: Duration,
-    gap: Duration,
+    min_interval: Duration,
     next: Moment,
 }
 
 /// The interval between probes if the budget would allow more.
-const ORDINARY: Duration = Duration::from_millis(500);
+const REGULAR_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ProbeBudget {
     /// Returns the budget of an endpoint with `slots` slots, where a probe costs `cost`.
@@ -32,11 +32,11 @@
     /// one a moment ago. On a busy machine with late heartbeats an endpoint may change
     /// its owner several times a second, and would otherwise be probed each time.
     pub fn new(slots: u32, cost: Duration, now: Moment) -> ProbeBudget {
-        let gap = cost * 1_000 / (SHARE * slots.max(1));
+        let min_interval = cost * 1_000 / (PROBE_SHARE_PERMILLE * slots.max(1));
         ProbeBudget {
             cost,
-            gap,
-            next: now + gap,
+            min_interval,
+            next: now + min_interval,
         }
     }
 
@@ -45,12 +45,12 @@
         let due = if urgent {
             self.next
         } else {
-            self.next + ORDINARY.saturating_sub(self.gap)
+            self.next + REGULAR_INTERVAL.saturating_sub(self.min_interval)
         };
         if due > now {
             return false;
         }
-        self.next = now + self.gap;
+        self.next = now + self.min_interval;
         true
     }
 
--- a/components/state/src/queue.rs
+++ b/components/state/src/queue.rs
@@ -33,12 +33,12 @@
 pub struct Queue {
     limit: usize,
     calls: VecDeque<WaitingCall>,
-    soonest: Moment,
+    earliest_deadline: Moment,
 }
 
 /// The number of calls examined for one free slot; examining more would cost more than
 /// the slot is worth.
-const SCAN: usize = 16;
+const SCAN_LIMIT: usize = 16;
 
 impl Queue {
     /// Returns an empty queue of at most `limit` calls.
@@ -46,7 +46,7 @@
         Queue {
             limit,
             calls: VecDeque::new(),
-            soonest: Moment(u64::MAX),
+            earliest_deadline: Moment(u64::MAX),
         }
     }
 
@@ -79,13 +79,13 @@
 
     /// Appends a call.
     pub fn push(&mut self, waiting: WaitingCall) {
-        self.soonest = self.soonest.min(waiting.deadline);
+        self.earliest_deadline = self.earliest_deadline.min(waiting.deadline);
         self.calls.push_back(waiting);
     }
 
     /// Puts back a call that was taken but could not be started.
     pub fn push_front(&mut self, waiting: WaitingCall) {
-        self.soonest = self.soonest.min(waiting.deadline);
+        self.earliest_deadline = self.earliest_deadline.min(waiting.deadline);
         self.calls.push_front(waiting);
     }
 
@@ -94,7 +94,7 @@
         let index = self
             .calls
             .iter()
-            .take(SCAN)
+            .take(SCAN_LIMIT)
             .position(|w| !w.tried.contains(&endpoint))?;
         self.calls.remove(index)
     }
@@ -109,12 +109,12 @@
     ///
     /// Does no work until the earliest deadline is reached.
     pub fn expire(&mut self, now: Moment) -> Vec<WaitingCall> {
-        if self.soonest > now {
+        if self.earliest_deadline > now {
             return Vec::new();
         }
         let (late, rest): (Vec<_>, Vec<_>) = self.calls.drain(..).partition(|w| w.deadline <= now);
         self.calls = rest.into();
-        self.soonest = self
+        self.earliest_deadline = self
             .calls
             .iter()
             .map(|w| w.deadline)
@@ -125,7 +125,7 @@
 
     /// Removes and returns all calls.
     pub fn clear(&mut self) -> Vec<WaitingCall> {
-        self.soonest = Moment(u64::MAX);
+        self.earliest_deadline = Moment(u64::MAX);
         self.calls.drain(..).collect()
     }
 }
--- a/components/state/src/retry.rs
+++ b/components/state/src/retry.rs
@@ -6,10 +6,10 @@
 ///
 /// Enough for all calls in flight to one endpoint at the moment it fails, and few enough
 /// that a service that is down altogether gets hardly more than its own load.
-const SAVED_RETRIES: u64 = 20;
+const MAX_SAVED_RETRIES: u64 = 20;
 
 /// The cost of one retry; budgets are counted in hundredths of a retry.
-const WHOLE: u64 = 100;
+const RETRY_COST: u64 = 100;
 
 /// How an attempt failed.
 #[tag]
@@ -47,7 +47,7 @@
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
         RetryBudget {
-            saved: SAVED_RETRIES * WHOLE,
+            saved: MAX_SAVED_RETRIES * RETRY_COST,
         }
     }
 }
@@ -55,7 +55,7 @@
 impl RetryBudget {
     /// Adds the fraction earned by one call, `percent` hundredths of a retry.
     pub fn earn(&mut self, percent: u32) {
-        self.saved = (self.saved + u64::from(percent)).min(SAVED_RETRIES * WHOLE);
+        self.saved = (self.saved + u64::from(percent)).min(MAX_SAVED_RETRIES * RETRY_COST);
     }
 
     /// Decides whether the call may be retried, and takes the retry from the budget.
@@ -66,9 +66,9 @@
         let safe = attempt.failure == Failure::NotRun || attempt.idempotent;
         match self.saved {
             _ if attempt.expired || !attempt.replayable || !safe => false,
-            0..WHOLE => false,
+            0..RETRY_COST => false,
             saved => {
-                self.saved = saved - WHOLE;
+                self.saved = saved - RETRY_COST;
                 true
             }
         }
--- a/components/state/tests/endpoint_health.rs
+++ b/components/state/tests/endpoint_health.rs
@@ -23,66 +23,66 @@
 }
 
 fn warm() -> Capacity {
-    let mut warmth = Capacity::unknown(SLOTS, 1, at(0));
-    warmth.note_report(&report("a", Readiness::Warm), at(0));
-    assert_eq!(warmth.cap(), SLOTS);
-    warmth
+    let mut capacity = Capacity::unknown(SLOTS, 1, at(0));
+    capacity.note_report(&report("a", Readiness::Warm), at(0));
+    assert_eq!(capacity.cap(), SLOTS);
+    capacity
 }
 
 /// Reports enough answers for the cap to grow, every 50 ms.
-fn prove(warmth: &mut Capacity, from: u64, millis: u64) {
+fn answer_calls(capacity: &mut Capacity, from: u64, millis: u64) {
     for now in (from..from + millis).step_by(50) {
-        warmth.note_answers(0, 20, at(now));
-        warmth.grow(at(now));
+        capacity.note_answers(0, 20, at(now));
+        capacity.grow(at(now));
     }
 }
 
 #[test]
 fn unknown_is_cold() {
-    let warmth = Capacity::unknown(SLOTS, 1, at(0));
-    assert_eq!(warmth.cap(), 1);
+    let capacity = Capacity::unknown(SLOTS, 1, at(0));
+    assert_eq!(capacity.cap(), 1);
 }
 
 // A backend server becomes cold during a peak under the same address, while its report
 // still says warm. The first shed must cut the cap for all hosts, and only answers may
 // raise it again, step by step, or callers see rejected calls.
 #[test]
-fn shed_chills() {
-    let mut warmth = warm();
-    warmth.note_shed(at(1_000));
-    assert_eq!(warmth.cap(), 1);
-    warmth.note_report(&report("a", Readiness::Warm), at(1_100));
-    warmth.grow(at(2_000));
-    assert_eq!(warmth.cap(), 1);
-    prove(&mut warmth, 2_000, 500);
-    assert!(warmth.cap() > 1 && warmth.cap() < SLOTS);
-    prove(&mut warmth, 2_500, 3_000);
-    assert_eq!(warmth.cap(), SLOTS);
+fn shed_resets_cap() {
+    let mut capacity = warm();
+    capacity.note_shed(at(1_000));
+    assert_eq!(capacity.cap(), 1);
+    capacity.note_report(&report("a", Readiness::Warm), at(1_100));
+    capacity.grow(at(2_000));
+    assert_eq!(capacity.cap(), 1);
+    answer_calls(&mut capacity, 2_000, 500);
+    assert!(capacity.cap() > 1 && capacity.cap() < SLOTS);
+    answer_calls(&mut capacity, 2_500, 3_000);
+    assert_eq!(capacity.cap(), SLOTS);
 }
 
 #[test]
-fn restart_chills() {
-    let mut warmth = warm();
-    warmth.note_report(&report("b", Readiness::Warm), at(1_000));
-    assert_eq!(warmth.cap(), 1);
+fn restart_resets_cap() {
+    let mut capacity = warm();
+    capacity.note_report(&report("b", Readiness::Warm), at(1_000));
+    assert_eq!(capacity.cap(), 1);
 }
 
 // A backend server that has failed sheds within a fraction of a millisecond. If its one
 // slot is used again at once, it attracts call after call, and callers see rejections
 // although other backend servers have free slots.
 #[test]
-fn fallen_rests() {
-    let mut warmth = warm();
-    warmth.note_shed(at(1_000));
-    assert_eq!(warmth.cap(), 1);
-    warmth.note_shed(at(1_001));
-    assert_eq!(warmth.cap(), 0);
-    assert!(!warmth.take_trial(at(1_500)));
-    assert!(warmth.take_trial(at(2_001)));
+fn failed_gets_trials() {
+    let mut capacity = warm();
+    capacity.note_shed(at(1_000));
+    assert_eq!(capacity.cap(), 1);
+    capacity.note_shed(at(1_001));
+    assert_eq!(capacity.cap(), 0);
+    assert!(!capacity.take_trial(at(1_500)));
+    assert!(capacity.take_trial(at(2_001)));
     for now in [2_100, 2_110, 2_120] {
-        warmth.note_answers(0, 1, at(now));
+        capacity.note_answers(0, 1, at(now));
     }
-    assert_eq!(warmth.cap(), 1);
+    assert_eq!(capacity.cap(), 1);
 }
 
 // A site starts under load, and the first answers arrive before the first load report. If
@@ -90,114 +90,114 @@
 // idle.
 #[test]
 fn answers_before_report() {
-    let mut warmth = Capacity::unknown(6, 1, at(0));
-    warmth.note_answers(0, 1, at(5));
-    warmth.note_report(&report("a", Readiness::Warm), at(10));
-    assert_eq!(warmth.cap(), 6);
+    let mut capacity = Capacity::unknown(6, 1, at(0));
+    capacity.note_answers(0, 1, at(5));
+    capacity.note_report(&report("a", Readiness::Warm), at(10));
+    assert_eq!(capacity.cap(), 6);
 }
 
 // A first report that says warm after a shed is stale.
 #[test]
 fn shed_before_report() {
-    let mut warmth = Capacity::unknown(6, 1, at(0));
-    warmth.note_shed(at(5));
-    warmth.note_report(&report("a", Readiness::Warm), at(10));
-    assert_eq!(warmth.cap(), 0);
-    assert_eq!(warmth.base_cap(), 1);
+    let mut capacity = Capacity::unknown(6, 1, at(0));
+    capacity.note_shed(at(5));
+    capacity.note_report(&report("a", Readiness::Warm), at(10));
+    assert_eq!(capacity.cap(), 0);
+    assert_eq!(capacity.base_cap(), 1);
 }
 
 #[test]
 fn cold_stays_low() {
-    let mut warmth = warm();
-    warmth.note_report(&report("b", Readiness::Cold), at(1_000));
-    prove(&mut warmth, 1_000, 5_000);
-    assert_eq!(warmth.cap(), 1);
-    warmth.note_report(&report("b", Readiness::Warm), at(6_000));
-    prove(&mut warmth, 6_000, 3_000);
-    assert_eq!(warmth.cap(), SLOTS);
+    let mut capacity = warm();
+    capacity.note_report(&report("b", Readiness::Cold), at(1_000));
+    answer_calls(&mut capacity, 1_000, 5_000);
+    assert_eq!(capacity.cap(), 1);
+    capacity.note_report(&report("b", Readiness::Warm), at(6_000));
+    answer_calls(&mut capacity, 6_000, 3_000);
+    assert_eq!(capacity.cap(), SLOTS);
 }
 
 #[test]
 fn draining_gets_none() {
-    let mut warmth = warm();
-    warmth.note_report(&report("a", Readiness::Draining), at(1_000));
-    assert_eq!(warmth.cap(), 0);
-    assert!(!warmth.take_trial(at(9_000)));
+    let mut capacity = warm();
+    capacity.note_report(&report("a", Readiness::Draining), at(1_000));
+    assert_eq!(capacity.cap(), 0);
+    assert!(!capacity.take_trial(at(9_000)));
 }
 
 // One backend server answers twenty times slower than usual while it reports itself idle.
 // Once its answers show it, it must get no more than one trial call a second.
 #[test]
 fn slow_gets_trials() {
-    let mut warmth = warm();
+    let mut capacity = warm();
     for n in 0..8 {
-        warmth.note_answers(1, 1, at(n));
+        capacity.note_answers(1, 1, at(n));
     }
-    assert_eq!(warmth.degradation(), Some(Degradation::Slow));
-    assert_eq!(warmth.cap(), 0);
-    warmth.note_report(&report("a", Readiness::Warm), at(100));
-    assert_eq!(warmth.cap(), 0);
-    assert!(!warmth.take_trial(at(500)));
-    assert!(warmth.take_trial(at(1_100)));
-    assert!(!warmth.take_trial(at(1_200)));
+    assert_eq!(capacity.degradation(), Some(Degradation::Slow));
+    assert_eq!(capacity.cap(), 0);
+    capacity.note_report(&report("a", Readiness::Warm), at(100));
+    assert_eq!(capacity.cap(), 0);
+    assert!(!capacity.take_trial(at(500)));
+    assert!(capacity.take_trial(at(1_100)));
+    assert!(!capacity.take_trial(at(1_200)));
     for n in 0..3 {
-        warmth.note_answers(0, 1, at(2_000 + n));
+        capacity.note_answers(0, 1, at(2_000 + n));
     }
-    assert_eq!(warmth.degradation(), None);
-    assert!(warmth.cap() > 0);
+    assert_eq!(capacity.degradation(), None);
+    assert!(capacity.cap() > 0);
 }
 
 #[test]
 fn unreachable_gets_trials() {
-    let mut warmth = warm();
-    warmth.note_unreachable(at(10));
-    assert_eq!(warmth.degradation(), Some(Degradation::Down));
-    assert_eq!(warmth.cap(), 0);
-    warmth.note_report(&report("b", Readiness::Cold), at(300));
-    assert!(warmth.take_trial(at(300)));
+    let mut capacity = warm();
+    capacity.note_unreachable(at(10));
+    assert_eq!(capacity.degradation(), Some(Degradation::Down));
+    assert_eq!(capacity.cap(), 0);
+    capacity.note_report(&report("b", Readiness::Cold), at(300));
+    assert!(capacity.take_trial(at(300)));
 }
 
 /// Returns the baseline for a mix of 99 calls of 1 ms to one of 2 s.
 fn mixed() -> LatencyBaseline {
-    let mut norm = LatencyBaseline::default();
+    let mut baseline = LatencyBaseline::default();
     for n in 0..500 {
         let millis = if n % 100 == 99 { 2_000 } else { 1 };
-        norm.record(Duration::from_millis(millis));
+        baseline.record(Duration::from_millis(millis));
     }
-    norm
+    baseline
 }
 
 // Long work among short work must not make the server that happens to run it look slow,
 // or that server is taken out of use for nothing.
 #[test]
 fn long_work_is_rare() {
-    let mut norm = mixed();
-    let mut tempo = SlowRate::default();
+    let mut baseline = mixed();
+    let mut slow_rate = SlowRate::default();
     for n in 0..1_000 {
         let millis = if n % 100 == 99 { 2_000 } else { 1 };
-        let over = norm.record(Duration::from_millis(millis));
-        tempo.note(u32::from(over), 1);
-        assert!(!tempo.is_slow());
+        let slow = baseline.record(Duration::from_millis(millis));
+        slow_rate.note(u32::from(slow), 1);
+        assert!(!slow_rate.is_slow());
     }
 }
 
 #[test]
 fn slow_server_shows() {
-    let norm = mixed();
-    assert!(norm.is_slow(Duration::from_millis(20)));
-    assert!(!norm.is_slow(Duration::from_millis(1)));
+    let baseline = mixed();
+    assert!(baseline.is_slow(Duration::from_millis(20)));
+    assert!(!baseline.is_slow(Duration::from_millis(1)));
 }
 
 // Everything behind a service becomes slow at once. No endpoint is the cause, and taking
 // them out of use one after the other would leave none.
 #[test]
 fn shared_slowness() {
-    let mut norm = mixed();
+    let mut baseline = mixed();
     let blamed = (0..500)
-        .filter(|_| norm.record(Duration::from_millis(50)))
+        .filter(|_| baseline.record(Duration::from_millis(50)))
         .count();
     assert!(blamed < 50, "{blamed}");
-    assert!(!norm.is_slow(Duration::from_millis(50)));
+    assert!(!baseline.is_slow(Duration::from_millis(50)));
 }
 
 #[test]
--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -21,7 +21,7 @@
 struct Fleet {
     registry: Registry,
     leaving_centres: BTreeSet<DataCentreKey>,
-    kept: BTreeSet<EndpointKey>,
+    connected: BTreeSet<EndpointKey>,
     topology: Topology,
     regions: BTreeSet<RegionKey>,
     random: StdRng,
@@ -46,7 +46,7 @@
     endpoint(name, "near").key()
 }
 
-fn look(slowness: u32, running: u32, waiting: u32, at: Moment) -> LoadSample {
+fn sample(slowness: u32, running: u32, waiting: u32, at: Moment) -> LoadSample {
     LoadSample {
         at,
         running,
@@ -87,7 +87,7 @@
         Fleet {
             registry,
             leaving_centres: BTreeSet::new(),
-            kept: BTreeSet::new(),
+            connected: BTreeSet::new(),
             topology: Topology::default(),
             regions: BTreeSet::new(),
             random: StdRng::seed_from_u64(7),
@@ -108,7 +108,7 @@
         loop {
             let mut context = Context {
                 registry: &mut self.registry,
-                is_connected: &|key| self.kept.contains(&key),
+                is_connected: &|key| self.connected.contains(&key),
                 is_first: true,
                 may_probe: self.may_probe,
                 leaving_centres: &self.leaving_centres,
@@ -121,11 +121,11 @@
             match placement.next(&mut context, request, *now, &mut draw) {
                 Step::Probe(key) => {
                     *now = *now + Duration::from_millis(1);
-                    let look = answer(key, *now);
+                    let sample = answer(key, *now);
                     self.registry
                         .get_mut(key)
                         .expect("the endpoint is known")
-                        .set_sample(look);
+                        .set_sample(sample);
                 }
                 Step::Place(key) => return Ok(key),
                 Step::Wait(time) => *now = *now + time,
@@ -156,7 +156,7 @@
         let wanted = request_at(now);
         let began = now;
         let slowness = |k: EndpointKey| if bad.contains(&k) { 400 } else { 100 };
-        let chosen = fleet.place(&wanted, &mut now, |k, at| look(slowness(k), 0, 0, at));
+        let chosen = fleet.place(&wanted, &mut now, |k, at| sample(slowness(k), 0, 0, at));
         asks += now.since(began).as_millis();
         assert!(!bad.contains(&chosen.expect("one endpoint is fast")));
     }
@@ -169,20 +169,20 @@
 #[test]
 fn unasked_places() {
     let mut fleet = Fleet::of(&[]);
-    let there = [("a", "near"), ("b", "near"), ("c", "far")];
-    let there = there.map(|(n, c)| (n.to_owned(), Entry::Endpoint(endpoint(n, c))));
-    fleet.registry.replace(there.into(), START);
+    let entries = [("a", "near"), ("b", "near"), ("c", "far")];
+    let entries = entries.map(|(n, c)| (n.to_owned(), Entry::Endpoint(endpoint(n, c))));
+    fleet.registry.replace(entries.into(), START);
     fleet.may_probe = false;
-    fleet.kept = BTreeSet::from([key("b")]);
+    fleet.connected = BTreeSet::from([key("b")]);
     let mut now = START;
-    let mut met = BTreeSet::new();
+    let mut used = BTreeSet::new();
     for _ in 0..20 {
         let chosen = fleet.place(&request(600), &mut now, |_, _| {
             panic!("the endpoint is probed")
         });
-        met.insert(chosen.expect("an endpoint is chosen"));
+        used.insert(chosen.expect("an endpoint is chosen"));
     }
-    assert_eq!(met, BTreeSet::from([key("b")]));
+    assert_eq!(used, BTreeSet::from([key("b")]));
     assert_eq!(now, START);
 }
 
@@ -195,7 +195,7 @@
     let recovers = START + Duration::from_millis(100);
     let chosen = fleet.place(&request(800), &mut now, |k, at| {
         let bad = k == key("a") && at < recovers;
-        look(if bad { 400 } else { 100 }, 0, 0, at)
+        sample(if bad { 400 } else { 100 }, 0, 0, at)
     });
     assert_eq!(chosen, Ok(key("a")));
 }
@@ -208,9 +208,9 @@
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "near"), ("c", "far")]);
     let mut now = START;
     let chosen = fleet.place(&request(800), &mut now, |k, at| match k {
-        _ if k == key("a") => look(400, 0, 0, at),
-        _ if k == key("b") => look(100, 6, 0, at),
-        _ => look(100, 0, 0, at),
+        _ if k == key("a") => sample(400, 0, 0, at),
+        _ if k == key("b") => sample(100, 6, 0, at),
+        _ => sample(100, 0, 0, at),
     });
     assert_eq!(chosen, Ok(key("c")));
     assert!(now.since(START) < Duration::from_millis(40));
@@ -223,7 +223,7 @@
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "far")]);
     let mut now = START;
     let chosen = fleet.place(&request(600), &mut now, |k, at| {
-        look(if k == key("a") { 400 } else { 100 }, 0, 0, at)
+        sample(if k == key("a") { 400 } else { 100 }, 0, 0, at)
     });
     assert_eq!(chosen, Ok(key("b")));
     assert!(now.since(START) < Duration::from_millis(400));
@@ -235,7 +235,7 @@
 fn all_full() {
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "near")]);
     let mut now = START;
-    let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 6, 6, at));
+    let chosen = fleet.place(&request(600), &mut now, |_, at| sample(100, 6, 6, at));
     assert!(matches!(chosen, Err(Refusal::Full | Refusal::TooLate)));
     assert!(now < START + Duration::from_millis(2_000));
 }
@@ -248,7 +248,7 @@
     for (running, placed) in [(1, false), (0, true)] {
         let mut fleet = Fleet::of(&[("a", "near")]);
         let mut now = START + Duration::from_millis(500);
-        let chosen = fleet.place(&request(600), &mut now, |_, at| look(400, running, 0, at));
+        let chosen = fleet.place(&request(600), &mut now, |_, at| sample(400, running, 0, at));
         assert_eq!(chosen.is_ok(), placed);
     }
 }
@@ -283,19 +283,19 @@
 
 /// An endpoint passes its health check but fails every request.
 #[test]
-fn lying_health() {
+fn false_health_check() {
     for seed in 0..20 {
         let mut fleet = Fleet::of(&[("a", "near"), ("b", "near")]);
         fleet.random = StdRng::seed_from_u64(seed);
-        let liar = fleet
+        let lying = fleet
             .registry
             .get_mut(key("a"))
             .expect("the endpoint is known");
         for _ in 0..2 {
-            liar.health.note(Outcome::Failed, 0.0, START);
+            lying.health.note(Outcome::Failed, 0.0, START);
         }
         let mut now = START + Duration::from_millis(500);
-        let chosen = fleet.place(&request(3_000), &mut now, |_, at| look(100, 0, 0, at));
+        let chosen = fleet.place(&request(3_000), &mut now, |_, at| sample(100, 0, 0, at));
         assert_eq!(chosen, Ok(key("b")));
     }
 }
@@ -313,7 +313,7 @@
         state.health.note(Outcome::Silent, 0.0, START);
     }
     let mut now = START;
-    let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
+    let chosen = fleet.place(&request(600), &mut now, |_, at| sample(100, 0, 0, at));
     assert!(chosen.is_ok());
 }
 
@@ -371,7 +371,7 @@
         .apply("a", Some(Entry::Endpoint(leaving)), START);
     fleet.leaving_centres.insert(DataCentreKey::named("far"));
     let mut now = START;
-    let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
+    let chosen = fleet.place(&request(600), &mut now, |_, at| sample(100, 0, 0, at));
     assert_eq!(chosen, Err(Refusal::NoEndpoint));
 }
 
@@ -390,7 +390,7 @@
         state.note_cold(Duration::from_secs(5), now);
         let wanted = request_at(now);
         let chosen = fleet.place(&wanted, &mut now, |k, at| {
-            look(100, if k == key("warm") { 6 } else { 0 }, 0, at)
+            sample(100, if k == key("warm") { 6 } else { 0 }, 0, at)
         });
         placed += i32::from(chosen == Ok(key("cold")));
     }
@@ -466,16 +466,16 @@
     ]);
     fleet.topology = Topology::new([("near", "home"), ("beside", "home"), ("abroad", "away")]);
     fleet.regions = BTreeSet::from([RegionKey::named("home")]);
-    let well = |_, now| look(100, 0, 0, now);
+    let fast = |_, now| sample(100, 0, 0, now);
     let mut now = START;
-    assert_eq!(fleet.place(&request(600), &mut now, well), Ok(key("a")));
+    assert_eq!(fleet.place(&request(600), &mut now, fast), Ok(key("a")));
     fleet.leaving_centres.insert(DataCentreKey::named("near"));
-    assert_eq!(fleet.place(&request(600), &mut now, well), Ok(key("b")));
+    assert_eq!(fleet.place(&request(600), &mut now, fast), Ok(key("b")));
     fleet.leaving_centres.insert(DataCentreKey::named("beside"));
-    let refused = fleet.place(&request(600), &mut now, well);
+    let refused = fleet.place(&request(600), &mut now, fast);
     assert_eq!(refused, Err(Refusal::NoEndpoint));
     fleet.regions = BTreeSet::from([RegionKey::named("away")]);
-    assert_eq!(fleet.place(&request(600), &mut now, well), Ok(key("c")));
+    assert_eq!(fleet.place(&request(600), &mut now, fast), Ok(key("c")));
 }
 
 /// The data centre's own endpoints are full. Requests must go to another data centre of
@@ -486,8 +486,8 @@
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "beside"), ("c", "abroad")]);
     fleet.topology = Topology::new([("near", "home"), ("beside", "home"), ("abroad", "away")]);
     let near_full = |k: EndpointKey, now| match k == key("a") {
-        true => look(100, 6, 4, now),
-        false => look(100, 0, 0, now),
+        true => sample(100, 6, 4, now),
+        false => sample(100, 0, 0, now),
     };
     for n in 0..20 {
         let mut now = START + Duration::from_secs(n);
@@ -503,23 +503,23 @@
 fn kept_connections() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut fleet = Fleet::of(&[]);
-    let there = names.map(|n| (n.to_owned(), Entry::Endpoint(endpoint(n, "near"))));
-    fleet.registry.replace(there.into(), START);
-    fleet.kept = BTreeSet::from([key("c"), key("f")]);
-    let mut met = BTreeSet::new();
+    let entries = names.map(|n| (n.to_owned(), Entry::Endpoint(endpoint(n, "near"))));
+    fleet.registry.replace(entries.into(), START);
+    fleet.connected = BTreeSet::from([key("c"), key("f")]);
+    let mut used = BTreeSet::new();
     for round in 0..60 {
         let mut now = START + Duration::from_secs(round);
         let wanted = request_at(now);
-        let well = |_, now| look(100, 0, 0, now);
-        met.insert(fleet.place(&wanted, &mut now, well).unwrap());
+        let fast = |_, now| sample(100, 0, 0, now);
+        used.insert(fleet.place(&wanted, &mut now, fast).unwrap());
     }
-    assert_eq!(met, fleet.kept);
+    assert_eq!(used, fleet.connected);
     let mut now = START + Duration::from_secs(90);
     let wanted = request_at(now);
-    let kept = fleet.kept.clone();
-    let ill = |k, now| look(if kept.contains(&k) { 400 } else { 100 }, 0, 0, now);
-    let met = fleet.place(&wanted, &mut now, ill).unwrap();
-    assert!(!fleet.kept.contains(&met));
+    let connected = fleet.connected.clone();
+    let slow = |k, now| sample(if connected.contains(&k) { 400 } else { 100 }, 0, 0, now);
+    let used = fleet.place(&wanted, &mut now, slow).unwrap();
+    assert!(!fleet.connected.contains(&used));
 }
 
 /// Operators add endpoints to a busy service. If hosts used only the endpoints they are
@@ -528,20 +528,20 @@
 fn newcomers_found() {
     let mut fleet = Fleet::of(&[]);
     let entry = |name: &str| Entry::Endpoint(endpoint(name, "near"));
-    let there = ["a", "b", "c", "d"].map(|n| (n.to_owned(), entry(n)));
-    fleet.registry.replace(there.into(), START);
-    fleet.kept = BTreeSet::from([key("a")]);
-    let mut met = BTreeSet::new();
+    let entries = ["a", "b", "c", "d"].map(|n| (n.to_owned(), entry(n)));
+    fleet.registry.replace(entries.into(), START);
+    fleet.connected = BTreeSet::from([key("a")]);
+    let mut used = BTreeSet::new();
     for round in 0..20 {
         let mut now = START + Duration::from_secs(round);
         if round == 10 {
             fleet.registry.apply("e", Some(entry("e")), now);
         }
         let wanted = request_at(now);
-        let well = |_, now| look(100, 0, 0, now);
-        met.insert(fleet.place(&wanted, &mut now, well).unwrap());
+        let fast = |_, now| sample(100, 0, 0, now);
+        used.insert(fleet.place(&wanted, &mut now, fast).unwrap());
     }
-    assert_eq!(met, BTreeSet::from([key("a"), key("e")]));
+    assert_eq!(used, BTreeSet::from([key("a"), key("e")]));
 }
 
 /// Most endpoints advertise a rate limit, and this host's quota of it is used up. Its
@@ -556,7 +556,7 @@
     }
     for _ in 0..20 {
         let mut now = START;
-        let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
+        let chosen = fleet.place(&request(600), &mut now, |_, at| sample(100, 0, 0, at));
         assert_eq!(chosen, Ok(key("c")));
     }
 }
@@ -572,7 +572,7 @@
         limits.observe(key(name), Some(1.0), Source::Request);
     }
     let mut now = START;
-    let chosen = fleet.place(&request(600), &mut now, |_, at| look(100, 0, 0, at));
+    let chosen = fleet.place(&request(600), &mut now, |_, at| sample(100, 0, 0, at));
     assert_eq!((chosen, now), (Err(Refusal::Limited), START));
 }
 
@@ -586,7 +586,7 @@
     let mut now = START;
     for _ in 0..3 {
         let wanted = request_at(now);
-        let chosen = fleet.place(&wanted, &mut now, |_, at| look(100, 0, 0, at));
+        let chosen = fleet.place(&wanted, &mut now, |_, at| sample(100, 0, 0, at));
         assert_eq!(chosen, Ok(key("a")));
     }
     assert!(now.since(START) >= Duration::from_millis(500));
--- a/components/state/tests/fleet_registry.rs
+++ b/components/state/tests/fleet_registry.rs
@@ -59,7 +59,7 @@
 /// An endpoint restarts under its old name: what was known about its former instance
 /// doesn't apply to the new one.
 #[test]
-fn born_anew() {
+fn restarted() {
     let mut registry = with(&["a"]);
     let old = endpoint("a", 1).key();
     registry
@@ -85,7 +85,7 @@
 /// A data centre that was taken out returns, possibly cold: its endpoints must count as
 /// cold until they report themselves warm.
 #[test]
-fn taken_back() {
+fn centre_returns() {
     let mut registry = with(&["a"]);
     let now = Moment::from_millis(5_000);
     registry.mark_cold(DataCentreKey::named("here"), now, |_| {
@@ -105,15 +105,15 @@
 fn limits_of_gone() {
     let mut registry = with(&["a"]);
     let key = endpoint("a", 1).key();
-    let advice = RateLimitUpdate {
+    let update = RateLimitUpdate {
         endpoint: key,
         rate: Some(1.5),
     };
-    registry.apply_limit_update(&advice);
+    registry.apply_limit_update(&update);
     assert!(registry.limits().contains(key));
     registry.apply("a", None, Moment::from_millis(1));
     assert!(!registry.limits().contains(key));
-    registry.apply_limit_update(&advice);
+    registry.apply_limit_update(&update);
     assert_eq!(
         registry.observe_limit(key, Some(1.5), Source::Request),
         None
--- a/components/state/tests/host_probe_budget.rs
+++ b/components/state/tests/host_probe_budget.rs
@@ -10,30 +10,30 @@
 
 /// Returns the probes per second and endpoint of `hosts` hosts over `seconds` seconds,
 /// each of which would send 2,000 probes a second.
-fn asked(hosts: usize, seconds: u64) -> f64 {
+fn probe_rate(hosts: usize, seconds: u64) -> f64 {
     let start = Moment::from_millis(1_000);
     let share = 1.0 / hosts as f64;
     let mut budget = HostProbeBudget::new(start);
-    let mut asked = 0;
+    let mut sent = 0;
     for millis in 0..seconds * 1_000 {
         let now = start + Duration::from_millis(millis);
         budget.refill(RATE, ENDPOINTS, share, now);
         for _ in 0..2 {
             if budget.is_available() {
                 budget.spend();
-                asked += 1;
+                sent += 1;
             }
         }
     }
-    (asked * hosts) as f64 / seconds as f64 / ENDPOINTS as f64
+    (sent * hosts) as f64 / seconds as f64 / ENDPOINTS as f64
 }
 
 /// Under twice the load that all endpoints can take, every host probes whenever it may,
 /// for minutes. If the limit fails, endpoints spend on probes the time that callers need.
 #[test]
-fn flood_held() {
+fn flood_limited() {
     for hosts in [1, 18, 100] {
-        let rate = asked(hosts, 600);
+        let rate = probe_rate(hosts, 600);
         assert!(rate <= RATE, "{rate} a second with {hosts} hosts");
         let least = if hosts == 1 { 30.0 } else { 45.0 };
         assert!(rate >= least, "{rate} a second with {hosts} hosts");
@@ -49,18 +49,18 @@
     for (hosts, endpoints) in [(13, 25), (18, 37), (133, 240), (1_000, 280)] {
         let start = Moment::from_millis(1_000);
         let mut budget = HostProbeBudget::new(start);
-        let mut asked = 0;
+        let mut sent = 0;
         for millis in 0..58_000 {
             let now = start + Duration::from_millis(millis);
             budget.refill(RATE, endpoints, 1.0 / f64::from(hosts), now);
             if budget.is_available() {
                 budget.spend();
-                asked += 1;
+                sent += 1;
             }
         }
         // Callers arrive eight seconds after the start.
         let granted = RATE * endpoints as f64 * 50.0;
-        let all = f64::from(asked * hosts);
+        let all = f64::from(sent * hosts);
         assert!(
             all <= granted,
             "{hosts} hosts sent {all} probes of {granted}"
@@ -75,13 +75,13 @@
     let start = Moment::from_millis(1_000);
     let mut budget = HostProbeBudget::new(start);
     budget.refill(RATE, ENDPOINTS, 0.05, start + Duration::from_secs(600));
-    let mut asked = 0;
+    let mut sent = 0;
     while budget.is_available() {
         budget.spend();
-        asked += 1;
+        sent += 1;
     }
     // 111 probes per second for this host, eight tenths of which are saved, for a minute.
-    assert!((5_000..=6_660).contains(&asked), "{asked} probes at once");
+    assert!((5_000..=6_660).contains(&sent), "{sent} probes at once");
 }
 
 /// A host that has just started must be able to probe before it knows its share.
@@ -141,10 +141,10 @@
 
 /// Returns how many probes are left, and uses them up.
 fn left(budget: &mut HostProbeBudget) -> usize {
-    let mut asked = 0;
+    let mut sent = 0;
     while budget.is_available() {
         budget.spend();
-        asked += 1;
+        sent += 1;
     }
-    asked
+    sent
 }
--- a/components/state/tests/probe_budget.rs
+++ b/components/state/tests/probe_budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use state::Moment;
-use state::probe::{ProbeBudget, SHARE};
+use state::probe::{PROBE_SHARE_PERMILLE, ProbeBudget};
 
 const COST: Duration = Duration::from_millis(6);
 const SLOTS: u32 = 6;
@@ -26,7 +26,7 @@
     let slot_time = Duration::from_secs(10) * SLOTS;
     assert!(probes > 0);
     assert!(
-        COST * probes <= slot_time * SHARE / 1_000,
+        COST * probes <= slot_time * PROBE_SHARE_PERMILLE / 1_000,
         "{probes} probes"
     );
 }
--- a/components/state/tests/quarantine.rs
+++ b/components/state/tests/quarantine.rs
@@ -38,7 +38,7 @@
     quarantine
 }
 
-fn finding(crashes: u32, remaining: u64, age: u64) -> QuarantineUpdate {
+fn update(crashes: u32, remaining: u64, age: u64) -> QuarantineUpdate {
     QuarantineUpdate {
         request: FATAL.request,
         crashes,
@@ -51,14 +51,14 @@
 fn third_crash() {
     let mut quarantine = Quarantine::default();
     for millis in [200, 600] {
-        let told = quarantine.note_crash(&crash(FATAL, millis), Reporter::OtherHost);
+        let updates = quarantine.note_crash(&crash(FATAL, millis), Reporter::OtherHost);
         assert_eq!(
-            (told, quarantine.remaining(FATAL, at(millis))),
+            (updates, quarantine.remaining(FATAL, at(millis))),
             (vec![], None)
         );
     }
-    let told = quarantine.note_crash(&crash(FATAL, 1_000), Reporter::ThisHost);
-    assert_eq!(told, [finding(3, 10_000, 0)]);
+    let updates = quarantine.note_crash(&crash(FATAL, 1_000), Reporter::ThisHost);
+    assert_eq!(updates, [update(3, 10_000, 0)]);
     assert_eq!(
         quarantine.admit(FATAL, at(1_001)),
         Decision::Reject(Duration::from_millis(9_999))
@@ -136,8 +136,8 @@
         quarantine.admit(FATAL, at(11_000)),
         Decision::Trial(_)
     ));
-    let told = quarantine.note_answer(FATAL, at(11_200));
-    assert!(told.contains(&finding(0, 0, 0)));
+    let updates = quarantine.note_answer(FATAL, at(11_200));
+    assert!(updates.contains(&update(0, 0, 0)));
     assert_eq!(quarantine.admit(FATAL, at(11_201)), Decision::Pass);
 }
 
@@ -146,11 +146,11 @@
 #[test]
 fn learned() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.apply(&finding(3, 8_000, 2_000), at(5_000)));
-    assert!(!quarantine.apply(&finding(3, 8_000, 2_000), at(5_010)));
+    assert!(quarantine.apply(&update(3, 8_000, 2_000), at(5_000)));
+    assert!(!quarantine.apply(&update(3, 8_000, 2_000), at(5_010)));
     let remaining = quarantine.remaining(FATAL, at(5_000));
     assert_eq!(remaining, Some(Duration::from_millis(8_000)));
-    assert!(quarantine.apply(&finding(0, 0, 100), at(6_000)));
+    assert!(quarantine.apply(&update(0, 0, 100), at(6_000)));
     assert_eq!(quarantine.remaining(FATAL, at(6_000)), None);
 }
 
@@ -159,7 +159,7 @@
 fn late_reminder() {
     let mut quarantine = quarantined();
     quarantine.note_answer(FATAL, at(2_000));
-    assert!(!quarantine.apply(&finding(3, 9_000, 1_100), at(2_100)));
+    assert!(!quarantine.apply(&update(3, 9_000, 1_100), at(2_100)));
     assert_eq!(quarantine.remaining(FATAL, at(2_100)), None);
 }
 
@@ -177,8 +177,8 @@
     }
     assert!(quarantine.len() <= 4_096);
     assert!(quarantine.remaining(FATAL, at(60_000)).is_some());
-    let told = quarantine.updates(at(60_000));
-    assert!(told.iter().any(|f| f.request == FATAL.request));
+    let updates = quarantine.updates(at(60_000));
+    assert!(updates.iter().any(|f| f.request == FATAL.request));
 }
 
 /// Suspects must not be kept forever.
--- a/components/state/tests/quarantine_fleet.rs
+++ b/components/state/tests/quarantine_fleet.rs
@@ -15,7 +15,7 @@
 const RUN: u64 = 60;
 
 /// The delay of a message from one host to another, in milliseconds.
-const DELAY: u64 = 5;
+const MESSAGE_DELAY: u64 = 5;
 
 /// The time after the third crash by which all hosts must know the request, in
 /// milliseconds.
@@ -25,7 +25,7 @@
 const SETTLED: u64 = 3_000;
 
 /// The number of later arrivals that are tolerated.
-const GRANTED: usize = 3;
+const TOLERATED: usize = 3;
 
 /// The maximum number of endpoints that one request of a caller is sent to.
 const ATTEMPTS: u32 = 2;
@@ -38,11 +38,11 @@
 /// An event of the simulation.
 #[derive(Clone)]
 enum Event {
-    Arrives {
+    Arrival {
         host: usize,
         attempt: u32,
     },
-    Ends {
+    RunEnd {
         host: usize,
         attempt: u32,
         sent: Moment,
@@ -51,9 +51,9 @@
         to: usize,
         crash: Crash,
     },
-    Findings {
+    Updates {
         to: usize,
-        findings: Vec<QuarantineUpdate>,
+        updates: Vec<QuarantineUpdate>,
     },
     Reminders,
     Restart {
@@ -97,16 +97,16 @@
     /// Sends an event to one host, unless the message is lost.
     fn send(&mut self, millis: u64, event: Event) {
         if self.random.random::<f64>() >= self.loss {
-            self.at(millis + DELAY, event);
+            self.at(millis + MESSAGE_DELAY, event);
         }
     }
 
-    fn tell_all(&mut self, from: usize, millis: u64, crash: Crash, findings: &[QuarantineUpdate]) {
+    fn send_all(&mut self, from: usize, millis: u64, crash: Crash, updates: &[QuarantineUpdate]) {
         for to in (0..self.hosts.len()).filter(|to| *to != from) {
             self.send(millis, Event::Report { to, crash });
-            if !findings.is_empty() {
-                let findings = findings.to_vec();
-                self.send(millis, Event::Findings { to, findings });
+            if !updates.is_empty() {
+                let updates = updates.to_vec();
+                self.send(millis, Event::Updates { to, updates });
             }
         }
     }
@@ -124,21 +124,21 @@
     fn take(&mut self, millis: u64, event: Event) {
         let now = Moment::from_millis(millis);
         match event {
-            Event::Arrives { host, attempt } => {
+            Event::Arrival { host, attempt } => {
                 if matches!(self.hosts[host].admit(FATAL, now), Decision::Reject(_)) {
                     return;
                 }
                 if millis >= self.started[host] + SETTLED {
                     self.arrivals.push(millis);
                 }
-                let ends = Event::Ends {
+                let ends = Event::RunEnd {
                     host,
                     attempt,
                     sent: now,
                 };
                 self.at(millis + RUN, ends);
             }
-            Event::Ends {
+            Event::RunEnd {
                 host,
                 attempt,
                 sent,
@@ -149,15 +149,15 @@
                     sent,
                     at: now,
                 };
-                let findings = self.hosts[host].note_crash(&crash, Reporter::ThisHost);
-                self.tell_all(host, millis, crash, &findings);
+                let updates = self.hosts[host].note_crash(&crash, Reporter::ThisHost);
+                self.send_all(host, millis, crash, &updates);
                 if attempt < ATTEMPTS {
                     let attempt = attempt + 1;
-                    self.at(millis + 1, Event::Arrives { host, attempt });
+                    self.at(millis + 1, Event::Arrival { host, attempt });
                 }
             }
             Event::Report { to, crash } => {
-                let late = Duration::from_millis(DELAY);
+                let late = Duration::from_millis(MESSAGE_DELAY);
                 let crash = Crash {
                     sent: crash.sent + late,
                     at: crash.at + late,
@@ -165,16 +165,16 @@
                 };
                 self.hosts[to].note_crash(&crash, Reporter::OtherHost);
             }
-            Event::Findings { to, findings } => {
-                for finding in &findings {
-                    self.hosts[to].apply(finding, now);
+            Event::Updates { to, updates } => {
+                for update in &updates {
+                    self.hosts[to].apply(update, now);
                 }
             }
             Event::Reminders => {
                 for host in 0..self.hosts.len() {
-                    let findings = self.hosts[host].updates(now);
+                    let updates = self.hosts[host].updates(now);
                     let to = self.random.random_range(0..self.hosts.len());
-                    self.send(millis, Event::Findings { to, findings });
+                    self.send(millis, Event::Updates { to, updates });
                 }
                 self.at(millis + 1_000, Event::Reminders);
             }
@@ -182,8 +182,8 @@
                 self.hosts[host] = Quarantine::default();
                 self.started[host] = millis;
                 let other = (host + 1) % self.hosts.len();
-                let findings = self.hosts[other].updates(now);
-                self.send(millis + DELAY, Event::Findings { to: host, findings });
+                let updates = self.hosts[other].updates(now);
+                self.send(millis + MESSAGE_DELAY, Event::Updates { to: host, updates });
             }
         }
     }
@@ -216,7 +216,7 @@
             (0..100_000).step_by(usize::try_from(pause).expect("the pause fits into usize"))
         {
             let host = fleet.random.random_range(0..hosts);
-            fleet.at(millis, Event::Arrives { host, attempt: 1 });
+            fleet.at(millis, Event::Arrival { host, attempt: 1 });
         }
         for number in 0..10 {
             let host = fleet.random.random_range(0..hosts);
@@ -224,6 +224,6 @@
         }
         fleet.run(100_000);
         let late = fleet.late_arrivals();
-        assert!(late <= GRANTED, "{late} late arrivals with seed {seed}");
+        assert!(late <= TOLERATED, "{late} late arrivals with seed {seed}");
     }
 }
--- a/components/state/tests/rate_limits.rs
+++ b/components/state/tests/rate_limits.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn named_and_ended() {
+fn advertised_and_ended() {
     let named = RateLimit::after(None, Some(1.5), Source::Request);
     assert_eq!(rate(named), Some(1.5));
     let changed = RateLimit::after(named, Some(0.5), Source::Probe);
@@ -61,7 +61,7 @@
     }
 
     /// Applies an answer with this limit at all hosts.
-    fn tell(&mut self, rate: f64) {
+    fn advertise(&mut self, rate: f64) {
         for host in &mut self.hosts {
             host.observe(ENDPOINT, Some(rate), Source::Request);
         }
@@ -103,18 +103,18 @@
                 if at == 0 {
                     self.first.push(self.now);
                 }
-                let advice = host.observe(ENDPOINT, rate(at), Source::Request);
-                self.tell_others(at, advice);
+                let update = host.observe(ENDPOINT, rate(at), Source::Request);
+                self.send_others(at, update);
             }
             self.now = self.now + Duration::from_millis(1);
         }
     }
 
-    fn tell_others(&mut self, from: usize, advice: Option<RateLimitUpdate>) {
+    fn send_others(&mut self, from: usize, update: Option<RateLimitUpdate>) {
         let others = self.hosts.iter_mut().enumerate();
         for (_, host) in others.filter(|(at, _)| *at != from) {
-            if let Some(advice) = &advice {
-                host.apply(advice);
+            if let Some(update) = &update {
+                host.apply(update);
             }
         }
     }
@@ -144,7 +144,7 @@
 fn sum_of_quotas(#[values(3, 13, 472)] hosts: usize, #[values(0.4, 1.2, 6.0)] rate: f64) {
     for seed in 0..5 {
         let mut fleet = Fleet::new(hosts, seed);
-        fleet.tell(rate);
+        fleet.advertise(rate);
         fleet.pass(Duration::from_secs(60), true);
         let most = fleet.busiest();
         assert!(most <= granted(rate), "{most} with seed {seed}");
@@ -158,7 +158,7 @@
 fn burst_after_calm(#[values(3, 13, 472)] hosts: usize) {
     for seed in 0..5 {
         let mut fleet = Fleet::new(hosts, seed);
-        fleet.tell(1.2);
+        fleet.advertise(1.2);
         fleet.pass(Duration::from_secs(60), false);
         fleet.pass(Duration::from_secs(10), true);
         let most = fleet.busiest();
@@ -172,7 +172,7 @@
 fn changing_limit() {
     let mut fleet = Fleet::new(13, 3);
     for second in 0..30 {
-        fleet.tell(0.5 + f64::from(second % 4) * 0.5);
+        fleet.advertise(0.5 + f64::from(second % 4) * 0.5);
         fleet.pass(Duration::from_secs(1), true);
     }
     assert!(fleet.busiest() <= granted(2.0));
@@ -182,31 +182,31 @@
 /// An endpoint must get a few requests even with a limit of zero, since only its answers
 /// show that the limit has ended.
 #[test]
-fn limit_nought() {
+fn limit_zero() {
     let mut fleet = Fleet::new(13, 3);
-    fleet.tell(0.0);
+    fleet.advertise(0.0);
     fleet.pass(Duration::from_secs(100), true);
     let sent = fleet.sent.len();
     assert!((3..=12).contains(&sent), "{sent} requests in 100 s");
 }
 
 #[test]
-fn limit_beyond_measure() {
+fn huge_limit() {
     let mut fleet = Fleet::new(3, 3);
-    fleet.tell(1e300);
+    fleet.advertise(1e300);
     fleet.pass(Duration::from_secs(1), true);
     assert_eq!(fleet.sent.len(), 150);
 }
 
 fn learned(limits: &mut RateLimits, rate: Option<f64>) -> Option<Option<f64>> {
-    let advice = limits.observe(ENDPOINT, rate, Source::Request);
-    advice.map(|a| a.rate)
+    let update = limits.observe(ENDPOINT, rate, Source::Request);
+    update.map(|a| a.rate)
 }
 
 /// Hosts that rarely send requests to an endpoint must receive its limit and the end of
 /// it, but not every repetition.
 #[test]
-fn told_once() {
+fn sent_once() {
     let mut limits = RateLimits::default();
     assert_eq!(learned(&mut limits, None), None);
     assert_eq!(learned(&mut limits, Some(2.0)), Some(Some(2.0)));
@@ -219,7 +219,7 @@
 /// An endpoint advertises its limit to one host only. Updates from other hosts that saw
 /// no limit must not make that host exceed it.
 #[test]
-fn named_to_one() {
+fn advertised_to_one() {
     for hosts in [3, 13] {
         let mut fleet = Fleet::new(hosts, 3);
         fleet.requests(Duration::from_secs(60), |host| (host == 0).then_some(1.2));
--- a/components/state/tests/slow_peers.rs
+++ b/components/state/tests/slow_peers.rs
@@ -5,14 +5,14 @@
 use state::stall::{MIN_RATE, STALL_TIMEOUT, StallTimer};
 
 /// Returns how many seconds a peer is tolerated that moves `bytes` per second.
-fn borne(bytes: u64) -> u64 {
-    let mut pace = StallTimer::default();
+fn tolerated(bytes: u64) -> u64 {
+    let mut timer = StallTimer::default();
     for second in 0..3_600 {
-        if pace.remaining() < Duration::from_secs(1) {
+        if timer.remaining() < Duration::from_secs(1) {
             return second;
         }
-        pace.note_wait(Duration::from_secs(1));
-        pace.note_bytes(bytes);
+        timer.note_wait(Duration::from_secs(1));
+        timer.note_bytes(bytes);
     }
     3_600
 }
@@ -20,24 +20,24 @@
 /// A thousand callers send a byte a second each, and would hold slots for hours.
 #[test]
 fn trickle_ends() {
-    assert!(borne(1) <= STALL_TIMEOUT.as_secs());
+    assert!(tolerated(1) <= STALL_TIMEOUT.as_secs());
 }
 
 #[test]
 fn half_rate_ends() {
-    assert!(borne(MIN_RATE / 2) <= 2 * STALL_TIMEOUT.as_secs());
+    assert!(tolerated(MIN_RATE / 2) <= 2 * STALL_TIMEOUT.as_secs());
 }
 
 /// A long upload on a slow but usable line must complete.
 #[test]
-fn least_rate_is_borne() {
-    assert_eq!(borne(MIN_RATE), 3_600);
+fn minimum_rate_completes() {
+    assert_eq!(tolerated(MIN_RATE), 3_600);
 }
 
 /// A fast start must not earn hours of tolerance.
 #[test]
 fn no_credit_for_the_past() {
-    let mut pace = StallTimer::default();
-    pace.note_bytes(1 << 40);
-    assert_eq!(pace.remaining(), STALL_TIMEOUT);
+    let mut timer = StallTimer::default();
+    timer.note_bytes(1 << 40);
+    assert_eq!(timer.remaining(), STALL_TIMEOUT);
 }
--- a/components/state/tests/unreachable_centre.rs
+++ b/components/state/tests/unreachable_centre.rs
@@ -16,7 +16,7 @@
 const START: Moment = Moment::from_millis(10_000);
 
 /// The timeout for an endpoint that can't be reached.
-const SILENCE: Duration = Duration::from_millis(120);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
 
 const CENTRES: [&str; 2] = ["near", "far"];
 
@@ -82,7 +82,7 @@
         loop {
             match self.step(&mut placement, &request) {
                 Step::Probe(key) if self.cut && self.is_near(key) => {
-                    self.now = self.now + SILENCE;
+                    self.now = self.now + PROBE_TIMEOUT;
                     self.registry.note_outcome(key, Outcome::Broken, self.now);
                     placement.note_unanswered(key);
                 }
@@ -130,7 +130,7 @@
 /// forty endpoints costs a timeout, requests run out of time although others could serve
 /// them.
 #[test]
-fn near_ones_silent() {
+fn centre_unreachable() {
     let mut site = Site::new();
     let mut late = 0;
     for _ in 0..40 {
@@ -148,7 +148,7 @@
 /// The link is restored: a host must use its own data centre again, since traffic to
 /// others is expensive.
 #[test]
-fn near_ones_back() {
+fn centre_reachable_again() {
     let mut site = Site::new();
     for _ in 0..10 {
         site.place();
--- a/components/state/tests/wait_queue.rs
+++ b/components/state/tests/wait_queue.rs
@@ -26,8 +26,8 @@
     waiting: Vec<Waiting>,
     random: StdRng,
     /// The number of requests that each endpoint runs for all hosts.
-    taken: BTreeMap<EndpointKey, u32>,
-    asks: usize,
+    running: BTreeMap<EndpointKey, u32>,
+    probes: usize,
     placed: Vec<(usize, EndpointKey)>,
 }
 
@@ -37,7 +37,7 @@
     placement: Placement,
     ticket: Option<Ticket>,
     due: Moment,
-    asking: Option<EndpointKey>,
+    probing: Option<EndpointKey>,
 }
 
 fn endpoint(name: &str) -> Endpoint {
@@ -57,10 +57,10 @@
     /// Returns a host whose endpoints are all full.
     fn full(names: &[&str]) -> Host {
         let mut registry = Registry::default();
-        let mut taken = BTreeMap::new();
+        let mut running = BTreeMap::new();
         for name in names {
             let endpoint = endpoint(name);
-            taken.insert(endpoint.key(), SLOTS);
+            running.insert(endpoint.key(), SLOTS);
             registry.apply(name, Some(Entry::Endpoint(endpoint)), START);
         }
         Host {
@@ -68,8 +68,8 @@
             queue: WaitQueue::default(),
             waiting: Vec::new(),
             random: StdRng::seed_from_u64(3),
-            taken,
-            asks: 0,
+            running,
+            probes: 0,
             placed: Vec::new(),
         }
     }
@@ -90,23 +90,23 @@
             placement: Placement::default(),
             ticket,
             due: now,
-            asking: None,
+            probing: None,
         });
     }
 
     /// Runs all requests that are due.
     fn step(&mut self, now: Moment) {
         for mut waiting in std::mem::take(&mut self.waiting) {
-            match waiting.due > now || self.go_on(&mut waiting, now) {
+            match waiting.due > now || self.step_one(&mut waiting, now) {
                 true => self.waiting.push(waiting),
-                false => self.called(waiting.ticket, now),
+                false => self.remove(waiting.ticket, now),
             }
         }
     }
 
     /// Runs one request's next step; returns whether it is still waiting.
-    fn go_on(&mut self, waiting: &mut Waiting, now: Moment) -> bool {
-        if let Some(key) = waiting.asking.take() {
+    fn step_one(&mut self, waiting: &mut Waiting, now: Moment) -> bool {
+        if let Some(key) = waiting.probing.take() {
             self.see(key, now);
         }
         let is_first = waiting.ticket.is_none_or(|t| self.queue.first() == Some(t));
@@ -128,8 +128,8 @@
             .next(&mut context, request, now, &mut draw)
         {
             Step::Probe(key) => {
-                self.asks += 1;
-                waiting.asking = Some(key);
+                self.probes += 1;
+                waiting.probing = Some(key);
                 waiting.due = now + ANSWER;
                 true
             }
@@ -138,7 +138,7 @@
                     .get_mut(key)
                     .expect("the endpoint is known")
                     .start();
-                *self.taken.entry(key).or_default() += 1;
+                *self.running.entry(key).or_default() += 1;
                 self.placed.push((waiting.number, key));
                 false
             }
@@ -155,15 +155,15 @@
     }
 
     /// Removes a request from the queue and wakes the new first one.
-    fn called(&mut self, ticket: Option<Ticket>, now: Moment) {
+    fn remove(&mut self, ticket: Option<Ticket>, now: Moment) {
         let next = ticket.and_then(|t| self.queue.remove(t));
         self.wake(next, now);
     }
 
     fn see(&mut self, key: EndpointKey, now: Moment) {
-        let look = LoadSample {
+        let sample = LoadSample {
             at: now,
-            running: self.taken[&key],
+            running: self.running[&key],
             waiting: 0,
             slots: SLOTS,
             slowness: 100,
@@ -173,22 +173,22 @@
         self.registry
             .get_mut(key)
             .expect("the endpoint is known")
-            .set_sample(look);
+            .set_sample(sample);
     }
 
     /// Ends a request of this host at an endpoint, whose answer reports its load.
     fn end(&mut self, name: &str, left: u32, now: Moment) {
         let key = endpoint(name).key();
-        self.taken.insert(key, left);
+        self.running.insert(key, left);
         self.see(key, now);
         self.wake(self.queue.first(), now);
     }
 
     fn wake(&mut self, ticket: Option<Ticket>, now: Moment) {
         let mut waiting = self.waiting.iter_mut();
-        let called = waiting.find(|w| ticket.is_some() && w.ticket == ticket);
-        if let Some(called) = called.filter(|w| w.asking.is_none()) {
-            called.due = now;
+        let first = waiting.find(|w| ticket.is_some() && w.ticket == ticket);
+        if let Some(first) = first.filter(|w| w.probing.is_none()) {
+            first.due = now;
         }
     }
 
@@ -205,35 +205,35 @@
 /// each of them probed, this host alone would send its endpoints 2,000 probes in 300 ms,
 /// and the hosts of a site would spend more time on probes than on requests.
 #[test]
-fn one_asks() {
+fn one_probes() {
     let mut host = Host::full(&["a", "b", "c", "d"]);
     (0..40).for_each(|n| host.arrive(n, 0, START));
     host.run(START, Duration::from_millis(50));
-    host.asks = 0;
+    host.probes = 0;
     host.run(
         START + Duration::from_millis(50),
         Duration::from_millis(300),
     );
     assert!(host.placed.is_empty());
     // Four endpoints, probed again every 40 ms.
-    assert!(host.asks <= 4 * 9, "{} probes in 300 ms", host.asks);
+    assert!(host.probes <= 4 * 9, "{} probes in 300 ms", host.probes);
 }
 
 /// A slot becomes free as a request of this host ends. The host knows before any other
 /// host can probe: the first waiting request, and no other, must get the slot at once
 /// without a probe.
 #[test]
-fn slot_handed_on() {
+fn freed_slot_reused() {
     let mut host = Host::full(&["a", "b"]);
     host.arrive(0, 0, START);
     host.run(START, Duration::from_millis(8));
     let now = START + Duration::from_millis(10);
     (1..10).for_each(|n| host.arrive(n, 0, now));
-    host.asks = 0;
+    host.probes = 0;
     host.end("a", 2, now);
     host.step(now);
     assert_eq!(host.placed, [(0, endpoint("a").key())]);
-    assert_eq!(host.asks, 0);
+    assert_eq!(host.probes, 0);
 }
 
 /// Lookups and deposits wait for the same endpoints. An urgent deposit must not be
@@ -255,7 +255,7 @@
 /// When the first request gives up, the next one must take over probing, or the whole
 /// queue would stand still until its deadline.
 #[test]
-fn next_is_called() {
+fn next_is_first() {
     let mut queue = WaitQueue::default();
     let first = queue.push(1, START);
     let second = queue.push(1, START + TICK);
--- a/components/state/tests/waiting_calls.rs
+++ b/components/state/tests/waiting_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use state::admission::{Admission, AdmissionControl, STANDING, TARGET};
+use state::admission::{Admission, AdmissionControl, STANDING_AFTER, STANDING_WAIT_LIMIT};
 use state::queue::{CallKey, Queue, WaitingCall};
 use state::{EndpointKey, Moment};
 
@@ -45,7 +45,7 @@
 // A call waits past its deadline because every slot runs long work. It must be answered
 // as not run at its deadline, not when a slot becomes free at last.
 #[test]
-fn expired_leave() {
+fn expired_removed() {
     let mut queue = Queue::new(9);
     queue.push(waiting(1, 0, 100));
     queue.push(waiting(2, 0, 50));
@@ -58,23 +58,23 @@
 }
 
 /// Returns admission control that has seen a waiting call start each `interval`.
-fn fed(interval: u64, starts: u64) -> AdmissionControl {
-    let mut gate = AdmissionControl::new(Moment(0));
+fn with_starts(interval: u64, starts: u64) -> AdmissionControl {
+    let mut admission = AdmissionControl::new(Moment(0));
     for n in 0..starts {
-        gate.note_start(10, Moment::from_millis(n * interval));
+        admission.note_start(10, Moment::from_millis(n * interval));
     }
-    gate
+    admission
 }
 
 #[test]
-fn hopeless_refused() {
-    let gate = fed(10, 50);
+fn hopeless_rejected() {
+    let admission = with_starts(10, 50);
     let now = Moment::from_millis(490);
-    let short = gate.decide(20, false, Duration::from_millis(150), now);
+    let short = admission.decide(20, false, Duration::from_millis(150), now);
     assert!(matches!(short, Admission::TooLate(wait) if wait > Duration::from_millis(150)));
-    let long = gate.decide(20, false, Duration::from_millis(300), now);
+    let long = admission.decide(20, false, Duration::from_millis(300), now);
     assert_eq!(long, Admission::Wait);
-    let full = gate.decide(20, true, Duration::from_millis(300), now);
+    let full = admission.decide(20, true, Duration::from_millis(300), now);
     assert_eq!(full, Admission::Full);
 }
 
@@ -83,40 +83,40 @@
 // that those admitted wait only briefly.
 #[test]
 fn standing_queue() {
-    let gate = fed(1, 12_000);
+    let admission = with_starts(1, 12_000);
     let now = Moment::from_millis(11_999);
-    assert!(now.since(Moment(0)) > STANDING * 10);
+    assert!(now.since(Moment(0)) > STANDING_AFTER * 10);
     let left = Duration::from_secs(10);
-    let beyond = 2 * TARGET.as_millis() as usize;
+    let beyond = 2 * STANDING_WAIT_LIMIT.as_millis() as usize;
     assert!(matches!(
-        gate.decide(beyond, false, left, now),
+        admission.decide(beyond, false, left, now),
         Admission::TooLate(_)
     ));
-    assert_eq!(gate.decide(10, false, left, now), Admission::Wait);
+    assert_eq!(admission.decide(10, false, left, now), Admission::Wait);
 }
 
 #[test]
-fn tightens_slowly() {
-    let gate = fed(1, 2_000);
+fn limit_falls_slowly() {
+    let admission = with_starts(1, 2_000);
     let now = Moment::from_millis(1_999);
     let left = Duration::from_secs(10);
-    assert_eq!(gate.decide(390, false, left, now), Admission::Wait);
-    let beyond = gate.decide(600, false, left, now);
+    assert_eq!(admission.decide(390, false, left, now), Admission::Wait);
+    let beyond = admission.decide(600, false, left, now);
     assert!(matches!(beyond, Admission::TooLate(_)));
 }
 
 #[test]
 fn burst_queued() {
-    let gate = fed(1, 200);
+    let admission = with_starts(1, 200);
     let now = Moment::from_millis(199);
     let left = Duration::from_secs(10);
-    assert_eq!(gate.decide(390, false, left, now), Admission::Wait);
+    assert_eq!(admission.decide(390, false, left, now), Admission::Wait);
 }
 
 #[test]
-fn halt_noticed() {
-    let gate = fed(1, 100);
+fn stalled_starts_noticed() {
+    let admission = with_starts(1, 100);
     let now = Moment::from_millis(99 + 700);
-    let soon = gate.decide(1, false, Duration::from_millis(500), now);
+    let soon = admission.decide(1, false, Duration::from_millis(500), now);
     assert!(matches!(soon, Admission::TooLate(_)));
 }
--- a/components/state/tests/windowed_retry_budget.rs
+++ b/components/state/tests/windowed_retry_budget.rs
@@ -26,7 +26,7 @@
             .map(|_| WindowedRetryBudget::new(BOUNDS, Moment(0)))
             .collect();
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for step in 0..40_000u64 {
             let now = Moment::from_millis(step);
             if step == 20_000 {
@@ -41,7 +41,7 @@
             budgets[host].count(now);
             requests.push(step);
             if budgets[host].take(1.0 / hosts as f64, now) {
-                repeats.push(step);
+                retries.push(step);
             }
         }
         for from in (0..30_000).step_by(100) {
@@ -53,12 +53,12 @@
             };
             let allowed = within(&requests) as f64 * BOUNDS.ratio + BOUNDS.slack;
             assert!(
-                within(&repeats) as f64 <= allowed,
+                within(&retries) as f64 <= allowed,
                 "seed {seed} from {from}"
             );
         }
         assert!(
-            repeats.len() * 7 > requests.len(),
+            retries.len() * 7 > requests.len(),
             "seed {seed}: hardly any retries"
         );
     }
