--- a/components/state/src/admission.rs
+++ b/components/state/src/admission.rs
@@ -26,11 +26,11 @@
 ///
 /// - A call whose estimated wait exceeds its deadline is rejected at once, while "not
 ///   run" is still true and the caller can try elsewhere.
-/// - A queue that has not been empty for [`STANDING_AFTER`] is a standing queue: it adds delay
-///   without improving throughput. The longer it stands, the shorter the wait up to which
-///   new calls are admitted, down to [`STANDING_WAIT_LIMIT`]. A burst shorter than [`STANDING_AFTER`] is
-///   queued completely, and a busy period of a few seconds below full load still costs no
-///   call.
+/// - A queue that has not been empty for [`STANDING_AFTER`] is a standing queue: it adds
+///   delay without improving throughput. The longer it stands, the shorter the wait up to
+///   which new calls are admitted, down to [`STANDING_WAIT_LIMIT`]. A burst shorter than
+///   [`STANDING_AFTER`] is queued completely, and a busy period of a few seconds below
+///   full load still costs no call.
 #[value]
 pub struct AdmissionControl {
     interval: Duration,
--- a/components/state/src/fleet/load_sample.rs
+++ b/components/state/src/fleet/load_sample.rs
@@ -51,7 +51,7 @@
 /// The factor on the service time above the knee.
 const KNEE_FACTOR: f64 = 1.7;
 
-/// The slowdown up to which an endpoint counts as fast.
+/// The slowdown up to which an endpoint counts as good.
 ///
 /// Machines disturbed by others (4 times as slow) and nearly full endpoints (1.7 times)
 /// are above it. Differences below it are hidden by the usual variation of service times.
--- a/components/state/src/fleet/placement.rs
+++ b/components/state/src/fleet/placement.rs
@@ -1,11 +1,12 @@
 //! Decides what happens next to one request: probe an endpoint, wait, place it or reject
 //! it.
 //!
-//! The design assumes that the speed of endpoints changes several times a second. An
-//! endpoint that was fast at its last load sample is slow now in a quarter of the cases,
-//! and a request that is placed on a slow one takes four times as long. Endpoints are
-//! therefore probed just before a request is placed, one after the other, and the first
-//! fast one is taken. On average this takes less than two probes.
+//! An endpoint is called good while a fresh load sample predicts a slowdown of at most
+//! [`GOOD_SLOWDOWN`]. The design assumes that the speed of endpoints changes several
+//! times a second: an endpoint that was good at its last load sample is slow now in a
+//! quarter of the cases, and a request that is placed on a slow one takes four times as
+//! long. Endpoints are therefore probed just before a request is placed, one after the
+//! other, and the first good one is taken. On average this takes less than two probes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +20,7 @@
 use crate::topology::{Distance, Topology};
 use crate::{DataCentreKey, EndpointKey, Moment, RegionKey, ServiceKey};
 
-/// The most endpoints that one request probes in one round.
+/// The maximum number of endpoints that one request probes in one round.
 ///
 /// With a third of the endpoints disturbed, all six are slow once in 700 rounds.
 const MAX_PROBES: usize = 6;
@@ -240,9 +241,9 @@
 
     /// Sends the request to a cold endpoint, within this host's quota.
     ///
-    /// Applies when no warm endpoint is fast. After a data centre has returned, its cold
-    /// endpoints are the only spare capacity and take a third of a service's requests.
-    /// They take twice as long for a request, which is still in time.
+    /// Applies when no warm endpoint is good. After a data centre has returned, its cold
+    /// endpoints are the only spare capacity and take a third of a service's requests. A
+    /// request takes twice as long there, which is still in time.
     fn try_cold(
         &mut self,
         context: &mut Context<'_>,
@@ -331,7 +332,7 @@
         Step::Wait(time)
     }
 
-    /// Returns a fast endpoint to place the request on, or the next endpoint to probe.
+    /// Returns a good endpoint to place the request on, or the next endpoint to probe.
     fn good_or_probe(
         &mut self,
         candidates: &[&Candidate<'_>],
@@ -412,16 +413,18 @@
     all.filter(|c| c.distance == distance).collect()
 }
 
-/// How much sooner an endpoint with an idle connection is probed than others.
+/// How much the expected slowdown of a preferred endpoint is lowered in the order of
+/// probes.
 ///
-/// No larger than the random part, so that a host keeps to the few endpoints it is
-/// connected to as long as they are fast. A new connection costs an endpoint a
-/// millisecond of a slot, and in a site of many hosts each host has few requests, so most
-/// of its other connections would have been closed as idle.
+/// An endpoint with an idle connection is preferred, so that a host keeps to the few
+/// endpoints it is connected to as long as they are good. A new connection costs an
+/// endpoint a millisecond of a slot, and in a site of many hosts each host has few
+/// requests, so most of its other connections would have been closed as idle. The
+/// preference is no larger than the random part.
 ///
-/// New endpoints get the same preference, otherwise no host would ever use the added
-/// capacity. Endpoints that advertise a rate limit get it because only their answers show
-/// that the limit has ended.
+/// New endpoints are preferred too, otherwise no host would ever use the added capacity.
+/// So are endpoints that advertise a rate limit, because only their answers show that the
+/// limit has ended.
 const PREFERENCE: f64 = 0.5;
 
 /// Returns the expected slowdown of an endpoint without a fresh load sample.
@@ -455,7 +458,7 @@
         .is_some_and(|l| l.is_fresh(now) && l.is_loaded(state.sent))
 }
 
-/// Returns the least loaded of the fast endpoints.
+/// Returns the least loaded of the good endpoints.
 fn least_loaded_good(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
     candidates
         .iter()
@@ -465,7 +468,7 @@
         .map(|(_, key)| key)
 }
 
-/// Returns the fastest idle endpoint, for a request that will be late.
+/// Returns the idle endpoint with the smallest slowdown, for a request that will be late.
 ///
 /// A late answer is worth a tenth of one in time. When the load exceeds the capacity of
 /// all endpoints, late requests would take slots from requests that can still be in time,
--- a/components/state/src/fleet/probe_budget.rs
+++ b/components/state/src/fleet/probe_budget.rs
@@ -23,8 +23,8 @@
 
 /// The probes saved at the start of a whole site, as time at the host's rate.
 ///
-/// Together with `USED_FRACTION` this keeps the limit even for a day of less than a minute that
-/// starts with a flood of requests.
+/// Together with `USED_FRACTION` this keeps the limit even for a day of less than a
+/// minute that starts with a flood of requests.
 const SITE_START_SAVED: Duration = Duration::from_secs(4);
 
 /// The probes saved at the restart of a single host, as time at the host's rate.
@@ -64,9 +64,9 @@
 /// The state of a host's requests to borrow.
 #[derive(Clone, Debug, Default)]
 struct BorrowState {
-    /// The number of the last request to borrow; its answer carries the same number.
+    /// The id of the last request to borrow; its answer carries the same id.
     request_id: u32,
-    /// When the next neighbour may be asked.
+    /// The time from which the next neighbour may be asked to lend.
     next_request: Option<Moment>,
     /// Whether the last request is unanswered.
     unanswered: bool,
@@ -124,8 +124,8 @@
         self.saved -= 1.0;
     }
 
-    /// Returns the number of a new request to borrow, if the budget is low and a request
-    /// is due.
+    /// Returns the id of a new request to borrow, if the budget is low and a request is
+    /// due.
     pub fn borrow(&mut self, now: Moment) -> Option<u32> {
         let low = self.granted_rate? * BORROW_THRESHOLD.as_secs_f64();
         let waits = self
@@ -153,7 +153,7 @@
         lent
     }
 
-    /// Adds the probes that a neighbour lends in answer to request `request_id`.
+    /// Adds the probes that a neighbour lends in answer to the request with this id.
     ///
     /// Each request is answered once, so a duplicated datagram counts once.
     pub fn receive_loan(&mut self, request_id: u32, probes: u32) {
--- a/components/state/src/fleet/quarantine.rs
+++ b/components/state/src/fleet/quarantine.rs
@@ -26,7 +26,7 @@
 /// How often the quarantine grows by that factor at most.
 const MAX_TTL_STEPS: u32 = 4;
 
-/// How long no second trial may begin after a trial.
+/// How long a trial keeps further ones from starting.
 const TRIAL_TTL: Duration = Duration::from_secs(10);
 
 /// The maximum delay of a report from one host to another.
@@ -70,7 +70,7 @@
 /// The state of a suspect request as one host sends it to others.
 #[tag]
 pub struct QuarantineUpdate {
-    /// The request.
+    /// The fingerprint of the request.
     pub request: Fingerprint,
     /// Crashes since the request was last answered; zero if it was cleared.
     pub crashes: u32,
--- a/components/state/src/fleet/rate_limit.rs
+++ b/components/state/src/fleet/rate_limit.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     limit: RateLimit,
-    /// The limit that was last sent to all hosts.
+    /// The limit that was last sent to all hosts, by this host or another.
     sent_rate: f64,
 }
 
--- a/components/state/src/fleet/retry_after.rs
+++ b/components/state/src/fleet/retry_after.rs
@@ -28,7 +28,7 @@
 ///
 /// Some endpoints reject a part of their requests at random while their health checks are
 /// good. Waiting longer would make the next attempt no more likely to succeed, only
-/// later.
+/// later. `draw` is a random number from 0 to 1.
 pub fn short_delay(draw: f64) -> Duration {
     SHORT_DELAY_LIMIT.mul_f64(0.2 + 0.8 * draw)
 }
--- a/components/state/src/probe.rs
+++ b/components/state/src/probe.rs
@@ -9,7 +9,8 @@
 /// The fraction of an endpoint's slot time that probes may use, in thousandths.
 pub const PROBE_SHARE_PERMILLE: u32 = 5;
 
-/// Keeps the probes of one endpoint within [`PROBE_SHARE_PERMILLE`] thousandths of its slot time.
+/// Keeps the probes of one endpoint within [`PROBE_SHARE_PERMILLE`] thousandths of its
+/// slot time.
 ///
 /// A token bucket of slot time, from which each probe takes its cost. The bucket holds
 /// the cost of at most one probe, so that a backend server in trouble never gets a burst
