--- a/components/state/src/capacity.rs
+++ b/components/state/src/capacity.rs
@@ -162,7 +162,7 @@
         self.degrade(Degradation::Down, now);
     }
 
-    /// Notes what an entry host observed: `slow` slow calls out of `total`.
+    /// Notes the observation of an entry host: `slow` of `total` calls were slow.
     pub fn note_answers(&mut self, slow: u32, total: u32, now: Moment) {
         self.answered = self.answered.saturating_add(total);
         self.slow_rate.note(slow, total);
--- a/components/state/src/fleet/reachability.rs
+++ b/components/state/src/fleet/reachability.rs
@@ -41,7 +41,7 @@
     pub fn note(&mut self, key: EndpointKey, outcome: Outcome, now: Moment) {
         match outcome {
             Outcome::Answered | Outcome::Slow | Outcome::Failed | Outcome::Shed => {
-                self.note_answer()
+                self.note_answer();
             }
             Outcome::Silent => {}
             Outcome::Broken => self.note_failure(key, now),
--- a/components/state/src/latency.rs
+++ b/components/state/src/latency.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The share of slow calls from which the service as a whole is slow, not a single
+/// The fraction of slow calls from which the service as a whole is slow, not a single
 /// endpoint.
 ///
 /// Without this limit a slowness shared by all backend servers, such as that of a slow
@@ -91,10 +91,10 @@
     Duration::from_micros(((index + 1) as f64 / 4.0).exp2() as u64)
 }
 
-/// The share of slow calls among one endpoint's recent calls, as seen by all entry hosts.
+/// The fraction of slow calls among one endpoint's recent calls, as seen by all entry hosts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowRate {
-    share: f32,
+    fraction: f32,
     seen: u32,
 }
 
@@ -102,19 +102,19 @@
 const MIN_ENDPOINT_CALLS: u32 = 6;
 
 impl SlowRate {
-    /// Adds the observation of an entry host: `slow` slow calls out of `total`.
+    /// Adds the observation of an entry host: `slow` of `total` calls were slow.
     pub fn note(&mut self, slow: u32, total: u32) {
         if total == 0 {
             return;
         }
         let kept = 0.875_f32.powi(total.min(64) as i32);
-        let share = slow.min(total) as f32 / total as f32;
-        self.share = self.share * kept + share * (1.0 - kept);
+        let fraction = slow.min(total) as f32 / total as f32;
+        self.fraction = self.fraction * kept + fraction * (1.0 - kept);
         self.seen = self.seen.saturating_add(total);
     }
 
     /// Returns whether most of the endpoint's recent calls were slow.
     pub fn is_slow(&self) -> bool {
-        self.seen >= MIN_ENDPOINT_CALLS && self.share > 0.5
+        self.seen >= MIN_ENDPOINT_CALLS && self.fraction > 0.5
     }
 }
