--- a/components/state/src/fleet/placement.rs
+++ b/components/state/src/fleet/placement.rs
@@ -1,10 +1,12 @@
-//! Decides where one request goes: ask, wait, place or refuse.
+//! Decides what happens next to one request: probe an endpoint, wait, place it or reject
+//! it.
 //!
-//! Made for endpoints whose speed changes several times a second. One that was
-//! good when last heard of is bad now in a quarter of the cases, and a request
-//! that meets a bad one takes four times as long. So endpoints are asked just
-//! before one is taken, one after the other, and the first good one is taken:
-//! on average less than two questions.
+//! An endpoint is called good while a fresh load sample predicts a slowdown of at most
+//! [`GOOD_SLOWDOWN`]. The design assumes that the speed of endpoints changes several
+//! times a second: an endpoint that was good at its last load sample is slow now in a
+//! quarter of the cases, and a request that is placed on a slow one takes four times as
+//! long. Endpoints are therefore probed just before a request is placed, one after the
+//! other, and the first good one is taken. On average this takes less than two probes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,141 +14,144 @@
 use derives::tag;
 
 use super::endpoint::EndpointState;
-use super::load_sample::GOOD;
+use super::load_sample::GOOD_SLOWDOWN;
 use super::registry::Registry;
 use super::token_buckets::Quota;
 use crate::topology::{Distance, Topology};
 use crate::{DataCentreKey, EndpointKey, Moment, RegionKey, ServiceKey};
 
-/// Endpoints asked in one round.
+/// The maximum number of endpoints that one request probes in one round.
 ///
-/// With a third of them disturbed, six are all bad once in 700 rounds.
-const ASKS: usize = 6;
+/// With a third of the endpoints disturbed, all six are slow once in 700 rounds.
+const MAX_PROBES: usize = 6;
 
-/// How long a request waits before it asks again where all it asked were bad.
+/// How long a request waits before it probes again when all probed endpoints were slow.
 ///
-/// Disturbances change every 300 ms; waiting costs nothing as long as the
-/// answer still comes within the objective.
-const PAUSE: Duration = Duration::from_millis(40);
+/// Disturbances change every 300 ms, and waiting costs nothing as long as the answer
+/// still comes within the objective.
+const REPROBE_DELAY: Duration = Duration::from_millis(40);
 
-/// How much longer than usual work may take and still be in time.
+/// The factor on the expected service time within which work usually completes.
 ///
-/// Work spreads by about a third around its mean.
-const SPREAD: f64 = 1.5;
+/// Service times vary by about a third around their mean.
+const SERVICE_TIME_MARGIN: f64 = 1.5;
 
-/// The share of the usual time below which starting a request is a waste.
+/// The fraction of the expected service time below which placing a request is pointless.
 ///
-/// Hardly any request is done in half of the usual time.
-const LEAST: f64 = 0.5;
+/// Hardly any request completes in half of its expected service time.
+const MIN_TIME_FRACTION: f64 = 0.5;
 
-/// What placing needs to know of a request.
+/// The properties of a request that placement depends on.
 #[tag]
 pub struct Request {
-    /// The service it goes to.
+    /// The service that the request is for.
     pub service: ServiceKey,
     /// The data centre of this host.
     pub home: DataCentreKey,
-    /// When its answer ceases to be worth most.
+    /// The time until which an answer has its full value to the caller.
     pub objective: Moment,
-    /// When its answer is worth nothing.
+    /// The time from which an answer has no value to the caller.
     pub deadline: Moment,
-    /// How long its work takes on an undisturbed endpoint.
+    /// The expected service time of the request on an undisturbed endpoint.
     pub service_time: Duration,
-    /// The rank of its route, 0 before all others.
+    /// The priority of the route; 0 is the most urgent.
     pub priority: u32,
 }
 
-/// What is to be done next with a request.
+/// The next step for a request.
 #[tag]
 pub enum Step {
-    /// Ask this endpoint how it does, then come back.
+    /// Probe this endpoint, then decide again.
     Probe(EndpointKey),
     /// Send the request to this endpoint.
     Place(EndpointKey),
-    /// Wait this long, then come back.
+    /// Wait this long, then decide again.
     Wait(Duration),
-    /// Reject the request: it was not run.
+    /// Reject the request, which has not been run.
     Refuse(Refusal),
 }
 
-/// Why a request is rejected.
+/// The reason for rejecting a request.
 #[tag]
 pub enum Refusal {
-    /// No endpoint of its service can be used.
+    /// No endpoint of the service can be used.
     NoEndpoint,
     /// All endpoints are full.
     Full,
-    /// It could not be done before its deadline.
+    /// The request can't complete before its deadline.
     TooLate,
-    /// All endpoints that could take it advertise a rate limit, which is used up.
+    /// All endpoints that could take the request advertise a rate limit, and this host's
+    /// quota of it is used up.
     Limited,
 }
 
-/// The placing of one request.
+/// The placement state of one request: which endpoints it has probed and tried.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
-    asked: BTreeSet<EndpointKey>,
+    probed: BTreeSet<EndpointKey>,
     tried: BTreeSet<EndpointKey>,
-    dead: BTreeSet<EndpointKey>,
+    unreachable: BTreeSet<EndpointKey>,
 }
 
-/// What a request may do to find an endpoint.
+/// How a request may find an endpoint.
 #[tag]
-enum Turn {
-    /// Ask endpoints how they do.
-    Asks,
-    /// Take one unasked: this host may ask no more for now.
-    Guesses,
-    /// Go by what others learn.
-    Others,
+enum ProbeMode {
+    /// By probing endpoints.
+    Probe,
+    /// By taking an endpoint without a probe, since this host's probe budget is used up.
+    Unprobed,
+    /// By the load samples that other requests collect.
+    KnownOnly,
 }
 
-/// An endpoint in question.
+/// An endpoint that the request may be sent to.
 struct Candidate<'a> {
     key: EndpointKey,
     state: &'a EndpointState,
     distance: Distance,
-    kept: bool,
-    /// Whether it advertises a rate limit, for which this host has a token now.
+    connected: bool,
+    /// Whether the endpoint advertises a rate limit for which this host has a token now.
     limited: bool,
 }
 
-/// What one host knows at the moment of placing.
+/// The state of one host that a placement decision is based on.
 pub struct Context<'a> {
-    /// All endpoints.
+    /// All known endpoints.
     pub registry: &'a mut Registry,
-    /// Data centres whose endpoints get no request.
+    /// Data centres that operators have taken out; their endpoints get no requests.
     pub leaving_centres: &'a BTreeSet<DataCentreKey>,
-    /// Where data centres lie.
+    /// The region of each data centre.
     pub topology: &'a Topology,
-    /// The regions that the request must not leave, none where it may go anywhere.
+    /// The regions that the request must stay in; empty if it may go anywhere.
     pub regions: &'a BTreeSet<RegionKey>,
-    /// This host's quota at cold endpoints of the service.
+    /// This host's quota for cold endpoints of the service.
     pub cold: Quota,
-    /// Whether a connection to an endpoint lies idle.
+    /// Returns whether this host has an idle connection to an endpoint.
     pub is_connected: &'a dyn Fn(EndpointKey) -> bool,
-    /// Whether it is this request's turn to ask; else it goes by what is known.
+    /// Whether the request is first in its wait queue and may probe; other requests use
+    /// the load samples already known.
     pub is_first: bool,
-    /// Whether this host may ask at all; else it takes what it expects to be good.
+    /// Whether the probe budget allows a probe; without one the request goes to the
+    /// endpoint that is expected to be fastest.
     pub may_probe: bool,
 }
 
 impl Placement {
-    /// Notes that the request was sent to `key`, so that it goes elsewhere next time.
+    /// Notes that the request was sent to `key`, so that its next attempt goes elsewhere.
     pub fn note_tried(&mut self, key: EndpointKey) {
         self.tried.insert(key);
-        self.asked.clear();
+        self.probed.clear();
     }
 
-    /// Notes that `key` gave no answer when asked.
+    /// Notes that `key` did not answer a probe.
     pub fn note_unanswered(&mut self, key: EndpointKey) {
-        self.dead.insert(key);
+        self.unreachable.insert(key);
     }
 
-    /// Decides the next step; `draw` gives numbers from 0 to 1.
+    /// Decides the next step; `draw` returns random numbers from 0 to 1.
     ///
-    /// Whatever is sent to an endpoint that advertises a rate limit counts there: first
-    /// tries, repeats and second copies.
+    /// Every request sent to an endpoint that advertises a rate limit counts against the
+    /// limit: first attempts, retries and hedges.
     pub fn next(
         &mut self,
         context: &mut Context<'_>,
@@ -172,7 +177,7 @@
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
         let left = now.until(request.deadline);
-        if left < request.service_time.mul_f64(LEAST) {
+        if left < request.service_time.mul_f64(MIN_TIME_FRACTION) {
             return Step::Refuse(Refusal::TooLate);
         }
         let registry = &*context.registry;
@@ -188,7 +193,7 @@
                 distance: context
                     .topology
                     .distance(request.home, state.endpoint.centre),
-                kept: (context.is_connected)(key),
+                connected: (context.is_connected)(key),
                 limited: registry.limits().contains(key),
             })
             .collect();
@@ -204,26 +209,26 @@
             let keys = usable.iter().map(|c| c.key).collect();
             return self.place_cold(context, keys, request, now, draw);
         }
-        let sound: Vec<&Candidate<'_>> = warm
+        let healthy: Vec<&Candidate<'_>> = warm
             .iter()
             .copied()
             .filter(|c| !c.state.health.is_avoided(now))
             .filter(|c| !registry.is_unreachable(c.state.endpoint.centre, now))
             .collect();
-        let chosen = if sound.is_empty() { warm } else { sound };
-        let turn = match (context.is_first, context.may_probe) {
-            (false, _) => Turn::Others,
-            (true, true) => Turn::Asks,
-            (true, false) => Turn::Guesses,
+        let chosen = if healthy.is_empty() { warm } else { healthy };
+        let mode = match (context.is_first, context.may_probe) {
+            (false, _) => ProbeMode::KnownOnly,
+            (true, true) => ProbeMode::Probe,
+            (true, false) => ProbeMode::Unprobed,
         };
-        let step = self.choose(&chosen, request, turn, now, draw);
-        let settled = match step {
-            _ if turn != Turn::Asks => true,
+        let step = self.choose(&chosen, request, mode, now, draw);
+        let is_final = match step {
+            _ if mode != ProbeMode::Probe => true,
             Step::Probe(_) => true,
             Step::Place(key) => chosen.iter().any(|c| c.key == key && c.state.is_good(now)),
             Step::Wait(_) | Step::Refuse(_) => false,
         };
-        if settled {
+        if is_final {
             return step;
         }
         let cold: Vec<EndpointKey> = usable
@@ -234,11 +239,11 @@
         self.try_cold(context, &cold, now, draw).unwrap_or(step)
     }
 
-    /// Sends the request to a cold endpoint, within this host's share of its rate.
+    /// Sends the request to a cold endpoint, within this host's quota.
     ///
-    /// Where no warm endpoint is good, cold ones are the only room left: after a
-    /// data centre's return they bear a third of a service's requests. Their
-    /// work takes twice as long, which is still in time.
+    /// Applies when no warm endpoint is good. After a data centre has returned, its cold
+    /// endpoints are the only spare capacity and take a third of a service's requests. A
+    /// request takes twice as long there, which is still in time.
     fn try_cold(
         &mut self,
         context: &mut Context<'_>,
@@ -252,15 +257,15 @@
             if !registry.cold_buckets_mut().has(*key, quota, draw(), now) {
                 continue;
             }
-            let pace = registry.get(*key).and_then(|s| s.slowdown(now));
-            match pace {
-                Some(pace)
-                    if pace <= GOOD
+            let slowdown = registry.get(*key).and_then(|s| s.slowdown(now));
+            match slowdown {
+                Some(slowdown)
+                    if slowdown <= GOOD_SLOWDOWN
                         && registry.cold_buckets_mut().take(*key, quota, draw(), now) =>
                 {
                     return Some(Step::Place(*key));
                 }
-                None if self.asked.insert(*key) => return Some(Step::Probe(*key)),
+                None if self.probed.insert(*key) => return Some(Step::Probe(*key)),
                 _ => {}
             }
         }
@@ -273,91 +278,92 @@
             && !context.leaving_centres.contains(&centre)
             && context.topology.is_allowed(context.regions, centre)
             && !self.tried.contains(&key)
-            && !self.dead.contains(&key)
+            && !self.unreachable.contains(&key)
     }
 
-    /// Chooses among warm endpoints: near ones first, then wait, then far ones.
+    /// Chooses among warm endpoints: first those of the same data centre, then waiting,
+    /// then other data centres.
     ///
-    /// Bytes between data centres are dear, so a request rather waits for a
-    /// disturbed near endpoint to recover, as long as its answer can still be in
-    /// time. Full ones won't recover so soon, and where only one of the near ones
-    /// is full, the others that wait want the disturbed one too: then it goes far
-    /// at once, to the other regions last.
+    /// Traffic between data centres is expensive, so a request waits for a disturbed
+    /// local endpoint to recover as long as its answer can still be in time. A full
+    /// endpoint doesn't recover as fast. If even one of the local endpoints is nearly
+    /// full, the other waiting requests need the disturbed one too, so the request leaves
+    /// the data centre at once, to another region last.
     fn choose(
         &mut self,
         candidates: &[&Candidate<'_>],
         request: &Request,
-        turn: Turn,
+        mode: ProbeMode,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Step {
-        let near = at(candidates, Distance::SameCentre);
-        if let Some(step) = self.good_or_ask(&near, turn, now, draw) {
+        let near = at_distance(candidates, Distance::SameCentre);
+        if let Some(step) = self.good_or_probe(&near, mode, now, draw) {
             return step;
         }
         let slack = now.until(request.objective);
-        let spare = slack.saturating_sub(request.service_time.mul_f64(SPREAD));
-        let patient = spare > PAUSE;
+        let spare = slack.saturating_sub(request.service_time.mul_f64(SERVICE_TIME_MARGIN));
+        let may_wait = spare > REPROBE_DELAY;
         let disturbed = near.iter().any(|c| is_disturbed(c.state, now));
         let loaded = near.iter().any(|c| is_loaded(c.state, now));
-        if turn == Turn::Asks && patient && disturbed && !loaded {
-            return self.wait(PAUSE);
+        if mode == ProbeMode::Probe && may_wait && disturbed && !loaded {
+            return self.wait(REPROBE_DELAY);
         }
         for distance in [Distance::SameRegion, Distance::OtherRegion] {
-            let far = at(candidates, distance);
-            if let Some(step) = self.good_or_ask(&far, turn, now, draw) {
+            let far = at_distance(candidates, distance);
+            if let Some(step) = self.good_or_probe(&far, mode, now, draw) {
                 return step;
             }
         }
-        if patient {
-            return self.wait(match turn {
-                Turn::Asks | Turn::Guesses => PAUSE,
-                Turn::Others => spare - PAUSE,
+        if may_wait {
+            return self.wait(match mode {
+                ProbeMode::Probe | ProbeMode::Unprobed => REPROBE_DELAY,
+                ProbeMode::KnownOnly => spare - REPROBE_DELAY,
             });
         }
-        match best(candidates, now) {
+        match best_idle(candidates, now) {
             Some(key) => Step::Place(key),
             None => Step::Refuse(Refusal::Full),
         }
     }
 
     fn wait(&mut self, time: Duration) -> Step {
-        self.asked.clear();
+        self.probed.clear();
         Step::Wait(time)
     }
 
-    /// Returns a good endpoint to take, or the next to ask.
-    fn good_or_ask(
+    /// Returns a good endpoint to place the request on, or the next endpoint to probe.
+    fn good_or_probe(
         &mut self,
         candidates: &[&Candidate<'_>],
-        turn: Turn,
+        mode: ProbeMode,
         now: Moment,
         draw: &mut dyn FnMut() -> f64,
     ) -> Option<Step> {
-        if let Some(key) = good(candidates, now) {
+        if let Some(key) = least_loaded_good(candidates, now) {
             return Some(Step::Place(key));
         }
-        if turn == Turn::Others {
+        if mode == ProbeMode::KnownOnly {
             return None;
         }
-        let mine = candidates.iter().filter(|c| self.asked.contains(&c.key));
-        if mine.count() >= ASKS {
+        let probed_here = candidates.iter().filter(|c| self.probed.contains(&c.key));
+        if probed_here.count() >= MAX_PROBES {
             return None;
         }
         let key = candidates
             .iter()
-            .filter(|c| !self.asked.contains(&c.key) && c.state.slowdown(now).is_none())
-            .map(|c| (expectation(c, now) + draw() * TIE, c.key))
+            .filter(|c| !self.probed.contains(&c.key) && c.state.slowdown(now).is_none())
+            .map(|c| (expected_slowdown(c, now) + draw() * RANDOM_WEIGHT, c.key))
             .min_by(|a, b| a.0.total_cmp(&b.0))?
             .1;
-        self.asked.insert(key);
-        Some(match turn {
-            Turn::Guesses => Step::Place(key),
-            Turn::Asks | Turn::Others => Step::Probe(key),
+        self.probed.insert(key);
+        Some(match mode {
+            ProbeMode::Unprobed => Step::Place(key),
+            ProbeMode::Probe | ProbeMode::KnownOnly => Step::Probe(key),
         })
     }
 
-    /// Places a request where all endpoints are cold: within this host's share.
+    /// Places a request when all endpoints are cold, within this host's quota.
     fn place_cold(
         &mut self,
         context: &mut Context<'_>,
@@ -372,8 +378,10 @@
                 return Step::Place(key);
             }
         }
-        match now.until(request.deadline) > request.service_time.mul_f64(SPREAD) + PAUSE {
-            true => Step::Wait(PAUSE),
+        match now.until(request.deadline)
+            > request.service_time.mul_f64(SERVICE_TIME_MARGIN) + REPROBE_DELAY
+        {
+            true => Step::Wait(REPROBE_DELAY),
             false => Step::Refuse(Refusal::Full),
         }
     }
@@ -381,64 +389,69 @@
 
 /// Waits for this host's next token for an endpoint that advertises a rate limit.
 ///
-/// Made for a service most of whose endpoints advertise one, under more load than they
-/// take: requests whose token would come too late are rejected at once.
+/// Applies when most endpoints of a service advertise a rate limit and the load exceeds
+/// the limits: a request whose token would come too late is rejected at once.
 fn wait_for_token(token: Moment, request: &Request, now: Moment) -> Step {
-    let done = token + request.service_time.mul_f64(SPREAD);
+    let done = token + request.service_time.mul_f64(SERVICE_TIME_MARGIN);
     match done <= request.objective {
         true => Step::Wait(now.until(token)),
         false => Step::Refuse(Refusal::Limited),
     }
 }
 
-/// How much chance weighs against what is expected of endpoints.
+/// The weight of the random part in the order in which endpoints are probed.
 ///
-/// Without it all hosts would ask the same endpoint at the same moment.
-const TIE: f64 = 0.5;
+/// Without it all hosts would probe the same endpoint at the same moment.
+const RANDOM_WEIGHT: f64 = 0.5;
 
-/// How long what was seen last speaks for or against asking an endpoint first.
-const MEMORY: Duration = Duration::from_millis(300);
+/// How long an outdated load sample still influences the order of probes.
+const OLD_SAMPLE_TTL: Duration = Duration::from_millis(300);
 
-/// Returns the candidates that far away.
-fn at<'a>(candidates: &[&'a Candidate<'a>], distance: Distance) -> Vec<&'a Candidate<'a>> {
-    let there = candidates.iter().copied();
-    there.filter(|c| c.distance == distance).collect()
+/// Returns the candidates at this distance.
+fn at_distance<'a>(candidates: &[&'a Candidate<'a>], distance: Distance) -> Vec<&'a Candidate<'a>> {
+    let all = candidates.iter().copied();
+    all.filter(|c| c.distance == distance).collect()
 }
 
-/// How much an idle connection to an endpoint speaks for asking it first.
+/// How much the expected slowdown of a preferred endpoint is lowered in the order of
+/// probes.
 ///
-/// As much as chance at most, so that a host keeps to the few endpoints that it
-/// is connected to while they do well. A new connection costs an endpoint a
-/// millisecond of a slot; a host of many has few requests, and would find most
-/// of its connections closed for idleness. One that has just joined is asked as
-/// soon: kept to the others, no host would ever find the room that was added. So is one
-/// that advertises a rate limit: only its answers tell that the limit has ended.
-const KEPT: f64 = 0.5;
-
-/// Returns what pace to expect of an endpoint without a fresh look.
-fn expectation(candidate: &Candidate<'_>, now: Moment) -> f64 {
+/// An endpoint with an idle connection is preferred, so that a host keeps to the few
+/// endpoints it is connected to as long as they are good. A new connection costs an
+/// endpoint a millisecond of a slot, and in a site of many hosts each host has few
+/// requests, so most of its other connections would have been closed as idle. The
+/// preference is no larger than the random part.
+///
+/// New endpoints are preferred too, otherwise no host would ever use the added capacity.
+/// So are endpoints that advertise a rate limit, because only their answers show that the
+/// limit has ended.
+const PREFERENCE: f64 = 0.5;
+
+/// Returns the expected slowdown of an endpoint without a fresh load sample.
+fn expected_slowdown(candidate: &Candidate<'_>, now: Moment) -> f64 {
     let state = candidate.state;
-    let first = candidate.kept || candidate.limited || state.is_newcomer(now);
-    let kept = if first { KEPT } else { 0.0 };
+    let preferred = candidate.connected || candidate.limited || state.is_new(now);
+    let preference = if preferred { PREFERENCE } else { 0.0 };
     let busy = f64::from(state.running) / f64::from(state.endpoint.slots.max(1));
-    let old = match state.sample {
-        Some(look) if now.since(look.at) < MEMORY => {
-            let age = now.since(look.at).as_secs_f64() / MEMORY.as_secs_f64();
-            (look.slowdown(state.sent) - 1.5) * (1.0 - age)
+    let outdated = match state.sample {
+        Some(sample) if now.since(sample.at) < OLD_SAMPLE_TTL => {
+            let age = now.since(sample.at).as_secs_f64() / OLD_SAMPLE_TTL.as_secs_f64();
+            (sample.slowdown(state.sent) - 1.5) * (1.0 - age)
         }
         _ => 0.0,
     };
-    1.5 + busy + old - kept
+    1.5 + busy + outdated - preference
 }
 
-/// Returns whether an endpoint is disturbed rather than loaded.
+/// Returns whether a fresh load sample shows an endpoint that is not nearly full, and so
+/// slow only through a disturbance.
 fn is_disturbed(state: &EndpointState, now: Moment) -> bool {
     state
         .sample
         .is_some_and(|l| l.is_fresh(now) && !l.is_loaded(state.sent))
 }
 
-/// Returns whether an endpoint was seen nearly full.
+/// Returns whether a fresh load sample shows an endpoint that is nearly full.
 fn is_loaded(state: &EndpointState, now: Moment) -> bool {
     state
         .sample
@@ -446,7 +459,7 @@
 }
 
 /// Returns the least loaded of the good endpoints.
-fn good(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
+fn least_loaded_good(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
     candidates
         .iter()
         .filter(|c| c.state.is_good(now))
@@ -455,13 +468,13 @@
         .map(|(_, key)| key)
 }
 
-/// Returns the best endpoint for a request that will be late: one that runs nothing.
+/// Returns the idle endpoint with the smallest slowdown, for a request that will be late.
 ///
-/// An answer that comes too late is worth a tenth of one in time. Under more
-/// load than all endpoints bear, late requests would take the slots of those
-/// that can still be in time, and soon all would be late. Letting them have half
-/// of the slots cost a tenth of the answers in time in the worst seconds.
-fn best(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
+/// A late answer is worth a tenth of one in time. When the load exceeds the capacity of
+/// all endpoints, late requests would take slots from requests that can still be in time,
+/// and soon all requests would be late. Giving late requests half of the slots cost a
+/// tenth of the answers in time in the worst seconds.
+fn best_idle(candidates: &[&Candidate<'_>], now: Moment) -> Option<EndpointKey> {
     candidates
         .iter()
         .filter(|c| c.state.sample.is_some_and(|l| l.is_idle(c.state.sent)))
--- a/components/state/src/fleet/reachability.rs
+++ b/components/state/src/fleet/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether a data centre's endpoints can be reached from this host.
+//! Detects data centres whose endpoints can't be reached from this host.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,56 +6,61 @@
 use super::outcome::Outcome;
 use crate::{EndpointKey, Moment};
 
-/// Endpoints of a data centre that must fail in a row before all of it is avoided.
+/// The number of endpoints of a data centre that must fail in a row for all of them to be
+/// avoided.
 ///
-/// A few have crashed at any time; that several different ones fail with no answer
-/// of any other in between is then unlikely.
-const FAILED: usize = 4;
+/// A few endpoints are down at any time, but several different ones rarely fail without
+/// another one answering in between.
+const FAILED_ENDPOINTS: usize = 4;
 
-/// How long a data centre is avoided at first.
-const SPELL: Duration = Duration::from_millis(1_000);
+/// How long a data centre is avoided the first time.
+const FIRST_AVOIDANCE: Duration = Duration::from_millis(1_000);
 
-/// How many times a spell may double: 1 s, 2 s, 4 s.
-const SPELLS: u32 = 2;
+/// How often the time may double: 1 s, 2 s, 4 s.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// What this host's requests met at the endpoints of one data centre.
+/// The outcomes of this host's requests at the endpoints of one data centre.
 ///
-/// Made for a link that is cut: none of dozens of endpoints answers, and each is
-/// waited for. Judged one by one, they would use up the time of every request, though
-/// endpoints elsewhere could serve it.
+/// When the link to a data centre is cut, none of its dozens of endpoints answers, and
+/// each of them costs a timeout. Avoiding them one by one would use up the whole time of
+/// every request, though endpoints elsewhere could serve it.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     failed: BTreeSet<EndpointKey>,
     avoid_until: Option<Moment>,
-    spells: u32,
+    avoidances: u32,
 }
 
 impl Reachability {
-    /// Takes in that an endpoint answered, whatever it said.
-    pub fn answered(&mut self) {
+    /// Notes that an endpoint answered, whatever the answer was.
+    pub fn note_answer(&mut self) {
         *self = Reachability::default();
     }
 
-    /// Takes in what a request met at an endpoint.
+    /// Records the outcome of a request.
     pub fn note(&mut self, key: EndpointKey, outcome: Outcome, now: Moment) {
         match outcome {
-            Outcome::Answered | Outcome::Slow | Outcome::Failed | Outcome::Shed => self.answered(),
+            Outcome::Answered | Outcome::Slow | Outcome::Failed | Outcome::Shed => {
+                self.note_answer();
+            }
             Outcome::Silent => {}
-            Outcome::Broken => self.fail(key, now),
+            Outcome::Broken => self.note_failure(key, now),
         }
     }
 
-    /// Returns whether its endpoints are avoided while others can be had.
+    /// Returns whether the data centre's endpoints are avoided as long as there are
+    /// others.
     pub fn is_avoided(&self, now: Moment) -> bool {
         self.avoid_until.is_some_and(|until| now < until)
     }
 
-    fn fail(&mut self, key: EndpointKey, now: Moment) {
+    fn note_failure(&mut self, key: EndpointKey, now: Moment) {
         self.failed.insert(key);
-        if self.failed.len() < FAILED || self.is_avoided(now) {
+        if self.failed.len() < FAILED_ENDPOINTS || self.is_avoided(now) {
             return;
         }
-        self.avoid_until = Some(now + SPELL * 2u32.pow(self.spells.min(SPELLS)));
-        self.spells += 1;
+        self.avoid_until =
+            Some(now + FIRST_AVOIDANCE * 2u32.pow(self.avoidances.min(MAX_DOUBLINGS)));
+        self.avoidances += 1;
     }
 }
--- a/components/state/tests/host_probe_budget.rs
+++ b/components/state/tests/host_probe_budget.rs
@@ -1,4 +1,4 @@
-//! How often endpoints are asked, over all hosts together.
+//! The limit on probes, over all hosts together.
 
 use std::time::Duration;
 
@@ -8,86 +8,83 @@
 const RATE: f64 = 60.0;
 const ENDPOINTS: usize = 37;
 
-/// Returns how often `hosts` hosts ask in `seconds`, each of which would ask 2,000
-/// times a second.
-fn asked(hosts: usize, seconds: u64) -> f64 {
+/// Returns the probes per second and endpoint of `hosts` hosts over `seconds` seconds,
+/// each of which would send 2,000 probes a second.
+fn probe_rate(hosts: usize, seconds: u64) -> f64 {
     let start = Moment::from_millis(1_000);
     let share = 1.0 / hosts as f64;
     let mut budget = HostProbeBudget::new(start);
-    let mut asked = 0;
+    let mut sent = 0;
     for millis in 0..seconds * 1_000 {
         let now = start + Duration::from_millis(millis);
         budget.refill(RATE, ENDPOINTS, share, now);
         for _ in 0..2 {
             if budget.is_available() {
                 budget.spend();
-                asked += 1;
+                sent += 1;
             }
         }
     }
-    (asked * hosts) as f64 / seconds as f64 / ENDPOINTS as f64
+    (sent * hosts) as f64 / seconds as f64 / ENDPOINTS as f64
 }
 
-/// Twice as much load as all endpoints bear, for minutes: every host asks whenever
-/// it may. Asked more often than is granted, endpoints spend on questions what
-/// callers need, and operators see the bound that they set broken.
+/// Under twice the load that all endpoints can take, every host probes whenever it may,
+/// for minutes. If the limit fails, endpoints spend on probes the time that callers need.
 #[test]
-fn flood_held() {
+fn flood_limited() {
     for hosts in [1, 18, 100] {
-        let rate = asked(hosts, 600);
+        let rate = probe_rate(hosts, 600);
         assert!(rate <= RATE, "{rate} a second with {hosts} hosts");
         let least = if hosts == 1 { 30.0 } else { 45.0 };
         assert!(rate >= least, "{rate} a second with {hosts} hosts");
     }
 }
 
-/// A site starts into a flood, and its day lasts less than a minute. A host may ask a
-/// thousand times before it knows its share, and keeps that: with 13 hosts, 25 endpoints
-/// are asked more often in 58 seconds than is granted in the 50 in which callers come.
+/// A site starts with a flood of requests, and its whole day lasts less than a minute. If
+/// hosts keep the thousand probes that each may send before it knows its share, 13 hosts
+/// probe 25 endpoints more often in 58 seconds than is granted for the 50 seconds with
+/// callers.
 #[test]
 fn short_flood() {
     for (hosts, endpoints) in [(13, 25), (18, 37), (133, 240), (1_000, 280)] {
         let start = Moment::from_millis(1_000);
         let mut budget = HostProbeBudget::new(start);
-        let mut asked = 0;
+        let mut sent = 0;
         for millis in 0..58_000 {
             let now = start + Duration::from_millis(millis);
             budget.refill(RATE, endpoints, 1.0 / f64::from(hosts), now);
             if budget.is_available() {
                 budget.spend();
-                asked += 1;
+                sent += 1;
             }
         }
-        // Callers come eight seconds after the start.
+        // Callers arrive eight seconds after the start.
         let granted = RATE * endpoints as f64 * 50.0;
-        let all = f64::from(asked * hosts);
+        let all = f64::from(sent * hosts);
         assert!(
             all <= granted,
-            "{hosts} hosts asked {all} times of {granted}"
+            "{hosts} hosts sent {all} probes of {granted}"
         );
     }
 }
 
-/// A burst after a quiet while: the host may ask what it has saved, not more than
-/// a minute's worth.
+/// In a burst after a quiet period a host may use the probes it has saved, but not more
+/// than those of one minute.
 #[test]
 fn burst_granted() {
     let start = Moment::from_millis(1_000);
     let mut budget = HostProbeBudget::new(start);
     budget.refill(RATE, ENDPOINTS, 0.05, start + Duration::from_secs(600));
-    let mut asked = 0;
+    let mut sent = 0;
     while budget.is_available() {
         budget.spend();
-        asked += 1;
+        sent += 1;
     }
-    // 111 a second of this host, eight tenths of which are saved, for a minute.
-    assert!(
-        (5_000..=6_660).contains(&asked),
-        "{asked} questions at once"
-    );
+    // 111 probes per second for this host, eight tenths of which are saved, for a minute.
+    assert!((5_000..=6_660).contains(&sent), "{sent} probes at once");
 }
 
-/// A host that has just started doesn't know its share, and has callers already.
+/// A host that has just started must be able to probe before it knows its share.
 #[test]
 fn share_unknown() {
     let start = Moment::from_millis(1_000);
@@ -96,8 +93,8 @@
     assert!(budget.is_available());
 }
 
-/// A host whose callers ask for more than its share, and one that has some to spare: what
-/// is borrowed is gone from the lender, so that the sum stays within the bound.
+/// What one host borrows must be gone from the lender's budget, or the total of both
+/// hosts exceeds the limit.
 #[test]
 fn lent_once() {
     let start = Moment::from_millis(1_000);
@@ -106,10 +103,14 @@
     for budget in [&mut busy, &mut calm] {
         budget.refill(RATE, ENDPOINTS, 0.05, now);
     }
-    assert_eq!(busy.borrow(now), None, "it has enough");
+    assert_eq!(busy.borrow(now), None, "the budget is not low");
     let own = left(&mut busy);
-    let number = busy.borrow(now).expect("it has none left");
-    assert_eq!(busy.borrow(now), None, "it asks again at once");
+    let number = busy.borrow(now).expect("the budget is empty");
+    assert_eq!(
+        busy.borrow(now),
+        None,
+        "the next request to borrow comes too early"
+    );
     let lent = calm.lend();
     assert!(lent > 500, "{lent} lent of what was saved in half a minute");
     busy.receive_loan(number, lent);
@@ -117,14 +118,15 @@
     assert_eq!(
         left(&mut busy),
         lent as usize,
-        "a datagram that comes twice counts once"
+        "a duplicated datagram counts once"
     );
     let all = own + lent as usize + left(&mut calm);
     let granted = RATE * ENDPOINTS as f64 * 0.05 * 34.0 * 2.0;
     assert!(all as f64 <= granted, "{all} of {granted}");
 }
 
-/// A host that lent away what it needs itself would place its own requests unasked.
+/// A host must not lend the probes it needs itself, or it would place its own requests
+/// without a probe.
 #[test]
 fn reserve_kept() {
     let start = Moment::from_millis(1_000);
@@ -137,12 +139,12 @@
     assert!(left(&mut budget) > 300);
 }
 
-/// Returns how many questions may still be asked, and asks them.
+/// Returns how many probes are left, and uses them up.
 fn left(budget: &mut HostProbeBudget) -> usize {
-    let mut asked = 0;
+    let mut sent = 0;
     while budget.is_available() {
         budget.spend();
-        asked += 1;
+        sent += 1;
     }
-    asked
+    sent
 }
--- a/components/state/tests/probe_budget.rs
+++ b/components/state/tests/probe_budget.rs
@@ -1,16 +1,16 @@
-//! What asking backend servers for their load may cost them.
+//! The cost of probes for backend servers.
 
 use std::time::Duration;
 
 use state::Moment;
-use state::probe::{ProbeBudget, SHARE};
+use state::probe::{PROBE_SHARE_PERMILLE, ProbeBudget};
 
 const COST: Duration = Duration::from_millis(6);
 const SLOTS: u32 = 6;
 
-/// Heartbeats come late on a busy machine, so that a backend server changes its
-/// owner every 250 ms, and each new owner wants to know at once how it does. The
-/// server's callers wait while it answers one report after the other.
+/// On a busy machine with late heartbeats a backend server changes its owner every 250
+/// ms, and each new owner wants to probe it at once. The probes must stay within the
+/// budget, or the server's callers wait while it answers load reports.
 #[test]
 fn owners_change() {
     let start = Moment::from_millis(1_000);
@@ -26,7 +26,7 @@
     let slot_time = Duration::from_secs(10) * SLOTS;
     assert!(probes > 0);
     assert!(
-        COST * probes <= slot_time * SHARE / 1_000,
+        COST * probes <= slot_time * PROBE_SHARE_PERMILLE / 1_000,
         "{probes} probes"
     );
 }
--- a/components/state/tests/quarantine_fleet.rs
+++ b/components/state/tests/quarantine_fleet.rs
@@ -1,4 +1,5 @@
-//! A request that crashes endpoints, met by many hosts that tell each other, in virtual time.
+//! A request that crashes endpoints and arrives at many hosts that exchange reports, in
+//! virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +11,23 @@
 use state::fleet::quarantine::{Crash, Decision, Quarantine, QuarantineUpdate, Reporter};
 use state::fleet::{Fingerprint, Fingerprints};
 
-/// How long an endpoint runs the request before it crashes.
+/// How long an endpoint runs the request before it crashes, in milliseconds.
 const RUN: u64 = 60;
 
-/// How long a report takes from one host to another.
-const DELAY: u64 = 5;
+/// The delay of a message from one host to another, in milliseconds.
+const MESSAGE_DELAY: u64 = 5;
 
-/// How long after the third crash all hosts have to know.
+/// The time after the third crash by which all hosts must know the request, in
+/// milliseconds.
 const KNOWN_AFTER: u64 = 3_000;
 
-/// How long a host has to run before its requests count.
+/// The time after a host's start from which its requests count, in milliseconds.
 const SETTLED: u64 = 3_000;
 
-/// Arrivals later than that which are granted.
-const GRANTED: usize = 3;
+/// The number of later arrivals that are tolerated.
+const TOLERATED: usize = 3;
 
-/// Endpoints that one request of a caller is sent to at most.
+/// The maximum number of endpoints that one request of a caller is sent to.
 const ATTEMPTS: u32 = 2;
 
 const FATAL: Fingerprints = Fingerprints {
@@ -33,14 +35,14 @@
     request: Fingerprint(2),
 };
 
-/// What happens at a moment.
+/// An event of the simulation.
 #[derive(Clone)]
 enum Event {
-    Arrives {
+    Arrival {
         host: usize,
         attempt: u32,
     },
-    Ends {
+    RunEnd {
         host: usize,
         attempt: u32,
         sent: Moment,
@@ -49,9 +51,9 @@
         to: usize,
         crash: Crash,
     },
-    Findings {
+    Updates {
         to: usize,
-        findings: Vec<QuarantineUpdate>,
+        updates: Vec<QuarantineUpdate>,
     },
     Reminders,
     Restart {
@@ -59,15 +61,15 @@
     },
 }
 
-/// The hosts, and what is still to come.
+/// The simulated hosts and the pending events.
 struct Fleet {
     hosts: Vec<Quarantine>,
-    /// When each host started.
+    /// The start of each host, in milliseconds.
     started: Vec<u64>,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
     random: SmallRng,
-    /// The share of reports that get lost.
+    /// The fraction of messages that are lost.
     loss: f64,
     crashes: Vec<u64>,
     arrivals: Vec<u64>,
@@ -92,24 +94,24 @@
         self.events.insert((millis, self.next), event);
     }
 
-    /// Sends an event to one host, unless it gets lost.
+    /// Sends an event to one host, unless the message is lost.
     fn send(&mut self, millis: u64, event: Event) {
         if self.random.random::<f64>() >= self.loss {
-            self.at(millis + DELAY, event);
+            self.at(millis + MESSAGE_DELAY, event);
         }
     }
 
-    fn tell_all(&mut self, from: usize, millis: u64, crash: Crash, findings: &[QuarantineUpdate]) {
+    fn send_all(&mut self, from: usize, millis: u64, crash: Crash, updates: &[QuarantineUpdate]) {
         for to in (0..self.hosts.len()).filter(|to| *to != from) {
             self.send(millis, Event::Report { to, crash });
-            if !findings.is_empty() {
-                let findings = findings.to_vec();
-                self.send(millis, Event::Findings { to, findings });
+            if !updates.is_empty() {
+                let updates = updates.to_vec();
+                self.send(millis, Event::Updates { to, updates });
             }
         }
     }
 
-    /// Plays all events until `end`.
+    /// Processes all events until `end`.
     fn run(&mut self, end: u64) {
         while let Some(((millis, _), event)) = self.events.pop_first() {
             if millis > end {
@@ -122,21 +124,21 @@
     fn take(&mut self, millis: u64, event: Event) {
         let now = Moment::from_millis(millis);
         match event {
-            Event::Arrives { host, attempt } => {
+            Event::Arrival { host, attempt } => {
                 if matches!(self.hosts[host].admit(FATAL, now), Decision::Reject(_)) {
                     return;
                 }
                 if millis >= self.started[host] + SETTLED {
                     self.arrivals.push(millis);
                 }
-                let ends = Event::Ends {
+                let ends = Event::RunEnd {
                     host,
                     attempt,
                     sent: now,
                 };
                 self.at(millis + RUN, ends);
             }
-            Event::Ends {
+            Event::RunEnd {
                 host,
                 attempt,
                 sent,
@@ -147,15 +149,15 @@
                     sent,
                     at: now,
                 };
-                let findings = self.hosts[host].note_crash(&crash, Reporter::ThisHost);
-                self.tell_all(host, millis, crash, &findings);
+                let updates = self.hosts[host].note_crash(&crash, Reporter::ThisHost);
+                self.send_all(host, millis, crash, &updates);
                 if attempt < ATTEMPTS {
                     let attempt = attempt + 1;
-                    self.at(millis + 1, Event::Arrives { host, attempt });
+                    self.at(millis + 1, Event::Arrival { host, attempt });
                 }
             }
             Event::Report { to, crash } => {
-                let late = Duration::from_millis(DELAY);
+                let late = Duration::from_millis(MESSAGE_DELAY);
                 let crash = Crash {
                     sent: crash.sent + late,
                     at: crash.at + late,
@@ -163,16 +165,16 @@
                 };
                 self.hosts[to].note_crash(&crash, Reporter::OtherHost);
             }
-            Event::Findings { to, findings } => {
-                for finding in &findings {
-                    self.hosts[to].apply(finding, now);
+            Event::Updates { to, updates } => {
+                for update in &updates {
+                    self.hosts[to].apply(update, now);
                 }
             }
             Event::Reminders => {
                 for host in 0..self.hosts.len() {
-                    let findings = self.hosts[host].updates(now);
+                    let updates = self.hosts[host].updates(now);
                     let to = self.random.random_range(0..self.hosts.len());
-                    self.send(millis, Event::Findings { to, findings });
+                    self.send(millis, Event::Updates { to, updates });
                 }
                 self.at(millis + 1_000, Event::Reminders);
             }
@@ -180,13 +182,14 @@
                 self.hosts[host] = Quarantine::default();
                 self.started[host] = millis;
                 let other = (host + 1) % self.hosts.len();
-                let findings = self.hosts[other].updates(now);
-                self.send(millis + DELAY, Event::Findings { to: host, findings });
+                let updates = self.hosts[other].updates(now);
+                self.send(millis + MESSAGE_DELAY, Event::Updates { to: host, updates });
             }
         }
     }
 
-    /// Returns how often it arrived once all hosts had to know.
+    /// Returns how often the request was sent to an endpoint after all hosts had to know
+    /// it.
     fn late_arrivals(&self) -> usize {
         let third = self
             .crashes
@@ -198,8 +201,8 @@
     }
 }
 
-/// A request that crashes endpoints must not go on because each time another of many hosts
-/// gets it, reports get lost, and hosts start anew and have forgotten it.
+/// A request that crashes endpoints must be stopped even if each time another of many
+/// hosts receives it, messages are lost, and hosts restart without any memory of it.
 #[rstest]
 fn known_everywhere(
     #[values(3, 13, 472)] hosts: usize,
@@ -209,9 +212,11 @@
     for seed in 0..8 {
         let mut fleet = Fleet::new(hosts, loss, seed);
         fleet.at(500, Event::Reminders);
-        for millis in (0..100_000).step_by(usize::try_from(pause).expect("it fits")) {
+        for millis in
+            (0..100_000).step_by(usize::try_from(pause).expect("the pause fits into usize"))
+        {
             let host = fleet.random.random_range(0..hosts);
-            fleet.at(millis, Event::Arrives { host, attempt: 1 });
+            fleet.at(millis, Event::Arrival { host, attempt: 1 });
         }
         for number in 0..10 {
             let host = fleet.random.random_range(0..hosts);
@@ -219,6 +224,6 @@
         }
         fleet.run(100_000);
         let late = fleet.late_arrivals();
-        assert!(late <= GRANTED, "{late} late arrivals with seed {seed}");
+        assert!(late <= TOLERATED, "{late} late arrivals with seed {seed}");
     }
 }
--- a/components/state/tests/wait_queue.rs
+++ b/components/state/tests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an endpoint, and which of them asks.
+//! Requests that wait for an endpoint, and which of them probes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 const TICK: Duration = Duration::from_millis(1);
 const SLOTS: u32 = 4;
 
-/// How long an endpoint takes to answer; meanwhile others ask it too.
+/// How long an endpoint takes to answer a probe; others probe it meanwhile.
 const ANSWER: Duration = Duration::from_millis(2);
 
 /// One host whose requests all wait for the same few endpoints.
@@ -25,9 +25,9 @@
     queue: WaitQueue,
     waiting: Vec<Waiting>,
     random: StdRng,
-    /// Requests that endpoints run for other hosts.
-    taken: BTreeMap<EndpointKey, u32>,
-    asks: usize,
+    /// The number of requests that each endpoint runs for all hosts.
+    running: BTreeMap<EndpointKey, u32>,
+    probes: usize,
     placed: Vec<(usize, EndpointKey)>,
 }
 
@@ -37,7 +37,7 @@
     placement: Placement,
     ticket: Option<Ticket>,
     due: Moment,
-    asking: Option<EndpointKey>,
+    probing: Option<EndpointKey>,
 }
 
 fn endpoint(name: &str) -> Endpoint {
@@ -54,13 +54,13 @@
 }
 
 impl Host {
-    /// Returns a host beside endpoints that are all full.
+    /// Returns a host whose endpoints are all full.
     fn full(names: &[&str]) -> Host {
         let mut registry = Registry::default();
-        let mut taken = BTreeMap::new();
+        let mut running = BTreeMap::new();
         for name in names {
             let endpoint = endpoint(name);
-            taken.insert(endpoint.key(), SLOTS);
+            running.insert(endpoint.key(), SLOTS);
             registry.apply(name, Some(Entry::Endpoint(endpoint)), START);
         }
         Host {
@@ -68,8 +68,8 @@
             queue: WaitQueue::default(),
             waiting: Vec::new(),
             random: StdRng::seed_from_u64(3),
-            taken,
-            asks: 0,
+            running,
+            probes: 0,
             placed: Vec::new(),
         }
     }
@@ -90,23 +90,23 @@
             placement: Placement::default(),
             ticket,
             due: now,
-            asking: None,
+            probing: None,
         });
     }
 
-    /// Lets all requests go on whose time has come.
+    /// Runs all requests that are due.
     fn step(&mut self, now: Moment) {
         for mut waiting in std::mem::take(&mut self.waiting) {
-            match waiting.due > now || self.go_on(&mut waiting, now) {
+            match waiting.due > now || self.step_one(&mut waiting, now) {
                 true => self.waiting.push(waiting),
-                false => self.called(waiting.ticket, now),
+                false => self.remove(waiting.ticket, now),
             }
         }
     }
 
-    /// Moves one request on; false where it waits no longer.
-    fn go_on(&mut self, waiting: &mut Waiting, now: Moment) -> bool {
-        if let Some(key) = waiting.asking.take() {
+    /// Runs one request's next step; returns whether it is still waiting.
+    fn step_one(&mut self, waiting: &mut Waiting, now: Moment) -> bool {
+        if let Some(key) = waiting.probing.take() {
             self.see(key, now);
         }
         let is_first = waiting.ticket.is_none_or(|t| self.queue.first() == Some(t));
@@ -128,14 +128,17 @@
             .next(&mut context, request, now, &mut draw)
         {
             Step::Probe(key) => {
-                self.asks += 1;
-                waiting.asking = Some(key);
+                self.probes += 1;
+                waiting.probing = Some(key);
                 waiting.due = now + ANSWER;
                 true
             }
             Step::Place(key) => {
-                self.registry.get_mut(key).expect("it is known").start();
-                *self.taken.entry(key).or_default() += 1;
+                self.registry
+                    .get_mut(key)
+                    .expect("the endpoint is known")
+                    .start();
+                *self.running.entry(key).or_default() += 1;
                 self.placed.push((waiting.number, key));
                 false
             }
@@ -151,16 +154,16 @@
         }
     }
 
-    /// Lets a request leave the line, and calls who is first then.
-    fn called(&mut self, ticket: Option<Ticket>, now: Moment) {
+    /// Removes a request from the queue and wakes the new first one.
+    fn remove(&mut self, ticket: Option<Ticket>, now: Moment) {
         let next = ticket.and_then(|t| self.queue.remove(t));
         self.wake(next, now);
     }
 
     fn see(&mut self, key: EndpointKey, now: Moment) {
-        let look = LoadSample {
+        let sample = LoadSample {
             at: now,
-            running: self.taken[&key],
+            running: self.running[&key],
             waiting: 0,
             slots: SLOTS,
             slowness: 100,
@@ -169,23 +172,23 @@
         };
         self.registry
             .get_mut(key)
-            .expect("it is known")
-            .set_sample(look);
+            .expect("the endpoint is known")
+            .set_sample(sample);
     }
 
-    /// Has a request of this host end at an endpoint, which tells its load.
+    /// Ends a request of this host at an endpoint, whose answer reports its load.
     fn end(&mut self, name: &str, left: u32, now: Moment) {
         let key = endpoint(name).key();
-        self.taken.insert(key, left);
+        self.running.insert(key, left);
         self.see(key, now);
         self.wake(self.queue.first(), now);
     }
 
     fn wake(&mut self, ticket: Option<Ticket>, now: Moment) {
         let mut waiting = self.waiting.iter_mut();
-        let called = waiting.find(|w| ticket.is_some() && w.ticket == ticket);
-        if let Some(called) = called.filter(|w| w.asking.is_none()) {
-            called.due = now;
+        let first = waiting.find(|w| ticket.is_some() && w.ticket == ticket);
+        if let Some(first) = first.filter(|w| w.probing.is_none()) {
+            first.due = now;
         }
     }
 
@@ -198,43 +201,43 @@
     }
 }
 
-/// A burst beyond what all endpoints bear: forty requests wait at one host. Each
-/// asking for itself, the host alone would ask its endpoints 2,000 times in
-/// 300 ms, and a site's hosts would spend more on asking than on serving.
+/// In a burst beyond the capacity of all endpoints forty requests wait at one host. If
+/// each of them probed, this host alone would send its endpoints 2,000 probes in 300 ms,
+/// and the hosts of a site would spend more time on probes than on requests.
 #[test]
-fn one_asks() {
+fn one_probes() {
     let mut host = Host::full(&["a", "b", "c", "d"]);
     (0..40).for_each(|n| host.arrive(n, 0, START));
     host.run(START, Duration::from_millis(50));
-    host.asks = 0;
+    host.probes = 0;
     host.run(
         START + Duration::from_millis(50),
         Duration::from_millis(300),
     );
     assert!(host.placed.is_empty());
-    // Four endpoints, asked anew every 40 ms.
-    assert!(host.asks <= 4 * 9, "{} questions in 300 ms", host.asks);
+    // Four endpoints, probed again every 40 ms.
+    assert!(host.probes <= 4 * 9, "{} probes in 300 ms", host.probes);
 }
 
-/// A slot comes free as a request of this host ends. The host knows it before
-/// any other can ask: the first in line gets the slot at once, one request only,
-/// and nothing is asked.
+/// A slot becomes free as a request of this host ends. The host knows before any other
+/// host can probe: the first waiting request, and no other, must get the slot at once
+/// without a probe.
 #[test]
-fn slot_handed_on() {
+fn freed_slot_reused() {
     let mut host = Host::full(&["a", "b"]);
     host.arrive(0, 0, START);
     host.run(START, Duration::from_millis(8));
     let now = START + Duration::from_millis(10);
     (1..10).for_each(|n| host.arrive(n, 0, now));
-    host.asks = 0;
+    host.probes = 0;
     host.end("a", 2, now);
     host.step(now);
     assert_eq!(host.placed, [(0, endpoint("a").key())]);
-    assert_eq!(host.asks, 0);
+    assert_eq!(host.probes, 0);
 }
 
-/// Lookups and deposits wait for the same endpoints. A family whose deposit is
-/// refused since lookups came a moment earlier is wronged.
+/// Lookups and deposits wait for the same endpoints. An urgent deposit must not be
+/// rejected because lookups arrived a moment earlier.
 #[test]
 fn urgent_first() {
     let mut host = Host::full(&["a"]);
@@ -249,10 +252,10 @@
     assert_eq!(host.placed, [(2, endpoint("a").key())]);
 }
 
-/// The first one gives up: whoever is next takes over asking, or the whole line
-/// would stand until its time is over.
+/// When the first request gives up, the next one must take over probing, or the whole
+/// queue would stand still until its deadline.
 #[test]
-fn next_is_called() {
+fn next_is_first() {
     let mut queue = WaitQueue::default();
     let first = queue.push(1, START);
     let second = queue.push(1, START + TICK);
