--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -20,9 +20,9 @@
 use state::{Moment, ServiceKey};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::answer::AnswerBody;
+use super::answer_body::AnswerBody;
 use super::attempt::{Answer, Attempt, Ending};
-use super::refusal::Denial;
+use super::denial::Denial;
 use super::{Gateway, Stage};
 use crate::clock;
 use crate::edge::body::{CallerBody, REPLAY_LIMIT, SharedBody};
--- a/components/transport/src/gateway/refusal.rs
+++ b/components/transport/src/gateway/denial.rs
@@ -8,7 +8,7 @@
 use platform::headers::ATTEMPT_ID;
 use thiserror::Error;
 
-use super::answer::AnswerBody;
+use super::answer_body::AnswerBody;
 use crate::edge::body::BodyError;
 
 /// The reason why a request got no answer from an endpoint.
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -5,28 +5,28 @@
 //! state without locks. `state::fleet` makes the decisions; this module transfers
 //! bytes, reads the clock and follows the store.
 
-mod answer;
-mod ask;
+mod answer_body;
 mod attempt;
 mod call;
+mod denial;
 mod drain;
 mod follow;
 mod fragments;
-mod held;
+mod group;
 mod limits;
-mod line;
 mod neighbours;
 mod pool;
+mod probe;
 mod quarantine;
 mod ready;
-mod refusal;
-mod reports;
+mod report_limiter;
 mod request_log;
 mod server;
 mod settings;
-mod share;
 mod stream;
+mod topic_cache;
 mod traffic;
+mod wait_queue;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -51,14 +51,14 @@
 
 use crate::clock;
 use fragments::Large;
-use held::Shelves;
-use line::Lines;
 use pool::Pool;
 use quarantine::Suspects;
-use reports::Reports;
+use report_limiter::ReportLimiter;
 use request_log::RequestLog;
 pub use settings::{Bounds, Live, Settings};
+use topic_cache::Shelves;
 use traffic::Traffic;
+use wait_queue::Lines;
 
 /// The reason why a host can't start.
 #[derive(Debug, Error)]
@@ -133,7 +133,7 @@
     callers: Cell<usize>,
     requests: RefCell<RequestLog>,
     suspects: RefCell<Suspects>,
-    limit_reports: RefCell<Reports>,
+    limit_reports: RefCell<ReportLimiter>,
     /// Wakes the task that checks whether an endpoint crashed.
     broken_wait: Notify,
 }
--- a/components/transport/src/gateway/ask.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 use super::Gateway;
-use super::line::Standing;
+use super::wait_queue::Standing;
 use crate::clock;
 use crate::upstream::{Connection, RequestBody};
 
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -20,7 +20,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::Gateway;
-use super::reports::Reports;
+use super::report_limiter::ReportLimiter;
 use crate::clock;
 use crate::upstream::Connection;
 use crate::upstream::connection::ConnectError;
@@ -43,7 +43,7 @@
     quarantine: Quarantine,
     /// Broken runs not yet checked for a crash of their endpoint.
     broken: Vec<Broken>,
-    reports: Reports,
+    reports: ReportLimiter,
 }
 
 impl Gateway {
--- a/components/transport/src/gateway/reports.rs
+++ b/components/transport/src/gateway/report_limiter.rs
@@ -12,12 +12,12 @@
 
 /// A rate limiter for one kind of report.
 #[derive(Default)]
-pub(super) struct Reports {
+pub(super) struct ReportLimiter {
     began: Moment,
     count: usize,
 }
 
-impl Reports {
+impl ReportLimiter {
     /// Returns how many of the `wanted` reports may be sent now, and counts these.
     pub fn take(&mut self, wanted: usize, now: Moment) -> usize {
         if now.since(self.began) >= SPAN {
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -12,7 +12,7 @@
 
 use super::Gateway;
 use super::attempt::{Answer, Attempt};
-use super::refusal::Denial;
+use super::denial::Denial;
 use crate::clock;
 
 /// Maximum number of lines per window; further lines are counted, not written.
--- a/components/transport/src/upstream/connection.rs
+++ b/components/transport/src/upstream/connection.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 
 use super::body::RequestBody;
-use super::meter::Meter;
+use super::counting_stream::Meter;
 use crate::clock;
 
 /// Time limit for opening a connection.
--- a/components/transport/src/upstream/mod.rs
+++ b/components/transport/src/upstream/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod body;
 pub mod connection;
+pub mod counting_stream;
 pub mod exchange;
-pub mod meter;
 pub mod pool;
 
 pub use body::RequestBody;
