--- a/components/transport/src/gateway/answer_body.rs
+++ b/components/transport/src/gateway/answer_body.rs
@@ -68,8 +68,8 @@
             None => Poll::Ready(None),
             Some(rest) => rest
                 .connection
-                .poll_piece(&mut rest.incoming, cx)
-                .map(|piece| piece.map(|result| result.map(Frame::data))),
+                .poll_chunk(&mut rest.incoming, cx)
+                .map(|chunk| chunk.map(|result| result.map(Frame::data))),
         }
     }
 
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -17,7 +17,7 @@
 use super::Gateway;
 use crate::clock;
 use crate::edge::fields::remove_hop_by_hop;
-use crate::upstream::connection::WireError;
+use crate::upstream::connection::RequestError;
 use crate::upstream::{Connection, RequestBody};
 
 /// How many bytes of an answer are buffered before it is forwarded to the caller.
@@ -140,11 +140,11 @@
                 self.judge(key, &ending, began, pace);
                 ending
             }
-            Err(WireError::Unsent) => {
+            Err(RequestError::Unsent) => {
                 self.hide();
                 Ending::Unsent("the connection was closed before the request was sent")
             }
-            Err(WireError::Sent(error)) => {
+            Err(RequestError::Sent(error)) => {
                 self.gateway.log_broken(self, key, began, &error);
                 self.gateway.note_broken(self.fingerprints, key, began);
                 self.gateway.note(key, Outcome::Broken);
@@ -196,7 +196,7 @@
         }
         let mut start = BytesMut::new();
         let rest = loop {
-            match connection.next_piece(&mut incoming).await {
+            match connection.next_chunk(&mut incoming).await {
                 None => {
                     self.gateway.keep(connection, &parts.headers);
                     break None;
@@ -205,7 +205,7 @@
                     self.gateway.note_broken(self.fingerprints, key, sent);
                     return Ending::Lost("the answer broke off");
                 }
-                Some(Ok(piece)) => start.extend_from_slice(&piece),
+                Some(Ok(chunk)) => start.extend_from_slice(&chunk),
             }
             if start.len() > HELD_LIMIT {
                 break Some(Rest {
--- a/components/transport/src/gateway/pool.rs
+++ b/components/transport/src/gateway/pool.rs
@@ -13,7 +13,7 @@
 use crate::upstream::Connection;
 
 /// How long an idle connection is kept if the endpoint doesn't advertise its own limit.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How long before the endpoint's idle limit this host closes a connection.
 ///
@@ -21,7 +21,7 @@
 const EARLIER: Duration = Duration::from_millis(1_500);
 
 /// The interval at which expired and closed idle connections are removed.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of idle connections to one endpoint.
 ///
@@ -49,7 +49,7 @@
     pub fn take(&mut self, key: EndpointKey, now: Moment) -> Option<Connection> {
         let kept = self.idle.get_mut(&key)?;
         while let Some(mut last) = kept.pop() {
-            if now < last.until && last.connection.usable() {
+            if now < last.until && last.connection.is_usable() {
                 return Some(last.connection);
             }
         }
@@ -68,10 +68,10 @@
         now: Moment,
     ) {
         let kept = self.idle.entry(connection.endpoint).or_default();
-        if kept.len() >= most || !connection.usable() {
+        if kept.len() >= most || !connection.is_usable() {
             return;
         }
-        let time = limit.map_or(IDLE_LIMIT, |l| l.saturating_sub(EARLIER));
+        let time = limit.map_or(IDLE_TIMEOUT, |l| l.saturating_sub(EARLIER));
         connection.reused = true;
         connection.idle_since = now;
         kept.push(Kept {
@@ -88,7 +88,7 @@
     /// Drops connections that are closed or have expired.
     fn sweep(&mut self, now: Moment) {
         for kept in self.idle.values_mut() {
-            kept.retain_mut(|k| now < k.until && k.connection.usable());
+            kept.retain_mut(|k| now < k.until && k.connection.is_usable());
         }
         self.idle.retain(|_, kept| !kept.is_empty());
     }
@@ -122,7 +122,7 @@
 
     /// Periodically drops expired and closed idle connections; never returns.
     pub(super) async fn keep_pool(self: Rc<Self>) {
-        let mut ticks = interval(SWEEP_EVERY);
+        let mut ticks = interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -226,8 +226,8 @@
         let answer = connection.send(request).await.ok()?;
         let (parts, mut incoming) = answer.into_parts();
         let mut size = 0;
-        while let Some(piece) = connection.next_piece(&mut incoming).await {
-            size += piece.ok()?.len();
+        while let Some(chunk) = connection.next_chunk(&mut incoming).await {
+            size += chunk.ok()?.len();
             if size > ASK_SIZE {
                 return None;
             }
--- a/components/transport/src/gateway/ready.rs
+++ b/components/transport/src/gateway/ready.rs
@@ -20,7 +20,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Time limit for the head of a request on an open connection.
-const IDLE_LIMIT: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Gateway {
     /// Serves readiness checks with status 200 or 503; never returns.
@@ -43,7 +43,7 @@
                 });
                 let serving = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(IDLE_LIMIT)
+                    .header_read_timeout(IDLE_TIMEOUT)
                     .serve_connection(TokioIo::new(stream), service);
                 if let Err(error) = serving.await {
                     log::debug!("E0505 readiness-connection-broke error={error:?}");
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout};
 
-use crate::upstream::connection::WireError;
+use crate::upstream::connection::RequestError;
 use crate::upstream::{ConnectError, Connection, RequestBody};
 
 /// Time limit for the head of an answer, and for each further chunk of its body.
@@ -39,7 +39,7 @@
     Connect(#[from] ConnectError),
     /// The connection broke.
     #[error(transparent)]
-    Wire(#[from] WireError),
+    Wire(#[from] RequestError),
     /// The connection broke before the answer was complete.
     #[error("the store's answer was cut off: {0}")]
     Cut(hyper::Error),
@@ -72,7 +72,7 @@
     /// come from a proxy in between, after the call took effect.
     pub fn is_not_applied(&self) -> bool {
         match self {
-            StoreError::Connect(_) | StoreError::Wire(WireError::Unsent) => true,
+            StoreError::Connect(_) | StoreError::Wire(RequestError::Unsent) => true,
             StoreError::Refused(status) => {
                 status.is_client_error()
                     || matches!(
@@ -81,7 +81,7 @@
                     )
             }
             StoreError::Forgotten(_) => true,
-            StoreError::Wire(WireError::Sent(_))
+            StoreError::Wire(RequestError::Sent(_))
             | StoreError::Cut(_)
             | StoreError::Silent { .. }
             | StoreError::TooLarge
@@ -234,7 +234,7 @@
         let kept = self
             .connection
             .take()
-            .and_then(|mut c| c.usable().then_some(c));
+            .and_then(|mut c| c.is_usable().then_some(c));
         let mut connection = match kept {
             Some(connection) => connection,
             None => Connection::open(EndpointKey(0), self.address).await?,
@@ -258,8 +258,8 @@
         let last = Instant::now() + BODY_LIMIT;
         loop {
             let waited = self.answer_limit.min(last.duration_since(Instant::now()));
-            let piece = match timeout(waited, connection.next_piece(&mut incoming)).await {
-                Ok(Some(piece)) => piece.map_err(StoreError::Cut)?,
+            let chunk = match timeout(waited, connection.next_chunk(&mut incoming)).await {
+                Ok(Some(chunk)) => chunk.map_err(StoreError::Cut)?,
                 Ok(None) => return Ok(read.freeze()),
                 Err(_) => {
                     return Err(StoreError::Silent {
@@ -268,7 +268,7 @@
                     });
                 }
             };
-            read.extend_from_slice(&piece);
+            read.extend_from_slice(&chunk);
             if read.len() > SIZE_LIMIT {
                 return Err(StoreError::TooLarge);
             }
--- a/components/transport/src/upstream/connection.rs
+++ b/components/transport/src/upstream/connection.rs
@@ -20,14 +20,14 @@
 use tokio::net::TcpStream;
 
 use super::body::RequestBody;
-use super::counting_stream::Meter;
+use super::counting_stream::CountingStream;
 use crate::clock;
 
 /// Time limit for opening a connection.
 ///
 /// Connecting takes about 1 ms within a region. 500 ms allows for one packet
 /// retransmission between regions and still leaves time to try another endpoint.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long sent bytes may stay unacknowledged before the kernel closes the connection.
 ///
@@ -42,7 +42,7 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum size of a connection's buffer in each direction, in bytes.
-const BUFFER_LIMIT: usize = 128 * 1024;
+const BUFFER_BYTES: usize = 128 * 1024;
 
 /// The reason why a connection could not be opened; no request bytes were sent.
 #[derive(Debug, Error)]
@@ -51,7 +51,7 @@
     #[error("connecting to {0} failed: {1}")]
     Refused(SocketAddr, io::Error),
     /// Connecting took longer than the time limit.
-    #[error("connecting to {0} took more than {limit} ms", limit = CONNECT_LIMIT.as_millis())]
+    #[error("connecting to {0} took more than {limit} ms", limit = CONNECT_TIMEOUT.as_millis())]
     TooSlow(SocketAddr),
     /// The HTTP library could not start on the new connection.
     #[error("starting HTTP on the connection to {0} failed: {1}")]
@@ -60,7 +60,7 @@
 
 /// The reason why a request got no answer.
 #[derive(Debug, Error)]
-pub enum WireError {
+pub enum RequestError {
     /// The connection broke before any byte of the request was handed to the kernel.
     #[error("the connection was closed before the request was sent")]
     Unsent,
@@ -81,7 +81,7 @@
     /// Whether an earlier call has completed on this connection.
     pub reused: bool,
     sender: http1::SendRequest<RequestBody>,
-    driver: http1::Connection<TokioIo<Meter>, RequestBody>,
+    driver: http1::Connection<TokioIo<CountingStream>, RequestBody>,
     written: Arc<AtomicU64>,
     closed: bool,
 }
@@ -96,16 +96,16 @@
         endpoint: EndpointKey,
         address: SocketAddr,
     ) -> Result<Connection, ConnectError> {
-        let stream = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address))
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_| ConnectError::TooSlow(address))?
-            .and_then(|stream| prepare(&stream).map(|()| stream))
+            .and_then(|stream| configure_socket(&stream).map(|()| stream))
             .map_err(|e| ConnectError::Refused(address, e))?;
-        let (meter, written) = Meter::new(stream);
+        let (counting_stream, written) = CountingStream::new(stream);
         metrics::counter!("cardamomvale_connections_opened_total").increment(1);
         let (sender, driver) = http1::Builder::new()
-            .max_buf_size(BUFFER_LIMIT)
-            .handshake(TokioIo::new(meter))
+            .max_buf_size(BUFFER_BYTES)
+            .handshake(TokioIo::new(counting_stream))
             .await
             .map_err(|e| ConnectError::Handshake(address, e))?;
         Ok(Connection {
@@ -123,7 +123,7 @@
     ///
     /// A backend server may close an idle connection at any time, and a request
     /// sent on a closed connection would be lost.
-    pub fn usable(&mut self) -> bool {
+    pub fn is_usable(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         self.drive(&mut cx);
         !self.closed && self.sender.is_ready()
@@ -137,7 +137,7 @@
     pub async fn send(
         &mut self,
         request: Request<RequestBody>,
-    ) -> Result<Response<Incoming>, WireError> {
+    ) -> Result<Response<Incoming>, RequestError> {
         let before = self.written.load(Ordering::Relaxed);
         let mut answer = pin!(self.sender.try_send_request(request));
         let result = poll_fn(|cx| {
@@ -146,8 +146,8 @@
         })
         .await;
         result.map_err(|e| match self.written.load(Ordering::Relaxed) == before {
-            true => WireError::Unsent,
-            false => WireError::Sent(e.into_error()),
+            true => RequestError::Unsent,
+            false => RequestError::Sent(e.into_error()),
         })
     }
 
@@ -159,15 +159,15 @@
     }
 
     /// Returns the next chunk of the body of an answer, or `None` at the end.
-    pub async fn next_piece(
+    pub async fn next_chunk(
         &mut self,
         incoming: &mut Incoming,
     ) -> Option<Result<Bytes, hyper::Error>> {
-        poll_fn(|cx| self.poll_piece(incoming, cx)).await
+        poll_fn(|cx| self.poll_chunk(incoming, cx)).await
     }
 
     /// Polls for the next chunk of the body of an answer, and drives the connection.
-    pub fn poll_piece(
+    pub fn poll_chunk(
         &mut self,
         incoming: &mut Incoming,
         cx: &mut Context<'_>,
@@ -187,14 +187,14 @@
     }
 }
 
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    let questions = TcpKeepalive::new()
+    let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_TIME)
         .with_interval(KEEPALIVE_INTERVAL);
-    socket.set_tcp_keepalive(&questions)
+    socket.set_tcp_keepalive(&keepalive)
 }
 
 fn poll_data(
--- a/components/transport/src/upstream/counting_stream.rs
+++ b/components/transport/src/upstream/counting_stream.rs
@@ -15,20 +15,20 @@
 /// A call whose connection breaks may be retried without risk only if no byte
 /// of the request can have reached the backend server. Comparing the count before
 /// and after proves it: bytes never handed to the kernel were never sent.
-pub struct Meter {
+pub struct CountingStream {
     stream: TcpStream,
     written: Arc<AtomicU64>,
 }
 
-impl Meter {
+impl CountingStream {
     /// Returns the counting stream, and the shared counter starting at zero.
-    pub fn new(stream: TcpStream) -> (Meter, Arc<AtomicU64>) {
+    pub fn new(stream: TcpStream) -> (CountingStream, Arc<AtomicU64>) {
         let written = Arc::new(AtomicU64::new(0));
-        let meter = Meter {
+        let counting_stream = CountingStream {
             stream,
             written: Arc::clone(&written),
         };
-        (meter, written)
+        (counting_stream, written)
     }
 
     /// Returns the underlying TCP stream.
@@ -44,7 +44,7 @@
     }
 }
 
-impl AsyncRead for Meter {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -54,7 +54,7 @@
     }
 }
 
-impl AsyncWrite for Meter {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/components/transport/src/upstream/exchange.rs
+++ b/components/transport/src/upstream/exchange.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 use super::body::RequestBody;
-use super::connection::{Connection, WireError};
+use super::connection::{Connection, RequestError};
 use super::pool::ConnectionPool;
 use crate::clock;
 use crate::dispatch::{Ending, Grant};
@@ -26,24 +26,24 @@
 ///
 /// A server that supports cancellation closes within one round trip. For any
 /// other server the host then closes the connection itself.
-const CANCEL_GRACE: Duration = Duration::from_millis(250);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a slot stays reserved after its backend server has closed a cancelled connection.
 ///
 /// A server may close its side shortly before it has released the work. In one
 /// case a call sent immediately arrived 195 µs too early and was the seventh on
 /// six slots.
-const CANCEL_SETTLE: Duration = Duration::from_millis(5);
+const CANCEL_SETTLE_DELAY: Duration = Duration::from_millis(5);
 
 /// How long a call on a reused connection waits before idle connections of equal age are dropped.
 ///
 /// A middlebox that has dropped its state for one connection has most likely
 /// dropped it for all that were idle as long. Dropping them costs 1 ms each to
 /// reconnect; keeping them would cost a failed call each.
-const DOUBT_AFTER: Duration = Duration::from_millis(500);
+const STALE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time limit for reading the body of a rejection.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(100);
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The reason why a request got no head of an answer.
 #[derive(Debug, Error)]
@@ -105,11 +105,11 @@
     ) -> Result<Response<Incoming>, SendError> {
         match self.head(request).await {
             Some(Ok(answer)) => Ok(answer),
-            Some(Err(WireError::Unsent)) => {
+            Some(Err(RequestError::Unsent)) => {
                 self.end(Ending::Unreachable);
                 Err(SendError::Unsent)
             }
-            Some(Err(WireError::Sent(e))) => Err(self.broken(e)),
+            Some(Err(RequestError::Sent(e))) => Err(self.broken(e)),
             None => {
                 self.abandon();
                 Err(SendError::Expired)
@@ -121,16 +121,16 @@
     async fn head(
         &mut self,
         request: Request<RequestBody>,
-    ) -> Option<Result<Response<Incoming>, WireError>> {
+    ) -> Option<Result<Response<Incoming>, RequestError>> {
         let parts = self.parts.as_mut()?;
         let sent_at = clock::now();
-        let doubtful = parts.connection.reused && DOUBT_AFTER < sent_at.until(self.deadline);
+        let may_be_stale = parts.connection.reused && STALE_TIMEOUT < sent_at.until(self.deadline);
         let endpoint = parts.connection.endpoint;
         let mut sending = pin!(parts.connection.send(request));
-        if doubtful {
-            match timeout(DOUBT_AFTER, sending.as_mut()).await {
+        if may_be_stale {
+            match timeout(STALE_TIMEOUT, sending.as_mut()).await {
                 Ok(result) => return Some(result),
-                Err(_) => self.pool.doubt(endpoint, sent_at),
+                Err(_) => self.pool.drop_idle_before(endpoint, sent_at),
             }
         }
         timeout(clock::now().until(self.deadline), sending)
@@ -144,13 +144,13 @@
         body: &mut Incoming,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, hyper::Error>>> {
-        if let ready @ Poll::Ready(_) = poll_piece(body, cx) {
+        if let ready @ Poll::Ready(_) = poll_chunk(body, cx) {
             return ready;
         }
         if let Some(parts) = self.parts.as_mut() {
             parts.connection.drive(cx);
         }
-        poll_piece(body, cx)
+        poll_chunk(body, cx)
     }
 
     /// Ends the exchange after a complete answer, and keeps the connection for reuse.
@@ -171,15 +171,15 @@
     pub async fn drain_rejection(mut self, body: &mut Incoming, most: usize) {
         let read = async {
             let mut seen = 0;
-            while let Some(piece) = poll_fn(|cx| self.poll_data(body, cx)).await {
-                seen += piece.as_ref().map_or(most, Bytes::len);
+            while let Some(chunk) = poll_fn(|cx| self.poll_data(body, cx)).await {
+                seen += chunk.as_ref().map_or(most, Bytes::len);
                 if seen >= most {
                     return false;
                 }
             }
             true
         };
-        match timeout(REFUSAL_LIMIT, read).await {
+        match timeout(REJECTION_TIMEOUT, read).await {
             Ok(true) => self.keep(Ending::Shed),
             _ => self.end(Ending::Shed),
         }
@@ -239,12 +239,12 @@
 /// it. A backend server closes its side when it has stopped; a server that
 /// doesn't close is assumed to work until the deadline sent with the request.
 async fn cancel(mut stream: TcpStream, grant: Grant, deadline: Moment) {
-    let closed = timeout(CANCEL_GRACE, until_closed(&mut stream)).await;
+    let closed = timeout(CANCEL_TIMEOUT, until_closed(&mut stream)).await;
     drop(stream);
     if closed.is_err() {
         tokio::time::sleep(clock::now().until(deadline)).await;
     }
-    tokio::time::sleep(CANCEL_SETTLE).await;
+    tokio::time::sleep(CANCEL_SETTLE_DELAY).await;
     grant.finish(Ending::Cancelled);
 }
 
@@ -256,7 +256,7 @@
     while let Ok(1..) = stream.read(&mut sink).await {}
 }
 
-fn poll_piece(
+fn poll_chunk(
     body: &mut Incoming,
     cx: &mut Context<'_>,
 ) -> Poll<Option<Result<Bytes, hyper::Error>>> {
--- a/components/transport/src/upstream/pool.rs
+++ b/components/transport/src/upstream/pool.rs
@@ -15,20 +15,20 @@
 /// Common servers close an idle connection after 5 s. A request sent while the
 /// server closes may or may not have run; a limit one second shorter avoids this
 /// race.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The interval at which expired and closed idle connections are removed.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The idle connections of all endpoints.
 #[derive(Default)]
 pub struct ConnectionPool {
-    shelves: Mutex<BTreeMap<EndpointKey, Shelf>>,
+    endpoints: Mutex<BTreeMap<EndpointKey, EndpointPool>>,
 }
 
 /// The idle connections of one endpoint.
 #[derive(Default)]
-struct Shelf {
+struct EndpointPool {
     address: Option<SocketAddr>,
     idle: Vec<Connection>,
     limit: usize,
@@ -39,16 +39,16 @@
     /// Applies the endpoints and limits of a configuration; drops the connections of
     /// endpoints that `config` doesn't contain.
     pub fn configure(&self, config: &Config) {
-        let mut shelves = self.shelves();
-        let mut old = std::mem::take(&mut *shelves);
+        let mut endpoints = self.endpoints();
+        let mut old = std::mem::take(&mut *endpoints);
         for service in config.services() {
-            let limit = idle_limit(service.connections, service.slots, config.members.len());
+            let limit = max_idle_per_host(service.connections, service.slots, config.members.len());
             for endpoint in &service.endpoints {
                 let key = endpoint.key(service);
-                let mut shelf = old.remove(&key).unwrap_or_default();
-                shelf.address = Some(endpoint.address);
-                shelf.limit = limit;
-                shelves.insert(key, shelf);
+                let mut pool = old.remove(&key).unwrap_or_default();
+                pool.address = Some(endpoint.address);
+                pool.limit = limit;
+                endpoints.insert(key, pool);
             }
         }
     }
@@ -64,7 +64,7 @@
         address: SocketAddr,
     ) -> Result<Connection, ConnectError> {
         while let Some(mut connection) = self.pop(endpoint) {
-            if connection.usable() {
+            if connection.is_usable() {
                 return Ok(connection);
             }
         }
@@ -73,23 +73,23 @@
 
     /// Returns a connection to the pool after its last answer was read completely.
     pub fn put(&self, mut connection: Connection) {
-        if !connection.usable() {
+        if !connection.is_usable() {
             return;
         }
         connection.reused = true;
         connection.idle_since = clock::now();
-        self.shelve(connection);
+        self.add_idle(connection);
     }
 
-    /// Drops the idle connections of `endpoint` that became idle before `silent`.
-    pub fn doubt(&self, endpoint: EndpointKey, silent: Moment) {
-        let mut shelves = self.shelves();
-        let Some(shelf) = shelves.get_mut(&endpoint) else {
+    /// Drops the idle connections of `endpoint` that became idle before `since`.
+    pub fn drop_idle_before(&self, endpoint: EndpointKey, since: Moment) {
+        let mut endpoints = self.endpoints();
+        let Some(pool) = endpoints.get_mut(&endpoint) else {
             return;
         };
-        let (kept, dropped) = split(std::mem::take(&mut shelf.idle), |c| c.idle_since >= silent);
-        shelf.idle = kept;
-        drop(shelves);
+        let (kept, dropped) = split(std::mem::take(&mut pool.idle), |c| c.idle_since >= since);
+        pool.idle = kept;
+        drop(endpoints);
         // A long-running call triggers this too; without idle connections nothing is logged.
         if dropped.is_empty() {
             return;
@@ -103,12 +103,12 @@
 
     /// Returns the number of idle connections of all endpoints.
     pub fn idle_count(&self) -> usize {
-        self.shelves().values().map(|s| s.idle.len()).sum()
+        self.endpoints().values().map(|s| s.idle.len()).sum()
     }
 
     /// Periodically drops idle connections that have expired or are closed; never returns.
     pub async fn sweep(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(SWEEP_EVERY);
+        let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
             self.sweep_once(clock::now());
@@ -117,10 +117,11 @@
 
     fn sweep_once(&self, now: Moment) {
         let mut old = Vec::new();
-        for shelf in self.shelves().values_mut() {
-            let fresh = |c: &mut Connection| now.since(c.idle_since) < IDLE_LIMIT && c.usable();
-            let (kept, dropped) = split(std::mem::take(&mut shelf.idle), fresh);
-            shelf.idle = kept;
+        for pool in self.endpoints().values_mut() {
+            let fresh =
+                |c: &mut Connection| now.since(c.idle_since) < IDLE_TIMEOUT && c.is_usable();
+            let (kept, dropped) = split(std::mem::take(&mut pool.idle), fresh);
+            pool.idle = kept;
             old.extend(dropped);
         }
     }
@@ -128,13 +129,13 @@
     /// Takes the most recently used connection; if it was the last idle one, opens a
     /// spare connection in the background.
     fn pop(self: &Arc<Self>, endpoint: EndpointKey) -> Option<Connection> {
-        let mut shelves = self.shelves();
-        let shelf = shelves.get_mut(&endpoint)?;
-        let connection = shelf.idle.pop();
-        if connection.is_some() && shelf.idle.is_empty() && !shelf.opening && shelf.limit > 1 {
-            shelf.opening = true;
-            let address = shelf.address;
-            drop(shelves);
+        let mut endpoints = self.endpoints();
+        let pool = endpoints.get_mut(&endpoint)?;
+        let connection = pool.idle.pop();
+        if connection.is_some() && pool.idle.is_empty() && !pool.opening && pool.limit > 1 {
+            pool.opening = true;
+            let address = pool.address;
+            drop(endpoints);
             if let Some(address) = address {
                 tokio::spawn(Arc::clone(self).open_spare(endpoint, address));
             }
@@ -145,8 +146,8 @@
     /// Opens a connection outside the path of a call, since opening takes about 1 ms.
     async fn open_spare(self: Arc<Self>, endpoint: EndpointKey, address: SocketAddr) {
         let opened = Connection::open(endpoint, address).await;
-        if let Some(shelf) = self.shelves().get_mut(&endpoint) {
-            shelf.opening = false;
+        if let Some(pool) = self.endpoints().get_mut(&endpoint) {
+            pool.opening = false;
         }
         if let Ok(connection) = opened {
             self.put_spare(connection);
@@ -155,21 +156,23 @@
 
     fn put_spare(&self, mut connection: Connection) {
         connection.idle_since = clock::now();
-        if connection.usable() {
-            self.shelve(connection);
+        if connection.is_usable() {
+            self.add_idle(connection);
         }
     }
 
-    fn shelve(&self, connection: Connection) {
-        let mut shelves = self.shelves();
-        match shelves.get_mut(&connection.endpoint) {
-            Some(shelf) if shelf.idle.len() < shelf.limit => shelf.idle.push(connection),
-            _ => drop(shelves),
+    fn add_idle(&self, connection: Connection) {
+        let mut endpoints = self.endpoints();
+        match endpoints.get_mut(&connection.endpoint) {
+            Some(pool) if pool.idle.len() < pool.limit => pool.idle.push(connection),
+            _ => drop(endpoints),
         }
     }
 
-    fn shelves(&self) -> MutexGuard<'_, BTreeMap<EndpointKey, Shelf>> {
-        self.shelves.lock().unwrap_or_else(PoisonError::into_inner)
+    fn endpoints(&self) -> MutexGuard<'_, BTreeMap<EndpointKey, EndpointPool>> {
+        self.endpoints
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -179,7 +182,7 @@
 /// slots, since each serves a call that holds a slot. The rest of the endpoint's
 /// connection limit is divided evenly among the `members`, so that all hosts
 /// together stay within the limit.
-pub fn idle_limit(connections: u32, slots: u32, members: usize) -> usize {
+pub fn max_idle_per_host(connections: u32, slots: u32, members: usize) -> usize {
     let spare = connections.saturating_sub(slots) as usize;
     spare / members.max(1)
 }
