--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -114,7 +114,7 @@
     pub async fn run(&self, body: RequestBody) -> Ending {
         let found = self
             .gateway
-            .find(self.placement, &self.request, &self.route.regions)
+            .select_endpoint(self.placement, &self.request, &self.route.regions)
             .await;
         let (key, mut connection) = match found {
             Ok(found) => found,
@@ -147,7 +147,7 @@
             Err(RequestError::Sent(error)) => {
                 self.gateway.log_broken(self, key, began, &error);
                 self.gateway.note_broken(self.fingerprints, key, began);
-                self.gateway.note(key, Outcome::Broken);
+                self.gateway.record_outcome(key, Outcome::Broken);
                 Ending::Lost("the connection to the endpoint broke")
             }
         }
@@ -214,7 +214,7 @@
                 });
             }
         };
-        self.gateway.overhear(key, &parts.headers);
+        self.gateway.record_load(key, &parts.headers);
         let answer = Answer {
             parts,
             start: start.freeze(),
@@ -280,7 +280,7 @@
             Ending::Lost(_) => Outcome::Broken,
             Ending::Unsent(_) | Ending::Refused(_) | Ending::Quarantined(_) => return,
         };
-        self.gateway.note(key, outcome);
+        self.gateway.record_outcome(key, outcome);
     }
 }
 
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -125,7 +125,7 @@
     pool: RefCell<Pool>,
     budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
     tempos: RefCell<BTreeMap<String, ServiceTime>>,
-    asks: RefCell<HostProbeBudget>,
+    probe_budget: RefCell<HostProbeBudget>,
     lines: RefCell<Lines>,
     share: Cell<f64>,
     random: RefCell<SmallRng>,
@@ -177,7 +177,7 @@
         let mut random = SmallRng::from_os_rng();
         let feeds = Feeds::new(settings.first_start, random.random(), clock::now());
         let neighbours = Neighbours::new(settings.peers, &settings.data_centre);
-        let asks = match settings.first_start {
+        let probe_budget = match settings.first_start {
             true => HostProbeBudget::new(clock::now()),
             false => HostProbeBudget::restarted(clock::now()),
         };
@@ -201,7 +201,7 @@
             pool: RefCell::default(),
             budgets: RefCell::default(),
             tempos: RefCell::default(),
-            asks: RefCell::new(asks),
+            probe_budget: RefCell::new(probe_budget),
             lines: RefCell::default(),
             share: Cell::new(0.0),
             random: RefCell::new(random),
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -230,10 +230,10 @@
             NeighbourMessage::Hello(hello) => self.take_hello(from, hello),
             NeighbourMessage::CrashReport(crashes) => self.learn_crashes(crashes),
             NeighbourMessage::LimitReport(limits) => self.hear_limits(limits),
-            NeighbourMessage::Borrow(number) => self.lend_questions(from, number),
+            NeighbourMessage::Borrow(number) => self.lend_probes(from, number),
             NeighbourMessage::Lend(loan) => {
-                let mut asks = self.asks.borrow_mut();
-                asks.receive_loan(loan.request_id, loan.probes);
+                let mut budget = self.probe_budget.borrow_mut();
+                budget.receive_loan(loan.request_id, loan.probes);
             }
         }
     }
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -26,29 +26,29 @@
 ///
 /// A probe takes 1 ms to 8 ms. A lost packet would be retransmitted after 200 ms
 /// only, and another endpoint is probed long before.
-const ASK_LIMIT: Duration = Duration::from_millis(120);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Largest body of a probe's answer, in bytes; a larger one is no health report.
-const ASK_SIZE: usize = 16 * 1024;
+const MAX_PROBE_BYTES: usize = 16 * 1024;
 
 /// Connections that carried a probe and haven't been used for a request.
-struct Asked<'a> {
+struct ProbedConnections<'a> {
     gateway: &'a Gateway,
     connections: BTreeMap<EndpointKey, (Connection, HeaderMap)>,
 }
 
-impl Asked<'_> {
+impl ProbedConnections<'_> {
     /// Returns the connections to the pool.
-    fn give_back(&mut self) {
+    fn return_to_pool(&mut self) {
         for (connection, fields) in std::mem::take(&mut self.connections).into_values() {
             self.gateway.keep(connection, &fields);
         }
     }
 }
 
-impl Drop for Asked<'_> {
+impl Drop for ProbedConnections<'_> {
     fn drop(&mut self) {
-        self.give_back();
+        self.return_to_pool();
     }
 }
 
@@ -57,13 +57,13 @@
     ///
     /// The request uses the connection that carried the probe, because that
     /// connection is known to work, whereas an idle one may be closed.
-    pub(super) async fn find(
+    pub(super) async fn select_endpoint(
         &self,
         placement: &RefCell<Placement>,
         request: &placement::Request,
         regions: &BTreeSet<RegionKey>,
     ) -> Result<(EndpointKey, Connection), Refusal> {
-        let mut asked = Asked {
+        let mut probed = ProbedConnections {
             gateway: self,
             connections: BTreeMap::new(),
         };
@@ -74,21 +74,21 @@
             let is_first = standing.as_ref().is_none_or(Standing::is_first);
             let step = self.step(&mut placement.borrow_mut(), request, regions, is_first);
             match step {
-                Step::Probe(key) => match self.ask(key).await {
+                Step::Probe(key) => match self.probe(key).await {
                     Some(answered) => {
-                        asked.connections.insert(key, answered);
+                        probed.connections.insert(key, answered);
                     }
                     None => placement.borrow_mut().note_unanswered(key),
                 },
                 Step::Place(key) => {
-                    let given = asked.connections.remove(&key).map(|(c, _)| c);
+                    let given = probed.connections.remove(&key).map(|(c, _)| c);
                     match self.connect(key, given).await {
                         Some(connection) => return Ok((key, connection)),
                         None => placement.borrow_mut().note_unanswered(key),
                     }
                 }
                 Step::Wait(time) => {
-                    asked.give_back();
+                    probed.return_to_pool();
                     let standing = standing.get_or_insert_with(|| self.stand(request));
                     standing.wait(time).await;
                 }
@@ -98,23 +98,23 @@
     }
 
     /// Returns whether the probe rate limit allows one more probe.
-    fn may_ask(&self) -> bool {
+    fn may_probe(&self) -> bool {
         let rate = self.live.borrow().bounds.ask_rate;
         let endpoints = self.registry.borrow().len();
         let now = clock::now();
-        let mut asks = self.asks.borrow_mut();
-        asks.refill(rate, endpoints, self.share.get(), now);
-        let left = asks.is_available();
-        let wanted = asks.borrow(now);
-        drop(asks);
+        let mut budget = self.probe_budget.borrow_mut();
+        budget.refill(rate, endpoints, self.share.get(), now);
+        let left = budget.is_available();
+        let wanted = budget.borrow(now);
+        drop(budget);
         if let Some(request_id) = wanted {
-            self.borrow_questions(request_id);
+            self.borrow_probes(request_id);
         }
         left
     }
 
     /// Asks a random neighbour for unused probe budget; `request_id` identifies the request.
-    fn borrow_questions(&self, request_id: u32) {
+    fn borrow_probes(&self, request_id: u32) {
         let draw = self.draw();
         let neighbour = self.neighbours.borrow().any(draw);
         if let Some(neighbour) = neighbour {
@@ -123,13 +123,13 @@
     }
 
     /// Transfers unused probe budget to the neighbour `to`, in reply to its request `request_id`.
-    pub(super) fn lend_questions(&self, to: SocketAddr, request_id: u32) {
+    pub(super) fn lend_probes(&self, to: SocketAddr, request_id: u32) {
         let rate = self.live.borrow().bounds.ask_rate;
         let endpoints = self.registry.borrow().len();
-        let mut asks = self.asks.borrow_mut();
-        asks.refill(rate, endpoints, self.share.get(), clock::now());
-        let probes = asks.lend();
-        drop(asks);
+        let mut budget = self.probe_budget.borrow_mut();
+        budget.refill(rate, endpoints, self.share.get(), clock::now());
+        let probes = budget.lend();
+        drop(budget);
         if probes > 0 {
             log::debug!("E0140 questions-lent to={to} questions={probes}");
             self.tell(
@@ -146,7 +146,7 @@
         regions: &BTreeSet<RegionKey>,
         is_first: bool,
     ) -> Step {
-        let may_probe = self.may_ask();
+        let may_probe = self.may_probe();
         let orders = self.orders.borrow();
         let plan = orders
             .catalogue
@@ -182,7 +182,7 @@
             Ok(connection) => Some(connection),
             Err(error) => {
                 log::debug!("E0120 endpoint-unreachable address={address} error={error:?}");
-                self.note(key, Outcome::Broken);
+                self.record_outcome(key, Outcome::Broken);
                 None
             }
         }
@@ -190,35 +190,35 @@
 
     /// Probes an endpoint; returns the connection and the answer's headers, or
     /// `None` without a valid answer.
-    async fn ask(&self, key: EndpointKey) -> Option<(Connection, HeaderMap)> {
+    async fn probe(&self, key: EndpointKey) -> Option<(Connection, HeaderMap)> {
         let kept = self.pool.borrow_mut().take(key, clock::now());
         let reused = kept.is_some();
-        if let Ok(Some(answered)) = timeout(ASK_LIMIT, self.ask_on(key, kept)).await {
+        if let Ok(Some(answered)) = timeout(PROBE_TIMEOUT, self.probe_on(key, kept)).await {
             return Some(answered);
         }
         if !reused {
-            self.note(key, Outcome::Broken);
+            self.record_outcome(key, Outcome::Broken);
             return None;
         }
         // The other end may have dropped the idle connection; then it has most
         // likely dropped the endpoint's other idle connections too.
         self.pool.borrow_mut().drop_all(key);
-        match timeout(ASK_LIMIT, self.ask_on(key, None)).await {
+        match timeout(PROBE_TIMEOUT, self.probe_on(key, None)).await {
             Ok(Some(answered)) => Some(answered),
             _ => {
-                self.note(key, Outcome::Broken);
+                self.record_outcome(key, Outcome::Broken);
                 None
             }
         }
     }
 
-    async fn ask_on(
+    async fn probe_on(
         &self,
         key: EndpointKey,
         kept: Option<Connection>,
     ) -> Option<(Connection, HeaderMap)> {
-        let request = self.question(key)?;
-        self.asks.borrow_mut().spend();
+        let request = self.probe_request(key)?;
+        self.probe_budget.borrow_mut().spend();
         let mut connection = match kept {
             Some(connection) => connection,
             None => self.connect(key, None).await?,
@@ -228,16 +228,16 @@
         let mut size = 0;
         while let Some(chunk) = connection.next_chunk(&mut incoming).await {
             size += chunk.ok()?.len();
-            if size > ASK_SIZE {
+            if size > MAX_PROBE_BYTES {
                 return None;
             }
         }
         let healthy = parts.status == StatusCode::OK;
-        self.learn(key, healthy, &parts.headers)
+        self.record_probe(key, healthy, &parts.headers)
             .then_some((connection, parts.headers))
     }
 
-    fn question(&self, key: EndpointKey) -> Option<Request<RequestBody>> {
+    fn probe_request(&self, key: EndpointKey) -> Option<Request<RequestBody>> {
         let registry = self.registry.borrow();
         let endpoint = &registry.get(key)?.endpoint;
         let orders = self.orders.borrow();
@@ -252,7 +252,7 @@
 
     /// Records a probe's answer; returns false where another endpoint has taken
     /// over the address.
-    fn learn(&self, key: EndpointKey, healthy: bool, fields: &HeaderMap) -> bool {
+    fn record_probe(&self, key: EndpointKey, healthy: bool, fields: &HeaderMap) -> bool {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let Some(state) = registry.get_mut(key) else {
@@ -270,7 +270,7 @@
         state.note_cold(platform::headers::warmup_remaining(fields), now);
         let told = platform::headers::load_report(fields, healthy, now);
         state.set_sample(
-            told.unwrap_or_else(|| untold(state.running, state.endpoint.slots, healthy, now)),
+            told.unwrap_or_else(|| assumed_load(state.running, state.endpoint.slots, healthy, now)),
         );
         registry.note_answer(key);
         drop(registry);
@@ -283,7 +283,7 @@
     /// Wakes the first waiting request where the endpoint has room: the host whose
     /// request has just ended there learns of the room before any other host can
     /// probe.
-    pub(super) fn overhear(&self, key: EndpointKey, fields: &HeaderMap) {
+    pub(super) fn record_load(&self, key: EndpointKey, fields: &HeaderMap) {
         self.learn_limit(key, fields, Source::Request);
         let now = clock::now();
         let mut room = None;
@@ -300,7 +300,7 @@
     }
 
     /// Records the outcome of a request at an endpoint.
-    pub(super) fn note(&self, key: EndpointKey, outcome: Outcome) {
+    pub(super) fn record_outcome(&self, key: EndpointKey, outcome: Outcome) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         if registry.note_outcome(key, outcome, now) {
@@ -327,7 +327,7 @@
 }
 
 /// Returns the assumed load of an endpoint that doesn't report its load.
-fn untold(running: u32, slots: u32, healthy: bool, at: Moment) -> LoadSample {
+fn assumed_load(running: u32, slots: u32, healthy: bool, at: Moment) -> LoadSample {
     LoadSample {
         at,
         running,
