--- a/components/transport/src/gateway/answer_body.rs
+++ b/components/transport/src/gateway/answer_body.rs
@@ -9,14 +9,14 @@
 use tokio::task::spawn_local;
 
 use super::attempt::Rest;
-use super::stream::Phase;
+use super::stream::ConnectionActivity;
 use crate::edge::body::SharedBody;
 
 /// The body of an answer to a caller.
 pub(super) struct AnswerBody {
     start: Bytes,
     rest: Option<Rest>,
-    phase: Option<Rc<Phase>>,
+    activity: Option<Rc<ConnectionActivity>>,
     unread: Option<SharedBody>,
 }
 
@@ -26,7 +26,7 @@
         AnswerBody {
             start: bytes,
             rest: None,
-            phase: None,
+            activity: None,
             unread: None,
         }
     }
@@ -36,19 +36,19 @@
         AnswerBody {
             start,
             rest,
-            phase: None,
+            activity: None,
             unread: None,
         }
     }
 
     /// Makes the rest of the request body be read and discarded once this body is sent.
-    pub fn then_drain(&mut self, unread: SharedBody) {
+    pub fn drain_afterwards(&mut self, unread: SharedBody) {
         self.unread = Some(unread);
     }
 
     /// Sets the caller connection's phase, which turns idle when this body ends.
-    pub fn tell(&mut self, phase: Rc<Phase>) {
-        self.phase = Some(phase);
+    pub fn set_activity(&mut self, activity: Rc<ConnectionActivity>) {
+        self.activity = Some(activity);
     }
 }
 
@@ -95,22 +95,22 @@
 
 impl Drop for AnswerBody {
     fn drop(&mut self) {
-        let answered = self.phase.take().map(Answered);
+        let guard = self.activity.take().map(AnswerGuard);
         if let Some(unread) = self.unread.take().filter(|u| !u.is_end()) {
             // The connection isn't idle before the request body has ended.
             spawn_local(async move {
                 unread.drain().await;
-                drop(answered);
+                drop(guard);
             });
         }
     }
 }
 
 /// Marks the request on a caller's connection as finished when dropped.
-struct Answered(Rc<Phase>);
+struct AnswerGuard(Rc<ConnectionActivity>);
 
-impl Drop for Answered {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
-        self.0.answered();
+        self.0.idle();
     }
 }
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -86,7 +86,7 @@
 }
 
 /// Handles one request, and returns the answer for the caller.
-pub(super) async fn answer(
+pub(super) async fn handle(
     gateway: &Gateway,
     request: Request<Incoming>,
     caller: IpAddr,
@@ -102,7 +102,7 @@
         }
     };
     if let Some(rest) = rest.into_inner() {
-        response.body_mut().then_drain(rest);
+        response.body_mut().drain_afterwards(rest);
     }
     response
 }
@@ -138,7 +138,7 @@
     let service = route
         .pick_service(gateway.draw())
         .ok_or(Denial::NotRun("the route has no service", SOON))?;
-    let patience = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
+    let timeout = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
         gateway,
         parts,
@@ -146,7 +146,7 @@
         service,
         fingerprints,
         arrived,
-        deadline: arrived + patience.min(route.timeout),
+        deadline: arrived + timeout.min(route.timeout),
     };
     gateway.with_budget(service, |budget| budget.count(arrived));
     let result = call.serve(body).await;
--- a/components/transport/src/gateway/ready.rs
+++ b/components/transport/src/gateway/ready.rs
@@ -17,7 +17,7 @@
 use super::Gateway;
 
 /// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Time limit for the head of a request on an open connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -27,7 +27,7 @@
     pub(super) async fn answer_readiness(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let gateway = Rc::clone(&self);
--- a/components/transport/src/gateway/server.rs
+++ b/components/transport/src/gateway/server.rs
@@ -14,26 +14,26 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::stream::{CallerStream, Patience, Phase};
+use super::stream::{CallerStream, CallerTimeouts, ConnectionActivity};
 use super::{Gateway, Stage, call};
 
 /// The pause after a connection could not be accepted, as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Maximum number of header fields in a request.
-const FIELDS_LIMIT: usize = 200;
+const MAX_HEADER_FIELDS: usize = 200;
 
 /// The smallest buffer size that the HTTP library accepts, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// The time limits until the operators' configuration is known.
-const FIRST_PATIENCE: Patience = Patience {
+const DEFAULT_TIMEOUTS: CallerTimeouts = CallerTimeouts {
     head: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
 
 /// The size limit of a request head, in bytes, until the operators' configuration is known.
-const FIRST_HEAD: usize = 16 * 1024;
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
 
 /// Counts a caller's connection as open until dropped.
 struct Counted(Rc<Gateway>);
@@ -61,18 +61,18 @@
                 }
                 Err(error) => {
                     log::warn!("E0101 accept-failed error={error:?}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    fn patience(&self) -> (Patience, usize) {
+    fn timeouts(&self) -> (CallerTimeouts, usize) {
         let orders = self.orders.borrow();
         match &orders.catalogue {
-            None => (FIRST_PATIENCE, FIRST_HEAD),
+            None => (DEFAULT_TIMEOUTS, DEFAULT_HEAD_BYTES),
             Some(catalogue) => (
-                Patience {
+                CallerTimeouts {
                     head: catalogue.limits.head_time,
                     idle: catalogue.limits.idle_time,
                 },
@@ -89,26 +89,26 @@
         log::debug!("E0125 caller-lost error={error:?}");
         return;
     }
-    let phase = Rc::new(Phase::new());
-    let (patience, head) = gateway.patience();
+    let activity = Rc::new(ConnectionActivity::new());
+    let (timeouts, head) = gateway.timeouts();
     let service = service_fn(|request| {
         let gateway = Rc::clone(gateway);
-        let phase = Rc::clone(&phase);
+        let activity = Rc::clone(&activity);
         async move {
-            phase.serving();
-            let mut response = call::answer(&gateway, request, caller).await;
+            activity.serving();
+            let mut response = call::handle(&gateway, request, caller).await;
             if *gateway.stage.borrow() >= Stage::Leaving {
                 let fields = response.headers_mut();
                 fields.insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            response.body_mut().tell(phase);
+            response.body_mut().set_activity(activity);
             Ok::<_, Infallible>(response)
         }
     });
-    let io = TokioIo::new(CallerStream::new(stream, Rc::clone(&phase), patience));
+    let io = TokioIo::new(CallerStream::new(stream, Rc::clone(&activity), timeouts));
     let connection = http1::Builder::new()
-        .max_headers(FIELDS_LIMIT)
-        .max_buf_size(head.max(LEAST_BUFFER) + LEAST_BUFFER)
+        .max_headers(MAX_HEADER_FIELDS)
+        .max_buf_size(head.max(MIN_BUFFER_BYTES) + MIN_BUFFER_BYTES)
         .serve_connection(io, service);
     let mut connection = pin!(connection);
     let mut stage = gateway.stage.subscribe();
--- a/components/transport/src/gateway/stream.rs
+++ b/components/transport/src/gateway/stream.rs
@@ -12,10 +12,10 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 /// The current activity of a connection, shared between its requests and its stream.
-pub(super) struct Phase(Cell<Doing>);
+pub(super) struct ConnectionActivity(Cell<Activity>);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Doing {
+enum Activity {
     /// Waiting for the next request since this time.
     Idle(Instant),
     /// Receiving a request head since this time.
@@ -24,26 +24,26 @@
     Serving,
 }
 
-impl Phase {
+impl ConnectionActivity {
     /// Returns the phase of a new connection.
-    pub fn new() -> Phase {
-        Phase(Cell::new(Doing::Idle(Instant::now())))
+    pub fn new() -> ConnectionActivity {
+        ConnectionActivity(Cell::new(Activity::Idle(Instant::now())))
     }
 
     /// Marks a request as being served, after its head was read.
     pub fn serving(&self) {
-        self.0.set(Doing::Serving);
+        self.0.set(Activity::Serving);
     }
 
     /// Marks the connection as idle, after an answer was handed over.
-    pub fn answered(&self) {
-        self.0.set(Doing::Idle(Instant::now()));
+    pub fn idle(&self) {
+        self.0.set(Activity::Idle(Instant::now()));
     }
 }
 
 /// Time limits for receiving a request head and for an idle connection.
 #[derive(Clone, Copy)]
-pub(super) struct Patience {
+pub(super) struct CallerTimeouts {
     pub head: Duration,
     pub idle: Duration,
 }
@@ -55,34 +55,38 @@
 /// expect to use.
 pub(super) struct CallerStream {
     stream: TcpStream,
-    phase: Rc<Phase>,
-    patience: Patience,
+    activity: Rc<ConnectionActivity>,
+    timeouts: CallerTimeouts,
     timer: Pin<Box<Sleep>>,
 }
 
 impl CallerStream {
-    pub fn new(stream: TcpStream, phase: Rc<Phase>, patience: Patience) -> CallerStream {
+    pub fn new(
+        stream: TcpStream,
+        activity: Rc<ConnectionActivity>,
+        timeouts: CallerTimeouts,
+    ) -> CallerStream {
         CallerStream {
             stream,
-            phase,
-            patience,
-            timer: Box::pin(sleep_until(Instant::now() + patience.idle)),
+            activity,
+            timeouts,
+            timer: Box::pin(sleep_until(Instant::now() + timeouts.idle)),
         }
     }
 
-    fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let until = match self.phase.0.get() {
-            Doing::Serving => return Poll::Pending,
-            Doing::Idle(since) => since + self.patience.idle,
-            Doing::Head(since) => since + self.patience.head,
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let until = match self.activity.0.get() {
+            Activity::Serving => return Poll::Pending,
+            Activity::Idle(since) => since + self.timeouts.idle,
+            Activity::Head(since) => since + self.timeouts.head,
         };
         if self.timer.deadline() != until {
             self.timer.as_mut().reset(until);
         }
-        match (self.timer.as_mut().poll(cx), self.phase.0.get()) {
+        match (self.timer.as_mut().poll(cx), self.activity.0.get()) {
             (Poll::Pending, _) => Poll::Pending,
             // An end of input makes the library close an idle connection gracefully.
-            (Poll::Ready(()), Doing::Idle(_)) => Poll::Ready(Ok(())),
+            (Poll::Ready(()), Activity::Idle(_)) => Poll::Ready(Ok(())),
             (Poll::Ready(()), _) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
         }
     }
@@ -96,11 +100,11 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         match Pin::new(&mut self.stream).poll_read(cx, buffer) {
-            Poll::Pending => self.poll_patience(cx),
+            Poll::Pending => self.poll_timeout(cx),
             ready => {
                 let came = buffer.filled().len() > before;
-                if came && matches!(self.phase.0.get(), Doing::Idle(_)) {
-                    self.phase.0.set(Doing::Head(Instant::now()));
+                if came && matches!(self.activity.0.get(), Activity::Idle(_)) {
+                    self.activity.0.set(Activity::Head(Instant::now()));
                 }
                 ready
             }
