--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -24,7 +24,7 @@
 ///
 /// An answer that breaks off while it is buffered can still be replaced by
 /// another endpoint's answer, or by this host's own.
-const HELD_LIMIT: usize = 128 * 1024;
+const ANSWER_BUFFER_LIMIT: usize = 128 * 1024;
 
 /// An answer counts as slow if it takes this many times as long as expected.
 const SLOW_FACTOR: f64 = 3.0;
@@ -43,7 +43,7 @@
     /// The endpoint selection, with the endpoints already tried.
     pub placement: &'a RefCell<Placement>,
     /// The number of attempts that may have run.
-    pub exposed: &'a Cell<u32>,
+    pub may_have_run: &'a Cell<u32>,
 }
 
 /// The result of one attempt.
@@ -123,25 +123,25 @@
         if let Err(left) = self.gateway.admit(self.fingerprints) {
             return Ending::Quarantined(left);
         }
-        let Some(request) = self.request_to(key, body) else {
+        let Some(request) = self.build_request(key, body) else {
             return Ending::Unsent("the endpoint has left");
         };
         self.placement.borrow_mut().note_tried(key);
         let began = clock::now();
         let pace = self.slowdown(key, began);
         let _running = Running::start(self.gateway, key);
-        self.exposed.set(self.exposed.get() + 1);
+        self.may_have_run.set(self.may_have_run.get() + 1);
         match connection.send(request).await {
             Ok(answer) => {
                 let (parts, incoming) = answer.into_parts();
                 let ending = self
                     .read(key, connection, parts, incoming, (began, pace))
                     .await;
-                self.judge(key, &ending, began, pace);
+                self.record_ending(key, &ending, began, pace);
                 ending
             }
             Err(RequestError::Unsent) => {
-                self.hide();
+                self.mark_not_run();
                 Ending::Unsent("the connection was closed before the request was sent")
             }
             Err(RequestError::Sent(error)) => {
@@ -154,8 +154,8 @@
     }
 
     /// Records that this attempt didn't run.
-    fn hide(&self) {
-        self.exposed.set(self.exposed.get() - 1);
+    fn mark_not_run(&self) {
+        self.may_have_run.set(self.may_have_run.get() - 1);
     }
 
     fn slowdown(&self, key: EndpointKey, now: Moment) -> f64 {
@@ -166,7 +166,7 @@
             .unwrap_or(1.0)
     }
 
-    fn request_to(&self, key: EndpointKey, body: RequestBody) -> Option<Request<RequestBody>> {
+    fn build_request(&self, key: EndpointKey, body: RequestBody) -> Option<Request<RequestBody>> {
         let registry = self.gateway.registry.borrow();
         let endpoint = &registry.get(key)?.endpoint;
         let mut request = Request::new(body);
@@ -207,7 +207,7 @@
                 }
                 Some(Ok(chunk)) => start.extend_from_slice(&chunk),
             }
-            if start.len() > HELD_LIMIT {
+            if start.len() > ANSWER_BUFFER_LIMIT {
                 break Some(Rest {
                     connection,
                     incoming,
@@ -222,15 +222,15 @@
             sent,
             pace,
         };
-        self.sort(Box::new(answer))
+        self.classify(Box::new(answer))
     }
 
     /// Classifies an answer.
-    fn sort(&self, answer: Box<Answer>) -> Ending {
+    fn classify(&self, answer: Box<Answer>) -> Ending {
         let fields = &answer.parts.headers;
         match answer.parts.status {
             status if platform::headers::is_not_run(fields) => {
-                self.hide();
+                self.mark_not_run();
                 match status {
                     StatusCode::MISDIRECTED_REQUEST => {
                         Ending::Rejected("another endpoint is there")
@@ -239,7 +239,7 @@
                 }
             }
             StatusCode::MISDIRECTED_REQUEST => {
-                self.hide();
+                self.mark_not_run();
                 Ending::Rejected("another endpoint is there")
             }
             _ if !platform::headers::is_signed(fields) => Ending::Lost("the answer is not signed"),
@@ -259,7 +259,7 @@
     }
 
     /// Records the attempt's result in the endpoint's state.
-    fn judge(&self, key: EndpointKey, ending: &Ending, began: Moment, pace: f64) {
+    fn record_ending(&self, key: EndpointKey, ending: &Ending, began: Moment, pace: f64) {
         let time = clock::now().since(began);
         let outcome = match ending {
             Ending::Answered(_) => {
@@ -269,7 +269,7 @@
                     .service_time
                     .mul_f64(pace.max(1.0) * SLOW_FACTOR);
                 self.gateway
-                    .with_tempo(self.route, |tempo| tempo.note(time, pace));
+                    .with_service_time(self.route, |s| s.note(time, pace));
                 match time > usual {
                     true => Outcome::Slow,
                     false => Outcome::Answered,
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -32,14 +32,14 @@
 ///
 /// Such attempts cost no endpoint anything, and several endpoints may have left
 /// at the same time.
-const UNSENT_LIMIT: u32 = 4;
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
 /// A request is hedged after this many times its usual service time.
 ///
 /// Processing times vary by a third, so one answer in ten exceeds the limit
 /// without a fault. The others come from endpoints that hang, became slow after
 /// the probe or lost the answer.
-const SECOND_AFTER: f64 = 1.6;
+const HEDGE_FACTOR: f64 = 1.6;
 
 /// A request with its route and deadline.
 struct Call<'a> {
@@ -60,14 +60,14 @@
     /// Attempts that reached no endpoint.
     unsent: u32,
     /// The result of the last attempt that ended.
-    last: Option<Last>,
+    last: Option<LastFailure>,
     /// An endpoint's own 5xx answer, forwarded if no attempt gets a better one.
     failure: Option<Box<Answer>>,
 }
 
 /// The result of an attempt without an answer to forward at once.
 #[derive(Clone, Copy)]
-enum Last {
+enum LastFailure {
     Failed,
     Rejected(&'static str),
     Unsent(&'static str),
@@ -76,12 +76,12 @@
     Quarantined(Duration),
 }
 
-type Racer<'a> = Pin<Box<dyn Future<Output = Ending> + 'a>>;
+type PendingAttempt<'a> = Pin<Box<dyn Future<Output = Ending> + 'a>>;
 
 /// The next event of a request with attempts in progress.
 enum Event {
     Ended(Ending),
-    SecondDue,
+    HedgeDue,
     Expired,
 }
 
@@ -95,7 +95,7 @@
     let (parts, incoming) = request.into_parts();
     let rest = OnceCell::new();
     let mut response = match run(gateway, &parts, incoming, (arrived, caller), &rest).await {
-        Ok(answer) => pass_on(answer),
+        Ok(answer) => forward_answer(answer),
         Err(denial) => {
             gateway.log_denial(&parts.headers, &denial, arrived);
             denial.response(&parts.headers)
@@ -118,7 +118,7 @@
     if *gateway.stage.borrow() >= Stage::Closing {
         return Err(Denial::Stopping);
     }
-    gateway.await_knowledge(parts).await;
+    gateway.await_config(parts).await;
     let (route, limit) = route(gateway, parts)?;
     let announced = incoming.size_hint().exact();
     let body = CallerBody::new(incoming, limit).map_err(Denial::Body)?;
@@ -135,9 +135,10 @@
             RequestBody::Streamed(body.start, more.clone())
         }
     };
-    let service = route
-        .pick_service(gateway.draw())
-        .ok_or(Denial::NotRun("the route has no service", SOON))?;
+    let service = route.pick_service(gateway.draw()).ok_or(Denial::NotRun(
+        "the route has no service",
+        DEFAULT_RETRY_DELAY,
+    ))?;
     let timeout = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
         gateway,
@@ -148,7 +149,7 @@
         arrived,
         deadline: arrived + timeout.min(route.timeout),
     };
-    gateway.with_budget(service, |budget| budget.count(arrived));
+    gateway.with_retry_budget(service, |budget| budget.count(arrived));
     let result = call.serve(body).await;
     if let Ok(answer) = &result {
         gateway.log_late(&parts.headers, answer, arrived, route.objective);
@@ -190,10 +191,10 @@
 }
 
 /// The part of a request's remaining time that it may wait for the configuration.
-const START_SHARE: f64 = 0.25;
+const START_WAIT_FRACTION: f64 = 0.25;
 
 /// Maximum time that a request waits for the configuration of a host that has just started.
-const START_LIMIT: Duration = Duration::from_millis(1_500);
+const MAX_START_WAIT: Duration = Duration::from_millis(1_500);
 
 impl Gateway {
     /// Waits for routes and endpoints to be loaded, for a part of the request's time.
@@ -201,9 +202,9 @@
     /// Guards against lost requests when all hosts restart together: a rejected
     /// request would be retried at another host that has just started, and callers
     /// retry only once or twice.
-    async fn await_knowledge(&self, parts: &Parts) {
-        let left = platform::headers::time_remaining(&parts.headers).unwrap_or(START_LIMIT);
-        let last = Instant::now() + left.mul_f64(START_SHARE).min(START_LIMIT);
+    async fn await_config(&self, parts: &Parts) {
+        let left = platform::headers::time_remaining(&parts.headers).unwrap_or(MAX_START_WAIT);
+        let last = Instant::now() + left.mul_f64(START_WAIT_FRACTION).min(MAX_START_WAIT);
         while !self.knows_all() {
             if timeout_at(last, self.known.notified()).await.is_err() {
                 return;
@@ -213,7 +214,7 @@
 }
 
 /// Time until the caller should retry, where no better estimate exists.
-const SOON: Duration = Duration::from_millis(300);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Call<'_> {
     async fn serve(&self, body: RequestBody) -> Result<Box<Answer>, Denial> {
@@ -221,7 +222,7 @@
             return Err(Denial::Quarantined(left));
         }
         let placement = RefCell::new(Placement::default());
-        let exposed = Cell::new(0);
+        let may_have_run = Cell::new(0);
         let attempt = Attempt {
             gateway: self.gateway,
             parts: self.parts,
@@ -229,7 +230,7 @@
             route: self.route,
             fingerprints: self.fingerprints,
             placement: &placement,
-            exposed: &exposed,
+            may_have_run: &may_have_run,
         };
         let whole = match &body {
             RequestBody::Buffered(bytes) => Some(bytes.clone()),
@@ -248,59 +249,59 @@
         whole: Option<Bytes>,
     ) -> Result<Box<Answer>, Denial> {
         let again = || attempt.run(RequestBody::Buffered(whole.clone().unwrap_or_default()));
-        let mut racers: Vec<Racer<'a>> = vec![Box::pin(attempt.run(first))];
+        let mut pending: Vec<PendingAttempt<'a>> = vec![Box::pin(attempt.run(first))];
         let mut progress = Progress {
             attempts: 1,
             ..Progress::default()
         };
-        let mut second = self.second_at(whole.is_some());
+        let mut hedge = self.hedge_at(whole.is_some());
         loop {
-            match self.next(&mut racers, second).await {
+            match self.next(&mut pending, hedge).await {
                 Event::Ended(Ending::Answered(answer)) => return Ok(answer),
                 Event::Ended(ending) => {
                     progress.take(ending);
-                    let exposed = attempt.exposed.get();
-                    if whole.is_some() && self.may_repeat(&mut progress, exposed) {
-                        self.log_repeat(progress.why());
-                        racers.push(Box::pin(again()));
-                    } else if racers.is_empty() {
-                        let back = self.come_back(progress.last);
-                        return progress.give_up(exposed, back);
+                    let may_have_run = attempt.may_have_run.get();
+                    if whole.is_some() && self.may_retry(&mut progress, may_have_run) {
+                        self.log_retry(progress.reason());
+                        pending.push(Box::pin(again()));
+                    } else if pending.is_empty() {
+                        let back = self.retry_after(progress.last);
+                        return progress.give_up(may_have_run, back);
                     }
                 }
-                Event::SecondDue => {
-                    second = None;
-                    if attempt.exposed.get() > 0 && self.may_send(&mut progress) {
-                        self.log_repeat("no answer yet");
-                        racers.push(Box::pin(again()));
+                Event::HedgeDue => {
+                    hedge = None;
+                    if attempt.may_have_run.get() > 0 && self.may_send(&mut progress) {
+                        self.log_retry("no answer yet");
+                        pending.push(Box::pin(again()));
                     }
                 }
                 Event::Expired => {
-                    let back = self.come_back(progress.last);
-                    return progress.expire(attempt.exposed.get(), back);
+                    let back = self.retry_after(progress.last);
+                    return progress.expire(attempt.may_have_run.get(), back);
                 }
             }
         }
     }
 
     /// Returns the time after which the caller should retry.
-    fn come_back(&self, last: Option<Last>) -> Duration {
+    fn retry_after(&self, last: Option<LastFailure>) -> Duration {
         let draw = self.gateway.draw_share();
-        if let Some(Last::Rejected(_) | Last::Unsent(_)) = last {
+        if let Some(LastFailure::Rejected(_) | LastFailure::Unsent(_)) = last {
             return retry_after::short_delay(draw);
         }
         retry_after::retry_after(&self.placing_request(), draw, clock::now())
     }
 
-    fn log_repeat(&self, why: &str) {
+    fn log_retry(&self, reason: &str) {
         self.gateway
-            .log_repeat(&self.parts.headers, why, self.arrived);
+            .log_retry(&self.parts.headers, reason, self.arrived);
     }
 
     fn placing_request(&self) -> placement::Request {
         let service_time = self
             .gateway
-            .with_tempo(self.route, |tempo| tempo.estimate());
+            .with_service_time(self.route, |service_time| service_time.estimate());
         placement::Request {
             service: self.service,
             home: self.gateway.home,
@@ -316,23 +317,23 @@
     /// Hedging requires that the request is idempotent, and that the second
     /// answer can still arrive within the route's objective: a late answer
     /// hardly justifies the additional load.
-    fn second_at(&self, whole: bool) -> Option<Moment> {
+    fn hedge_at(&self, whole: bool) -> Option<Moment> {
         if !self.route.idempotent || !whole || self.route.attempts < 2 {
             return None;
         }
         let service_time = self
             .gateway
-            .with_tempo(self.route, |tempo| tempo.estimate());
-        let at = service_time.mul_f64(SECOND_AFTER);
+            .with_service_time(self.route, |service_time| service_time.estimate());
+        let at = service_time.mul_f64(HEDGE_FACTOR);
         (at + service_time <= self.route.objective).then(|| self.arrived + at)
     }
 
     /// Waits for an attempt to end, for the hedge time or for the deadline.
-    async fn next(&self, racers: &mut Vec<Racer<'_>>, second: Option<Moment>) -> Event {
+    async fn next(&self, pending: &mut Vec<PendingAttempt<'_>>, hedge: Option<Moment>) -> Event {
         let ended = poll_fn(|cx| {
-            for at in 0..racers.len() {
-                if let Poll::Ready(ending) = racers[at].as_mut().poll(cx) {
-                    drop(racers.swap_remove(at));
+            for at in 0..pending.len() {
+                if let Poll::Ready(ending) = pending[at].as_mut().poll(cx) {
+                    drop(pending.swap_remove(at));
                     return Poll::Ready(ending);
                 }
             }
@@ -340,12 +341,12 @@
         });
         let now = clock::now();
         let deadline = Instant::now() + now.until(self.deadline);
-        let second_at = second.map(|at| Instant::now() + now.until(at));
+        let hedge_at = hedge.map(|at| Instant::now() + now.until(at));
         tokio::select! {
             biased;
             ending = ended => Event::Ended(ending),
             () = sleep_until(deadline) => Event::Expired,
-            () = sleep_until(second_at.unwrap_or(deadline)), if second_at.is_some() => Event::SecondDue,
+            () = sleep_until(hedge_at.unwrap_or(deadline)), if hedge_at.is_some() => Event::HedgeDue,
         }
     }
 
@@ -353,12 +354,12 @@
     ///
     /// Retrying an attempt that reached no endpoint is free. A request that may
     /// have run is retried only if its route is idempotent.
-    fn may_repeat(&self, progress: &mut Progress, exposed: u32) -> bool {
+    fn may_retry(&self, progress: &mut Progress, may_have_run: u32) -> bool {
         match progress.last {
-            _ if exposed > 0 && !self.route.idempotent => return false,
-            Some(Last::Refused(_) | Last::Quarantined(_)) => return false,
+            _ if may_have_run > 0 && !self.route.idempotent => return false,
+            Some(LastFailure::Refused(_) | LastFailure::Quarantined(_)) => return false,
             _ if self.gateway.quarantined(self.fingerprints).is_some() => return false,
-            Some(Last::Unsent(_)) => return progress.unsent < UNSENT_LIMIT,
+            Some(LastFailure::Unsent(_)) => return progress.unsent < MAX_UNSENT_ATTEMPTS,
             _ => {}
         }
         self.may_send(progress)
@@ -371,7 +372,7 @@
         let allowed = left
             && self
                 .gateway
-                .with_budget(self.service, |budget| budget.take(share, clock::now()));
+                .with_retry_budget(self.service, |budget| budget.take(share, clock::now()));
         progress.attempts += u32::from(allowed);
         allowed
     }
@@ -383,34 +384,38 @@
         self.last = Some(match ending {
             Ending::Answered(answer) | Ending::Failed(answer) => {
                 self.failure = Some(answer);
-                Last::Failed
+                LastFailure::Failed
             }
-            Ending::Rejected(reason) => Last::Rejected(reason),
+            Ending::Rejected(reason) => LastFailure::Rejected(reason),
             Ending::Unsent(reason) => {
                 self.unsent += 1;
-                Last::Unsent(reason)
+                LastFailure::Unsent(reason)
             }
-            Ending::Lost(reason) => Last::Lost(reason),
-            Ending::Refused(refusal) => Last::Refused(refusal),
-            Ending::Quarantined(left) => Last::Quarantined(left),
+            Ending::Lost(reason) => LastFailure::Lost(reason),
+            Ending::Refused(refusal) => LastFailure::Refused(refusal),
+            Ending::Quarantined(left) => LastFailure::Quarantined(left),
         });
     }
 
     /// Returns the reason of the last attempt's failure, for the log.
-    fn why(&self) -> &'static str {
+    fn reason(&self) -> &'static str {
         match self.last {
-            Some(Last::Rejected(why) | Last::Unsent(why) | Last::Lost(why)) => why,
-            Some(Last::Failed) => "the endpoint failed",
-            Some(Last::Quarantined(_)) => "it crashed endpoints before",
-            Some(Last::Refused(_)) | None => "no endpoint was found",
+            Some(
+                LastFailure::Rejected(reason)
+                | LastFailure::Unsent(reason)
+                | LastFailure::Lost(reason),
+            ) => reason,
+            Some(LastFailure::Failed) => "the endpoint failed",
+            Some(LastFailure::Quarantined(_)) => "it crashed endpoints before",
+            Some(LastFailure::Refused(_)) | None => "no endpoint was found",
         }
     }
 
     /// Returns the final answer of a request whose deadline has passed.
-    fn expire(self, exposed: u32, back: Duration) -> Result<Box<Answer>, Denial> {
+    fn expire(self, may_have_run: u32, back: Duration) -> Result<Box<Answer>, Denial> {
         match self.failure {
             Some(answer) => Ok(answer),
-            None if exposed > 0 => Err(Denial::Silent),
+            None if may_have_run > 0 => Err(Denial::Silent),
             None => Err(not_run(Refusal::TooLate, back)),
         }
     }
@@ -418,17 +423,19 @@
     /// Returns the final answer of a request that is not retried.
     ///
     /// "Not run" is only reported if every endpoint that received the request said so.
-    fn give_up(self, exposed: u32, back: Duration) -> Result<Box<Answer>, Denial> {
+    fn give_up(self, may_have_run: u32, back: Duration) -> Result<Box<Answer>, Denial> {
         if let Some(answer) = self.failure {
             return Ok(answer);
         }
         Err(match self.last {
-            Some(Last::Lost(reason)) => Denial::Unknown(reason),
-            _ if exposed > 0 => Denial::Unknown("an earlier attempt may have run"),
-            Some(Last::Quarantined(left)) => Denial::Quarantined(left),
-            Some(Last::Refused(refusal)) => not_run(refusal, back),
-            Some(Last::Rejected(reason) | Last::Unsent(reason)) => Denial::NotRun(reason, back),
-            Some(Last::Failed) | None => Denial::Unknown("the endpoint failed"),
+            Some(LastFailure::Lost(reason)) => Denial::Unknown(reason),
+            _ if may_have_run > 0 => Denial::Unknown("an earlier attempt may have run"),
+            Some(LastFailure::Quarantined(left)) => Denial::Quarantined(left),
+            Some(LastFailure::Refused(refusal)) => not_run(refusal, back),
+            Some(LastFailure::Rejected(reason) | LastFailure::Unsent(reason)) => {
+                Denial::NotRun(reason, back)
+            }
+            Some(LastFailure::Failed) | None => Denial::Unknown("the endpoint failed"),
         })
     }
 }
@@ -442,7 +449,7 @@
     }
 }
 
-fn pass_on(answer: Box<Answer>) -> Response<AnswerBody> {
+fn forward_answer(answer: Box<Answer>) -> Response<AnswerBody> {
     let fields = answer.fields();
     let mut response = Response::new(AnswerBody::relay(answer.start, answer.rest));
     *response.status_mut() = answer.parts.status;
--- a/components/transport/src/gateway/denial.rs
+++ b/components/transport/src/gateway/denial.rs
@@ -46,7 +46,7 @@
 }
 
 /// `Retry-After` of a host that has just started and has no configuration yet.
-const SOON: Duration = Duration::from_millis(500);
+const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Denial {
     /// Returns the HTTP status; 503 promises that the request was not run.
@@ -87,7 +87,7 @@
 
     fn retry_after(&self) -> Option<Duration> {
         match self {
-            Denial::NoCatalogue => Some(SOON),
+            Denial::NoCatalogue => Some(START_RETRY_DELAY),
             Denial::Stopping => Some(Duration::ZERO),
             Denial::NotRun(_, time) | Denial::Quarantined(time) => Some(*time),
             _ => None,
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -328,8 +328,8 @@
             return;
         };
         let named: BTreeSet<&str> = catalogue.routes.iter().map(|r| r.name.as_str()).collect();
-        let mut tempos = self.tempos.borrow_mut();
-        tempos.retain(|name, _| named.contains(name.as_str()));
+        let mut service_times = self.service_times.borrow_mut();
+        service_times.retain(|name, _| named.contains(name.as_str()));
     }
 
     fn set_leaving(&self, centre: DataCentreKey, leaving: bool) {
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -123,8 +123,8 @@
     /// Wakes the task that sends fragments.
     fragments_wait: Notify,
     pool: RefCell<Pool>,
-    budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
-    tempos: RefCell<BTreeMap<String, ServiceTime>>,
+    retry_budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
+    service_times: RefCell<BTreeMap<String, ServiceTime>>,
     probe_budget: RefCell<HostProbeBudget>,
     lines: RefCell<Lines>,
     share: Cell<f64>,
@@ -199,8 +199,8 @@
             traffic: RefCell::default(),
             fragments_wait: Notify::new(),
             pool: RefCell::default(),
-            budgets: RefCell::default(),
-            tempos: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            service_times: RefCell::default(),
             probe_budget: RefCell::new(probe_budget),
             lines: RefCell::default(),
             share: Cell::new(0.0),
@@ -246,7 +246,7 @@
     }
 
     /// Runs `act` on the retry budget of a service.
-    fn with_budget<R>(
+    fn with_retry_budget<R>(
         &self,
         service: ServiceKey,
         act: impl FnOnce(&mut WindowedRetryBudget) -> R,
@@ -259,8 +259,8 @@
                 window: bounds.repeat_window,
             }
         };
-        let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let budget = retry_budgets
             .entry(service)
             .or_insert_with(|| WindowedRetryBudget::new(bounds, self.started));
         budget.set_bounds(bounds);
@@ -268,12 +268,12 @@
     }
 
     /// Runs `act` on the service time estimate of a route.
-    fn with_tempo<R>(&self, route: &Route, act: impl FnOnce(&mut ServiceTime) -> R) -> R {
-        let mut tempos = self.tempos.borrow_mut();
-        let tempo = tempos
+    fn with_service_time<R>(&self, route: &Route, act: impl FnOnce(&mut ServiceTime) -> R) -> R {
+        let mut service_times = self.service_times.borrow_mut();
+        let service_time = service_times
             .entry(route.name.clone())
             .or_insert_with(|| ServiceTime::new(route.objective));
-        act(tempo)
+        act(service_time)
     }
 }
 
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -125,7 +125,7 @@
     }
 
     /// Logs that a request is retried or hedged.
-    pub(super) fn log_repeat(&self, fields: &HeaderMap, why: &str, arrived: Moment) {
+    pub(super) fn log_retry(&self, fields: &HeaderMap, why: &str, arrived: Moment) {
         let now = clock::now();
         if !self.requests.borrow_mut().take(now) {
             return;
