--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -32,7 +32,7 @@
                 (feed.next(), feed.is_reader())
             });
             if !reads {
-                self.tell_all(&NeighbourMessage::ReadStarted(topic));
+                self.broadcast(&NeighbourMessage::ReadStarted(topic));
             }
             let result = match next {
                 None => self.read_all(&mut store, topic).await,
@@ -81,24 +81,24 @@
         if failures == 1 {
             log::warn!("E0301 log-unreadable topic={topic:?} error={error:?}");
         }
-        self.tell_all(&NeighbourMessage::ReadFailed(topic));
+        self.broadcast(&NeighbourMessage::ReadFailed(topic));
         self.want(topic);
     }
 
     /// Handles a neighbour's message that its read of a topic failed.
-    pub(super) fn take_trouble(&self, topic: Topic) {
+    pub(super) fn handle_read_failure(&self, topic: Topic) {
         let draw = self.draw_share();
         self.feed(topic, |feed| feed.neighbour_read_failed(draw, clock::now()));
     }
 
     /// Handles a neighbour's message that it has begun to read a topic.
-    pub(super) fn take_reading(&self, topic: Topic) {
+    pub(super) fn handle_read_start(&self, topic: Topic) {
         let draw = self.draw_share();
         self.feed(topic, |f| f.neighbour_read_started(draw, clock::now()));
     }
 
     /// Handles records read by a host of another data centre, on behalf of all neighbours.
-    pub(super) fn take_abroad(self: &Rc<Self>, news: RecordUpdate, teller: SocketAddr) {
+    pub(super) fn handle_cross_centre(self: &Rc<Self>, news: RecordUpdate, teller: SocketAddr) {
         let topic = news.topic;
         let Some(next) = self.feed(topic, |feed| feed.next()) else {
             return;
@@ -112,14 +112,14 @@
             return;
         }
         let stale = self.feed(topic, |feed| feed.is_stale(clock::now()));
-        let new = self.take_news(&news, teller);
+        let new = self.handle_update(&news, teller);
         if new || stale {
             let news = RecordUpdate {
                 relay_root: self.settings.peers,
                 cross_centre: false,
                 ..news
             };
-            self.tell_news(news, true);
+            self.send_update(news, true);
         }
     }
 
@@ -166,9 +166,9 @@
         };
         let reader = self.feed(topic, |feed| feed.is_reader());
         if reader {
-            self.tell_abroad(&news);
+            self.send_cross_centre(&news);
         }
-        self.tell_news(news, reader || lags);
+        self.send_update(news, reader || lags);
         Ok(())
     }
 
@@ -176,7 +176,7 @@
     ///
     /// If earlier records are missing, requests them from `teller`, unless a
     /// message with them is being received.
-    pub(super) fn take_news(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
+    pub(super) fn handle_update(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
         let ahead = |next: u64| news.from > next;
         if self.awaits(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
             self.put_off(news, teller);
@@ -195,7 +195,7 @@
             UpdateOutcome::Known => return false,
             UpdateOutcome::Gap => {
                 if let Some(from) = self.feed(news.topic, |feed| feed.next()) {
-                    self.tell(teller, &NeighbourMessage::RecordsRequest(news.topic, from));
+                    self.send(teller, &NeighbourMessage::RecordsRequest(news.topic, from));
                 }
                 return false;
             }
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -38,7 +38,7 @@
 
 impl Gateway {
     /// Sends a message to one neighbour, in fragments if it is too large for a datagram.
-    pub(super) fn tell_whole(
+    pub(super) fn send_in_fragments(
         self: &Rc<Self>,
         to: SocketAddr,
         topic: Topic,
@@ -46,7 +46,7 @@
     ) {
         let encoded = Bytes::from(message.encode());
         if encoded.len() <= DATAGRAM_LIMIT {
-            self.tell(to, message);
+            self.send(to, message);
             return;
         }
         if self.large.borrow().outbox.is_busy() {
@@ -123,7 +123,7 @@
                 self.fragments_wait.notified().await;
                 continue;
             };
-            self.tell(to, &NeighbourMessage::Fragment(topic, fragment));
+            self.send(to, &NeighbourMessage::Fragment(topic, fragment));
             let pause = self.large.borrow_mut().outbox.pause();
             if let Some(pause) = pause {
                 sleep(pause).await;
@@ -132,7 +132,7 @@
     }
 
     /// Handles a fragment, and forwards a fragment marked for distribution.
-    pub(super) fn take_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
+    pub(super) fn handle_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
         let now = clock::now();
         let taken = self.large.borrow_mut().fragments.insert(fragment, now);
         if taken == Inserted::Ignored {
@@ -151,8 +151,8 @@
                     message.len(),
                     fragment.origin
                 );
-                self.take_message(fragment.origin, &message);
-                self.take_pending(topic);
+                self.handle_message(fragment.origin, &message);
+                self.handle_deferred(topic);
             }
         }
     }
@@ -201,7 +201,7 @@
                 "E0421 message-incomplete topic={topic:?} digest={:016x}",
                 message.digest
             );
-            self.take_pending(topic);
+            self.handle_deferred(topic);
         }
         self.forget_later().await;
     }
@@ -214,12 +214,17 @@
             RequestTarget::Any => self.neighbours.borrow().any(draw),
         };
         if let Some(to) = to {
-            self.tell(to, &NeighbourMessage::FragmentRequest(topic, lacking));
+            self.send(to, &NeighbourMessage::FragmentRequest(topic, lacking));
         }
     }
 
     /// Sends the fragments that a neighbour requests.
-    pub(super) fn take_lacking(&self, from: SocketAddr, topic: Topic, lacking: &FragmentRequest) {
+    pub(super) fn resend_fragments(
+        &self,
+        from: SocketAddr,
+        topic: Topic,
+        lacking: &FragmentRequest,
+    ) {
         let now = clock::now();
         if self.large.borrow().outbox.is_busy() {
             // The neighbour soon repeats its request.
@@ -229,7 +234,7 @@
         self.queue(topic, fragments.into_iter().map(|f| (from, f)));
     }
 
-    fn take_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
+    fn handle_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
         match NeighbourMessage::decode(message) {
             Ok(NeighbourMessage::Update(news)) => {
                 let news = RecordUpdate {
@@ -237,9 +242,9 @@
                     relay_root: origin,
                     ..news
                 };
-                self.take_news(&news, origin);
+                self.handle_update(&news, origin);
             }
-            Ok(NeighbourMessage::Snapshot(held)) => self.take_held(held),
+            Ok(NeighbourMessage::Snapshot(snapshot)) => self.handle_snapshot(snapshot),
             Ok(_) => log::warn!(
                 "E0405 datagram-refused from={origin} error=message kind not allowed in fragments"
             ),
@@ -263,12 +268,12 @@
     }
 
     /// Handles the updates that waited for a large message about this topic.
-    fn take_pending(self: &Rc<Self>, topic: Topic) {
+    fn handle_deferred(self: &Rc<Self>, topic: Topic) {
         let waiting = std::mem::take(&mut self.large.borrow_mut().pending);
         for (news, teller) in waiting {
             match news.topic == topic {
                 true => {
-                    self.take_news(&news, teller);
+                    self.handle_update(&news, teller);
                 }
                 false => self.put_off(&news, teller),
             }
--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -154,7 +154,7 @@
         let (here, elsewhere): (Vec<Contact>, Vec<Contact>) =
             contacts.partition(|c| c.centre == self.settings.data_centre);
         let here = here.into_iter().map(|c| c.address);
-        self.introduce(here.collect(), elsewhere);
+        self.greet_members(here.collect(), elsewhere);
         Ok(())
     }
 
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -37,7 +37,7 @@
         let granted =
             |_: &RateLimitUpdate| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
         if let Some(advice) = advice.filter(granted) {
-            self.tell_site(|cross_centre| {
+            self.broadcast_all_centres(|cross_centre| {
                 NeighbourMessage::LimitReport(LimitReport {
                     cross_centre,
                     advice: vec![advice],
@@ -47,14 +47,14 @@
     }
 
     /// Handles rate limits that another host has received from endpoints.
-    pub(super) fn hear_limits(&self, limits: LimitReport) {
+    pub(super) fn handle_limit_report(&self, limits: LimitReport) {
         let mut registry = self.registry.borrow_mut();
         for advice in &limits.advice {
             registry.apply_limit_update(advice);
         }
         drop(registry);
         if limits.cross_centre {
-            self.tell_all(&NeighbourMessage::LimitReport(LimitReport {
+            self.broadcast(&NeighbourMessage::LimitReport(LimitReport {
                 cross_centre: false,
                 ..limits
             }));
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -153,8 +153,8 @@
         let gateway = Rc::new(Gateway::new(settings, socket));
         spawn_local(Rc::clone(&gateway).accept(callers));
         spawn_local(Rc::clone(&gateway).answer_readiness(readiness));
-        spawn_local(Rc::clone(&gateway).hear());
-        spawn_local(Rc::clone(&gateway).greet());
+        spawn_local(Rc::clone(&gateway).receive_datagrams());
+        spawn_local(Rc::clone(&gateway).send_greetings());
         spawn_local(Rc::clone(&gateway).send_fragments());
         spawn_local(Rc::clone(&gateway).seek_all());
         spawn_local(Rc::clone(&gateway).follow(Topic::Operators));
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -19,31 +19,31 @@
 ///
 /// A host that starts while the store is unavailable, and is itself the seed of
 /// its data centre, learns of its neighbours only by their greetings.
-const HELLO_EVERY: Duration = Duration::from_secs(1);
+const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Largest size of records, in bytes, that a reader sends to all neighbours directly.
 ///
 /// A datagram of one kilobyte to forty neighbours takes 30 ms on a link of low
 /// bandwidth.
-const SMALL: usize = 1_024;
+const DIRECT_SEND_LIMIT: usize = 1_024;
 
 /// How many times a host that knows no other host greets the seeds.
-const SEED_GREETINGS: u32 = 8;
+const SEED_HELLO_COUNT: u32 = 8;
 
 /// The pause between greetings to the seeds; hosts start within 300 ms of each other.
-const SEED_PAUSE: Duration = Duration::from_millis(100);
+const SEED_HELLO_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The delay before records are sent to a second host of another data centre.
 ///
 /// The second host forwards only records that it hasn't received from the first
 /// by then.
-const SECOND_AFTER: Duration = Duration::from_millis(50);
+const SECOND_CONTACT_DELAY: Duration = Duration::from_millis(50);
 
 /// A host of another data centre is greeted once per this many rounds of greetings.
-const ABROAD_EVERY: u32 = 2;
+const REMOTE_HELLO_TICKS: u32 = 2;
 
 /// How long to wait when no datagram can be received.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(50);
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Gateway {
     /// Sends periodic greetings to the neighbours; never returns.
@@ -51,53 +51,53 @@
     /// Greets the seeds first: they know the other hosts, and unlike a call to
     /// the store a datagram is free. The greeting is repeated, since the seeds may
     /// start shortly after this host.
-    pub(super) async fn greet(self: Rc<Self>) {
+    pub(super) async fn send_greetings(self: Rc<Self>) {
         // A new socket rejects sends until the runtime has seen it become writable.
         if let Err(error) = self.socket.writable().await {
             log::warn!("E0406 datagram-not-sent error={error:?}");
         }
-        for _ in 0..SEED_GREETINGS {
+        for _ in 0..SEED_HELLO_COUNT {
             self.greet_seeds();
-            sleep(SEED_PAUSE).await;
+            sleep(SEED_HELLO_INTERVAL).await;
             let known = self.neighbours.borrow();
             if !known.is_empty() && known.any_remote(0).is_some() {
                 break;
             }
         }
-        let mut ticks = interval(HELLO_EVERY);
+        let mut ticks = interval(HELLO_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         for tick in 0u32.. {
             ticks.tick().await;
-            self.tell_all(&self.hello(false));
-            if tick.is_multiple_of(ABROAD_EVERY) {
-                self.greet_abroad();
+            self.broadcast(&self.hello(false));
+            if tick.is_multiple_of(REMOTE_HELLO_TICKS) {
+                self.greet_remote_host();
             }
             let draw = self.draw();
             let asked = self.neighbours.borrow_mut().next_query(draw);
             if let Some(neighbour) = asked {
-                self.tell(neighbour, &self.hello(true));
+                self.send(neighbour, &self.hello(true));
             }
         }
     }
 
     /// Greets a random host of another data centre, so that some hosts there know this one.
-    fn greet_abroad(&self) {
+    fn greet_remote_host(&self) {
         let draw = self.draw();
         let stranger = self.neighbours.borrow().any_remote(draw);
         if let Some(stranger) = stranger {
-            self.tell(stranger, &self.hello(false));
+            self.send(stranger, &self.hello(false));
         }
     }
 
     /// Sends records that this host has read to other data centres.
-    pub(super) fn tell_abroad(self: &Rc<Self>, news: &RecordUpdate) {
+    pub(super) fn send_cross_centre(self: &Rc<Self>, news: &RecordUpdate) {
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
         let message = NeighbourMessage::Update(news.for_other_centres());
         let mut seconds = Vec::new();
         for hosts in contacts {
             let mut hosts = hosts.into_iter();
             if let Some(first) = hosts.next() {
-                self.tell(first, &message);
+                self.send(first, &message);
             }
             seconds.extend(hosts);
         }
@@ -106,9 +106,9 @@
         }
         let gateway = Rc::clone(self);
         spawn_local(async move {
-            sleep(SECOND_AFTER).await;
+            sleep(SECOND_CONTACT_DELAY).await;
             for second in seconds {
-                gateway.tell(second, &message);
+                gateway.send(second, &message);
             }
         });
     }
@@ -117,14 +117,14 @@
         let hello = self.hello(true);
         let seeds = self.settings.seeds.iter();
         for seed in seeds.filter(|s| **s != self.settings.peers) {
-            self.tell(*seed, &hello);
+            self.send(*seed, &hello);
         }
     }
 
     /// Greets the neighbours found in the store's group, and names them to each other.
     ///
     /// The greeting also names a few of `others`, the hosts of other data centres.
-    pub(super) fn introduce(&self, hosts: Vec<SocketAddr>, others: Vec<Contact>) {
+    pub(super) fn greet_members(&self, hosts: Vec<SocketAddr>, others: Vec<Contact>) {
         let now = clock::now();
         let draw = self.draw();
         let mut known = self.neighbours.borrow_mut();
@@ -135,7 +135,7 @@
             known.add_remote(contact.clone(), now);
         }
         drop(known);
-        self.tell_all(&NeighbourMessage::Hello(Hello {
+        self.broadcast(&NeighbourMessage::Hello(Hello {
             centre: self.settings.data_centre.clone(),
             wants_hosts: false,
             neighbours: hosts,
@@ -144,10 +144,10 @@
     }
 
     /// Adds a neighbour, and greets it if it wasn't known.
-    fn meet(&self, address: SocketAddr) {
+    fn add_neighbour(&self, address: SocketAddr) {
         let new = self.neighbours.borrow_mut().add(address, clock::now());
         if new {
-            self.tell(address, &self.hello(false));
+            self.send(address, &self.hello(false));
         }
     }
 
@@ -157,10 +157,10 @@
     /// When many hosts read a large update at the same time, only a host with
     /// `spreads` set sends it, and only if it isn't receiving one: otherwise the
     /// links would carry the update twice.
-    pub(super) fn tell_news(self: &Rc<Self>, news: RecordUpdate, spreads: bool) {
+    pub(super) fn send_update(self: &Rc<Self>, news: RecordUpdate, spreads: bool) {
         match news.size() {
-            n if n <= SMALL => self.tell_all(&NeighbourMessage::Update(news)),
-            n if n <= DATAGRAM_LIMIT => self.pass_on(&news),
+            n if n <= DIRECT_SEND_LIMIT => self.broadcast(&NeighbourMessage::Update(news)),
+            n if n <= DATAGRAM_LIMIT => self.forward(&news),
             _ if spreads && !self.awaits(news.topic) => {
                 self.spread(
                     news.topic,
@@ -172,31 +172,31 @@
     }
 
     /// Forwards records to this host's children in the forwarding tree.
-    fn pass_on(&self, news: &RecordUpdate) {
+    fn forward(&self, news: &RecordUpdate) {
         let known = self.neighbours.borrow_mut().current(clock::now());
         let message = NeighbourMessage::Update(news.clone());
         for hop in relay::next_hops(self.settings.peers, news.relay_root, &known) {
-            self.tell(hop, &message);
+            self.send(hop, &message);
         }
     }
 
     /// Receives and handles datagrams; never returns.
-    pub(super) async fn hear(self: Rc<Self>) {
+    pub(super) async fn receive_datagrams(self: Rc<Self>) {
         let mut buffer = vec![0; DATAGRAM_LIMIT * 4];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
                     log::debug!("E0403 datagram-not-received error={error:?}");
-                    sleep(RECEIVE_PAUSE).await;
+                    sleep(RECEIVE_RETRY_DELAY).await;
                     continue;
                 }
             };
-            self.take_datagram(from, &buffer[..length]);
+            self.handle_datagram(from, &buffer[..length]);
         }
     }
 
-    fn take_datagram(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
+    fn handle_datagram(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
         let message = match NeighbourMessage::decode(datagram) {
             Ok(message) => message,
             Err(error) => {
@@ -206,30 +206,30 @@
         };
         self.traffic.borrow_mut().received(&message, datagram.len());
         match message {
-            NeighbourMessage::Update(news) if news.cross_centre => self.take_abroad(news, from),
+            NeighbourMessage::Update(u) if u.cross_centre => self.handle_cross_centre(u, from),
             NeighbourMessage::Update(news) => {
-                let new = self.take_news(&news, from);
-                let further = self.passes_on(&news);
-                if (new || further) && news.size() > SMALL {
-                    self.pass_on(&news);
+                let new = self.handle_update(&news, from);
+                let further = self.mark_forwarded(&news);
+                if (new || further) && news.size() > DIRECT_SEND_LIMIT {
+                    self.forward(&news);
                 }
             }
             NeighbourMessage::ReadStarted(topic) => {
-                self.meet(from);
-                self.take_reading(topic);
+                self.add_neighbour(from);
+                self.handle_read_start(topic);
             }
-            NeighbourMessage::ReadFailed(topic) => self.take_trouble(topic),
+            NeighbourMessage::ReadFailed(topic) => self.handle_read_failure(topic),
             NeighbourMessage::SnapshotRequest(topic) => {
-                self.meet(from);
+                self.add_neighbour(from);
                 self.hand_over(from, topic);
             }
-            NeighbourMessage::Snapshot(held) => self.take_held(held),
+            NeighbourMessage::Snapshot(snapshot) => self.handle_snapshot(snapshot),
             NeighbourMessage::RecordsRequest(topic, next) => self.send_again(from, topic, next),
-            NeighbourMessage::Fragment(topic, fragment) => self.take_fragment(topic, &fragment),
-            NeighbourMessage::FragmentRequest(topic, r) => self.take_lacking(from, topic, &r),
-            NeighbourMessage::Hello(hello) => self.take_hello(from, hello),
-            NeighbourMessage::CrashReport(crashes) => self.learn_crashes(crashes),
-            NeighbourMessage::LimitReport(limits) => self.hear_limits(limits),
+            NeighbourMessage::Fragment(topic, fragment) => self.handle_fragment(topic, &fragment),
+            NeighbourMessage::FragmentRequest(topic, r) => self.resend_fragments(from, topic, &r),
+            NeighbourMessage::Hello(hello) => self.handle_hello(from, hello),
+            NeighbourMessage::CrashReport(crashes) => self.handle_crash_report(crashes),
+            NeighbourMessage::LimitReport(limits) => self.handle_limit_report(limits),
             NeighbourMessage::Borrow(number) => self.lend_probes(from, number),
             NeighbourMessage::Lend(loan) => {
                 let mut budget = self.probe_budget.borrow_mut();
@@ -239,7 +239,7 @@
     }
 
     /// Returns whether an update hasn't been forwarded yet, and marks it as forwarded.
-    fn passes_on(&self, news: &RecordUpdate) -> bool {
+    fn mark_forwarded(&self, news: &RecordUpdate) -> bool {
         let mut neighbours = self.neighbours.borrow_mut();
         let passed = match news.topic {
             Topic::Operators => &mut neighbours.operators,
@@ -248,7 +248,7 @@
         passed.mark(news.relay_root, news.next())
     }
 
-    fn take_hello(&self, from: SocketAddr, hello: Hello) {
+    fn handle_hello(&self, from: SocketAddr, hello: Hello) {
         let now = clock::now();
         let greeted = self
             .neighbours
@@ -256,19 +256,19 @@
             .greeting_received(from, &hello.centre, now);
         match greeted {
             _ if hello.wants_hosts => {
-                self.tell(from, &self.list(&hello.centre));
+                self.send(from, &self.host_list(&hello.centre));
                 if let Some(crashes) = self.known_crashes() {
-                    self.tell(from, &crashes);
+                    self.send(from, &crashes);
                 }
             }
-            GreetingEffect::New | GreetingEffect::NewRemote => self.tell(from, &self.hello(false)),
+            GreetingEffect::New | GreetingEffect::NewRemote => self.send(from, &self.hello(false)),
             GreetingEffect::Known | GreetingEffect::Remote => {}
         }
         for contact in hello.contacts {
             self.neighbours.borrow_mut().add_remote(contact, now);
         }
         for other in hello.neighbours {
-            self.meet(other);
+            self.add_neighbour(other);
         }
         if greeted == GreetingEffect::New {
             self.want_all();
@@ -289,7 +289,7 @@
     ///
     /// With all hosts in every greeting, traffic would grow with the square of the
     /// number of hosts: 250 KB/s per host in a data centre of a hundred hosts.
-    fn list(&self, centre: &str) -> NeighbourMessage {
+    fn host_list(&self, centre: &str) -> NeighbourMessage {
         let now = clock::now();
         let mut known = self.neighbours.borrow_mut();
         NeighbourMessage::Hello(Hello {
@@ -301,10 +301,10 @@
     }
 
     /// Sends a message to all neighbours.
-    pub(super) fn tell_all(&self, message: &NeighbourMessage) {
+    pub(super) fn broadcast(&self, message: &NeighbourMessage) {
         let addresses = self.neighbours.borrow_mut().current(clock::now());
         for address in addresses {
-            self.tell(address, message);
+            self.send(address, message);
         }
     }
 
@@ -313,25 +313,25 @@
     ///
     /// `message` builds the message; its argument is whether the message goes to
     /// another data centre.
-    pub(super) fn tell_site(&self, message: impl Fn(bool) -> NeighbourMessage) {
-        self.tell_all(&message(false));
+    pub(super) fn broadcast_all_centres(&self, message: impl Fn(bool) -> NeighbourMessage) {
+        self.broadcast(&message(false));
         let abroad = message(true);
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
         for host in contacts.into_iter().flatten() {
-            self.tell(host, &abroad);
+            self.send(host, &abroad);
         }
     }
 
     /// Sends a message to one host.
-    pub(super) fn tell(&self, address: SocketAddr, message: &NeighbourMessage) {
+    pub(super) fn send(&self, address: SocketAddr, message: &NeighbourMessage) {
         let datagram = message.encode();
         self.traffic.borrow_mut().sent(message, datagram.len());
-        send(&self.socket, address, &datagram);
+        send_datagram(&self.socket, address, &datagram);
     }
 }
 
 /// Sends a datagram without blocking; drops the datagram if the send buffer is full.
-fn send(socket: &UdpSocket, address: SocketAddr, datagram: &[u8]) {
+fn send_datagram(socket: &UdpSocket, address: SocketAddr, datagram: &[u8]) {
     match socket.try_send_to(datagram, address) {
         Ok(_) => {}
         Err(error) if error.kind() == ErrorKind::WouldBlock => {
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -118,7 +118,7 @@
         let draw = self.draw();
         let neighbour = self.neighbours.borrow().any(draw);
         if let Some(neighbour) = neighbour {
-            self.tell(neighbour, &NeighbourMessage::Borrow(request_id));
+            self.send(neighbour, &NeighbourMessage::Borrow(request_id));
         }
     }
 
@@ -132,7 +132,7 @@
         drop(budget);
         if probes > 0 {
             log::debug!("E0140 questions-lent to={to} questions={probes}");
-            self.tell(
+            self.send(
                 to,
                 &NeighbourMessage::Lend(ProbeLoan { request_id, probes }),
             );
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -66,7 +66,7 @@
             Decision::Reject(left) => Err(left),
             Decision::Trial(findings) => {
                 log::info!("E0142 quarantine-trial content={:016x}", request.content.0);
-                self.tell_crashes(&[], &findings);
+                self.report_crashes(&[], &findings);
                 Ok(())
             }
         }
@@ -99,7 +99,7 @@
         let told = suspects.reports.take(cleared.len(), now);
         drop(suspects);
         if told > 0 {
-            self.tell_crashes(&[], &cleared);
+            self.report_crashes(&[], &cleared);
         }
     }
 
@@ -153,11 +153,11 @@
             age: now.since(run.at),
         });
         let ended: Vec<CrashedRun> = ended.collect();
-        self.tell_crashes(&ended, &findings);
+        self.report_crashes(&ended, &findings);
     }
 
     /// Handles another host's report of crashes and quarantined requests.
-    pub(super) fn learn_crashes(&self, crashes: CrashReport) {
+    pub(super) fn handle_crash_report(&self, crashes: CrashReport) {
         let now = clock::now();
         let mut suspects = self.suspects.borrow_mut();
         for ended in &crashes.runs {
@@ -177,7 +177,7 @@
         }
         drop(suspects);
         if crashes.cross_centre {
-            self.tell_all(&NeighbourMessage::CrashReport(CrashReport {
+            self.broadcast(&NeighbourMessage::CrashReport(CrashReport {
                 cross_centre: false,
                 ..crashes
             }));
@@ -207,15 +207,17 @@
             let stranger = known.any_remote(self.draw());
             drop(known);
             for host in one.into_iter().chain(stranger) {
-                self.tell(host, &reminder);
+                self.send(host, &reminder);
             }
         }
     }
 
     /// Reports runs that ended with a crash, and the resulting findings, to all hosts.
-    fn tell_crashes(&self, ended: &[CrashedRun], findings: &[QuarantineUpdate]) {
+    fn report_crashes(&self, ended: &[CrashedRun], findings: &[QuarantineUpdate]) {
         if !ended.is_empty() || !findings.is_empty() {
-            self.tell_site(|cross_centre| message(cross_centre, ended.to_vec(), findings.to_vec()));
+            self.broadcast_all_centres(|cross_centre| {
+                message(cross_centre, ended.to_vec(), findings.to_vec())
+            });
         }
     }
 }
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -71,7 +71,7 @@
         }
         let draw = self.draw();
         if let Some(address) = self.neighbours.borrow().any(draw) {
-            self.tell(address, &NeighbourMessage::SnapshotRequest(topic));
+            self.send(address, &NeighbourMessage::SnapshotRequest(topic));
         }
     }
 
@@ -144,7 +144,7 @@
             return;
         };
         let held = self.held(topic, next, false);
-        self.tell_whole(to, topic, &NeighbourMessage::Snapshot(held));
+        self.send_in_fragments(to, topic, &NeighbourMessage::Snapshot(held));
     }
 
     fn held(&self, topic: Topic, next: u64, shared: bool) -> TopicSnapshot {
@@ -195,11 +195,11 @@
             from,
             records,
         };
-        self.tell_whole(to, topic, &NeighbourMessage::Update(news));
+        self.send_in_fragments(to, topic, &NeighbourMessage::Update(news));
     }
 
     /// Handles a snapshot from a neighbour.
-    pub(super) fn take_held(self: &Rc<Self>, held: TopicSnapshot) {
+    pub(super) fn handle_snapshot(self: &Rc<Self>, held: TopicSnapshot) {
         let (topic, next) = (held.topic, held.next);
         if self
             .feed(topic, |feed| feed.next())
