--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -104,7 +104,7 @@
             return;
         };
         if news.from > next {
-            if self.awaits(topic) {
+            if self.is_receiving(topic) {
                 return;
             }
             self.feed(topic, |feed| feed.mark_lagging(clock::now()));
@@ -178,8 +178,8 @@
     /// message with them is being received.
     pub(super) fn handle_update(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
         let ahead = |next: u64| news.from > next;
-        if self.awaits(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
-            self.put_off(news, teller);
+        if self.is_receiving(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
+            self.defer_update(news, teller);
             return false;
         }
         let now = clock::now();
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -20,19 +20,19 @@
 /// How long to wait for the next fragment before the missing ones are requested.
 ///
 /// While a message is being sent, fragments arrive every few milliseconds.
-const SILENCE: Duration = Duration::from_millis(100);
+const FRAGMENT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Number of updates kept until a large message with the preceding records is complete.
-const PENDING_LIMIT: usize = 8;
+const MAX_DEFERRED_UPDATES: usize = 8;
 
 /// The large messages being sent and received.
 #[derive(Default)]
-pub(super) struct Large {
+pub(super) struct Transfers {
     fragments: Reassembly,
     /// Incomplete messages.
-    awaited: BTreeMap<MessageKey, Topic>,
+    receiving: BTreeMap<MessageKey, Topic>,
     /// Updates whose preceding records are in an incomplete message, with their senders.
-    pending: VecDeque<(RecordUpdate, SocketAddr)>,
+    deferred: VecDeque<(RecordUpdate, SocketAddr)>,
     outbox: FragmentQueue<Topic>,
 }
 
@@ -49,12 +49,12 @@
             self.send(to, message);
             return;
         }
-        if self.large.borrow().outbox.is_busy() {
+        if self.transfers.borrow().outbox.is_busy() {
             // The neighbour soon asks another host, or reads from the store.
             return;
         }
-        let fragments = self.cut(&encoded);
-        let queued = |f: &Fragment| self.large.borrow().outbox.contains(to, f.message);
+        let fragments = self.split(&encoded);
+        let queued = |f: &Fragment| self.transfers.borrow().outbox.contains(to, f.message);
         if fragments.first().is_some_and(queued) {
             // The neighbour repeated its request before the fragments were sent.
             return;
@@ -65,10 +65,10 @@
 
     /// Distributes a message to all neighbours; each receives some of the fragments
     /// and forwards them to the others.
-    pub(super) fn spread(self: &Rc<Self>, topic: Topic, message: &NeighbourMessage) {
+    pub(super) fn distribute(self: &Rc<Self>, topic: Topic, message: &NeighbourMessage) {
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let encoded = Bytes::from(message.encode());
-        let fragments = self.cut(&encoded);
+        let fragments = self.split(&encoded);
         log::info!(
             "E0422 message-spread topic={topic:?} bytes={} fragments={} neighbours={}",
             encoded.len(),
@@ -80,36 +80,36 @@
     }
 
     /// Splits a message into fragments, and keeps them for neighbours that lose some.
-    fn cut(self: &Rc<Self>, message: &Bytes) -> Vec<Fragment> {
+    fn split(self: &Rc<Self>, message: &Bytes) -> Vec<Fragment> {
         let now = clock::now();
         let count = self.neighbours.borrow_mut().current(now).len();
         let fragments = fragments::split(self.settings.peers, message, count + 1);
-        self.large
+        self.transfers
             .borrow_mut()
             .fragments
             .insert_own(&fragments, now);
-        spawn_local(Rc::clone(self).forget_later());
+        spawn_local(Rc::clone(self).expire_later());
         fragments
     }
 
     /// Frees the memory of expired messages.
-    async fn forget_later(self: Rc<Self>) {
+    async fn expire_later(self: Rc<Self>) {
         sleep(KEEP_TIME).await;
-        self.large.borrow_mut().fragments.expire(clock::now());
+        self.transfers.borrow_mut().fragments.expire(clock::now());
     }
 
     fn queue(&self, topic: Topic, pairs: impl Iterator<Item = (SocketAddr, Fragment)>) {
-        let mut large = self.large.borrow_mut();
+        let mut transfers = self.transfers.borrow_mut();
         let mut dropped = 0;
         for (to, fragment) in pairs {
-            if !large.outbox.push(to, topic, fragment) {
+            if !transfers.outbox.push(to, topic, fragment) {
                 dropped += 1;
             }
         }
         if dropped > 0 {
             log::warn!("E0420 fragments-dropped topic={topic:?} fragments={dropped}");
         }
-        self.fragments_wait.notify_one();
+        self.fragments_notify.notify_one();
     }
 
     /// Sends queued fragments; never returns.
@@ -118,13 +118,13 @@
     /// callers' traffic.
     pub(super) async fn send_fragments(self: Rc<Self>) {
         loop {
-            let next = self.large.borrow_mut().outbox.pop();
+            let next = self.transfers.borrow_mut().outbox.pop();
             let Some((to, topic, fragment)) = next else {
-                self.fragments_wait.notified().await;
+                self.fragments_notify.notified().await;
                 continue;
             };
             self.send(to, &NeighbourMessage::Fragment(topic, fragment));
-            let pause = self.large.borrow_mut().outbox.pause();
+            let pause = self.transfers.borrow_mut().outbox.pause();
             if let Some(pause) = pause {
                 sleep(pause).await;
             }
@@ -134,18 +134,21 @@
     /// Handles a fragment, and forwards a fragment marked for distribution.
     pub(super) fn handle_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
         let now = clock::now();
-        let taken = self.large.borrow_mut().fragments.insert(fragment, now);
+        let taken = self.transfers.borrow_mut().fragments.insert(fragment, now);
         if taken == Inserted::Ignored {
             return;
         }
         if fragment.relay {
-            self.relay(topic, fragment);
+            self.forward_fragment(topic, fragment);
         }
         match taken {
             Inserted::Ignored => {}
-            Inserted::New => self.await_rest(topic, fragment.message),
+            Inserted::New => self.await_fragments(topic, fragment.message),
             Inserted::Complete(message) => {
-                self.large.borrow_mut().awaited.remove(&fragment.message);
+                self.transfers
+                    .borrow_mut()
+                    .receiving
+                    .remove(&fragment.message);
                 log::info!(
                     "E0423 message-whole topic={topic:?} bytes={} origin={}",
                     message.len(),
@@ -158,7 +161,7 @@
     }
 
     /// Forwards a fragment to all neighbours except its origin.
-    fn relay(&self, topic: Topic, fragment: &Fragment) {
+    fn forward_fragment(&self, topic: Topic, fragment: &Fragment) {
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let hosts = fragments::relay_order(self.settings.peers, fragment.origin, neighbours);
         let copy = Fragment {
@@ -169,45 +172,51 @@
     }
 
     /// Waits for the remaining fragments of a message, and postpones reading from the store.
-    fn await_rest(self: &Rc<Self>, topic: Topic, message: MessageKey) {
-        self.hold_off(topic);
-        let before = self.large.borrow_mut().awaited.insert(message, topic);
+    fn await_fragments(self: &Rc<Self>, topic: Topic, message: MessageKey) {
+        self.postpone_read(topic);
+        let before = self.transfers.borrow_mut().receiving.insert(message, topic);
         if before.is_none() {
-            spawn_local(Rc::clone(self).gather(topic, message));
+            spawn_local(Rc::clone(self).reassemble(topic, message));
         }
     }
 
-    fn hold_off(&self, topic: Topic) {
+    fn postpone_read(&self, topic: Topic) {
         let draw = self.draw_share();
         self.feed(topic, |feed| feed.fragment_received(draw, clock::now()));
     }
 
     /// Requests missing fragments until the message is complete or given up.
-    async fn gather(self: Rc<Self>, topic: Topic, message: MessageKey) {
-        while self.large.borrow().fragments.is_incomplete(message) {
-            sleep(SILENCE).await;
+    async fn reassemble(self: Rc<Self>, topic: Topic, message: MessageKey) {
+        while self.transfers.borrow().fragments.is_incomplete(message) {
+            sleep(FRAGMENT_TIMEOUT).await;
             let now = clock::now();
-            let ask = self
-                .large
-                .borrow_mut()
-                .fragments
-                .next_request(message, SILENCE, now);
+            let ask =
+                self.transfers
+                    .borrow_mut()
+                    .fragments
+                    .next_request(message, FRAGMENT_TIMEOUT, now);
             if let Some((source, lacking)) = ask {
-                self.ask_again(topic, source, lacking);
+                self.request_fragments(topic, source, lacking);
             }
         }
-        if self.large.borrow_mut().awaited.remove(&message).is_some() {
+        if self
+            .transfers
+            .borrow_mut()
+            .receiving
+            .remove(&message)
+            .is_some()
+        {
             log::info!(
                 "E0421 message-incomplete topic={topic:?} digest={:016x}",
                 message.digest
             );
             self.handle_deferred(topic);
         }
-        self.forget_later().await;
+        self.expire_later().await;
     }
 
-    fn ask_again(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
-        self.hold_off(topic);
+    fn request_fragments(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
+        self.postpone_read(topic);
         let draw = self.draw();
         let to = match source {
             RequestTarget::Origin(origin) => Some(origin),
@@ -226,11 +235,11 @@
         lacking: &FragmentRequest,
     ) {
         let now = clock::now();
-        if self.large.borrow().outbox.is_busy() {
+        if self.transfers.borrow().outbox.is_busy() {
             // The neighbour soon repeats its request.
             return;
         }
-        let fragments = self.large.borrow_mut().fragments.resend(lacking, now);
+        let fragments = self.transfers.borrow_mut().fragments.resend(lacking, now);
         self.queue(topic, fragments.into_iter().map(|f| (from, f)));
     }
 
@@ -253,29 +262,33 @@
     }
 
     /// Returns whether a fragmented message about this topic is being received.
-    pub(super) fn awaits(&self, topic: Topic) -> bool {
-        self.large.borrow().awaited.values().any(|t| *t == topic)
+    pub(super) fn is_receiving(&self, topic: Topic) -> bool {
+        self.transfers
+            .borrow()
+            .receiving
+            .values()
+            .any(|t| *t == topic)
     }
 
     /// Keeps an update until the records before it have arrived.
-    pub(super) fn put_off(&self, news: &RecordUpdate, teller: SocketAddr) {
-        let mut large = self.large.borrow_mut();
-        if large.pending.len() == PENDING_LIMIT {
+    pub(super) fn defer_update(&self, news: &RecordUpdate, teller: SocketAddr) {
+        let mut transfers = self.transfers.borrow_mut();
+        if transfers.deferred.len() == MAX_DEFERRED_UPDATES {
             // A gap in the records is filled by reading from the store.
-            large.pending.pop_front();
+            transfers.deferred.pop_front();
         }
-        large.pending.push_back((news.clone(), teller));
+        transfers.deferred.push_back((news.clone(), teller));
     }
 
     /// Handles the updates that waited for a large message about this topic.
     fn handle_deferred(self: &Rc<Self>, topic: Topic) {
-        let waiting = std::mem::take(&mut self.large.borrow_mut().pending);
+        let waiting = std::mem::take(&mut self.transfers.borrow_mut().deferred);
         for (news, teller) in waiting {
             match news.topic == topic {
                 true => {
                     self.handle_update(&news, teller);
                 }
-                false => self.put_off(&news, teller),
+                false => self.defer_update(&news, teller),
             }
         }
     }
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -50,7 +50,7 @@
 use tokio::task::spawn_local;
 
 use crate::clock;
-use fragments::Large;
+use fragments::Transfers;
 use pool::Pool;
 use quarantine::Suspects;
 use report_limiter::ReportLimiter;
@@ -118,10 +118,10 @@
     shelves: RefCell<Shelves>,
     socket: UdpSocket,
     neighbours: RefCell<Neighbours>,
-    large: RefCell<Large>,
+    transfers: RefCell<Transfers>,
     traffic: RefCell<Traffic>,
     /// Wakes the task that sends fragments.
-    fragments_wait: Notify,
+    fragments_notify: Notify,
     pool: RefCell<Pool>,
     retry_budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
     service_times: RefCell<BTreeMap<String, ServiceTime>>,
@@ -135,7 +135,7 @@
     suspects: RefCell<Suspects>,
     limit_reports: RefCell<ReportLimiter>,
     /// Wakes the task that checks whether an endpoint crashed.
-    broken_wait: Notify,
+    broken_notify: Notify,
 }
 
 impl Gateway {
@@ -195,9 +195,9 @@
             shelves: RefCell::default(),
             socket,
             neighbours: RefCell::new(neighbours),
-            large: RefCell::default(),
+            transfers: RefCell::default(),
             traffic: RefCell::default(),
-            fragments_wait: Notify::new(),
+            fragments_notify: Notify::new(),
             pool: RefCell::default(),
             retry_budgets: RefCell::default(),
             service_times: RefCell::default(),
@@ -210,7 +210,7 @@
             requests: RefCell::default(),
             suspects: RefCell::default(),
             limit_reports: RefCell::default(),
-            broken_wait: Notify::new(),
+            broken_notify: Notify::new(),
         }
     }
 
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -161,8 +161,8 @@
         match news.size() {
             n if n <= DIRECT_SEND_LIMIT => self.broadcast(&NeighbourMessage::Update(news)),
             n if n <= DATAGRAM_LIMIT => self.forward(&news),
-            _ if spreads && !self.awaits(news.topic) => {
-                self.spread(
+            _ if spreads && !self.is_receiving(news.topic) => {
+                self.distribute(
                     news.topic,
                     &NeighbourMessage::Update(news.without_addresses()),
                 );
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -88,7 +88,7 @@
                 at: clock::now(),
             },
         });
-        self.broken_wait.notify_one();
+        self.broken_notify.notify_one();
     }
 
     /// Records that an endpoint answered a request, which may clear its quarantine.
@@ -106,7 +106,7 @@
     /// Checks after broken runs whether their endpoints crashed; never returns.
     pub(super) async fn confirm_crashes(self: Rc<Self>) {
         loop {
-            self.broken_wait.notified().await;
+            self.broken_notify.notified().await;
             let broken = std::mem::take(&mut self.suspects.borrow_mut().broken);
             let mut endpoints: BTreeMap<(EndpointKey, SocketAddr), Vec<Crash>> = BTreeMap::new();
             for run in broken {
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -169,7 +169,7 @@
         let lacking = !askers.is_empty() || first && self.knows_neighbours();
         if let (true, Some(next)) = (lacking, next) {
             let held = self.held(topic, next, true);
-            self.spread(topic, &NeighbourMessage::Snapshot(held));
+            self.distribute(topic, &NeighbourMessage::Snapshot(held));
         }
     }
 
