--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -82,7 +82,7 @@
             log::warn!("E0301 log-unreadable topic={topic:?} error={error:?}");
         }
         self.broadcast(&NeighbourMessage::ReadFailed(topic));
-        self.want(topic);
+        self.request_snapshot(topic);
     }
 
     /// Handles a neighbour's message that its read of a topic failed.
@@ -210,14 +210,14 @@
     /// Applies records; `from` is the offset of the first one.
     fn take_records<'a>(&self, topic: Topic, from: u64, records: impl Iterator<Item = &'a Bytes>) {
         for (offset, bytes) in (from..).zip(records) {
-            let mut shelves = self.shelves.borrow_mut();
-            shelves.of(topic).recent.push(offset, bytes.clone());
-            drop(shelves);
+            let mut caches = self.caches.borrow_mut();
+            caches.of(topic).recent.push(offset, bytes.clone());
+            drop(caches);
             let Some(record) = platform::store::decode_record(bytes.clone()) else {
                 log::error!("E0304 record-skipped topic={topic:?} error=damaged");
                 continue;
             };
-            self.shelves
+            self.caches
                 .borrow_mut()
                 .of(topic)
                 .put(&record, bytes.clone());
@@ -247,13 +247,13 @@
         self.note_return(topic, back);
         let first = !self.knows(topic);
         self.take_all(topic, &records);
-        self.share_all(topic, first);
+        self.distribute_snapshot(topic, first);
         Ok(())
     }
 
     /// Applies the newest records of all keys of a topic.
     pub(super) fn take_all(self: &Rc<Self>, topic: Topic, records: &[Record]) {
-        self.shelves.borrow_mut().of(topic).replace(records);
+        self.caches.borrow_mut().of(topic).replace(records);
         match topic {
             Topic::Operators => self.take_all_orders(records),
             Topic::Endpoints => self.take_all_endpoints(records),
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -56,7 +56,7 @@
 use report_limiter::ReportLimiter;
 use request_log::RequestLog;
 pub use settings::{Bounds, Live, Settings};
-use topic_cache::Shelves;
+use topic_cache::TopicCaches;
 use traffic::Traffic;
 use wait_queue::Lines;
 
@@ -115,7 +115,7 @@
     sooner: Notify,
     /// Wakes requests that wait for routes and endpoints to be loaded.
     known: Notify,
-    shelves: RefCell<Shelves>,
+    caches: RefCell<TopicCaches>,
     socket: UdpSocket,
     neighbours: RefCell<Neighbours>,
     transfers: RefCell<Transfers>,
@@ -156,7 +156,7 @@
         spawn_local(Rc::clone(&gateway).receive_datagrams());
         spawn_local(Rc::clone(&gateway).send_greetings());
         spawn_local(Rc::clone(&gateway).send_fragments());
-        spawn_local(Rc::clone(&gateway).seek_all());
+        spawn_local(Rc::clone(&gateway).fetch_topics());
         spawn_local(Rc::clone(&gateway).follow(Topic::Operators));
         spawn_local(Rc::clone(&gateway).follow(Topic::Endpoints));
         spawn_local(Rc::clone(&gateway).keep_share());
@@ -192,7 +192,7 @@
             feeds: RefCell::new(feeds),
             sooner: Notify::new(),
             known: Notify::new(),
-            shelves: RefCell::default(),
+            caches: RefCell::default(),
             socket,
             neighbours: RefCell::new(neighbours),
             transfers: RefCell::default(),
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -221,10 +221,10 @@
             NeighbourMessage::ReadFailed(topic) => self.handle_read_failure(topic),
             NeighbourMessage::SnapshotRequest(topic) => {
                 self.add_neighbour(from);
-                self.hand_over(from, topic);
+                self.send_snapshot(from, topic);
             }
             NeighbourMessage::Snapshot(snapshot) => self.handle_snapshot(snapshot),
-            NeighbourMessage::RecordsRequest(topic, next) => self.send_again(from, topic, next),
+            NeighbourMessage::RecordsRequest(topic, next) => self.resend_records(from, topic, next),
             NeighbourMessage::Fragment(topic, fragment) => self.handle_fragment(topic, &fragment),
             NeighbourMessage::FragmentRequest(topic, r) => self.resend_fragments(from, topic, &r),
             NeighbourMessage::Hello(hello) => self.handle_hello(from, hello),
@@ -271,7 +271,7 @@
             self.add_neighbour(other);
         }
         if greeted == GreetingEffect::New {
-            self.want_all();
+            self.request_unread_topics();
         }
     }
 
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -23,28 +23,28 @@
 /// Delay before a host requests snapshots when the whole site starts.
 ///
 /// By then all hosts have started and sent a greeting to the seeds.
-const SEEK_AFTER: Duration = Duration::from_millis(400);
+const FETCH_DELAY: Duration = Duration::from_millis(400);
 
 /// Maximum random addition to the delay, so that hosts don't all request at once.
-const SEEK_SPREAD: Duration = Duration::from_millis(300);
+const FETCH_JITTER: Duration = Duration::from_millis(300);
 
 /// How long a host waits before it requests a snapshot from another neighbour.
-const SEEK_AGAIN: Duration = Duration::from_millis(150);
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The interval at which a restarted host checks whether a neighbour has greeted it.
-const SEEK_STEP: Duration = Duration::from_millis(5);
+const GREETING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The newest record of each key of one topic, encoded as in the store.
 #[derive(Default)]
-pub(super) struct Shelf {
+pub(super) struct TopicCache {
     /// The last records read, for neighbours that missed some.
     pub recent: RecentRecords,
     /// Neighbours that requested a snapshot before this host had one.
-    askers: BTreeSet<SocketAddr>,
+    waiting: BTreeSet<SocketAddr>,
     records: BTreeMap<String, Bytes>,
 }
 
-impl Shelf {
+impl TopicCache {
     /// Stores a record; a record without a value deletes its key.
     pub fn put(&mut self, record: &Record, bytes: Bytes) {
         match record.value {
@@ -65,7 +65,7 @@
 
 impl Gateway {
     /// Requests a snapshot of a topic from a random neighbour, if this host has none.
-    pub(super) fn want(&self, topic: Topic) {
+    pub(super) fn request_snapshot(&self, topic: Topic) {
         if self.feed(topic, |feed| feed.next()).is_some() {
             return;
         }
@@ -76,19 +76,19 @@
     }
 
     /// Requests snapshots from neighbours until this host has both topics.
-    pub(super) async fn seek_all(self: Rc<Self>) {
+    pub(super) async fn fetch_topics(self: Rc<Self>) {
         match self.settings.first_start {
-            true => sleep(SEEK_AFTER + SEEK_SPREAD.mul_f64(self.draw_share())).await,
+            true => sleep(FETCH_DELAY + FETCH_JITTER.mul_f64(self.draw_share())).await,
             false => {
-                spawn_local(Rc::clone(&self).defer_reading());
+                spawn_local(Rc::clone(&self).postpone_first_read());
                 self.await_greeting().await;
             }
         }
         while !self.knows_all() {
             for topic in [Topic::Operators, Topic::Endpoints] {
-                self.want(topic);
+                self.request_snapshot(topic);
             }
-            sleep(SEEK_AGAIN).await;
+            sleep(FETCH_RETRY_DELAY).await;
         }
     }
 
@@ -96,14 +96,14 @@
     async fn await_greeting(&self) {
         let last = clock::now() + GREETING_WAIT;
         while self.neighbours.borrow().is_empty() && clock::now() < last {
-            sleep(SEEK_STEP).await;
+            sleep(GREETING_POLL_INTERVAL).await;
         }
     }
 
     /// Postpones this host's first read in proportion to the number of its neighbours.
     ///
     /// The neighbours are counted after the time in which they send greetings.
-    async fn defer_reading(self: Rc<Self>) {
+    async fn postpone_first_read(self: Rc<Self>) {
         sleep(GREETING_WAIT).await;
         let known = self.neighbours.borrow().len();
         let expected = self.expected_neighbours();
@@ -129,26 +129,26 @@
     }
 
     /// Requests a snapshot of each topic that this host failed to read from the store.
-    pub(super) fn want_all(&self) {
+    pub(super) fn request_unread_topics(&self) {
         for topic in [Topic::Operators, Topic::Endpoints] {
             if self.feed(topic, |feed| feed.failures()) > 0 {
-                self.want(topic);
+                self.request_snapshot(topic);
             }
         }
     }
 
     /// Sends a snapshot of a topic to a neighbour, now or as soon as this host has one.
-    pub(super) fn hand_over(self: &Rc<Self>, to: SocketAddr, topic: Topic) {
+    pub(super) fn send_snapshot(self: &Rc<Self>, to: SocketAddr, topic: Topic) {
         let Some(next) = self.feed(topic, |feed| feed.next()) else {
-            self.shelves.borrow_mut().of(topic).askers.insert(to);
+            self.caches.borrow_mut().of(topic).waiting.insert(to);
             return;
         };
-        let held = self.held(topic, next, false);
-        self.send_in_fragments(to, topic, &NeighbourMessage::Snapshot(held));
+        let snapshot = self.snapshot(topic, next, false);
+        self.send_in_fragments(to, topic, &NeighbourMessage::Snapshot(snapshot));
     }
 
-    fn held(&self, topic: Topic, next: u64, shared: bool) -> TopicSnapshot {
-        let records = self.shelves.borrow_mut().of(topic).records.clone();
+    fn snapshot(&self, topic: Topic, next: u64, shared: bool) -> TopicSnapshot {
+        let records = self.caches.borrow_mut().of(topic).records.clone();
         TopicSnapshot {
             topic,
             next,
@@ -163,28 +163,22 @@
     /// host to the next, a snapshot would reach the last of a hundred hosts after
     /// a second. `first` means that this host had no snapshot before, so it got
     /// none from its neighbours.
-    pub(super) fn share_all(self: &Rc<Self>, topic: Topic, first: bool) {
-        let askers = std::mem::take(&mut self.shelves.borrow_mut().of(topic).askers);
+    pub(super) fn distribute_snapshot(self: &Rc<Self>, topic: Topic, first: bool) {
+        let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
         let next = self.feed(topic, |feed| feed.next());
-        let lacking = !askers.is_empty() || first && self.knows_neighbours();
+        let lacking = !waiting.is_empty() || first && self.knows_neighbours();
         if let (true, Some(next)) = (lacking, next) {
-            let held = self.held(topic, next, true);
-            self.distribute(topic, &NeighbourMessage::Snapshot(held));
+            let snapshot = self.snapshot(topic, next, true);
+            self.distribute(topic, &NeighbourMessage::Snapshot(snapshot));
         }
     }
 
     /// Resends records that a neighbour missed, or a snapshot if they are no longer kept.
     ///
     /// A neighbour that receives neither reads from the store.
-    pub(super) fn send_again(self: &Rc<Self>, to: SocketAddr, topic: Topic, from: u64) {
-        let Some(records) = self
-            .shelves
-            .borrow_mut()
-            .of(topic)
-            .recent
-            .records_from(from)
-        else {
-            self.hand_over(to, topic);
+    pub(super) fn resend_records(self: &Rc<Self>, to: SocketAddr, topic: Topic, from: u64) {
+        let Some(records) = self.caches.borrow_mut().of(topic).recent.records_from(from) else {
+            self.send_snapshot(to, topic);
             return;
         };
         let news = RecordUpdate {
@@ -219,10 +213,10 @@
         let draw = self.draw_share();
         self.feed(topic, |f| f.snapshot_received(next, draw, clock::now()));
         self.take_all(topic, &records);
-        let askers = std::mem::take(&mut self.shelves.borrow_mut().of(topic).askers);
+        let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
         if !held.shared {
-            for asker in askers {
-                self.hand_over(asker, topic);
+            for asker in waiting {
+                self.send_snapshot(asker, topic);
             }
         }
     }
@@ -230,14 +224,14 @@
 
 /// The records of both topics.
 #[derive(Default)]
-pub(super) struct Shelves {
-    operators: Shelf,
-    endpoints: Shelf,
+pub(super) struct TopicCaches {
+    operators: TopicCache,
+    endpoints: TopicCache,
 }
 
-impl Shelves {
+impl TopicCaches {
     /// Returns the records of one topic.
-    pub fn of(&mut self, topic: Topic) -> &mut Shelf {
+    pub fn of(&mut self, topic: Topic) -> &mut TopicCache {
         match topic {
             Topic::Operators => &mut self.operators,
             Topic::Endpoints => &mut self.endpoints,
