--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -181,7 +181,7 @@
 fn route(gateway: &Gateway, parts: &Parts) -> Result<(Route, u64), Denial> {
     let orders = gateway.orders.borrow();
     let catalogue = orders.catalogue.as_ref().ok_or(Denial::NoCatalogue)?;
-    if !gateway.listed.get() {
+    if !gateway.endpoints_loaded.get() {
         return Err(Denial::NoCatalogue);
     }
     let route = catalogue
@@ -205,8 +205,11 @@
     async fn await_config(&self, parts: &Parts) {
         let left = platform::headers::time_remaining(&parts.headers).unwrap_or(MAX_START_WAIT);
         let last = Instant::now() + left.mul_f64(START_WAIT_FRACTION).min(MAX_START_WAIT);
-        while !self.knows_all() {
-            if timeout_at(last, self.known.notified()).await.is_err() {
+        while !self.has_all_topics() {
+            if timeout_at(last, self.config_loaded.notified())
+                .await
+                .is_err()
+            {
                 return;
             }
         }
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -26,7 +26,7 @@
     pub(super) async fn follow(self: Rc<Self>, topic: Topic) {
         let mut store = StoreClient::new(self.settings.log);
         loop {
-            self.wait_due(topic).await;
+            self.await_due(topic).await;
             let (next, reads) = self.feed(topic, |feed| {
                 feed.begin_read();
                 (feed.next(), feed.is_reader())
@@ -35,18 +35,18 @@
                 self.broadcast(&NeighbourMessage::ReadStarted(topic));
             }
             let result = match next {
-                None => self.read_all(&mut store, topic).await,
-                Some(from) => self.read_on(&mut store, topic, from).await,
+                None => self.read_snapshot(&mut store, topic).await,
+                Some(from) => self.read_next(&mut store, topic, from).await,
             };
             if let Err(error) = result {
-                self.note_trouble(topic, &error);
+                self.note_read_failure(topic, &error);
             }
             self.registry.borrow_mut().forget_warm_buckets(clock::now());
         }
     }
 
     /// Waits until the next read by this host itself is due.
-    async fn wait_due(&self, topic: Topic) {
+    async fn await_due(&self, topic: Topic) {
         loop {
             let due = self.feed(topic, |feed| feed.due());
             let left = clock::now().until(due);
@@ -54,7 +54,7 @@
                 return;
             }
             // After a wake-up or a timeout the due time is checked again.
-            let _sooner = timeout(left, self.sooner.notified()).await;
+            let _sooner = timeout(left, self.schedule_changed.notified()).await;
         }
     }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    fn note_trouble(&self, topic: Topic, error: &StoreError) {
+    fn note_read_failure(&self, topic: Topic, error: &StoreError) {
         let now = clock::now();
         let draw = self.draw_share();
         if let StoreError::Forgotten(_) = error {
@@ -108,7 +108,7 @@
                 return;
             }
             self.feed(topic, |feed| feed.mark_lagging(clock::now()));
-            self.sooner.notify_waiters();
+            self.schedule_changed.notify_waiters();
             return;
         }
         let stale = self.feed(topic, |feed| feed.is_stale(clock::now()));
@@ -126,7 +126,7 @@
     /// Records that a topic is readable again, by this host or by a neighbour.
     ///
     /// `back` tells whether reads of this host had failed before.
-    fn note_return(&self, topic: Topic, back: bool) {
+    fn note_readable(&self, topic: Topic, back: bool) {
         if !back {
             return;
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    async fn read_on(
+    async fn read_next(
         self: &Rc<Self>,
         store: &mut StoreClient,
         topic: Topic,
@@ -145,7 +145,7 @@
         let (wait, lags) = self.feed(topic, |feed| {
             (feed.read_wait(clock::now()), feed.is_lagging())
         });
-        let read = store.read(name(topic), from, wait, None).await?;
+        let read = store.read(topic_name(topic), from, wait, None).await?;
         // A neighbour may have sent some of the records in the meantime.
         let known = self.feed(topic, |feed| feed.next()).unwrap_or(from);
         let alone = self.neighbours.borrow().is_empty();
@@ -153,9 +153,9 @@
         let back = self.feed(topic, |feed| {
             feed.read_finished(read.next(), alone, draw, clock::now())
         });
-        self.note_return(topic, back);
+        self.note_readable(topic, back);
         let skip = usize::try_from(known.saturating_sub(from)).unwrap_or(usize::MAX);
-        self.take_records(topic, known, read.records.iter().skip(skip));
+        self.apply_records(topic, known, read.records.iter().skip(skip));
         let news = RecordUpdate {
             topic,
             reader: self.settings.peers,
@@ -200,15 +200,15 @@
                 return false;
             }
         };
-        self.note_return(news.topic, recovered);
+        self.note_readable(news.topic, recovered);
         let known = news.from + skip;
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
-        self.take_records(news.topic, known, news.records.iter().skip(skip));
+        self.apply_records(news.topic, known, news.records.iter().skip(skip));
         true
     }
 
     /// Applies records; `from` is the offset of the first one.
-    fn take_records<'a>(&self, topic: Topic, from: u64, records: impl Iterator<Item = &'a Bytes>) {
+    fn apply_records<'a>(&self, topic: Topic, from: u64, records: impl Iterator<Item = &'a Bytes>) {
         for (offset, bytes) in (from..).zip(records) {
             let mut caches = self.caches.borrow_mut();
             caches.of(topic).recent.push(offset, bytes.clone());
@@ -222,9 +222,9 @@
                 .of(topic)
                 .put(&record, bytes.clone());
             match topic {
-                Topic::Operators => self.take_order(&record),
+                Topic::Operators => self.apply_operator_record(&record),
                 Topic::Endpoints => {
-                    let entry = decoded(&record);
+                    let entry = decode_entry(&record);
                     self.registry
                         .borrow_mut()
                         .apply(&record.key, entry, clock::now());
@@ -234,46 +234,46 @@
     }
 
     /// Reads the newest record of each key, at the start or after the store deleted records.
-    async fn read_all(
+    async fn read_snapshot(
         self: &Rc<Self>,
         store: &mut StoreClient,
         topic: Topic,
     ) -> Result<(), StoreError> {
-        let (records, end) = newest(store, name(topic)).await?;
+        let (records, end) = read_newest(store, topic_name(topic)).await?;
         let draw = self.draw_share();
         let back = self.feed(topic, |feed| {
             feed.full_read_finished(end, draw, clock::now())
         });
-        self.note_return(topic, back);
-        let first = !self.knows(topic);
-        self.take_all(topic, &records);
+        self.note_readable(topic, back);
+        let first = !self.has_topic(topic);
+        self.apply_snapshot(topic, &records);
         self.distribute_snapshot(topic, first);
         Ok(())
     }
 
     /// Applies the newest records of all keys of a topic.
-    pub(super) fn take_all(self: &Rc<Self>, topic: Topic, records: &[Record]) {
+    pub(super) fn apply_snapshot(self: &Rc<Self>, topic: Topic, records: &[Record]) {
         self.caches.borrow_mut().of(topic).replace(records);
         match topic {
-            Topic::Operators => self.take_all_orders(records),
-            Topic::Endpoints => self.take_all_endpoints(records),
+            Topic::Operators => self.apply_all_operator_records(records),
+            Topic::Endpoints => self.apply_all_endpoints(records),
         }
     }
 
-    fn take_all_endpoints(&self, records: &[Record]) {
+    fn apply_all_endpoints(&self, records: &[Record]) {
         let entries: BTreeMap<String, Entry> = records
             .iter()
-            .filter_map(|r| Some((r.key.clone(), decoded(r)?)))
+            .filter_map(|r| Some((r.key.clone(), decode_entry(r)?)))
             .collect();
         let mut registry = self.registry.borrow_mut();
         registry.replace(entries, clock::now());
-        self.listed.set(true);
-        self.known.notify_waiters();
+        self.endpoints_loaded.set(true);
+        self.config_loaded.notify_waiters();
         log::info!("E0313 endpoints-listed endpoints={}", registry.len());
     }
 
     /// Applies the newest operator records; data centres without a record return to service.
-    fn take_all_orders(&self, records: &[Record]) {
+    fn apply_all_operator_records(&self, records: &[Record]) {
         let named: BTreeSet<DataCentreKey> = records
             .iter()
             .filter_map(|r| match operator::classify_key(&r.key) {
@@ -286,14 +286,14 @@
             self.set_leaving(*centre, false);
         }
         for record in records {
-            self.take_order(record);
+            self.apply_operator_record(record);
         }
     }
 
-    fn take_order(&self, record: &Record) {
+    fn apply_operator_record(&self, record: &Record) {
         match (operator::classify_key(&record.key), &record.value) {
             (Subject::Leaving(centre), value) => self.set_leaving(centre, value.is_some()),
-            (Subject::Catalogue, Some(value)) => self.take_catalogue(value),
+            (Subject::Catalogue, Some(value)) => self.apply_catalogue(value),
             (Subject::Catalogue, None) => {
                 log::warn!("E0311 config-withdrawn; the current configuration stays in force");
             }
@@ -301,7 +301,7 @@
         }
     }
 
-    fn take_catalogue(&self, value: &[u8]) {
+    fn apply_catalogue(&self, value: &[u8]) {
         match operator::decode(value) {
             Ok(catalogue) => {
                 let version = catalogue.version;
@@ -311,7 +311,7 @@
                         value.len()
                     );
                     self.forget_routes();
-                    self.known.notify_waiters();
+                    self.config_loaded.notify_waiters();
                 }
             }
             Err(error) => log::error!("E0304 record-skipped key=config error={error:?}"),
@@ -358,7 +358,7 @@
     }
 }
 
-fn name(topic: Topic) -> &'static str {
+fn topic_name(topic: Topic) -> &'static str {
     match topic {
         Topic::Operators => operator::TOPIC,
         Topic::Endpoints => endpoint::TOPIC,
@@ -369,7 +369,10 @@
 ///
 /// The pages are not a consistent snapshot. Reading continues from the end offset
 /// of the first page, so records written in the meantime are read again.
-async fn newest(store: &mut StoreClient, topic: &str) -> Result<(Vec<Record>, u64), StoreError> {
+async fn read_newest(
+    store: &mut StoreClient,
+    topic: &str,
+) -> Result<(Vec<Record>, u64), StoreError> {
     let mut page = store.newest(topic, None).await?;
     let end = page.end;
     let mut records = page.records;
@@ -381,7 +384,7 @@
 }
 
 /// Returns the entry of a record, or `None` for a record that deletes its key.
-fn decoded(record: &Record) -> Option<Entry> {
+fn decode_entry(record: &Record) -> Option<Entry> {
     let value = record.value.as_ref()?;
     let result = endpoint::decode(&record.key, value);
     if let Err(error) = &result {
--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -133,17 +133,17 @@
         if clock::now() < search.due {
             return;
         }
-        if self.knows_neighbours() {
+        if self.has_neighbours() {
             search.done(true, clock::now());
             return;
         }
         if let Err(error) = self.find_neighbours(store).await {
             log::warn!("E0316 neighbours-unknown error={error:?}");
         }
-        search.done(self.knows_neighbours(), clock::now());
+        search.done(self.has_neighbours(), clock::now());
     }
 
-    pub(super) fn knows_neighbours(&self) -> bool {
+    pub(super) fn has_neighbours(&self) -> bool {
         !self.neighbours.borrow().is_empty()
     }
 
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -109,12 +109,12 @@
     started: Moment,
     orders: RefCell<OperatorConfig>,
     registry: RefCell<Registry>,
-    listed: Cell<bool>,
+    endpoints_loaded: Cell<bool>,
     feeds: RefCell<Feeds>,
     /// Wakes the tasks that follow the store when their next read is due earlier.
-    sooner: Notify,
+    schedule_changed: Notify,
     /// Wakes requests that wait for routes and endpoints to be loaded.
-    known: Notify,
+    config_loaded: Notify,
     caches: RefCell<TopicCaches>,
     socket: UdpSocket,
     neighbours: RefCell<Neighbours>,
@@ -188,10 +188,10 @@
             started: clock::now(),
             orders: RefCell::default(),
             registry: RefCell::default(),
-            listed: Cell::new(false),
+            endpoints_loaded: Cell::new(false),
             feeds: RefCell::new(feeds),
-            sooner: Notify::new(),
-            known: Notify::new(),
+            schedule_changed: Notify::new(),
+            config_loaded: Notify::new(),
             caches: RefCell::default(),
             socket,
             neighbours: RefCell::new(neighbours),
@@ -221,17 +221,17 @@
 
     /// Returns whether this host has routes and endpoints and isn't shutting down.
     pub fn is_ready(&self) -> bool {
-        self.knows_all() && *self.stage.borrow() == Stage::Serving
+        self.has_all_topics() && *self.stage.borrow() == Stage::Serving
     }
 
-    fn knows_all(&self) -> bool {
-        self.knows(Topic::Operators) && self.knows(Topic::Endpoints)
+    fn has_all_topics(&self) -> bool {
+        self.has_topic(Topic::Operators) && self.has_topic(Topic::Endpoints)
     }
 
-    fn knows(&self, topic: Topic) -> bool {
+    fn has_topic(&self, topic: Topic) -> bool {
         match topic {
             Topic::Operators => self.orders.borrow().catalogue.is_some(),
-            Topic::Endpoints => self.listed.get(),
+            Topic::Endpoints => self.endpoints_loaded.get(),
         }
     }
 
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -84,7 +84,7 @@
                 self.await_greeting().await;
             }
         }
-        while !self.knows_all() {
+        while !self.has_all_topics() {
             for topic in [Topic::Operators, Topic::Endpoints] {
                 self.request_snapshot(topic);
             }
@@ -113,7 +113,7 @@
                 feed.neighbours_counted(known, expected, draw, clock::now());
             });
         }
-        self.sooner.notify_waiters();
+        self.schedule_changed.notify_waiters();
     }
 
     /// Returns the expected number of neighbours, estimated from this host's share of all hosts.
@@ -166,7 +166,7 @@
     pub(super) fn distribute_snapshot(self: &Rc<Self>, topic: Topic, first: bool) {
         let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
         let next = self.feed(topic, |feed| feed.next());
-        let lacking = !waiting.is_empty() || first && self.knows_neighbours();
+        let lacking = !waiting.is_empty() || first && self.has_neighbours();
         if let (true, Some(next)) = (lacking, next) {
             let snapshot = self.snapshot(topic, next, true);
             self.distribute(topic, &NeighbourMessage::Snapshot(snapshot));
@@ -212,7 +212,7 @@
         );
         let draw = self.draw_share();
         self.feed(topic, |f| f.snapshot_received(next, draw, clock::now()));
-        self.take_all(topic, &records);
+        self.apply_snapshot(topic, &records);
         let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
         if !held.shared {
             for asker in waiting {
