--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -135,10 +135,12 @@
             RequestBody::Streamed(body.start, more.clone())
         }
     };
-    let service = route.pick_service(gateway.draw()).ok_or(Denial::NotRun(
-        "the route has no service",
-        DEFAULT_RETRY_DELAY,
-    ))?;
+    let service = route
+        .pick_service(gateway.random_u64())
+        .ok_or(Denial::NotRun(
+            "the route has no service",
+            DEFAULT_RETRY_DELAY,
+        ))?;
     let timeout = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
         gateway,
@@ -289,7 +291,7 @@
 
     /// Returns the time after which the caller should retry.
     fn retry_after(&self, last: Option<LastFailure>) -> Duration {
-        let draw = self.gateway.draw_share();
+        let draw = self.gateway.random_fraction();
         if let Some(LastFailure::Rejected(_) | LastFailure::Unsent(_)) = last {
             return retry_after::short_delay(draw);
         }
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -69,7 +69,7 @@
 
     fn note_read_failure(&self, topic: Topic, error: &StoreError) {
         let now = clock::now();
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         if let StoreError::Forgotten(_) = error {
             self.feed(topic, |feed| feed.offset_trimmed(now));
             return;
@@ -87,13 +87,13 @@
 
     /// Handles a neighbour's message that its read of a topic failed.
     pub(super) fn handle_read_failure(&self, topic: Topic) {
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         self.feed(topic, |feed| feed.neighbour_read_failed(draw, clock::now()));
     }
 
     /// Handles a neighbour's message that it has begun to read a topic.
     pub(super) fn handle_read_start(&self, topic: Topic) {
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         self.feed(topic, |f| f.neighbour_read_started(draw, clock::now()));
     }
 
@@ -149,7 +149,7 @@
         // A neighbour may have sent some of the records in the meantime.
         let known = self.feed(topic, |feed| feed.next()).unwrap_or(from);
         let alone = self.neighbours.borrow().is_empty();
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         let back = self.feed(topic, |feed| {
             feed.read_finished(read.next(), alone, draw, clock::now())
         });
@@ -183,7 +183,7 @@
             return false;
         }
         let now = clock::now();
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         // Of two readers, the one with the lower address continues.
         let yields = news.reader < self.settings.peers;
         let next = news.next();
@@ -240,7 +240,7 @@
         topic: Topic,
     ) -> Result<(), StoreError> {
         let (records, end) = read_newest(store, topic_name(topic)).await?;
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         let back = self.feed(topic, |feed| {
             feed.full_read_finished(end, draw, clock::now())
         });
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -181,7 +181,7 @@
     }
 
     fn postpone_read(&self, topic: Topic) {
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         self.feed(topic, |feed| feed.fragment_received(draw, clock::now()));
     }
 
@@ -217,7 +217,7 @@
 
     fn request_fragments(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
         self.postpone_read(topic);
-        let draw = self.draw();
+        let draw = self.random_u64();
         let to = match source {
             RequestTarget::Origin(origin) => Some(origin),
             RequestTarget::Any => self.neighbours.borrow().any(draw),
--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -116,7 +116,8 @@
     /// other.
     fn start_pause(&self) -> Duration {
         GREETING_WAIT
-            + read_schedule::restart_jitter(self.expected_neighbours()).mul_f64(self.draw_share())
+            + read_schedule::restart_jitter(self.expected_neighbours())
+                .mul_f64(self.random_fraction())
     }
 
     fn set_share(&self, parts: usize) {
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -236,12 +236,12 @@
     }
 
     /// Returns a uniformly distributed random `u64`.
-    fn draw(&self) -> u64 {
+    fn random_u64(&self) -> u64 {
         self.random.borrow_mut().random()
     }
 
     /// Returns a uniformly distributed random number from 0 to 1.
-    fn draw_share(&self) -> f64 {
+    fn random_fraction(&self) -> f64 {
         self.random.borrow_mut().random()
     }
 
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -72,7 +72,7 @@
             if tick.is_multiple_of(REMOTE_HELLO_TICKS) {
                 self.greet_remote_host();
             }
-            let draw = self.draw();
+            let draw = self.random_u64();
             let asked = self.neighbours.borrow_mut().next_query(draw);
             if let Some(neighbour) = asked {
                 self.send(neighbour, &self.hello(true));
@@ -82,7 +82,7 @@
 
     /// Greets a random host of another data centre, so that some hosts there know this one.
     fn greet_remote_host(&self) {
-        let draw = self.draw();
+        let draw = self.random_u64();
         let stranger = self.neighbours.borrow().any_remote(draw);
         if let Some(stranger) = stranger {
             self.send(stranger, &self.hello(false));
@@ -126,7 +126,7 @@
     /// The greeting also names a few of `others`, the hosts of other data centres.
     pub(super) fn greet_members(&self, hosts: Vec<SocketAddr>, others: Vec<Contact>) {
         let now = clock::now();
-        let draw = self.draw();
+        let draw = self.random_u64();
         let mut known = self.neighbours.borrow_mut();
         for host in &hosts {
             known.add(*host, now);
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -115,7 +115,7 @@
 
     /// Asks a random neighbour for unused probe budget; `request_id` identifies the request.
     fn borrow_probes(&self, request_id: u32) {
-        let draw = self.draw();
+        let draw = self.random_u64();
         let neighbour = self.neighbours.borrow().any(draw);
         if let Some(neighbour) = neighbour {
             self.send(neighbour, &NeighbourMessage::Borrow(request_id));
@@ -165,7 +165,7 @@
             regions,
             cold: Quota::cold(plan.map_or(0.0, |p| p.cold_rate), self.share.get()),
         };
-        let mut draw = || self.draw_share();
+        let mut draw = || self.random_fraction();
         placement.next(&mut context, request, clock::now(), &mut draw)
     }
 
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -203,8 +203,8 @@
                 continue;
             };
             let known = self.neighbours.borrow();
-            let one = known.any(self.draw());
-            let stranger = known.any_remote(self.draw());
+            let one = known.any(self.random_u64());
+            let stranger = known.any_remote(self.random_u64());
             drop(known);
             for host in one.into_iter().chain(stranger) {
                 self.send(host, &reminder);
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -69,7 +69,7 @@
         if self.feed(topic, |feed| feed.next()).is_some() {
             return;
         }
-        let draw = self.draw();
+        let draw = self.random_u64();
         if let Some(address) = self.neighbours.borrow().any(draw) {
             self.send(address, &NeighbourMessage::SnapshotRequest(topic));
         }
@@ -78,7 +78,7 @@
     /// Requests snapshots from neighbours until this host has both topics.
     pub(super) async fn fetch_topics(self: Rc<Self>) {
         match self.settings.first_start {
-            true => sleep(FETCH_DELAY + FETCH_JITTER.mul_f64(self.draw_share())).await,
+            true => sleep(FETCH_DELAY + FETCH_JITTER.mul_f64(self.random_fraction())).await,
             false => {
                 spawn_local(Rc::clone(&self).postpone_first_read());
                 self.await_greeting().await;
@@ -108,7 +108,7 @@
         let known = self.neighbours.borrow().len();
         let expected = self.expected_neighbours();
         for topic in [Topic::Operators, Topic::Endpoints] {
-            let draw = self.draw_share();
+            let draw = self.random_fraction();
             self.feed(topic, |feed| {
                 feed.neighbours_counted(known, expected, draw, clock::now());
             });
@@ -210,7 +210,7 @@
             "E0317 topic-handed-over topic={topic:?} records={}",
             records.len()
         );
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         self.feed(topic, |f| f.snapshot_received(next, draw, clock::now()));
         self.apply_snapshot(topic, &records);
         let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
