--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -58,7 +58,7 @@
 pub use settings::{Bounds, Live, Settings};
 use topic_cache::TopicCaches;
 use traffic::Traffic;
-use wait_queue::Lines;
+use wait_queue::WaitQueues;
 
 /// The reason why a host can't start.
 #[derive(Debug, Error)]
@@ -126,7 +126,7 @@
     retry_budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
     service_times: RefCell<BTreeMap<String, ServiceTime>>,
     probe_budget: RefCell<HostProbeBudget>,
-    lines: RefCell<Lines>,
+    queues: RefCell<WaitQueues>,
     share: Cell<f64>,
     random: RefCell<SmallRng>,
     stage: watch::Sender<Stage>,
@@ -202,7 +202,7 @@
             retry_budgets: RefCell::default(),
             service_times: RefCell::default(),
             probe_budget: RefCell::new(probe_budget),
-            lines: RefCell::default(),
+            queues: RefCell::default(),
             share: Cell::new(0.0),
             random: RefCell::new(random),
             stage: watch::Sender::new(Stage::Serving),
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 use super::Gateway;
-use super::wait_queue::Standing;
+use super::wait_queue::QueueEntry;
 use crate::clock;
 use crate::upstream::{Connection, RequestBody};
 
@@ -67,11 +67,11 @@
             gateway: self,
             connections: BTreeMap::new(),
         };
-        let mut standing = self
-            .anyone_waits(request.service)
-            .then(|| self.stand(request));
+        let mut entry = self
+            .has_waiting(request.service)
+            .then(|| self.enqueue(request));
         loop {
-            let is_first = standing.as_ref().is_none_or(Standing::is_first);
+            let is_first = entry.as_ref().is_none_or(QueueEntry::is_first);
             let step = self.step(&mut placement.borrow_mut(), request, regions, is_first);
             match step {
                 Step::Probe(key) => match self.probe(key).await {
@@ -89,8 +89,8 @@
                 }
                 Step::Wait(time) => {
                     probed.return_to_pool();
-                    let standing = standing.get_or_insert_with(|| self.stand(request));
-                    standing.wait(time).await;
+                    let entry = entry.get_or_insert_with(|| self.enqueue(request));
+                    entry.wait(time).await;
                 }
                 Step::Refuse(refusal) => return Err(refusal),
             }
