--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -23,25 +23,25 @@
 ///
 /// The interval doubles each time, since a host may be the only one of its data
 /// centre.
-const SEARCH_PAUSE: Duration = Duration::from_secs(1);
+const MIN_SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The interval between searches of a host that knows neighbours, and the longest interval.
 ///
 /// Neighbours name each other in their greetings, so a search only repairs losses.
-const SEARCH_LONGEST: Duration = Duration::from_secs(60);
+const MAX_SEARCH_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The schedule of searches for neighbours in the store's group.
-struct Search {
+struct NeighbourSearch {
     due: Moment,
     pause: Duration,
 }
 
-impl Search {
+impl NeighbourSearch {
     /// Returns a schedule whose first search is at `due`.
-    fn new(due: Moment) -> Search {
-        Search {
+    fn new(due: Moment) -> NeighbourSearch {
+        NeighbourSearch {
             due,
-            pause: SEARCH_PAUSE,
+            pause: MIN_SEARCH_INTERVAL,
         }
     }
 
@@ -52,9 +52,13 @@
 
     /// Schedules the next search; `found` tells whether any neighbour is known.
     fn done(&mut self, found: bool, now: Moment) {
-        let pause = if found { SEARCH_LONGEST } else { self.pause };
+        let pause = if found {
+            MAX_SEARCH_INTERVAL
+        } else {
+            self.pause
+        };
         self.due = now + pause;
-        self.pause = (self.pause * 2).min(SEARCH_LONGEST);
+        self.pause = (self.pause * 2).min(MAX_SEARCH_INTERVAL);
     }
 }
 
@@ -63,14 +67,14 @@
     ///
     /// While the store is unavailable no partition is reassigned, so the last known
     /// shares of all hosts still add up to one.
-    pub(super) async fn keep_share(self: Rc<Self>) {
+    pub(super) async fn maintain_group(self: Rc<Self>) {
         let mut store = StoreClient::new(self.settings.log);
         let topics = group_joins::group_topics();
-        let member = self.member();
+        let member = self.member_name();
         let mut joins = GroupJoins::default();
         let mut due = clock::now();
         // When a whole site starts, it takes a moment until all hosts have joined.
-        let mut search = Search::new(clock::now() + SEARCH_PAUSE);
+        let mut search = NeighbourSearch::new(clock::now() + MIN_SEARCH_INTERVAL);
         let mut first = !self.settings.first_start;
         loop {
             if clock::now() >= due {
@@ -78,7 +82,7 @@
                 due = clock::now() + pause;
             }
             if std::mem::take(&mut first) {
-                search = Search::new(self.started + self.start_pause());
+                search = NeighbourSearch::new(self.started + self.restart_delay());
             }
             self.search(&mut store, &mut search).await;
             let now = clock::now();
@@ -114,7 +118,7 @@
     /// Guards against a burst of calls after all hosts lost power, when the seeds
     /// restart last: one host searches first and introduces the others to each
     /// other.
-    fn start_pause(&self) -> Duration {
+    fn restart_delay(&self) -> Duration {
         GREETING_WAIT
             + read_schedule::restart_jitter(self.expected_neighbours())
                 .mul_f64(self.random_fraction())
@@ -130,7 +134,7 @@
     }
 
     /// Searches the store's group for neighbours, if a search is due and no neighbour is known.
-    async fn search(&self, store: &mut StoreClient, search: &mut Search) {
+    async fn search(&self, store: &mut StoreClient, search: &mut NeighbourSearch) {
         if clock::now() < search.due {
             return;
         }
@@ -165,7 +169,7 @@
     /// until the old membership expires, and after a power loss the group would
     /// count twice as many members as there are hosts. The name contains what
     /// neighbours need: the data centre and the address.
-    fn member(&self) -> String {
+    fn member_name(&self) -> String {
         format!("{}/{}", self.settings.data_centre, self.settings.peers)
     }
 }
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -159,7 +159,7 @@
         spawn_local(Rc::clone(&gateway).fetch_topics());
         spawn_local(Rc::clone(&gateway).follow(Topic::Operators));
         spawn_local(Rc::clone(&gateway).follow(Topic::Endpoints));
-        spawn_local(Rc::clone(&gateway).keep_share());
+        spawn_local(Rc::clone(&gateway).maintain_group());
         spawn_local(Rc::clone(&gateway).keep_pool());
         spawn_local(Rc::clone(&gateway).report_traffic());
         spawn_local(Rc::clone(&gateway).confirm_crashes());
