--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -223,7 +223,7 @@
 
 impl Call<'_> {
     async fn serve(&self, body: RequestBody) -> Result<Box<Answer>, Denial> {
-        if let Some(left) = self.gateway.quarantined(self.fingerprints) {
+        if let Some(left) = self.gateway.quarantine_left(self.fingerprints) {
             return Err(Denial::Quarantined(left));
         }
         let placement = RefCell::new(Placement::default());
@@ -363,7 +363,7 @@
         match progress.last {
             _ if may_have_run > 0 && !self.route.idempotent => return false,
             Some(LastFailure::Refused(_) | LastFailure::Quarantined(_)) => return false,
-            _ if self.gateway.quarantined(self.fingerprints).is_some() => return false,
+            _ if self.gateway.quarantine_left(self.fingerprints).is_some() => return false,
             Some(LastFailure::Unsent(_)) => return progress.unsent < MAX_UNSENT_ATTEMPTS,
             _ => {}
         }
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -35,7 +35,7 @@
         }
         drop(registry);
         let granted =
-            |_: &RateLimitUpdate| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
+            |_: &RateLimitUpdate| self.limit_reports.borrow_mut().grant(1, clock::now()) == 1;
         if let Some(advice) = advice.filter(granted) {
             self.broadcast_all_centres(|cross_centre| {
                 NeighbourMessage::LimitReport(LimitReport {
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -52,7 +52,7 @@
 use crate::clock;
 use fragments::Transfers;
 use pool::Pool;
-use quarantine::Suspects;
+use quarantine::CrashTracker;
 use report_limiter::ReportLimiter;
 use request_log::RequestLog;
 pub use settings::{Bounds, Live, Settings};
@@ -132,7 +132,7 @@
     stage: watch::Sender<Stage>,
     callers: Cell<usize>,
     requests: RefCell<RequestLog>,
-    suspects: RefCell<Suspects>,
+    crash_tracker: RefCell<CrashTracker>,
     limit_reports: RefCell<ReportLimiter>,
     /// Wakes the task that checks whether an endpoint crashed.
     broken_notify: Notify,
@@ -163,7 +163,7 @@
         spawn_local(Rc::clone(&gateway).keep_pool());
         spawn_local(Rc::clone(&gateway).report_traffic());
         spawn_local(Rc::clone(&gateway).confirm_crashes());
-        spawn_local(Rc::clone(&gateway).remind_of_crashes());
+        spawn_local(Rc::clone(&gateway).send_reminders());
         log::info!(
             "E0502 host-started name={} callers={} log={}",
             gateway.settings.name,
@@ -208,7 +208,7 @@
             stage: watch::Sender::new(Stage::Serving),
             callers: Cell::new(0),
             requests: RefCell::default(),
-            suspects: RefCell::default(),
+            crash_tracker: RefCell::default(),
             limit_reports: RefCell::default(),
             broken_notify: Notify::new(),
         }
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -257,7 +257,7 @@
         match greeted {
             _ if hello.wants_hosts => {
                 self.send(from, &self.host_list(&hello.centre));
-                if let Some(crashes) = self.known_crashes() {
+                if let Some(crashes) = self.quarantine_message() {
                     self.send(from, &crashes);
                 }
             }
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -28,10 +28,10 @@
 /// The interval at which the quarantine is sent to a random neighbour.
 ///
 /// Reminders reach hosts that missed a report, and hosts that have just started.
-const REMIND_EVERY: Duration = Duration::from_secs(1);
+const REMINDER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A request's run whose connection broke.
-struct Broken {
+struct BrokenRun {
     endpoint: EndpointKey,
     address: SocketAddr,
     crash: Crash,
@@ -39,18 +39,18 @@
 
 /// This host's knowledge of requests that crash endpoints.
 #[derive(Default)]
-pub(super) struct Suspects {
+pub(super) struct CrashTracker {
     quarantine: Quarantine,
     /// Broken runs not yet checked for a crash of their endpoint.
-    broken: Vec<Broken>,
+    broken: Vec<BrokenRun>,
     reports: ReportLimiter,
 }
 
 impl Gateway {
     /// Returns how much longer a request is quarantined, `None` if it may be sent.
-    pub(super) fn quarantined(&self, request: Fingerprints) -> Option<Duration> {
-        let suspects = self.suspects.borrow();
-        suspects.quarantine.remaining(request, clock::now())
+    pub(super) fn quarantine_left(&self, request: Fingerprints) -> Option<Duration> {
+        let crash_tracker = self.crash_tracker.borrow();
+        crash_tracker.quarantine.remaining(request, clock::now())
     }
 
     /// Decides whether a request may be sent to an endpoint now.
@@ -60,7 +60,11 @@
     /// Returns how much longer the request is quarantined.
     pub(super) fn admit(&self, request: Fingerprints) -> Result<(), Duration> {
         let now = clock::now();
-        let admission = self.suspects.borrow_mut().quarantine.admit(request, now);
+        let admission = self
+            .crash_tracker
+            .borrow_mut()
+            .quarantine
+            .admit(request, now);
         match admission {
             Decision::Pass => Ok(()),
             Decision::Reject(left) => Err(left),
@@ -79,7 +83,7 @@
             // An endpoint that was removed closes its connections; this is no crash.
             return;
         };
-        self.suspects.borrow_mut().broken.push(Broken {
+        self.crash_tracker.borrow_mut().broken.push(BrokenRun {
             endpoint,
             address: state.endpoint.address,
             crash: Crash {
@@ -94,10 +98,10 @@
     /// Records that an endpoint answered a request, which may clear its quarantine.
     pub(super) fn note_answered(&self, request: Fingerprints) {
         let now = clock::now();
-        let mut suspects = self.suspects.borrow_mut();
-        let cleared = suspects.quarantine.note_answer(request, now);
-        let told = suspects.reports.take(cleared.len(), now);
-        drop(suspects);
+        let mut crash_tracker = self.crash_tracker.borrow_mut();
+        let cleared = crash_tracker.quarantine.note_answer(request, now);
+        let told = crash_tracker.reports.grant(cleared.len(), now);
+        drop(crash_tracker);
         if told > 0 {
             self.report_crashes(&[], &cleared);
         }
@@ -107,14 +111,14 @@
     pub(super) async fn confirm_crashes(self: Rc<Self>) {
         loop {
             self.broken_notify.notified().await;
-            let broken = std::mem::take(&mut self.suspects.borrow_mut().broken);
+            let broken = std::mem::take(&mut self.crash_tracker.borrow_mut().broken);
             let mut endpoints: BTreeMap<(EndpointKey, SocketAddr), Vec<Crash>> = BTreeMap::new();
             for run in broken {
                 let runs = endpoints.entry((run.endpoint, run.address)).or_default();
                 runs.push(run.crash);
             }
             for ((endpoint, address), runs) in endpoints {
-                spawn_local(Rc::clone(&self).confirm(endpoint, address, runs));
+                spawn_local(Rc::clone(&self).confirm_crash(endpoint, address, runs));
             }
         }
     }
@@ -124,28 +128,33 @@
     /// A connection also breaks when a middlebox resets it, or when an endpoint
     /// aborts some of its requests. Only a refused connection shows that the process
     /// has ended. A timeout proves nothing: this host itself may be disconnected.
-    async fn confirm(self: Rc<Self>, endpoint: EndpointKey, address: SocketAddr, runs: Vec<Crash>) {
+    async fn confirm_crash(
+        self: Rc<Self>,
+        endpoint: EndpointKey,
+        address: SocketAddr,
+        runs: Vec<Crash>,
+    ) {
         match Connection::open(endpoint, address).await {
             Ok(connection) => self.keep(connection, &HeaderMap::new()),
             Err(ConnectError::Refused(_, error))
                 if error.kind() == ErrorKind::ConnectionRefused =>
             {
-                self.take_crashes(&runs);
+                self.record_crashes(&runs);
             }
             Err(error) => log::debug!("E0143 crash-unconfirmed address={address} error={error}"),
         }
     }
 
     /// Records runs that ended with a crash of their endpoint, and reports them to all hosts.
-    fn take_crashes(&self, runs: &[Crash]) {
+    fn record_crashes(&self, runs: &[Crash]) {
         let now = clock::now();
-        let mut suspects = self.suspects.borrow_mut();
+        let mut crash_tracker = self.crash_tracker.borrow_mut();
         let mut findings = Vec::new();
         for run in runs {
-            findings.extend(suspects.quarantine.note_crash(run, Reporter::ThisHost));
+            findings.extend(crash_tracker.quarantine.note_crash(run, Reporter::ThisHost));
         }
-        let told = suspects.reports.take(runs.len(), now);
-        drop(suspects);
+        let told = crash_tracker.reports.grant(runs.len(), now);
+        drop(crash_tracker);
         findings.iter().for_each(log_finding);
         let ended = runs.iter().take(told).map(|run| CrashedRun {
             request: run.request,
@@ -159,7 +168,7 @@
     /// Handles another host's report of crashes and quarantined requests.
     pub(super) fn handle_crash_report(&self, crashes: CrashReport) {
         let now = clock::now();
-        let mut suspects = self.suspects.borrow_mut();
+        let mut crash_tracker = self.crash_tracker.borrow_mut();
         for ended in &crashes.runs {
             let at = now - ended.age;
             let crash = Crash {
@@ -167,15 +176,17 @@
                 sent: at - ended.ran,
                 at,
             };
-            let findings = suspects.quarantine.note_crash(&crash, Reporter::OtherHost);
+            let findings = crash_tracker
+                .quarantine
+                .note_crash(&crash, Reporter::OtherHost);
             findings.iter().for_each(log_finding);
         }
         for finding in &crashes.findings {
-            if suspects.quarantine.apply(finding, now) {
+            if crash_tracker.quarantine.apply(finding, now) {
                 log_finding(finding);
             }
         }
-        drop(suspects);
+        drop(crash_tracker);
         if crashes.cross_centre {
             self.broadcast(&NeighbourMessage::CrashReport(CrashReport {
                 cross_centre: false,
@@ -185,21 +196,21 @@
     }
 
     /// Returns a message with all quarantined requests, `None` if there are none.
-    pub(super) fn known_crashes(&self) -> Option<NeighbourMessage> {
-        let suspects = self.suspects.borrow();
-        let findings = suspects.quarantine.updates(clock::now());
+    pub(super) fn quarantine_message(&self) -> Option<NeighbourMessage> {
+        let crash_tracker = self.crash_tracker.borrow();
+        let findings = crash_tracker.quarantine.updates(clock::now());
         (!findings.is_empty()).then(|| message(false, Vec::new(), findings))
     }
 
     /// Periodically sends the quarantine to other hosts; never returns.
-    pub(super) async fn remind_of_crashes(self: Rc<Self>) {
-        let mut ticks = interval(REMIND_EVERY);
+    pub(super) async fn send_reminders(self: Rc<Self>) {
+        let mut ticks = interval(REMINDER_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             let now = clock::now();
-            self.suspects.borrow_mut().quarantine.forget(now);
-            let Some(reminder) = self.known_crashes() else {
+            self.crash_tracker.borrow_mut().quarantine.forget(now);
+            let Some(reminder) = self.quarantine_message() else {
                 continue;
             };
             let known = self.neighbours.borrow();
--- a/components/transport/src/gateway/report_limiter.rs
+++ b/components/transport/src/gateway/report_limiter.rs
@@ -5,10 +5,10 @@
 use state::Moment;
 
 /// Maximum number of reports within one window.
-const REPORTS: usize = 8;
+const MAX_REPORTS: usize = 8;
 
 /// The window in which reports are counted.
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// A rate limiter for one kind of report.
 #[derive(Default)]
@@ -19,12 +19,12 @@
 
 impl ReportLimiter {
     /// Returns how many of the `wanted` reports may be sent now, and counts these.
-    pub fn take(&mut self, wanted: usize, now: Moment) -> usize {
-        if now.since(self.began) >= SPAN {
+    pub fn grant(&mut self, wanted: usize, now: Moment) -> usize {
+        if now.since(self.began) >= WINDOW {
             self.began = now;
             self.count = 0;
         }
-        let granted = wanted.min(REPORTS - self.count);
+        let granted = wanted.min(MAX_REPORTS - self.count);
         self.count += granted;
         granted
     }
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -22,7 +22,7 @@
 const LINES_LIMIT: u32 = 100;
 
 /// The window in which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Counts the lines of the current window.
 #[derive(Default)]
@@ -35,7 +35,7 @@
 impl RequestLog {
     /// Returns whether a line may be written now, and counts the line.
     fn take(&mut self, now: Moment) -> bool {
-        if now.since(self.began) >= SPAN {
+        if now.since(self.began) >= WINDOW {
             if self.left > 0 {
                 log::info!("E0127 denials-unlogged lines={}", self.left);
             }
