--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -198,7 +198,7 @@
         let rest = loop {
             match connection.next_chunk(&mut incoming).await {
                 None => {
-                    self.gateway.keep(connection, &parts.headers);
+                    self.gateway.keep_connection(connection, &parts.headers);
                     break None;
                 }
                 Some(Err(_)) => {
--- a/components/transport/src/gateway/drain.rs
+++ b/components/transport/src/gateway/drain.rs
@@ -11,13 +11,13 @@
 ///
 /// The balancer checks readiness once a second and removes a host after the
 /// second failed check.
-const NOTICE: Duration = Duration::from_millis(2_600);
+const BALANCER_DELAY: Duration = Duration::from_millis(2_600);
 
 /// How long before the end of the platform's grace period the process exits by itself.
-const MARGIN: Duration = Duration::from_millis(250);
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
 
 /// The interval at which the number of open caller connections is checked.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Gateway {
     /// Shuts down: reports not ready at once, later rejects new requests, and
@@ -33,11 +33,11 @@
         log::info!("E0503 host-draining name={}", self.settings.name);
         self.stage.send_replace(Stage::Leaving);
         let grace = self.live.borrow().bounds.grace;
-        sleep(NOTICE.min(grace / 2)).await;
+        sleep(BALANCER_DELAY.min(grace / 2)).await;
         self.stage.send_replace(Stage::Closing);
-        let last = began + grace.saturating_sub(MARGIN);
+        let last = began + grace.saturating_sub(EXIT_MARGIN);
         while self.callers.get() > 0 && Instant::now() < last {
-            sleep_until((Instant::now() + LOOK_EVERY).min(last)).await;
+            sleep_until((Instant::now() + POLL_INTERVAL).min(last)).await;
         }
         log::info!(
             "E0504 host-stopped name={} left={}",
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -131,7 +131,7 @@
     random: RefCell<SmallRng>,
     stage: watch::Sender<Stage>,
     callers: Cell<usize>,
-    requests: RefCell<RequestLog>,
+    request_log: RefCell<RequestLog>,
     crash_tracker: RefCell<CrashTracker>,
     limit_reports: RefCell<ReportLimiter>,
     /// Wakes the task that checks whether an endpoint crashed.
@@ -160,7 +160,7 @@
         spawn_local(Rc::clone(&gateway).follow(Topic::Operators));
         spawn_local(Rc::clone(&gateway).follow(Topic::Endpoints));
         spawn_local(Rc::clone(&gateway).maintain_group());
-        spawn_local(Rc::clone(&gateway).keep_pool());
+        spawn_local(Rc::clone(&gateway).sweep_pool());
         spawn_local(Rc::clone(&gateway).report_traffic());
         spawn_local(Rc::clone(&gateway).confirm_crashes());
         spawn_local(Rc::clone(&gateway).send_reminders());
@@ -207,7 +207,7 @@
             random: RefCell::new(random),
             stage: watch::Sender::new(Stage::Serving),
             callers: Cell::new(0),
-            requests: RefCell::default(),
+            request_log: RefCell::default(),
             crash_tracker: RefCell::default(),
             limit_reports: RefCell::default(),
             broken_notify: Notify::new(),
--- a/components/transport/src/gateway/pool.rs
+++ b/components/transport/src/gateway/pool.rs
@@ -18,7 +18,7 @@
 /// How long before the endpoint's idle limit this host closes a connection.
 ///
 /// A request sent while the endpoint closes may or may not have run.
-const EARLIER: Duration = Duration::from_millis(1_500);
+const CLOSE_MARGIN: Duration = Duration::from_millis(1_500);
 
 /// The interval at which expired and closed idle connections are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -26,15 +26,15 @@
 /// Maximum number of idle connections to one endpoint.
 ///
 /// A host seldom has more than a few requests at one endpoint at the same time.
-const KEPT: usize = 6;
+const MAX_IDLE: usize = 6;
 
 /// The idle connections of all endpoints.
 #[derive(Default)]
 pub struct Pool {
-    idle: BTreeMap<EndpointKey, Vec<Kept>>,
+    idle: BTreeMap<EndpointKey, Vec<IdleConnection>>,
 }
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
     until: Moment,
 }
@@ -71,10 +71,10 @@
         if kept.len() >= most || !connection.is_usable() {
             return;
         }
-        let time = limit.map_or(IDLE_TIMEOUT, |l| l.saturating_sub(EARLIER));
+        let time = limit.map_or(IDLE_TIMEOUT, |l| l.saturating_sub(CLOSE_MARGIN));
         connection.reused = true;
         connection.idle_since = now;
-        kept.push(Kept {
+        kept.push(IdleConnection {
             connection,
             until: now + time,
         });
@@ -98,9 +98,9 @@
     /// Returns a connection to the pool; `fields` are the headers of its last answer.
     ///
     /// The answer must have been read completely.
-    pub(super) fn keep(&self, connection: Connection, fields: &HeaderMap) {
+    pub(super) fn keep_connection(&self, connection: Connection, fields: &HeaderMap) {
         let limit = platform::headers::keep_alive_timeout(fields);
-        let most = self.kept_limit(connection.endpoint);
+        let most = self.max_idle(connection.endpoint);
         self.pool
             .borrow_mut()
             .put(connection, limit, most, clock::now());
@@ -110,18 +110,18 @@
     ///
     /// The endpoint's connection limit applies to all hosts together. Half of this
     /// host's share may be idle, which leaves the other half for those in use.
-    fn kept_limit(&self, key: EndpointKey) -> usize {
+    fn max_idle(&self, key: EndpointKey) -> usize {
         let orders = self.orders.borrow();
         let registry = self.registry.borrow();
         let service = registry.get(key).map(|s| s.endpoint.service);
         let plan = service.and_then(|s| orders.catalogue.as_ref()?.services.get(&s));
         let connections = f64::from(plan.map_or(0, |p| p.connections));
         let mine = connections * self.share.get() / 2.0;
-        (mine as usize).clamp(1, KEPT)
+        (mine as usize).clamp(1, MAX_IDLE)
     }
 
     /// Periodically drops expired and closed idle connections; never returns.
-    pub(super) async fn keep_pool(self: Rc<Self>) {
+    pub(super) async fn sweep_pool(self: Rc<Self>) {
         let mut ticks = interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -41,7 +41,7 @@
     /// Returns the connections to the pool.
     fn return_to_pool(&mut self) {
         for (connection, fields) in std::mem::take(&mut self.connections).into_values() {
-            self.gateway.keep(connection, &fields);
+            self.gateway.keep_connection(connection, &fields);
         }
     }
 }
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -135,7 +135,7 @@
         runs: Vec<Crash>,
     ) {
         match Connection::open(endpoint, address).await {
-            Ok(connection) => self.keep(connection, &HeaderMap::new()),
+            Ok(connection) => self.keep_connection(connection, &HeaderMap::new()),
             Err(ConnectError::Refused(_, error))
                 if error.kind() == ErrorKind::ConnectionRefused =>
             {
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -19,7 +19,7 @@
 ///
 /// A line costs about 20 µs, so the limit is 2 % of a small host's CPU. On the
 /// busiest days observed a host writes fewer than 20 lines per second.
-const LINES_LIMIT: u32 = 100;
+const MAX_LINES: u32 = 100;
 
 /// The window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
@@ -29,25 +29,25 @@
 pub(super) struct RequestLog {
     began: Moment,
     lines: u32,
-    left: u32,
+    skipped: u32,
 }
 
 impl RequestLog {
     /// Returns whether a line may be written now, and counts the line.
-    fn take(&mut self, now: Moment) -> bool {
+    fn try_line(&mut self, now: Moment) -> bool {
         if now.since(self.began) >= WINDOW {
-            if self.left > 0 {
-                log::info!("E0127 denials-unlogged lines={}", self.left);
+            if self.skipped > 0 {
+                log::info!("E0127 denials-unlogged lines={}", self.skipped);
             }
             *self = RequestLog {
                 began: now,
                 ..RequestLog::default()
             };
         }
-        let written = self.lines < LINES_LIMIT;
+        let written = self.lines < MAX_LINES;
         match written {
             true => self.lines += 1,
-            false => self.left += 1,
+            false => self.skipped += 1,
         }
         written
     }
@@ -57,7 +57,7 @@
     /// Logs a request that got no answer from an endpoint.
     pub(super) fn log_denial(&self, fields: &HeaderMap, denial: &Denial, arrived: Moment) {
         let now = clock::now();
-        if !self.requests.borrow_mut().take(now) {
+        if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         let orders = self.orders.borrow();
@@ -83,7 +83,7 @@
     ) {
         let now = clock::now();
         let time = now.since(arrived);
-        if time <= objective || !self.requests.borrow_mut().take(now) {
+        if time <= objective || !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         log::info!(
@@ -109,7 +109,7 @@
         error: &hyper::Error,
     ) {
         let now = clock::now();
-        if !self.requests.borrow_mut().take(now) {
+        if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         let registry = self.registry.borrow();
@@ -127,7 +127,7 @@
     /// Logs that a request is retried or hedged.
     pub(super) fn log_retry(&self, fields: &HeaderMap, why: &str, arrived: Moment) {
         let now = clock::now();
-        if !self.requests.borrow_mut().take(now) {
+        if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         log::info!(
--- a/components/transport/src/gateway/traffic.rs
+++ b/components/transport/src/gateway/traffic.rs
@@ -11,23 +11,23 @@
 use super::Gateway;
 
 /// The interval at which the counts are logged.
-const REPORT_EVERY: Duration = Duration::from_secs(10);
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A number of datagrams and of their bytes.
 #[derive(Clone, Copy, Default)]
-struct Amount {
+struct DatagramCount {
     datagrams: u64,
     bytes: u64,
 }
 
-impl Amount {
+impl DatagramCount {
     fn add(&mut self, bytes: usize) {
         self.datagrams += 1;
         self.bytes += bytes as u64;
     }
 }
 
-impl fmt::Display for Amount {
+impl fmt::Display for DatagramCount {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.datagrams, self.bytes)
     }
@@ -36,8 +36,8 @@
 /// The datagrams by kind of message since the last log line.
 #[derive(Default)]
 pub(super) struct Traffic {
-    sent: BTreeMap<&'static str, Amount>,
-    received: BTreeMap<&'static str, Amount>,
+    sent: BTreeMap<&'static str, DatagramCount>,
+    received: BTreeMap<&'static str, DatagramCount>,
 }
 
 impl Traffic {
@@ -55,8 +55,8 @@
 impl fmt::Display for Traffic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (direction, kinds) in [("sent", &self.sent), ("received", &self.received)] {
-            for (kind, amount) in kinds {
-                write!(f, " {direction}_{kind}={amount}")?;
+            for (kind, count) in kinds {
+                write!(f, " {direction}_{kind}={count}")?;
             }
         }
         Ok(())
@@ -67,9 +67,9 @@
     /// Periodically logs the counts of datagrams by kind; never returns.
     pub(super) async fn report_traffic(self: Rc<Self>) {
         loop {
-            sleep(REPORT_EVERY).await;
+            sleep(REPORT_INTERVAL).await;
             let traffic = std::mem::take(&mut *self.traffic.borrow_mut());
-            let seconds = REPORT_EVERY.as_secs();
+            let seconds = REPORT_INTERVAL.as_secs();
             log::info!("E0424 datagrams seconds={seconds}{traffic}");
         }
     }
