--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -74,7 +74,7 @@
     /// When the request was sent to the endpoint.
     pub sent: Moment,
     /// The endpoint's expected slowdown at that moment; 1 means as long as usual.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 /// The rest of a long answer's body, still being received.
@@ -128,16 +128,16 @@
         };
         self.placement.borrow_mut().note_tried(key);
         let began = clock::now();
-        let pace = self.slowdown(key, began);
+        let slowdown = self.expected_slowdown(key, began);
         let _running = Running::start(self.gateway, key);
         self.may_have_run.set(self.may_have_run.get() + 1);
         match connection.send(request).await {
             Ok(answer) => {
                 let (parts, incoming) = answer.into_parts();
                 let ending = self
-                    .read(key, connection, parts, incoming, (began, pace))
+                    .read(key, connection, parts, incoming, (began, slowdown))
                     .await;
-                self.record_ending(key, &ending, began, pace);
+                self.record_ending(key, &ending, began, slowdown);
                 ending
             }
             Err(RequestError::Unsent) => {
@@ -158,7 +158,7 @@
         self.may_have_run.set(self.may_have_run.get() - 1);
     }
 
-    fn slowdown(&self, key: EndpointKey, now: Moment) -> f64 {
+    fn expected_slowdown(&self, key: EndpointKey, now: Moment) -> f64 {
         let registry = self.gateway.registry.borrow();
         registry
             .get(key)
@@ -173,13 +173,13 @@
         *request.method_mut() = self.parts.method.clone();
         *request.version_mut() = Version::HTTP_11;
         *request.uri_mut() = self.parts.uri.path_and_query()?.clone().into();
-        let mut fields = self.parts.headers.clone();
-        remove_hop_by_hop(&mut fields);
+        let mut headers = self.parts.headers.clone();
+        remove_hop_by_hop(&mut headers);
         // This host has already met `Expect: 100-continue` by reading the body.
-        fields.remove(EXPECT);
+        headers.remove(EXPECT);
         let left = clock::now().until(self.request.deadline);
-        platform::headers::set_request_headers(&mut fields, &endpoint.instance, left);
-        *request.headers_mut() = fields;
+        platform::headers::set_request_headers(&mut headers, &endpoint.instance, left);
+        *request.headers_mut() = headers;
         Some(request)
     }
 
@@ -189,7 +189,7 @@
         mut connection: Connection,
         parts: AnswerParts,
         mut incoming: Incoming,
-        (sent, pace): (Moment, f64),
+        (sent, slowdown): (Moment, f64),
     ) -> Ending {
         if !platform::headers::matches_request(&self.parts.headers, &parts.headers) {
             return Ending::Lost("the answer belongs to another request");
@@ -220,16 +220,16 @@
             start: start.freeze(),
             rest,
             sent,
-            pace,
+            slowdown,
         };
         self.classify(Box::new(answer))
     }
 
     /// Classifies an answer.
     fn classify(&self, answer: Box<Answer>) -> Ending {
-        let fields = &answer.parts.headers;
+        let headers = &answer.parts.headers;
         match answer.parts.status {
-            status if platform::headers::is_not_run(fields) => {
+            status if platform::headers::is_not_run(headers) => {
                 self.mark_not_run();
                 match status {
                     StatusCode::MISDIRECTED_REQUEST => {
@@ -242,8 +242,8 @@
                 self.mark_not_run();
                 Ending::Rejected("another endpoint is there")
             }
-            _ if !platform::headers::is_signed(fields) => Ending::Lost("the answer is not signed"),
-            _ if fields.contains_key(CONTENT_ENCODING) => {
+            _ if !platform::headers::is_signed(headers) => Ending::Lost("the answer is not signed"),
+            _ if headers.contains_key(CONTENT_ENCODING) => {
                 Ending::Lost("the answer's body is encoded")
             }
             // Forwarding these statuses would promise the caller that the request
@@ -259,18 +259,18 @@
     }
 
     /// Records the attempt's result in the endpoint's state.
-    fn record_ending(&self, key: EndpointKey, ending: &Ending, began: Moment, pace: f64) {
+    fn record_ending(&self, key: EndpointKey, ending: &Ending, began: Moment, slowdown: f64) {
         let time = clock::now().since(began);
         let outcome = match ending {
             Ending::Answered(_) => {
                 self.gateway.note_answered(self.fingerprints);
-                let usual = self
+                let slow_limit = self
                     .request
                     .service_time
-                    .mul_f64(pace.max(1.0) * SLOW_FACTOR);
+                    .mul_f64(slowdown.max(1.0) * SLOW_FACTOR);
                 self.gateway
-                    .with_service_time(self.route, |s| s.note(time, pace));
-                match time > usual {
+                    .with_service_time(self.route, |s| s.note(time, slowdown));
+                match time > slow_limit {
                     true => Outcome::Slow,
                     false => Outcome::Answered,
                 }
@@ -286,9 +286,9 @@
 
 impl Answer {
     /// Returns the answer's headers to be sent to the caller.
-    pub fn fields(&self) -> HeaderMap {
-        let mut fields = self.parts.headers.clone();
-        remove_hop_by_hop(&mut fields);
-        fields
+    pub fn headers(&self) -> HeaderMap {
+        let mut headers = self.parts.headers.clone();
+        remove_hop_by_hop(&mut headers);
+        headers
     }
 }
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -181,8 +181,8 @@
 
 /// Returns the route of a request, and the body size limit in bytes.
 fn route(gateway: &Gateway, parts: &Parts) -> Result<(Route, u64), Denial> {
-    let orders = gateway.orders.borrow();
-    let catalogue = orders.catalogue.as_ref().ok_or(Denial::NoCatalogue)?;
+    let config = gateway.config.borrow();
+    let catalogue = config.catalogue.as_ref().ok_or(Denial::NoCatalogue)?;
     if !gateway.endpoints_loaded.get() {
         return Err(Denial::NoCatalogue);
     }
@@ -231,7 +231,7 @@
         let attempt = Attempt {
             gateway: self.gateway,
             parts: self.parts,
-            request: self.placing_request(),
+            request: self.placement_request(),
             route: self.route,
             fingerprints: self.fingerprints,
             placement: &placement,
@@ -264,14 +264,14 @@
             match self.next(&mut pending, hedge).await {
                 Event::Ended(Ending::Answered(answer)) => return Ok(answer),
                 Event::Ended(ending) => {
-                    progress.take(ending);
+                    progress.record(ending);
                     let may_have_run = attempt.may_have_run.get();
                     if whole.is_some() && self.may_retry(&mut progress, may_have_run) {
                         self.log_retry(progress.reason());
                         pending.push(Box::pin(again()));
                     } else if pending.is_empty() {
-                        let back = self.retry_after(progress.last);
-                        return progress.give_up(may_have_run, back);
+                        let delay = self.retry_after(progress.last);
+                        return progress.give_up(may_have_run, delay);
                     }
                 }
                 Event::HedgeDue => {
@@ -282,8 +282,8 @@
                     }
                 }
                 Event::Expired => {
-                    let back = self.retry_after(progress.last);
-                    return progress.expire(attempt.may_have_run.get(), back);
+                    let delay = self.retry_after(progress.last);
+                    return progress.expire(attempt.may_have_run.get(), delay);
                 }
             }
         }
@@ -295,7 +295,7 @@
         if let Some(LastFailure::Rejected(_) | LastFailure::Unsent(_)) = last {
             return retry_after::short_delay(draw);
         }
-        retry_after::retry_after(&self.placing_request(), draw, clock::now())
+        retry_after::retry_after(&self.placement_request(), draw, clock::now())
     }
 
     fn log_retry(&self, reason: &str) {
@@ -303,7 +303,7 @@
             .log_retry(&self.parts.headers, reason, self.arrived);
     }
 
-    fn placing_request(&self) -> placement::Request {
+    fn placement_request(&self) -> placement::Request {
         let service_time = self
             .gateway
             .with_service_time(self.route, |service_time| service_time.estimate());
@@ -385,7 +385,7 @@
 
 impl Progress {
     /// Records the result of an attempt without an answer to forward at once.
-    fn take(&mut self, ending: Ending) {
+    fn record(&mut self, ending: Ending) {
         self.last = Some(match ending {
             Ending::Answered(answer) | Ending::Failed(answer) => {
                 self.failure = Some(answer);
@@ -417,18 +417,18 @@
     }
 
     /// Returns the final answer of a request whose deadline has passed.
-    fn expire(self, may_have_run: u32, back: Duration) -> Result<Box<Answer>, Denial> {
+    fn expire(self, may_have_run: u32, delay: Duration) -> Result<Box<Answer>, Denial> {
         match self.failure {
             Some(answer) => Ok(answer),
             None if may_have_run > 0 => Err(Denial::Silent),
-            None => Err(not_run(Refusal::TooLate, back)),
+            None => Err(not_run(Refusal::TooLate, delay)),
         }
     }
 
     /// Returns the final answer of a request that is not retried.
     ///
     /// "Not run" is only reported if every endpoint that received the request said so.
-    fn give_up(self, may_have_run: u32, back: Duration) -> Result<Box<Answer>, Denial> {
+    fn give_up(self, may_have_run: u32, delay: Duration) -> Result<Box<Answer>, Denial> {
         if let Some(answer) = self.failure {
             return Ok(answer);
         }
@@ -436,28 +436,28 @@
             Some(LastFailure::Lost(reason)) => Denial::Unknown(reason),
             _ if may_have_run > 0 => Denial::Unknown("an earlier attempt may have run"),
             Some(LastFailure::Quarantined(left)) => Denial::Quarantined(left),
-            Some(LastFailure::Refused(refusal)) => not_run(refusal, back),
+            Some(LastFailure::Refused(refusal)) => not_run(refusal, delay),
             Some(LastFailure::Rejected(reason) | LastFailure::Unsent(reason)) => {
-                Denial::NotRun(reason, back)
+                Denial::NotRun(reason, delay)
             }
             Some(LastFailure::Failed) | None => Denial::Unknown("the endpoint failed"),
         })
     }
 }
 
-fn not_run(refusal: Refusal, back: Duration) -> Denial {
+fn not_run(refusal: Refusal, delay: Duration) -> Denial {
     match refusal {
-        Refusal::NoEndpoint => Denial::NotRun("no endpoint can be used", back),
-        Refusal::Full => Denial::NotRun("all endpoints are full", back),
-        Refusal::TooLate => Denial::NotRun("no endpoint was free in time", back),
-        Refusal::Limited => Denial::NotRun("the endpoints' rate limits are used up", back),
+        Refusal::NoEndpoint => Denial::NotRun("no endpoint can be used", delay),
+        Refusal::Full => Denial::NotRun("all endpoints are full", delay),
+        Refusal::TooLate => Denial::NotRun("no endpoint was free in time", delay),
+        Refusal::Limited => Denial::NotRun("the endpoints' rate limits are used up", delay),
     }
 }
 
 fn forward_answer(answer: Box<Answer>) -> Response<AnswerBody> {
-    let fields = answer.fields();
+    let headers = answer.headers();
     let mut response = Response::new(AnswerBody::relay(answer.start, answer.rest));
     *response.status_mut() = answer.parts.status;
-    *response.headers_mut() = fields;
+    *response.headers_mut() = headers;
     response
 }
--- a/components/transport/src/gateway/denial.rs
+++ b/components/transport/src/gateway/denial.rs
@@ -70,17 +70,17 @@
         let text = Bytes::from(format!("{self}\n"));
         let mut response = Response::new(AnswerBody::whole(text));
         *response.status_mut() = self.status();
-        let fields = response.headers_mut();
-        fields.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+        let headers = response.headers_mut();
+        headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if let Some(id) = request.get(ATTEMPT_ID) {
-            fields.insert(ATTEMPT_ID, id.clone());
+            headers.insert(ATTEMPT_ID, id.clone());
         }
         if let Some(time) = self.retry_after() {
-            platform::headers::set_retry_after(fields, time);
+            platform::headers::set_retry_after(headers, time);
         }
         if matches!(self, Denial::Body(_)) {
             // The unread rest of the body can't be distinguished from the next request.
-            fields.insert(CONNECTION, HeaderValue::from_static("close"));
+            headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -27,11 +27,11 @@
         let mut store = StoreClient::new(self.settings.log);
         loop {
             self.await_due(topic).await;
-            let (next, reads) = self.feed(topic, |feed| {
-                feed.begin_read();
-                (feed.next(), feed.is_reader())
+            let (next, is_reader) = self.with_schedule(topic, |schedule| {
+                schedule.begin_read();
+                (schedule.next(), schedule.is_reader())
             });
-            if !reads {
+            if !is_reader {
                 self.broadcast(&NeighbourMessage::ReadStarted(topic));
             }
             let result = match next {
@@ -48,7 +48,7 @@
     /// Waits until the next read by this host itself is due.
     async fn await_due(&self, topic: Topic) {
         loop {
-            let due = self.feed(topic, |feed| feed.due());
+            let due = self.with_schedule(topic, |schedule| schedule.due());
             let left = clock::now().until(due);
             if left.is_zero() {
                 return;
@@ -59,11 +59,15 @@
     }
 
     /// Runs `act` on the reading state of a topic.
-    pub(super) fn feed<R>(&self, topic: Topic, act: impl FnOnce(&mut ReadSchedule) -> R) -> R {
-        let mut feeds = self.feeds.borrow_mut();
+    pub(super) fn with_schedule<R>(
+        &self,
+        topic: Topic,
+        act: impl FnOnce(&mut ReadSchedule) -> R,
+    ) -> R {
+        let mut schedules = self.schedules.borrow_mut();
         match topic {
-            Topic::Operators => act(&mut feeds.operators),
-            Topic::Endpoints => act(&mut feeds.endpoints),
+            Topic::Operators => act(&mut schedules.operators),
+            Topic::Endpoints => act(&mut schedules.endpoints),
         }
     }
 
@@ -71,12 +75,12 @@
         let now = clock::now();
         let draw = self.random_fraction();
         if let StoreError::Forgotten(_) = error {
-            self.feed(topic, |feed| feed.offset_trimmed(now));
+            self.with_schedule(topic, |schedule| schedule.offset_trimmed(now));
             return;
         }
-        let failures = self.feed(topic, |feed| {
-            feed.read_failed(draw, now);
-            feed.failures()
+        let failures = self.with_schedule(topic, |schedule| {
+            schedule.read_failed(draw, now);
+            schedule.failures()
         });
         if failures == 1 {
             log::warn!("E0301 log-unreadable topic={topic:?} error={error:?}");
@@ -88,46 +92,46 @@
     /// Handles a neighbour's message that its read of a topic failed.
     pub(super) fn handle_read_failure(&self, topic: Topic) {
         let draw = self.random_fraction();
-        self.feed(topic, |feed| feed.neighbour_read_failed(draw, clock::now()));
+        self.with_schedule(topic, |s| s.neighbour_read_failed(draw, clock::now()));
     }
 
     /// Handles a neighbour's message that it has begun to read a topic.
     pub(super) fn handle_read_start(&self, topic: Topic) {
         let draw = self.random_fraction();
-        self.feed(topic, |f| f.neighbour_read_started(draw, clock::now()));
+        self.with_schedule(topic, |s| s.neighbour_read_started(draw, clock::now()));
     }
 
     /// Handles records read by a host of another data centre, on behalf of all neighbours.
-    pub(super) fn handle_cross_centre(self: &Rc<Self>, news: RecordUpdate, teller: SocketAddr) {
-        let topic = news.topic;
-        let Some(next) = self.feed(topic, |feed| feed.next()) else {
+    pub(super) fn handle_cross_centre(self: &Rc<Self>, update: RecordUpdate, sender: SocketAddr) {
+        let topic = update.topic;
+        let Some(next) = self.with_schedule(topic, |schedule| schedule.next()) else {
             return;
         };
-        if news.from > next {
+        if update.from > next {
             if self.is_receiving(topic) {
                 return;
             }
-            self.feed(topic, |feed| feed.mark_lagging(clock::now()));
+            self.with_schedule(topic, |schedule| schedule.mark_lagging(clock::now()));
             self.schedule_changed.notify_waiters();
             return;
         }
-        let stale = self.feed(topic, |feed| feed.is_stale(clock::now()));
-        let new = self.handle_update(&news, teller);
+        let stale = self.with_schedule(topic, |schedule| schedule.is_stale(clock::now()));
+        let new = self.handle_update(&update, sender);
         if new || stale {
-            let news = RecordUpdate {
+            let update = RecordUpdate {
                 relay_root: self.settings.peers,
                 cross_centre: false,
-                ..news
+                ..update
             };
-            self.send_update(news, true);
+            self.send_update(update, true);
         }
     }
 
     /// Records that a topic is readable again, by this host or by a neighbour.
     ///
-    /// `back` tells whether reads of this host had failed before.
-    fn note_readable(&self, topic: Topic, back: bool) {
-        if !back {
+    /// `recovered` tells whether reads of this host had failed before.
+    fn note_readable(&self, topic: Topic, recovered: bool) {
+        if !recovered {
             return;
         }
         log::info!("E0310 log-readable-again topic={topic:?}");
@@ -142,21 +146,23 @@
         topic: Topic,
         from: u64,
     ) -> Result<(), StoreError> {
-        let (wait, lags) = self.feed(topic, |feed| {
-            (feed.read_wait(clock::now()), feed.is_lagging())
+        let (wait, is_lagging) = self.with_schedule(topic, |schedule| {
+            (schedule.read_wait(clock::now()), schedule.is_lagging())
         });
         let read = store.read(topic_name(topic), from, wait, None).await?;
         // A neighbour may have sent some of the records in the meantime.
-        let known = self.feed(topic, |feed| feed.next()).unwrap_or(from);
+        let known = self
+            .with_schedule(topic, |schedule| schedule.next())
+            .unwrap_or(from);
         let alone = self.neighbours.borrow().is_empty();
         let draw = self.random_fraction();
-        let back = self.feed(topic, |feed| {
-            feed.read_finished(read.next(), alone, draw, clock::now())
+        let recovered = self.with_schedule(topic, |schedule| {
+            schedule.read_finished(read.next(), alone, draw, clock::now())
         });
-        self.note_readable(topic, back);
+        self.note_readable(topic, recovered);
         let skip = usize::try_from(known.saturating_sub(from)).unwrap_or(usize::MAX);
         self.apply_records(topic, known, read.records.iter().skip(skip));
-        let news = RecordUpdate {
+        let update = RecordUpdate {
             topic,
             reader: self.settings.peers,
             relay_root: self.settings.peers,
@@ -164,46 +170,57 @@
             from,
             records: read.records,
         };
-        let reader = self.feed(topic, |feed| feed.is_reader());
+        let reader = self.with_schedule(topic, |schedule| schedule.is_reader());
         if reader {
-            self.send_cross_centre(&news);
+            self.send_cross_centre(&update);
         }
-        self.send_update(news, reader || lags);
+        self.send_update(update, reader || is_lagging);
         Ok(())
     }
 
     /// Handles records that a neighbour has read, and returns whether any were new.
     ///
-    /// If earlier records are missing, requests them from `teller`, unless a
+    /// If earlier records are missing, requests them from `sender`, unless a
     /// message with them is being received.
-    pub(super) fn handle_update(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
-        let ahead = |next: u64| news.from > next;
-        if self.is_receiving(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
-            self.defer_update(news, teller);
+    pub(super) fn handle_update(
+        self: &Rc<Self>,
+        update: &RecordUpdate,
+        sender: SocketAddr,
+    ) -> bool {
+        let ahead = |next: u64| update.from > next;
+        if self.is_receiving(update.topic)
+            && self
+                .with_schedule(update.topic, |s| s.next())
+                .is_some_and(ahead)
+        {
+            self.defer_update(update, sender);
             return false;
         }
         let now = clock::now();
         let draw = self.random_fraction();
         // Of two readers, the one with the lower address continues.
-        let yields = news.reader < self.settings.peers;
-        let next = news.next();
-        let told = self.feed(news.topic, |feed| {
-            feed.update_received(news.from, next, yields, draw, now)
+        let yields = update.reader < self.settings.peers;
+        let next = update.next();
+        let outcome = self.with_schedule(update.topic, |schedule| {
+            schedule.update_received(update.from, next, yields, draw, now)
         });
-        let (skip, recovered) = match told {
+        let (skip, recovered) = match outcome {
             UpdateOutcome::Apply { skip, recovered } => (skip, recovered),
             UpdateOutcome::Known => return false,
             UpdateOutcome::Gap => {
-                if let Some(from) = self.feed(news.topic, |feed| feed.next()) {
-                    self.send(teller, &NeighbourMessage::RecordsRequest(news.topic, from));
+                if let Some(from) = self.with_schedule(update.topic, |schedule| schedule.next()) {
+                    self.send(
+                        sender,
+                        &NeighbourMessage::RecordsRequest(update.topic, from),
+                    );
                 }
                 return false;
             }
         };
-        self.note_readable(news.topic, recovered);
-        let known = news.from + skip;
+        self.note_readable(update.topic, recovered);
+        let known = update.from + skip;
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
-        self.apply_records(news.topic, known, news.records.iter().skip(skip));
+        self.apply_records(update.topic, known, update.records.iter().skip(skip));
         true
     }
 
@@ -241,10 +258,10 @@
     ) -> Result<(), StoreError> {
         let (records, end) = read_newest(store, topic_name(topic)).await?;
         let draw = self.random_fraction();
-        let back = self.feed(topic, |feed| {
-            feed.full_read_finished(end, draw, clock::now())
+        let recovered = self.with_schedule(topic, |schedule| {
+            schedule.full_read_finished(end, draw, clock::now())
         });
-        self.note_readable(topic, back);
+        self.note_readable(topic, recovered);
         let first = !self.has_topic(topic);
         self.apply_snapshot(topic, &records);
         self.distribute_snapshot(topic, first);
@@ -281,7 +298,7 @@
                 _ => None,
             })
             .collect();
-        let left = self.orders.borrow().leaving_centres.clone();
+        let left = self.config.borrow().leaving_centres.clone();
         for centre in left.difference(&named) {
             self.set_leaving(*centre, false);
         }
@@ -305,7 +322,7 @@
         match operator::decode(value) {
             Ok(catalogue) => {
                 let version = catalogue.version;
-                if self.orders.borrow_mut().adopt(catalogue) {
+                if self.config.borrow_mut().adopt(catalogue) {
                     log::info!(
                         "E0302 config-in-force version={version} bytes={}",
                         value.len()
@@ -323,8 +340,8 @@
     /// Operators make a thousand changes a day, many of them with new route names,
     /// so the map would otherwise grow without limit.
     fn forget_routes(&self) {
-        let orders = self.orders.borrow();
-        let Some(catalogue) = &orders.catalogue else {
+        let config = self.config.borrow();
+        let Some(catalogue) = &config.catalogue else {
             return;
         };
         let named: BTreeSet<&str> = catalogue.routes.iter().map(|r| r.name.as_str()).collect();
@@ -333,10 +350,10 @@
     }
 
     fn set_leaving(&self, centre: DataCentreKey, leaving: bool) {
-        let mut orders = self.orders.borrow_mut();
+        let mut config = self.config.borrow_mut();
         let changed = match leaving {
-            true => orders.leaving_centres.insert(centre),
-            false => orders.leaving_centres.remove(&centre),
+            true => config.leaving_centres.insert(centre),
+            false => config.leaving_centres.remove(&centre),
         };
         if !changed {
             return;
@@ -346,7 +363,7 @@
             centre.0
         );
         if !leaving {
-            let catalogue = orders.catalogue.as_ref();
+            let catalogue = config.catalogue.as_ref();
             let warmup = |service: ServiceKey| {
                 let plan = catalogue.and_then(|c| c.services.get(&service));
                 plan.map(|p| p.warmup).unwrap_or_default()
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -134,14 +134,14 @@
     /// Handles a fragment, and forwards a fragment marked for distribution.
     pub(super) fn handle_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
         let now = clock::now();
-        let taken = self.transfers.borrow_mut().fragments.insert(fragment, now);
-        if taken == Inserted::Ignored {
+        let inserted = self.transfers.borrow_mut().fragments.insert(fragment, now);
+        if inserted == Inserted::Ignored {
             return;
         }
         if fragment.relay {
             self.forward_fragment(topic, fragment);
         }
-        match taken {
+        match inserted {
             Inserted::Ignored => {}
             Inserted::New => self.await_fragments(topic, fragment.message),
             Inserted::Complete(message) => {
@@ -182,7 +182,7 @@
 
     fn postpone_read(&self, topic: Topic) {
         let draw = self.random_fraction();
-        self.feed(topic, |feed| feed.fragment_received(draw, clock::now()));
+        self.with_schedule(topic, |s| s.fragment_received(draw, clock::now()));
     }
 
     /// Requests missing fragments until the message is complete or given up.
@@ -190,13 +190,13 @@
         while self.transfers.borrow().fragments.is_incomplete(message) {
             sleep(FRAGMENT_TIMEOUT).await;
             let now = clock::now();
-            let ask =
+            let request =
                 self.transfers
                     .borrow_mut()
                     .fragments
                     .next_request(message, FRAGMENT_TIMEOUT, now);
-            if let Some((source, lacking)) = ask {
-                self.request_fragments(topic, source, lacking);
+            if let Some((target, request)) = request {
+                self.request_fragments(topic, target, request);
             }
         }
         if self
@@ -215,15 +215,15 @@
         self.expire_later().await;
     }
 
-    fn request_fragments(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
+    fn request_fragments(&self, topic: Topic, target: RequestTarget, request: FragmentRequest) {
         self.postpone_read(topic);
         let draw = self.random_u64();
-        let to = match source {
+        let to = match target {
             RequestTarget::Origin(origin) => Some(origin),
             RequestTarget::Any => self.neighbours.borrow().any(draw),
         };
         if let Some(to) = to {
-            self.send(to, &NeighbourMessage::FragmentRequest(topic, lacking));
+            self.send(to, &NeighbourMessage::FragmentRequest(topic, request));
         }
     }
 
@@ -232,26 +232,26 @@
         &self,
         from: SocketAddr,
         topic: Topic,
-        lacking: &FragmentRequest,
+        request: &FragmentRequest,
     ) {
         let now = clock::now();
         if self.transfers.borrow().outbox.is_busy() {
             // The neighbour soon repeats its request.
             return;
         }
-        let fragments = self.transfers.borrow_mut().fragments.resend(lacking, now);
+        let fragments = self.transfers.borrow_mut().fragments.resend(request, now);
         self.queue(topic, fragments.into_iter().map(|f| (from, f)));
     }
 
     fn handle_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
         match NeighbourMessage::decode(message) {
-            Ok(NeighbourMessage::Update(news)) => {
-                let news = RecordUpdate {
+            Ok(NeighbourMessage::Update(update)) => {
+                let update = RecordUpdate {
                     reader: origin,
                     relay_root: origin,
-                    ..news
+                    ..update
                 };
-                self.handle_update(&news, origin);
+                self.handle_update(&update, origin);
             }
             Ok(NeighbourMessage::Snapshot(snapshot)) => self.handle_snapshot(snapshot),
             Ok(_) => log::warn!(
@@ -271,24 +271,24 @@
     }
 
     /// Keeps an update until the records before it have arrived.
-    pub(super) fn defer_update(&self, news: &RecordUpdate, teller: SocketAddr) {
+    pub(super) fn defer_update(&self, update: &RecordUpdate, sender: SocketAddr) {
         let mut transfers = self.transfers.borrow_mut();
         if transfers.deferred.len() == MAX_DEFERRED_UPDATES {
             // A gap in the records is filled by reading from the store.
             transfers.deferred.pop_front();
         }
-        transfers.deferred.push_back((news.clone(), teller));
+        transfers.deferred.push_back((update.clone(), sender));
     }
 
     /// Handles the updates that waited for a large message about this topic.
     fn handle_deferred(self: &Rc<Self>, topic: Topic) {
         let waiting = std::mem::take(&mut self.transfers.borrow_mut().deferred);
-        for (news, teller) in waiting {
-            match news.topic == topic {
+        for (update, sender) in waiting {
+            match update.topic == topic {
                 true => {
-                    self.handle_update(&news, teller);
+                    self.handle_update(&update, sender);
                 }
-                false => self.defer_update(&news, teller),
+                false => self.defer_update(&update, sender),
             }
         }
     }
--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -124,9 +124,9 @@
                 .mul_f64(self.random_fraction())
     }
 
-    fn set_share(&self, parts: usize) {
+    fn set_share(&self, partitions: usize) {
         let total = (group_joins::GROUP_TOPICS * self.settings.partitions).max(1);
-        let share = parts as f64 / total as f64;
+        let share = partitions as f64 / total as f64;
         if (share - self.share.get()).abs() > f64::EPSILON {
             log::info!("E0314 share-changed share={share:.3}");
         }
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -14,9 +14,9 @@
     ///
     /// An answer without a limit ends a known one, except for a rejection, which
     /// may omit the limit.
-    pub(super) fn learn_limit(&self, key: EndpointKey, fields: &HeaderMap, source: Source) {
-        let rate = match platform::headers::rate_limit(fields) {
-            Ok(None) if platform::headers::is_not_run(fields) => return,
+    pub(super) fn learn_limit(&self, key: EndpointKey, headers: &HeaderMap, source: Source) {
+        let rate = match platform::headers::rate_limit(headers) {
+            Ok(None) if platform::headers::is_not_run(headers) => return,
             Ok(rate) => rate,
             Err(error) => {
                 log::debug!("E0145 limit-unreadable error={error}");
@@ -24,9 +24,9 @@
             }
         };
         let mut registry = self.registry.borrow_mut();
-        let held = registry.limits().contains(key);
+        let cached = registry.limits().contains(key);
         let advice = registry.observe_limit(key, rate, source);
-        if held != registry.limits().contains(key) {
+        if cached != registry.limits().contains(key) {
             let instance = registry.get(key).map(|s| s.endpoint.instance.as_str());
             log::info!(
                 "E0144 limit-advertised instance={} rate={rate:?} source={source:?}",
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -80,23 +80,23 @@
 }
 
 /// The reading state of each topic of the store.
-struct Feeds {
+struct ReadSchedules {
     operators: ReadSchedule,
     endpoints: ReadSchedule,
 }
 
-impl Feeds {
+impl ReadSchedules {
     /// Returns the initial feeds; `first` means that the whole site starts with this host.
     ///
     /// `draw` is a random number from 0 to 1.
-    fn new(first: bool, draw: f64, now: Moment) -> Feeds {
-        let feed = match first {
+    fn new(first: bool, draw: f64, now: Moment) -> ReadSchedules {
+        let schedule = match first {
             true => ReadSchedule::at_site_start(draw, now),
             false => ReadSchedule::restarted(now),
         };
-        Feeds {
-            operators: feed.clone(),
-            endpoints: feed,
+        ReadSchedules {
+            operators: schedule.clone(),
+            endpoints: schedule,
         }
     }
 }
@@ -107,10 +107,10 @@
     live: RefCell<Live>,
     home: DataCentreKey,
     started: Moment,
-    orders: RefCell<OperatorConfig>,
+    config: RefCell<OperatorConfig>,
     registry: RefCell<Registry>,
     endpoints_loaded: Cell<bool>,
-    feeds: RefCell<Feeds>,
+    schedules: RefCell<ReadSchedules>,
     /// Wakes the tasks that follow the store when their next read is due earlier.
     schedule_changed: Notify,
     /// Wakes requests that wait for routes and endpoints to be loaded.
@@ -175,7 +175,7 @@
 
     fn new(settings: Settings, socket: UdpSocket) -> Gateway {
         let mut random = SmallRng::from_os_rng();
-        let feeds = Feeds::new(settings.first_start, random.random(), clock::now());
+        let schedules = ReadSchedules::new(settings.first_start, random.random(), clock::now());
         let neighbours = Neighbours::new(settings.peers, &settings.data_centre);
         let probe_budget = match settings.first_start {
             true => HostProbeBudget::new(clock::now()),
@@ -186,10 +186,10 @@
             live: RefCell::new(settings.live.clone()),
             settings,
             started: clock::now(),
-            orders: RefCell::default(),
+            config: RefCell::default(),
             registry: RefCell::default(),
             endpoints_loaded: Cell::new(false),
-            feeds: RefCell::new(feeds),
+            schedules: RefCell::new(schedules),
             schedule_changed: Notify::new(),
             config_loaded: Notify::new(),
             caches: RefCell::default(),
@@ -230,7 +230,7 @@
 
     fn has_topic(&self, topic: Topic) -> bool {
         match topic {
-            Topic::Operators => self.orders.borrow().catalogue.is_some(),
+            Topic::Operators => self.config.borrow().catalogue.is_some(),
             Topic::Endpoints => self.endpoints_loaded.get(),
         }
     }
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -83,31 +83,31 @@
     /// Greets a random host of another data centre, so that some hosts there know this one.
     fn greet_remote_host(&self) {
         let draw = self.random_u64();
-        let stranger = self.neighbours.borrow().any_remote(draw);
-        if let Some(stranger) = stranger {
-            self.send(stranger, &self.hello(false));
+        let remote = self.neighbours.borrow().any_remote(draw);
+        if let Some(remote) = remote {
+            self.send(remote, &self.hello(false));
         }
     }
 
     /// Sends records that this host has read to other data centres.
-    pub(super) fn send_cross_centre(self: &Rc<Self>, news: &RecordUpdate) {
+    pub(super) fn send_cross_centre(self: &Rc<Self>, update: &RecordUpdate) {
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
-        let message = NeighbourMessage::Update(news.for_other_centres());
-        let mut seconds = Vec::new();
+        let message = NeighbourMessage::Update(update.for_other_centres());
+        let mut second_hosts = Vec::new();
         for hosts in contacts {
             let mut hosts = hosts.into_iter();
             if let Some(first) = hosts.next() {
                 self.send(first, &message);
             }
-            seconds.extend(hosts);
+            second_hosts.extend(hosts);
         }
-        if seconds.is_empty() {
+        if second_hosts.is_empty() {
             return;
         }
         let gateway = Rc::clone(self);
         spawn_local(async move {
             sleep(SECOND_CONTACT_DELAY).await;
-            for second in seconds {
+            for second in second_hosts {
                 gateway.send(second, &message);
             }
         });
@@ -155,16 +155,16 @@
     /// forwarding tree, and in fragments if they exceed a datagram.
     ///
     /// When many hosts read a large update at the same time, only a host with
-    /// `spreads` set sends it, and only if it isn't receiving one: otherwise the
+    /// `may_distribute` set sends it, and only if it isn't receiving one: otherwise the
     /// links would carry the update twice.
-    pub(super) fn send_update(self: &Rc<Self>, news: RecordUpdate, spreads: bool) {
-        match news.size() {
-            n if n <= DIRECT_SEND_LIMIT => self.broadcast(&NeighbourMessage::Update(news)),
-            n if n <= DATAGRAM_LIMIT => self.forward(&news),
-            _ if spreads && !self.is_receiving(news.topic) => {
+    pub(super) fn send_update(self: &Rc<Self>, update: RecordUpdate, may_distribute: bool) {
+        match update.size() {
+            n if n <= DIRECT_SEND_LIMIT => self.broadcast(&NeighbourMessage::Update(update)),
+            n if n <= DATAGRAM_LIMIT => self.forward(&update),
+            _ if may_distribute && !self.is_receiving(update.topic) => {
                 self.distribute(
-                    news.topic,
-                    &NeighbourMessage::Update(news.without_addresses()),
+                    update.topic,
+                    &NeighbourMessage::Update(update.without_addresses()),
                 );
             }
             _ => {}
@@ -172,10 +172,10 @@
     }
 
     /// Forwards records to this host's children in the forwarding tree.
-    fn forward(&self, news: &RecordUpdate) {
+    fn forward(&self, update: &RecordUpdate) {
         let known = self.neighbours.borrow_mut().current(clock::now());
-        let message = NeighbourMessage::Update(news.clone());
-        for hop in relay::next_hops(self.settings.peers, news.relay_root, &known) {
+        let message = NeighbourMessage::Update(update.clone());
+        for hop in relay::next_hops(self.settings.peers, update.relay_root, &known) {
             self.send(hop, &message);
         }
     }
@@ -207,11 +207,11 @@
         self.traffic.borrow_mut().received(&message, datagram.len());
         match message {
             NeighbourMessage::Update(u) if u.cross_centre => self.handle_cross_centre(u, from),
-            NeighbourMessage::Update(news) => {
-                let new = self.handle_update(&news, from);
-                let further = self.mark_forwarded(&news);
-                if (new || further) && news.size() > DIRECT_SEND_LIMIT {
-                    self.forward(&news);
+            NeighbourMessage::Update(update) => {
+                let new = self.handle_update(&update, from);
+                let further = self.mark_forwarded(&update);
+                if (new || further) && update.size() > DIRECT_SEND_LIMIT {
+                    self.forward(&update);
                 }
             }
             NeighbourMessage::ReadStarted(topic) => {
@@ -239,13 +239,13 @@
     }
 
     /// Returns whether an update hasn't been forwarded yet, and marks it as forwarded.
-    fn mark_forwarded(&self, news: &RecordUpdate) -> bool {
+    fn mark_forwarded(&self, update: &RecordUpdate) -> bool {
         let mut neighbours = self.neighbours.borrow_mut();
-        let passed = match news.topic {
+        let forwarded = match update.topic {
             Topic::Operators => &mut neighbours.operators,
             Topic::Endpoints => &mut neighbours.endpoints,
         };
-        passed.mark(news.relay_root, news.next())
+        forwarded.mark(update.relay_root, update.next())
     }
 
     fn handle_hello(&self, from: SocketAddr, hello: Hello) {
@@ -315,10 +315,10 @@
     /// another data centre.
     pub(super) fn broadcast_all_centres(&self, message: impl Fn(bool) -> NeighbourMessage) {
         self.broadcast(&message(false));
-        let abroad = message(true);
+        let cross_centre = message(true);
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
         for host in contacts.into_iter().flatten() {
-            self.send(host, &abroad);
+            self.send(host, &cross_centre);
         }
     }
 
--- a/components/transport/src/gateway/pool.rs
+++ b/components/transport/src/gateway/pool.rs
@@ -95,11 +95,11 @@
 }
 
 impl Gateway {
-    /// Returns a connection to the pool; `fields` are the headers of its last answer.
+    /// Returns a connection to the pool; `headers` are the headers of its last answer.
     ///
     /// The answer must have been read completely.
-    pub(super) fn keep_connection(&self, connection: Connection, fields: &HeaderMap) {
-        let limit = platform::headers::keep_alive_timeout(fields);
+    pub(super) fn keep_connection(&self, connection: Connection, headers: &HeaderMap) {
+        let limit = platform::headers::keep_alive_timeout(headers);
         let most = self.max_idle(connection.endpoint);
         self.pool
             .borrow_mut()
@@ -111,10 +111,10 @@
     /// The endpoint's connection limit applies to all hosts together. Half of this
     /// host's share may be idle, which leaves the other half for those in use.
     fn max_idle(&self, key: EndpointKey) -> usize {
-        let orders = self.orders.borrow();
+        let config = self.config.borrow();
         let registry = self.registry.borrow();
         let service = registry.get(key).map(|s| s.endpoint.service);
-        let plan = service.and_then(|s| orders.catalogue.as_ref()?.services.get(&s));
+        let plan = service.and_then(|s| config.catalogue.as_ref()?.services.get(&s));
         let connections = f64::from(plan.map_or(0, |p| p.connections));
         let mine = connections * self.share.get() / 2.0;
         (mine as usize).clamp(1, MAX_IDLE)
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -40,8 +40,8 @@
 impl ProbedConnections<'_> {
     /// Returns the connections to the pool.
     fn return_to_pool(&mut self) {
-        for (connection, fields) in std::mem::take(&mut self.connections).into_values() {
-            self.gateway.keep_connection(connection, &fields);
+        for (connection, headers) in std::mem::take(&mut self.connections).into_values() {
+            self.gateway.keep_connection(connection, &headers);
         }
     }
 }
@@ -147,8 +147,8 @@
         is_first: bool,
     ) -> Step {
         let may_probe = self.may_probe();
-        let orders = self.orders.borrow();
-        let plan = orders
+        let config = self.config.borrow();
+        let plan = config
             .catalogue
             .as_ref()
             .and_then(|c| c.services.get(&request.service));
@@ -160,7 +160,7 @@
             is_connected: &|key| pool.holds(key),
             is_first,
             may_probe,
-            leaving_centres: &orders.leaving_centres,
+            leaving_centres: &config.leaving_centres,
             topology: &self.settings.topology,
             regions,
             cold: Quota::cold(plan.map_or(0.0, |p| p.cold_rate), self.share.get()),
@@ -240,8 +240,8 @@
     fn probe_request(&self, key: EndpointKey) -> Option<Request<RequestBody>> {
         let registry = self.registry.borrow();
         let endpoint = &registry.get(key)?.endpoint;
-        let orders = self.orders.borrow();
-        let services = &orders.catalogue.as_ref()?.services;
+        let config = self.config.borrow();
+        let services = &config.catalogue.as_ref()?.services;
         let path = &services.get(&endpoint.service)?.health;
         let mut request = Request::new(RequestBody::Buffered(bytes::Bytes::new()));
         *request.uri_mut() = path.parse().ok()?;
@@ -252,13 +252,13 @@
 
     /// Records a probe's answer; returns false where another endpoint has taken
     /// over the address.
-    fn record_probe(&self, key: EndpointKey, healthy: bool, fields: &HeaderMap) -> bool {
+    fn record_probe(&self, key: EndpointKey, healthy: bool, headers: &HeaderMap) -> bool {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let Some(state) = registry.get_mut(key) else {
             return false;
         };
-        let other = platform::headers::instance_id(fields)
+        let other = platform::headers::instance_id(headers)
             .is_some_and(|name| name != state.endpoint.instance);
         if other {
             log::debug!(
@@ -267,14 +267,15 @@
             );
             return false;
         }
-        state.note_cold(platform::headers::warmup_remaining(fields), now);
-        let told = platform::headers::load_report(fields, healthy, now);
-        state.set_sample(
-            told.unwrap_or_else(|| assumed_load(state.running, state.endpoint.slots, healthy, now)),
-        );
+        state.note_cold(platform::headers::warmup_remaining(headers), now);
+        let reported = platform::headers::load_report(headers, healthy, now);
+        state
+            .set_sample(reported.unwrap_or_else(|| {
+                assumed_load(state.running, state.endpoint.slots, healthy, now)
+            }));
         registry.note_answer(key);
         drop(registry);
-        self.learn_limit(key, fields, Source::Probe);
+        self.learn_limit(key, headers, Source::Probe);
         true
     }
 
@@ -283,14 +284,14 @@
     /// Wakes the first waiting request where the endpoint has room: the host whose
     /// request has just ended there learns of the room before any other host can
     /// probe.
-    pub(super) fn record_load(&self, key: EndpointKey, fields: &HeaderMap) {
-        self.learn_limit(key, fields, Source::Request);
+    pub(super) fn record_load(&self, key: EndpointKey, headers: &HeaderMap) {
+        self.learn_limit(key, headers, Source::Request);
         let now = clock::now();
         let mut room = None;
         with_state(&mut self.registry.borrow_mut(), key, |state| {
             let healthy = state.sample.is_none_or(|l| l.healthy);
-            if let Some(look) = platform::headers::load_report(fields, healthy, now) {
-                state.set_sample(look);
+            if let Some(sample) = platform::headers::load_report(headers, healthy, now) {
+                state.set_sample(sample);
                 room = state.is_good(now).then_some(state.endpoint.service);
             }
         });
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -100,9 +100,9 @@
         let now = clock::now();
         let mut crash_tracker = self.crash_tracker.borrow_mut();
         let cleared = crash_tracker.quarantine.note_answer(request, now);
-        let told = crash_tracker.reports.grant(cleared.len(), now);
+        let granted = crash_tracker.reports.grant(cleared.len(), now);
         drop(crash_tracker);
-        if told > 0 {
+        if granted > 0 {
             self.report_crashes(&[], &cleared);
         }
     }
@@ -153,27 +153,27 @@
         for run in runs {
             findings.extend(crash_tracker.quarantine.note_crash(run, Reporter::ThisHost));
         }
-        let told = crash_tracker.reports.grant(runs.len(), now);
+        let granted = crash_tracker.reports.grant(runs.len(), now);
         drop(crash_tracker);
         findings.iter().for_each(log_finding);
-        let ended = runs.iter().take(told).map(|run| CrashedRun {
+        let crashed = runs.iter().take(granted).map(|run| CrashedRun {
             request: run.request,
             ran: run.at.since(run.sent),
             age: now.since(run.at),
         });
-        let ended: Vec<CrashedRun> = ended.collect();
-        self.report_crashes(&ended, &findings);
+        let crashed: Vec<CrashedRun> = crashed.collect();
+        self.report_crashes(&crashed, &findings);
     }
 
     /// Handles another host's report of crashes and quarantined requests.
     pub(super) fn handle_crash_report(&self, crashes: CrashReport) {
         let now = clock::now();
         let mut crash_tracker = self.crash_tracker.borrow_mut();
-        for ended in &crashes.runs {
-            let at = now - ended.age;
+        for crashed in &crashes.runs {
+            let at = now - crashed.age;
             let crash = Crash {
-                request: ended.request,
-                sent: at - ended.ran,
+                request: crashed.request,
+                sent: at - crashed.ran,
                 at,
             };
             let findings = crash_tracker
@@ -215,19 +215,19 @@
             };
             let known = self.neighbours.borrow();
             let one = known.any(self.random_u64());
-            let stranger = known.any_remote(self.random_u64());
+            let remote = known.any_remote(self.random_u64());
             drop(known);
-            for host in one.into_iter().chain(stranger) {
+            for host in one.into_iter().chain(remote) {
                 self.send(host, &reminder);
             }
         }
     }
 
     /// Reports runs that ended with a crash, and the resulting findings, to all hosts.
-    fn report_crashes(&self, ended: &[CrashedRun], findings: &[QuarantineUpdate]) {
-        if !ended.is_empty() || !findings.is_empty() {
+    fn report_crashes(&self, crashed: &[CrashedRun], findings: &[QuarantineUpdate]) {
+        if !crashed.is_empty() || !findings.is_empty() {
             self.broadcast_all_centres(|cross_centre| {
-                message(cross_centre, ended.to_vec(), findings.to_vec())
+                message(cross_centre, crashed.to_vec(), findings.to_vec())
             });
         }
     }
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -55,16 +55,16 @@
 
 impl Gateway {
     /// Logs a request that got no answer from an endpoint.
-    pub(super) fn log_denial(&self, fields: &HeaderMap, denial: &Denial, arrived: Moment) {
+    pub(super) fn log_denial(&self, headers: &HeaderMap, denial: &Denial, arrived: Moment) {
         let now = clock::now();
         if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
-        let orders = self.orders.borrow();
-        let version = orders.catalogue.as_ref().map_or(0, |c| c.version);
+        let config = self.config.borrow();
+        let version = config.catalogue.as_ref().map_or(0, |c| c.version);
         log::info!(
             "E0126 request-denied id={} status={} reason={denial:?} after_ms={} version={version}",
-            id(fields),
+            id(headers),
             denial.status().as_u16(),
             now.since(arrived).as_millis()
         );
@@ -76,7 +76,7 @@
     /// the slowdown that was expected of the endpoint.
     pub(super) fn log_late(
         &self,
-        fields: &HeaderMap,
+        headers: &HeaderMap,
         answer: &Answer,
         arrived: Moment,
         objective: Duration,
@@ -88,12 +88,12 @@
         }
         log::info!(
             "E0129 request-late id={} status={} after_ms={} objective_ms={} sent_ms={} pace={:.2}",
-            id(fields),
+            id(headers),
             answer.parts.status.as_u16(),
             time.as_millis(),
             objective.as_millis(),
             answer.sent.since(arrived).as_millis(),
-            answer.pace
+            answer.slowdown
         );
     }
 
@@ -125,20 +125,20 @@
     }
 
     /// Logs that a request is retried or hedged.
-    pub(super) fn log_retry(&self, fields: &HeaderMap, why: &str, arrived: Moment) {
+    pub(super) fn log_retry(&self, headers: &HeaderMap, why: &str, arrived: Moment) {
         let now = clock::now();
         if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         log::info!(
             "E0128 request-repeated id={} why={why:?} after_ms={}",
-            id(fields),
+            id(headers),
             now.since(arrived).as_millis()
         );
     }
 }
 
-fn id(fields: &HeaderMap) -> &str {
-    let id = fields.get(platform::headers::ATTEMPT_ID);
+fn id(headers: &HeaderMap) -> &str {
+    let id = headers.get(platform::headers::ATTEMPT_ID);
     id.and_then(|v| v.to_str().ok()).unwrap_or("-")
 }
--- a/components/transport/src/gateway/server.rs
+++ b/components/transport/src/gateway/server.rs
@@ -68,8 +68,8 @@
     }
 
     fn timeouts(&self) -> (CallerTimeouts, usize) {
-        let orders = self.orders.borrow();
-        match &orders.catalogue {
+        let config = self.config.borrow();
+        match &config.catalogue {
             None => (DEFAULT_TIMEOUTS, DEFAULT_HEAD_BYTES),
             Some(catalogue) => (
                 CallerTimeouts {
@@ -98,8 +98,8 @@
             activity.serving();
             let mut response = call::handle(&gateway, request, caller).await;
             if *gateway.stage.borrow() >= Stage::Leaving {
-                let fields = response.headers_mut();
-                fields.insert(CONNECTION, HeaderValue::from_static("close"));
+                let headers = response.headers_mut();
+                headers.insert(CONNECTION, HeaderValue::from_static("close"));
             }
             response.body_mut().set_activity(activity);
             Ok::<_, Infallible>(response)
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -66,7 +66,10 @@
 impl Gateway {
     /// Requests a snapshot of a topic from a random neighbour, if this host has none.
     pub(super) fn request_snapshot(&self, topic: Topic) {
-        if self.feed(topic, |feed| feed.next()).is_some() {
+        if self
+            .with_schedule(topic, |schedule| schedule.next())
+            .is_some()
+        {
             return;
         }
         let draw = self.random_u64();
@@ -109,8 +112,8 @@
         let expected = self.expected_neighbours();
         for topic in [Topic::Operators, Topic::Endpoints] {
             let draw = self.random_fraction();
-            self.feed(topic, |feed| {
-                feed.neighbours_counted(known, expected, draw, clock::now());
+            self.with_schedule(topic, |schedule| {
+                schedule.neighbours_counted(known, expected, draw, clock::now());
             });
         }
         self.schedule_changed.notify_waiters();
@@ -131,7 +134,7 @@
     /// Requests a snapshot of each topic that this host failed to read from the store.
     pub(super) fn request_unread_topics(&self) {
         for topic in [Topic::Operators, Topic::Endpoints] {
-            if self.feed(topic, |feed| feed.failures()) > 0 {
+            if self.with_schedule(topic, |schedule| schedule.failures()) > 0 {
                 self.request_snapshot(topic);
             }
         }
@@ -139,7 +142,7 @@
 
     /// Sends a snapshot of a topic to a neighbour, now or as soon as this host has one.
     pub(super) fn send_snapshot(self: &Rc<Self>, to: SocketAddr, topic: Topic) {
-        let Some(next) = self.feed(topic, |feed| feed.next()) else {
+        let Some(next) = self.with_schedule(topic, |schedule| schedule.next()) else {
             self.caches.borrow_mut().of(topic).waiting.insert(to);
             return;
         };
@@ -165,7 +168,7 @@
     /// none from its neighbours.
     pub(super) fn distribute_snapshot(self: &Rc<Self>, topic: Topic, first: bool) {
         let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
-        let next = self.feed(topic, |feed| feed.next());
+        let next = self.with_schedule(topic, |schedule| schedule.next());
         let lacking = !waiting.is_empty() || first && self.has_neighbours();
         if let (true, Some(next)) = (lacking, next) {
             let snapshot = self.snapshot(topic, next, true);
@@ -181,7 +184,7 @@
             self.send_snapshot(to, topic);
             return;
         };
-        let news = RecordUpdate {
+        let update = RecordUpdate {
             topic,
             reader: self.settings.peers,
             relay_root: self.settings.peers,
@@ -189,19 +192,19 @@
             from,
             records,
         };
-        self.send_in_fragments(to, topic, &NeighbourMessage::Update(news));
+        self.send_in_fragments(to, topic, &NeighbourMessage::Update(update));
     }
 
     /// Handles a snapshot from a neighbour.
-    pub(super) fn handle_snapshot(self: &Rc<Self>, held: TopicSnapshot) {
-        let (topic, next) = (held.topic, held.next);
+    pub(super) fn handle_snapshot(self: &Rc<Self>, snapshot: TopicSnapshot) {
+        let (topic, next) = (snapshot.topic, snapshot.next);
         if self
-            .feed(topic, |feed| feed.next())
+            .with_schedule(topic, |schedule| schedule.next())
             .is_some_and(|known| known >= next)
         {
             return;
         }
-        let records: Vec<Record> = held
+        let records: Vec<Record> = snapshot
             .records
             .into_iter()
             .filter_map(platform::store::decode_record)
@@ -211,12 +214,12 @@
             records.len()
         );
         let draw = self.random_fraction();
-        self.feed(topic, |f| f.snapshot_received(next, draw, clock::now()));
+        self.with_schedule(topic, |s| s.snapshot_received(next, draw, clock::now()));
         self.apply_snapshot(topic, &records);
         let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
-        if !held.shared {
-            for asker in waiting {
-                self.send_snapshot(asker, topic);
+        if !snapshot.shared {
+            for host in waiting {
+                self.send_snapshot(host, topic);
             }
         }
     }
