--- a/components/transport/src/gateway/answer_body.rs
+++ b/components/transport/src/gateway/answer_body.rs
@@ -8,14 +8,14 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::task::spawn_local;
 
-use super::attempt::Rest;
+use super::attempt::RemainingBody;
 use super::stream::ConnectionActivity;
 use crate::edge::body::SharedBody;
 
 /// The body of an answer to a caller.
 pub(super) struct AnswerBody {
     start: Bytes,
-    rest: Option<Rest>,
+    rest: Option<RemainingBody>,
     activity: Option<Rc<ConnectionActivity>>,
     unread: Option<SharedBody>,
 }
@@ -32,7 +32,7 @@
     }
 
     /// Returns a body of buffered bytes followed by the rest that an endpoint still sends.
-    pub fn relay(start: Bytes, rest: Option<Rest>) -> AnswerBody {
+    pub fn relay(start: Bytes, rest: Option<RemainingBody>) -> AnswerBody {
         AnswerBody {
             start,
             rest,
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -47,7 +47,7 @@
 }
 
 /// The result of one attempt.
-pub(super) enum Ending {
+pub(super) enum AttemptEnd {
     /// The endpoint's answer, to be forwarded unchanged.
     Answered(Box<Answer>),
     /// The endpoint's own 5xx answer, which may be forwarded unchanged.
@@ -70,7 +70,7 @@
     /// The buffered part of the body.
     pub start: Bytes,
     /// The rest of the body, `None` if `start` is the complete body.
-    pub rest: Option<Rest>,
+    pub rest: Option<RemainingBody>,
     /// When the request was sent to the endpoint.
     pub sent: Moment,
     /// The endpoint's expected slowdown at that moment; 1 means as long as usual.
@@ -78,27 +78,27 @@
 }
 
 /// The rest of a long answer's body, still being received.
-pub(super) struct Rest {
+pub(super) struct RemainingBody {
     pub connection: Connection,
     pub incoming: Incoming,
 }
 
 /// Counts a request as running at its endpoint until dropped.
-struct Running<'a> {
+struct RunningGuard<'a> {
     gateway: &'a Gateway,
     key: EndpointKey,
 }
 
-impl Running<'_> {
-    fn start(gateway: &Gateway, key: EndpointKey) -> Running<'_> {
+impl RunningGuard<'_> {
+    fn start(gateway: &Gateway, key: EndpointKey) -> RunningGuard<'_> {
         if let Some(state) = gateway.registry.borrow_mut().get_mut(key) {
             state.start();
         }
-        Running { gateway, key }
+        RunningGuard { gateway, key }
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         if let Some(state) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             state.finish();
@@ -111,25 +111,25 @@
     ///
     /// Dropping the future cancels the attempt and closes its connection, so that
     /// the endpoint stops and a late answer can't be taken for another one.
-    pub async fn run(&self, body: RequestBody) -> Ending {
+    pub async fn run(&self, body: RequestBody) -> AttemptEnd {
         let found = self
             .gateway
             .select_endpoint(self.placement, &self.request, &self.route.regions)
             .await;
         let (key, mut connection) = match found {
             Ok(found) => found,
-            Err(refusal) => return Ending::Refused(refusal),
+            Err(refusal) => return AttemptEnd::Refused(refusal),
         };
         if let Err(left) = self.gateway.admit(self.fingerprints) {
-            return Ending::Quarantined(left);
+            return AttemptEnd::Quarantined(left);
         }
         let Some(request) = self.build_request(key, body) else {
-            return Ending::Unsent("the endpoint has left");
+            return AttemptEnd::Unsent("the endpoint has left");
         };
         self.placement.borrow_mut().note_tried(key);
         let began = clock::now();
         let slowdown = self.expected_slowdown(key, began);
-        let _running = Running::start(self.gateway, key);
+        let _running = RunningGuard::start(self.gateway, key);
         self.may_have_run.set(self.may_have_run.get() + 1);
         match connection.send(request).await {
             Ok(answer) => {
@@ -142,13 +142,13 @@
             }
             Err(RequestError::Unsent) => {
                 self.mark_not_run();
-                Ending::Unsent("the connection was closed before the request was sent")
+                AttemptEnd::Unsent("the connection was closed before the request was sent")
             }
             Err(RequestError::Sent(error)) => {
                 self.gateway.log_broken(self, key, began, &error);
                 self.gateway.note_broken(self.fingerprints, key, began);
                 self.gateway.record_outcome(key, Outcome::Broken);
-                Ending::Lost("the connection to the endpoint broke")
+                AttemptEnd::Lost("the connection to the endpoint broke")
             }
         }
     }
@@ -190,9 +190,9 @@
         parts: AnswerParts,
         mut incoming: Incoming,
         (sent, slowdown): (Moment, f64),
-    ) -> Ending {
+    ) -> AttemptEnd {
         if !platform::headers::matches_request(&self.parts.headers, &parts.headers) {
-            return Ending::Lost("the answer belongs to another request");
+            return AttemptEnd::Lost("the answer belongs to another request");
         }
         let mut start = BytesMut::new();
         let rest = loop {
@@ -203,12 +203,12 @@
                 }
                 Some(Err(_)) => {
                     self.gateway.note_broken(self.fingerprints, key, sent);
-                    return Ending::Lost("the answer broke off");
+                    return AttemptEnd::Lost("the answer broke off");
                 }
                 Some(Ok(chunk)) => start.extend_from_slice(&chunk),
             }
             if start.len() > ANSWER_BUFFER_LIMIT {
-                break Some(Rest {
+                break Some(RemainingBody {
                     connection,
                     incoming,
                 });
@@ -226,43 +226,45 @@
     }
 
     /// Classifies an answer.
-    fn classify(&self, answer: Box<Answer>) -> Ending {
+    fn classify(&self, answer: Box<Answer>) -> AttemptEnd {
         let headers = &answer.parts.headers;
         match answer.parts.status {
             status if platform::headers::is_not_run(headers) => {
                 self.mark_not_run();
                 match status {
                     StatusCode::MISDIRECTED_REQUEST => {
-                        Ending::Rejected("another endpoint is there")
+                        AttemptEnd::Rejected("another endpoint is there")
                     }
-                    _ => Ending::Rejected("the endpoint rejects new work"),
+                    _ => AttemptEnd::Rejected("the endpoint rejects new work"),
                 }
             }
             StatusCode::MISDIRECTED_REQUEST => {
                 self.mark_not_run();
-                Ending::Rejected("another endpoint is there")
+                AttemptEnd::Rejected("another endpoint is there")
+            }
+            _ if !platform::headers::is_signed(headers) => {
+                AttemptEnd::Lost("the answer is not signed")
             }
-            _ if !platform::headers::is_signed(headers) => Ending::Lost("the answer is not signed"),
             _ if headers.contains_key(CONTENT_ENCODING) => {
-                Ending::Lost("the answer's body is encoded")
+                AttemptEnd::Lost("the answer's body is encoded")
             }
             // Forwarding these statuses would promise the caller that the request
             // was not run, which the endpoint hasn't stated.
             StatusCode::TOO_MANY_REQUESTS
             | StatusCode::REQUEST_TIMEOUT
             | StatusCode::SERVICE_UNAVAILABLE => {
-                Ending::Lost("the endpoint rejects without saying that it did not run")
+                AttemptEnd::Lost("the endpoint rejects without saying that it did not run")
             }
-            status if status.is_server_error() => Ending::Failed(answer),
-            _ => Ending::Answered(answer),
+            status if status.is_server_error() => AttemptEnd::Failed(answer),
+            _ => AttemptEnd::Answered(answer),
         }
     }
 
     /// Records the attempt's result in the endpoint's state.
-    fn record_ending(&self, key: EndpointKey, ending: &Ending, began: Moment, slowdown: f64) {
+    fn record_ending(&self, key: EndpointKey, ending: &AttemptEnd, began: Moment, slowdown: f64) {
         let time = clock::now().since(began);
         let outcome = match ending {
-            Ending::Answered(_) => {
+            AttemptEnd::Answered(_) => {
                 self.gateway.note_answered(self.fingerprints);
                 let slow_limit = self
                     .request
@@ -275,10 +277,10 @@
                     false => Outcome::Answered,
                 }
             }
-            Ending::Failed(_) => Outcome::Failed,
-            Ending::Rejected(_) => Outcome::Shed,
-            Ending::Lost(_) => Outcome::Broken,
-            Ending::Unsent(_) | Ending::Refused(_) | Ending::Quarantined(_) => return,
+            AttemptEnd::Failed(_) => Outcome::Failed,
+            AttemptEnd::Rejected(_) => Outcome::Shed,
+            AttemptEnd::Lost(_) => Outcome::Broken,
+            AttemptEnd::Unsent(_) | AttemptEnd::Refused(_) | AttemptEnd::Quarantined(_) => return,
         };
         self.gateway.record_outcome(key, outcome);
     }
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use super::answer_body::AnswerBody;
-use super::attempt::{Answer, Attempt, Ending};
+use super::attempt::{Answer, Attempt, AttemptEnd};
 use super::denial::Denial;
 use super::{Gateway, Stage};
 use crate::clock;
@@ -76,11 +76,11 @@
     Quarantined(Duration),
 }
 
-type PendingAttempt<'a> = Pin<Box<dyn Future<Output = Ending> + 'a>>;
+type PendingAttempt<'a> = Pin<Box<dyn Future<Output = AttemptEnd> + 'a>>;
 
 /// The next event of a request with attempts in progress.
 enum Event {
-    Ended(Ending),
+    Ended(AttemptEnd),
     HedgeDue,
     Expired,
 }
@@ -237,36 +237,36 @@
             placement: &placement,
             may_have_run: &may_have_run,
         };
-        let whole = match &body {
+        let replay = match &body {
             RequestBody::Buffered(bytes) => Some(bytes.clone()),
             RequestBody::Streamed(..) => None,
         };
-        self.race(&attempt, body, whole).await
+        self.run_attempts(&attempt, body, replay).await
     }
 
     /// Runs attempts until one gets an answer or no further attempt is allowed.
     ///
-    /// `whole` is the complete request body, `None` if the body can't be sent again.
-    async fn race<'a>(
+    /// `replay` is the complete request body, `None` if the body can't be sent again.
+    async fn run_attempts<'a>(
         &self,
         attempt: &'a Attempt<'a>,
         first: RequestBody,
-        whole: Option<Bytes>,
+        replay: Option<Bytes>,
     ) -> Result<Box<Answer>, Denial> {
-        let again = || attempt.run(RequestBody::Buffered(whole.clone().unwrap_or_default()));
+        let again = || attempt.run(RequestBody::Buffered(replay.clone().unwrap_or_default()));
         let mut pending: Vec<PendingAttempt<'a>> = vec![Box::pin(attempt.run(first))];
         let mut progress = Progress {
             attempts: 1,
             ..Progress::default()
         };
-        let mut hedge = self.hedge_at(whole.is_some());
+        let mut hedge = self.hedge_at(replay.is_some());
         loop {
             match self.next(&mut pending, hedge).await {
-                Event::Ended(Ending::Answered(answer)) => return Ok(answer),
+                Event::Ended(AttemptEnd::Answered(answer)) => return Ok(answer),
                 Event::Ended(ending) => {
                     progress.record(ending);
                     let may_have_run = attempt.may_have_run.get();
-                    if whole.is_some() && self.may_retry(&mut progress, may_have_run) {
+                    if replay.is_some() && self.may_retry(&mut progress, may_have_run) {
                         self.log_retry(progress.reason());
                         pending.push(Box::pin(again()));
                     } else if pending.is_empty() {
@@ -322,8 +322,8 @@
     /// Hedging requires that the request is idempotent, and that the second
     /// answer can still arrive within the route's objective: a late answer
     /// hardly justifies the additional load.
-    fn hedge_at(&self, whole: bool) -> Option<Moment> {
-        if !self.route.idempotent || !whole || self.route.attempts < 2 {
+    fn hedge_at(&self, replay: bool) -> Option<Moment> {
+        if !self.route.idempotent || !replay || self.route.attempts < 2 {
             return None;
         }
         let service_time = self
@@ -385,20 +385,20 @@
 
 impl Progress {
     /// Records the result of an attempt without an answer to forward at once.
-    fn record(&mut self, ending: Ending) {
+    fn record(&mut self, ending: AttemptEnd) {
         self.last = Some(match ending {
-            Ending::Answered(answer) | Ending::Failed(answer) => {
+            AttemptEnd::Answered(answer) | AttemptEnd::Failed(answer) => {
                 self.failure = Some(answer);
                 LastFailure::Failed
             }
-            Ending::Rejected(reason) => LastFailure::Rejected(reason),
-            Ending::Unsent(reason) => {
+            AttemptEnd::Rejected(reason) => LastFailure::Rejected(reason),
+            AttemptEnd::Unsent(reason) => {
                 self.unsent += 1;
                 LastFailure::Unsent(reason)
             }
-            Ending::Lost(reason) => LastFailure::Lost(reason),
-            Ending::Refused(refusal) => LastFailure::Refused(refusal),
-            Ending::Quarantined(left) => LastFailure::Quarantined(left),
+            AttemptEnd::Lost(reason) => LastFailure::Lost(reason),
+            AttemptEnd::Refused(refusal) => LastFailure::Refused(refusal),
+            AttemptEnd::Quarantined(left) => LastFailure::Quarantined(left),
         });
     }
 
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -73,8 +73,8 @@
                 self.greet_remote_host();
             }
             let draw = self.random_u64();
-            let asked = self.neighbours.borrow_mut().next_query(draw);
-            if let Some(neighbour) = asked {
+            let target = self.neighbours.borrow_mut().next_query(draw);
+            if let Some(neighbour) = target {
                 self.send(neighbour, &self.hello(true));
             }
         }
@@ -250,11 +250,11 @@
 
     fn handle_hello(&self, from: SocketAddr, hello: Hello) {
         let now = clock::now();
-        let greeted = self
+        let effect = self
             .neighbours
             .borrow_mut()
             .greeting_received(from, &hello.centre, now);
-        match greeted {
+        match effect {
             _ if hello.wants_hosts => {
                 self.send(from, &self.host_list(&hello.centre));
                 if let Some(crashes) = self.quarantine_message() {
@@ -270,7 +270,7 @@
         for other in hello.neighbours {
             self.add_neighbour(other);
         }
-        if greeted == GreetingEffect::New {
+        if effect == GreetingEffect::New {
             self.request_unread_topics();
         }
     }
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -104,13 +104,13 @@
         let now = clock::now();
         let mut budget = self.probe_budget.borrow_mut();
         budget.refill(rate, endpoints, self.share.get(), now);
-        let left = budget.is_available();
-        let wanted = budget.borrow(now);
+        let available = budget.is_available();
+        let loan_request = budget.borrow(now);
         drop(budget);
-        if let Some(request_id) = wanted {
+        if let Some(request_id) = loan_request {
             self.borrow_probes(request_id);
         }
-        left
+        available
     }
 
     /// Asks a random neighbour for unused probe budget; `request_id` identifies the request.
--- a/components/transport/src/gateway/server.rs
+++ b/components/transport/src/gateway/server.rs
@@ -36,9 +36,9 @@
 const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
 
 /// Counts a caller's connection as open until dropped.
-struct Counted(Rc<Gateway>);
+struct ConnectionGuard(Rc<Gateway>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.callers.set(self.0.callers.get() - 1);
     }
@@ -56,8 +56,8 @@
                 }
                 Ok((stream, address)) => {
                     self.callers.set(self.callers.get() + 1);
-                    let counted = Counted(Rc::clone(&self));
-                    spawn_local(serve(counted, stream, address.ip()));
+                    let guard = ConnectionGuard(Rc::clone(&self));
+                    spawn_local(serve(guard, stream, address.ip()));
                 }
                 Err(error) => {
                     log::warn!("E0101 accept-failed error={error:?}");
@@ -83,8 +83,8 @@
 }
 
 /// Serves the requests of one connection in sequence.
-async fn serve(counted: Counted, stream: TcpStream, caller: IpAddr) {
-    let gateway = &counted.0;
+async fn serve(guard: ConnectionGuard, stream: TcpStream, caller: IpAddr) {
+    let gateway = &guard.0;
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("E0125 caller-lost error={error:?}");
         return;
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -169,8 +169,8 @@
     pub(super) fn distribute_snapshot(self: &Rc<Self>, topic: Topic, first: bool) {
         let waiting = std::mem::take(&mut self.caches.borrow_mut().of(topic).waiting);
         let next = self.with_schedule(topic, |schedule| schedule.next());
-        let lacking = !waiting.is_empty() || first && self.has_neighbours();
-        if let (true, Some(next)) = (lacking, next) {
+        let needed = !waiting.is_empty() || first && self.has_neighbours();
+        if let (true, Some(next)) = (needed, next) {
             let snapshot = self.snapshot(topic, next, true);
             self.distribute(topic, &NeighbourMessage::Snapshot(snapshot));
         }
--- a/components/transport/src/gateway/wait_queue.rs
+++ b/components/transport/src/gateway/wait_queue.rs
@@ -20,7 +20,7 @@
 
 #[derive(Default)]
 struct Waiters {
-    line: WaitQueue,
+    queue: WaitQueue,
     notifies: BTreeMap<Ticket, Rc<Notify>>,
 }
 
@@ -45,7 +45,7 @@
     pub fn is_first(&self) -> bool {
         let queues = self.gateway.queues.borrow();
         let waiters = queues.services.get(&self.service);
-        waiters.and_then(|w| w.line.first()) == Some(self.ticket)
+        waiters.and_then(|w| w.queue.first()) == Some(self.ticket)
     }
 
     /// Waits until this request is woken, for at most `limit`.
@@ -60,7 +60,7 @@
         let mut queues = self.gateway.queues.borrow_mut();
         if let Some(waiters) = queues.services.get_mut(&self.service) {
             waiters.notifies.remove(&self.ticket);
-            let next = waiters.line.remove(self.ticket);
+            let next = waiters.queue.remove(self.ticket);
             waiters.wake(next);
         }
     }
@@ -71,14 +71,14 @@
     pub(super) fn has_waiting(&self, service: ServiceKey) -> bool {
         let queues = self.queues.borrow();
         let waiters = queues.services.get(&service);
-        waiters.is_some_and(|w| !w.line.is_empty())
+        waiters.is_some_and(|w| !w.queue.is_empty())
     }
 
     /// Adds a request to its service's wait queue.
     pub(super) fn enqueue(&self, request: &Request) -> QueueEntry<'_> {
         let mut queues = self.queues.borrow_mut();
         let waiters = queues.services.entry(request.service).or_default();
-        let ticket = waiters.line.push(request.priority, request.objective);
+        let ticket = waiters.queue.push(request.priority, request.objective);
         let notify = Rc::new(Notify::new());
         waiters.notifies.insert(ticket, Rc::clone(&notify));
         QueueEntry {
@@ -93,7 +93,7 @@
     pub(super) fn wake_first(&self, service: ServiceKey) {
         let queues = self.queues.borrow();
         if let Some(waiters) = queues.services.get(&service) {
-            waiters.wake(waiters.line.first());
+            waiters.wake(waiters.queue.first());
         }
     }
 }
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -21,15 +21,15 @@
 /// A long poll adds its own waiting time. An answer usually takes 4 ms, and 60
 /// times as long when the store is slow. A connection that stays silent for
 /// longer is closed.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(1_000);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Time limit for the whole body of an answer, even while bytes keep arriving.
 ///
 /// One megabyte takes 1 s on a link of 10 Mbit/s, and 4 s when others share the link.
-const BODY_LIMIT: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Largest body of an answer, in bytes; a page has at most one megabyte.
-const SIZE_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// The reason why a call to the store failed.
 #[derive(Debug, Error)]
@@ -52,7 +52,7 @@
         received: usize,
     },
     /// The answer's body exceeds the size limit.
-    #[error("the store's answer is larger than {SIZE_LIMIT} bytes")]
+    #[error("the store's answer is larger than {MAX_ANSWER_BYTES} bytes")]
     TooLarge,
     /// The requested records were deleted; holds the oldest remaining offset, where reported.
     #[error("the store has deleted the requested records; its oldest remaining offset is {0:?}")]
@@ -96,7 +96,7 @@
 /// task and a stalled connection affects only one.
 pub struct StoreClient {
     address: SocketAddr,
-    answer_limit: Duration,
+    answer_timeout: Duration,
     connection: Option<Connection>,
 }
 
@@ -105,14 +105,14 @@
     pub fn new(address: SocketAddr) -> StoreClient {
         StoreClient {
             address,
-            answer_limit: ANSWER_LIMIT,
+            answer_timeout: ANSWER_TIMEOUT,
             connection: None,
         }
     }
 
     /// Sets the time limit for the head of an answer and each chunk of its body.
     pub fn set_timeout(&mut self, limit: Duration) {
-        self.answer_limit = limit;
+        self.answer_timeout = limit;
     }
 
     /// Appends one record and returns its offset.
@@ -125,7 +125,7 @@
         let path = platform::store::append_path(topic);
         let body = platform::store::frame([record]);
         let answer = self
-            .call(Method::POST, &path, body, self.answer_limit)
+            .call(Method::POST, &path, body, self.answer_timeout)
             .await?;
         Ok(platform::store::parse_append(&answer)?)
     }
@@ -144,7 +144,7 @@
     ) -> Result<NewestPage, StoreError> {
         let path = platform::store::newest_path(topic, after);
         let body = self
-            .call(Method::GET, &path, Bytes::new(), self.answer_limit)
+            .call(Method::GET, &path, Bytes::new(), self.answer_timeout)
             .await?;
         Ok(platform::store::parse_newest(&body)?)
     }
@@ -166,7 +166,7 @@
     ) -> Result<ReadAnswer, StoreError> {
         let millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let path = platform::store::read_path(topic, from, millis, kilobytes);
-        let limit = wait + self.answer_limit;
+        let limit = wait + self.answer_timeout;
         let body = self.call(Method::GET, &path, Bytes::new(), limit).await?;
         Ok(platform::store::parse_read(body, from)?)
     }
@@ -179,7 +179,7 @@
     pub async fn join(&mut self, body: Vec<u8>) -> Result<GroupMembership, StoreError> {
         let path = platform::store::JOIN_PATH;
         let answer = self
-            .call(Method::POST, path, Bytes::from(body), self.answer_limit)
+            .call(Method::POST, path, Bytes::from(body), self.answer_timeout)
             .await?;
         Ok(platform::store::parse_join(&answer)?)
     }
@@ -192,7 +192,7 @@
     pub async fn owners(&mut self, group: &str) -> Result<BTreeSet<String>, StoreError> {
         let path = platform::store::owners_path(group);
         let body = self
-            .call(Method::GET, &path, Bytes::new(), self.answer_limit)
+            .call(Method::GET, &path, Bytes::new(), self.answer_timeout)
             .await?;
         Ok(platform::store::parse_owners(&body)?)
     }
@@ -204,13 +204,13 @@
         body: Bytes,
         limit: Duration,
     ) -> Result<Bytes, StoreError> {
-        let begun = timeout(limit, self.begin(method, path, body));
+        let begun = timeout(limit, self.send_request(method, path, body));
         let (mut connection, answer) = begun.await.map_err(|_| StoreError::Silent {
             waited: limit,
             received: 0,
         })??;
         let status = answer.status();
-        let body = self.rest(&mut connection, answer.into_body()).await?;
+        let body = self.read_body(&mut connection, answer.into_body()).await?;
         self.connection = Some(connection);
         match status {
             StatusCode::OK => Ok(body),
@@ -225,7 +225,7 @@
     }
 
     /// Sends a request and waits for the head of the answer.
-    async fn begin(
+    async fn send_request(
         &mut self,
         method: Method,
         path: &str,
@@ -249,15 +249,15 @@
     /// A single time limit for the whole answer would make hosts that share
     /// the store's bandwidth all abort a nearly complete read at the same time
     /// and then restart together.
-    async fn rest(
+    async fn read_body(
         &self,
         connection: &mut Connection,
         mut incoming: Incoming,
     ) -> Result<Bytes, StoreError> {
         let mut read = BytesMut::new();
-        let last = Instant::now() + BODY_LIMIT;
+        let last = Instant::now() + BODY_TIMEOUT;
         loop {
-            let waited = self.answer_limit.min(last.duration_since(Instant::now()));
+            let waited = self.answer_timeout.min(last.duration_since(Instant::now()));
             let chunk = match timeout(waited, connection.next_chunk(&mut incoming)).await {
                 Ok(Some(chunk)) => chunk.map_err(StoreError::Cut)?,
                 Ok(None) => return Ok(read.freeze()),
@@ -269,7 +269,7 @@
                 }
             };
             read.extend_from_slice(&chunk);
-            if read.len() > SIZE_LIMIT {
+            if read.len() > MAX_ANSWER_BYTES {
                 return Err(StoreError::TooLarge);
             }
         }
--- a/components/transport/src/upstream/exchange.rs
+++ b/components/transport/src/upstream/exchange.rs
@@ -103,7 +103,7 @@
         &mut self,
         request: Request<RequestBody>,
     ) -> Result<Response<Incoming>, SendError> {
-        match self.head(request).await {
+        match self.await_head(request).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(RequestError::Unsent)) => {
                 self.end(Ending::Unreachable);
@@ -118,7 +118,7 @@
     }
 
     /// Returns the head of the answer, or `None` once the deadline has passed.
-    async fn head(
+    async fn await_head(
         &mut self,
         request: Request<RequestBody>,
     ) -> Option<Result<Response<Incoming>, RequestError>> {
