--- a/components/transport/src/gateway/answer_body.rs
+++ b/components/transport/src/gateway/answer_body.rs
@@ -46,7 +46,7 @@
         self.unread = Some(unread);
     }
 
-    /// Sets the caller connection's phase, which turns idle when this body ends.
+    /// Sets the activity of the caller's connection, which becomes idle when this body ends.
     pub fn set_activity(&mut self, activity: Rc<ConnectionActivity>) {
         self.activity = Some(activity);
     }
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Runs `act` on the reading state of a topic.
+    /// Runs `act` on the read schedule of a topic.
     pub(super) fn with_schedule<R>(
         &self,
         topic: Topic,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Reads the newest record of each key, at the start or after the store deleted records.
+    /// Reads the newest record of each key, at the start or after the store has trimmed records.
     async fn read_snapshot(
         self: &Rc<Self>,
         store: &mut StoreClient,
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -70,7 +70,7 @@
         let encoded = Bytes::from(message.encode());
         let fragments = self.split(&encoded);
         log::info!(
-            "E0422 message-spread topic={topic:?} bytes={} fragments={} neighbours={}",
+            "E0422 message-distributed topic={topic:?} bytes={} fragments={} neighbours={}",
             encoded.len(),
             fragments.len(),
             neighbours.len()
@@ -150,7 +150,7 @@
                     .receiving
                     .remove(&fragment.message);
                 log::info!(
-                    "E0423 message-whole topic={topic:?} bytes={} origin={}",
+                    "E0423 message-complete topic={topic:?} bytes={} origin={}",
                     message.len(),
                     fragment.origin
                 );
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -79,14 +79,14 @@
     Closing,
 }
 
-/// The reading state of each topic of the store.
+/// The read schedule of each topic of the store.
 struct ReadSchedules {
     operators: ReadSchedule,
     endpoints: ReadSchedule,
 }
 
 impl ReadSchedules {
-    /// Returns the initial feeds; `first` means that the whole site starts with this host.
+    /// Returns the initial schedules; `first` means that the whole site starts with this host.
     ///
     /// `draw` is a random number from 0 to 1.
     fn new(first: bool, draw: f64, now: Moment) -> ReadSchedules {
@@ -109,6 +109,7 @@
     started: Moment,
     config: RefCell<OperatorConfig>,
     registry: RefCell<Registry>,
+    /// Whether the list of endpoints has been received.
     endpoints_loaded: Cell<bool>,
     schedules: RefCell<ReadSchedules>,
     /// Wakes the tasks that follow the store when their next read is due earlier.
@@ -124,15 +125,19 @@
     fragments_notify: Notify,
     pool: RefCell<Pool>,
     retry_budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
+    /// Service time estimates by route name.
     service_times: RefCell<BTreeMap<String, ServiceTime>>,
     probe_budget: RefCell<HostProbeBudget>,
     queues: RefCell<WaitQueues>,
+    /// This host's fraction of all hosts, from 0 to 1; 0 until known.
     share: Cell<f64>,
     random: RefCell<SmallRng>,
     stage: watch::Sender<Stage>,
+    /// The number of open connections from callers.
     callers: Cell<usize>,
     request_log: RefCell<RequestLog>,
     crash_tracker: RefCell<CrashTracker>,
+    /// Limits the reports of endpoints' rate limits to other hosts.
     limit_reports: RefCell<ReportLimiter>,
     /// Wakes the task that checks whether an endpoint crashed.
     broken_notify: Notify,
--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -155,8 +155,8 @@
     /// forwarding tree, and in fragments if they exceed a datagram.
     ///
     /// When many hosts read a large update at the same time, only a host with
-    /// `may_distribute` set sends it, and only if it isn't receiving one: otherwise the
-    /// links would carry the update twice.
+    /// `may_distribute` set sends the update, and only if the host isn't receiving it:
+    /// otherwise the links would carry the update twice.
     pub(super) fn send_update(self: &Rc<Self>, update: RecordUpdate, may_distribute: bool) {
         match update.size() {
             n if n <= DIRECT_SEND_LIMIT => self.broadcast(&NeighbourMessage::Update(update)),
@@ -311,7 +311,7 @@
     /// Sends a message to all hosts: to the neighbours, and to some hosts of each
     /// other data centre, which forward it to their neighbours.
     ///
-    /// `message` builds the message; its argument is whether the message goes to
+    /// `message` builds the message; its argument tells whether the message goes to
     /// another data centre.
     pub(super) fn broadcast_all_centres(&self, message: impl Fn(bool) -> NeighbourMessage) {
         self.broadcast(&message(false));
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -131,7 +131,7 @@
         let probes = budget.lend();
         drop(budget);
         if probes > 0 {
-            log::debug!("E0140 questions-lent to={to} questions={probes}");
+            log::debug!("E0140 probes-lent to={to} questions={probes}");
             self.send(
                 to,
                 &NeighbourMessage::Lend(ProbeLoan { request_id, probes }),
--- a/components/transport/src/gateway/stream.rs
+++ b/components/transport/src/gateway/stream.rs
@@ -25,7 +25,7 @@
 }
 
 impl ConnectionActivity {
-    /// Returns the phase of a new connection.
+    /// Returns the activity of a new connection, which is idle.
     pub fn new() -> ConnectionActivity {
         ConnectionActivity(Cell::new(Activity::Idle(Instant::now())))
     }
@@ -35,7 +35,7 @@
         self.0.set(Activity::Serving);
     }
 
-    /// Marks the connection as idle, after an answer was handed over.
+    /// Marks the connection as idle, after an answer was sent.
     pub fn idle(&self) {
         self.0.set(Activity::Idle(Instant::now()));
     }
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -210,7 +210,7 @@
             .filter_map(platform::store::decode_record)
             .collect();
         log::info!(
-            "E0317 topic-handed-over topic={topic:?} records={}",
+            "E0317 snapshot-received topic={topic:?} records={}",
             records.len()
         );
         let draw = self.random_fraction();
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -54,8 +54,8 @@
     /// The answer's body exceeds the size limit.
     #[error("the store's answer is larger than {MAX_ANSWER_BYTES} bytes")]
     TooLarge,
-    /// The requested records were deleted; holds the oldest remaining offset, where reported.
-    #[error("the store has deleted the requested records; its oldest remaining offset is {0:?}")]
+    /// The store has trimmed the requested records; holds its oldest offset, if reported.
+    #[error("the store has trimmed the requested records; its oldest offset is {0:?}")]
     Forgotten(Option<u64>),
     /// The store answered with another status than 200 or 410.
     #[error("the store answered with status {}", .0.as_u16())]
@@ -215,7 +215,7 @@
         match status {
             StatusCode::OK => Ok(body),
             StatusCode::GONE => {
-                // Status 410 alone means that the records are deleted; the body is optional.
+                // Status 410 alone means that the records are trimmed; the body is optional.
                 let first = platform::store::parse_trimmed(&body)
                     .inspect_err(|e| log::warn!("E0319 log-answer-unclear error={e:?}"));
                 Err(StoreError::Forgotten(first.ok()))
--- a/components/transport/src/upstream/pool.rs
+++ b/components/transport/src/upstream/pool.rs
@@ -95,7 +95,7 @@
             return;
         }
         log::info!(
-            "E0110 connections-doubted endpoint={:016x} dropped={}",
+            "E0110 idle-connections-dropped endpoint={:016x} dropped={}",
             endpoint.0,
             dropped.len()
         );
