--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -54,7 +54,7 @@
                 return;
             }
             // After a wake-up or a timeout the due time is checked again.
-            let _sooner = timeout(left, self.schedule_changed.notified()).await;
+            let _notified = timeout(left, self.schedule_changed.notified()).await;
         }
     }
 
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -14,7 +14,7 @@
     ///
     /// An answer without a limit ends a known one, except for a rejection, which
     /// may omit the limit.
-    pub(super) fn learn_limit(&self, key: EndpointKey, headers: &HeaderMap, source: Source) {
+    pub(super) fn record_limit(&self, key: EndpointKey, headers: &HeaderMap, source: Source) {
         let rate = match platform::headers::rate_limit(headers) {
             Ok(None) if platform::headers::is_not_run(headers) => return,
             Ok(rate) => rate,
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -275,7 +275,7 @@
             }));
         registry.note_answer(key);
         drop(registry);
-        self.learn_limit(key, headers, Source::Probe);
+        self.record_limit(key, headers, Source::Probe);
         true
     }
 
@@ -285,7 +285,7 @@
     /// request has just ended there learns of the room before any other host can
     /// probe.
     pub(super) fn record_load(&self, key: EndpointKey, headers: &HeaderMap) {
-        self.learn_limit(key, headers, Source::Request);
+        self.record_limit(key, headers, Source::Request);
         let now = clock::now();
         let mut room = None;
         with_state(&mut self.registry.borrow_mut(), key, |state| {
--- a/components/transport/src/gateway/wait_queue.rs
+++ b/components/transport/src/gateway/wait_queue.rs
@@ -51,7 +51,7 @@
     /// Waits until this request is woken, for at most `limit`.
     pub async fn wait(&self, limit: Duration) {
         // After a wake-up or a timeout the caller evaluates the endpoints again.
-        let _called = timeout(limit, self.notify.notified()).await;
+        let _notified = timeout(limit, self.notify.notified()).await;
     }
 }
 
