--- a/components/transport/src/gateway/wait_queue.rs
+++ b/components/transport/src/gateway/wait_queue.rs
@@ -18,6 +18,7 @@
     services: BTreeMap<ServiceKey, Waiters>,
 }
 
+/// The wait queue of one service, and the notification for each waiting request.
 #[derive(Default)]
 struct Waiters {
     queue: WaitQueue,
@@ -50,7 +51,7 @@
 
     /// Waits until this request is woken, for at most `limit`.
     pub async fn wait(&self, limit: Duration) {
-        // After a wake-up or a timeout the caller evaluates the endpoints again.
+        // After a wake-up or a timeout the endpoints are evaluated again.
         let _notified = timeout(limit, self.notify.notified()).await;
     }
 }
