--- a/components/transport/src/gateway/neighbours.rs
+++ b/components/transport/src/gateway/neighbours.rs
@@ -1,4 +1,4 @@
-//! Tells the hosts of the same data centre what was read, and hears it from them.
+//! Exchanges datagrams with other hosts: greetings, and records read from the store.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,97 +15,100 @@
 use super::Gateway;
 use crate::clock;
 
-/// How often a host says that it is here.
+/// The interval between greetings to all neighbours.
 ///
-/// A host that starts while the store is away, and is the seed of its data
-/// centre itself, learns only by this that it has neighbours to ask.
-const HELLO_EVERY: Duration = Duration::from_secs(1);
+/// A host that starts while the store is unavailable, and is itself the seed of
+/// its data centre, learns of its neighbours only by their greetings.
+const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Record bytes up to which a reader tells all its neighbours by itself.
+/// Largest size of records, in bytes, that a reader sends to all neighbours directly.
 ///
-/// A datagram of a kilobyte to forty neighbours takes a narrow link 30 ms.
-const SMALL: usize = 1_024;
+/// A datagram of one kilobyte to forty neighbours takes 30 ms on a link of low
+/// bandwidth.
+const DIRECT_SEND_LIMIT: usize = 1_024;
 
-/// How often a host that knows nobody greets the seeds.
-const SEED_GREETINGS: u32 = 8;
+/// How many times a host that knows no other host greets the seeds.
+const SEED_HELLO_COUNT: u32 = 8;
 
-/// How long it waits for their answer: hosts start within 300 ms of each other.
-const SEED_PAUSE: Duration = Duration::from_millis(100);
+/// The pause between greetings to the seeds; hosts start within 300 ms of each other.
+const SEED_HELLO_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long after the first a second host of another data centre is told.
+/// The delay before records are sent to a second host of another data centre.
 ///
-/// It tells its neighbours only what it hasn't heard from the first by then.
-const SECOND_AFTER: Duration = Duration::from_millis(50);
+/// The second host forwards only records that it hasn't received from the first
+/// by then.
+const SECOND_CONTACT_DELAY: Duration = Duration::from_millis(50);
 
-/// With how many greetings a host greets one of another data centre.
-const ABROAD_EVERY: u32 = 2;
+/// A host of another data centre is greeted once per this many rounds of greetings.
+const REMOTE_HELLO_TICKS: u32 = 2;
 
 /// How long to wait when no datagram can be received.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(50);
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Gateway {
-    /// Says to all neighbours that this host is here, for ever.
+    /// Sends periodic greetings to the neighbours; never returns.
     ///
-    /// The seeds come first: they know the others, and asking them costs
-    /// nothing. They may have started a moment later than this host.
-    pub(super) async fn greet(self: Rc<Self>) {
-        // A socket that was just opened refuses to send until it is known to be writable.
+    /// Greets the seeds first: they know the other hosts, and unlike a call to
+    /// the store a datagram is free. The greeting is repeated, since the seeds may
+    /// start shortly after this host.
+    pub(super) async fn send_greetings(self: Rc<Self>) {
+        // A new socket rejects sends until the runtime has seen it become writable.
         if let Err(error) = self.socket.writable().await {
             log::warn!("E0406 datagram-not-sent error={error:?}");
         }
-        for _ in 0..SEED_GREETINGS {
+        for _ in 0..SEED_HELLO_COUNT {
             self.greet_seeds();
-            sleep(SEED_PAUSE).await;
+            sleep(SEED_HELLO_INTERVAL).await;
             let known = self.neighbours.borrow();
             if !known.is_empty() && known.any_remote(0).is_some() {
                 break;
             }
         }
-        let mut ticks = interval(HELLO_EVERY);
+        let mut ticks = interval(HELLO_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         for tick in 0u32.. {
             ticks.tick().await;
-            self.tell_all(&self.hello(false));
-            if tick.is_multiple_of(ABROAD_EVERY) {
-                self.greet_abroad();
+            self.broadcast(&self.hello(false));
+            if tick.is_multiple_of(REMOTE_HELLO_TICKS) {
+                self.greet_remote_host();
             }
-            let draw = self.draw();
-            let asked = self.neighbours.borrow_mut().next_query(draw);
-            if let Some(neighbour) = asked {
-                self.tell(neighbour, &self.hello(true));
+            let draw = self.random_u64();
+            let target = self.neighbours.borrow_mut().next_query(draw);
+            if let Some(neighbour) = target {
+                self.send(neighbour, &self.hello(true));
             }
         }
     }
 
-    /// Greets one host of another data centre, so that some there know this one.
-    fn greet_abroad(&self) {
-        let draw = self.draw();
-        let stranger = self.neighbours.borrow().any_remote(draw);
-        if let Some(stranger) = stranger {
-            self.tell(stranger, &self.hello(false));
+    /// Greets a random host of another data centre, so that some hosts there know this one.
+    fn greet_remote_host(&self) {
+        let draw = self.random_u64();
+        let remote = self.neighbours.borrow().any_remote(draw);
+        if let Some(remote) = remote {
+            self.send(remote, &self.hello(false));
         }
     }
 
-    /// Tells other data centres what this host has read.
-    pub(super) fn tell_abroad(self: &Rc<Self>, news: &RecordUpdate) {
+    /// Sends records that this host has read to other data centres.
+    pub(super) fn send_cross_centre(self: &Rc<Self>, update: &RecordUpdate) {
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
-        let message = NeighbourMessage::Update(news.for_other_centres());
-        let mut seconds = Vec::new();
+        let message = NeighbourMessage::Update(update.for_other_centres());
+        let mut second_hosts = Vec::new();
         for hosts in contacts {
             let mut hosts = hosts.into_iter();
             if let Some(first) = hosts.next() {
-                self.tell(first, &message);
+                self.send(first, &message);
             }
-            seconds.extend(hosts);
+            second_hosts.extend(hosts);
         }
-        if seconds.is_empty() {
+        if second_hosts.is_empty() {
             return;
         }
         let gateway = Rc::clone(self);
         spawn_local(async move {
-            sleep(SECOND_AFTER).await;
-            for second in seconds {
-                gateway.tell(second, &message);
+            sleep(SECOND_CONTACT_DELAY).await;
+            for second in second_hosts {
+                gateway.send(second, &message);
             }
         });
     }
@@ -114,16 +117,16 @@
         let hello = self.hello(true);
         let seeds = self.settings.seeds.iter();
         for seed in seeds.filter(|s| **s != self.settings.peers) {
-            self.tell(*seed, &hello);
+            self.send(*seed, &hello);
         }
     }
 
-    /// Greets the neighbours that the store names, and names them to each other.
+    /// Greets the neighbours found in the store's group, and names them to each other.
     ///
-    /// They are told of a few hosts of `others`, the other data centres, as well.
-    pub(super) fn introduce(&self, hosts: Vec<SocketAddr>, others: Vec<Contact>) {
+    /// The greeting also names a few of `others`, the hosts of other data centres.
+    pub(super) fn greet_members(&self, hosts: Vec<SocketAddr>, others: Vec<Contact>) {
         let now = clock::now();
-        let draw = self.draw();
+        let draw = self.random_u64();
         let mut known = self.neighbours.borrow_mut();
         for host in &hosts {
             known.add(*host, now);
@@ -132,7 +135,7 @@
             known.add_remote(contact.clone(), now);
         }
         drop(known);
-        self.tell_all(&NeighbourMessage::Hello(Hello {
+        self.broadcast(&NeighbourMessage::Hello(Hello {
             centre: self.settings.data_centre.clone(),
             wants_hosts: false,
             neighbours: hosts,
@@ -140,59 +143,60 @@
         }));
     }
 
-    /// Greets a neighbour that another neighbour names.
-    fn meet(&self, address: SocketAddr) {
+    /// Adds a neighbour, and greets it if it wasn't known.
+    fn add_neighbour(&self, address: SocketAddr) {
         let new = self.neighbours.borrow_mut().add(address, clock::now());
         if new {
-            self.tell(address, &self.hello(false));
+            self.send(address, &self.hello(false));
         }
     }
 
-    /// Tells the neighbours what was read: all of them where it is little, else
-    /// those that pass it on, in fragments where no datagram holds it.
+    /// Sends records to the neighbours: small ones directly, larger ones along the
+    /// forwarding tree, and in fragments if they exceed a datagram.
     ///
-    /// Where many read something large at the same moment, only one that `spreads` it
-    /// tells them, and none that is hearing it: the links would be filled twice.
-    pub(super) fn tell_news(self: &Rc<Self>, news: RecordUpdate, spreads: bool) {
-        match news.size() {
-            n if n <= SMALL => self.tell_all(&NeighbourMessage::Update(news)),
-            n if n <= DATAGRAM_LIMIT => self.pass_on(&news),
-            _ if spreads && !self.awaits(news.topic) => {
-                self.spread(
-                    news.topic,
-                    &NeighbourMessage::Update(news.without_addresses()),
+    /// When many hosts read a large update at the same time, only a host with
+    /// `may_distribute` set sends the update, and only if the host isn't receiving it:
+    /// otherwise the links would carry the update twice.
+    pub(super) fn send_update(self: &Rc<Self>, update: RecordUpdate, may_distribute: bool) {
+        match update.size() {
+            n if n <= DIRECT_SEND_LIMIT => self.broadcast(&NeighbourMessage::Update(update)),
+            n if n <= DATAGRAM_LIMIT => self.forward(&update),
+            _ if may_distribute && !self.is_receiving(update.topic) => {
+                self.distribute(
+                    update.topic,
+                    &NeighbourMessage::Update(update.without_addresses()),
                 );
             }
             _ => {}
         }
     }
 
-    /// Passes on what a neighbour, or this host, has read.
-    fn pass_on(&self, news: &RecordUpdate) {
+    /// Forwards records to this host's children in the forwarding tree.
+    fn forward(&self, update: &RecordUpdate) {
         let known = self.neighbours.borrow_mut().current(clock::now());
-        let message = NeighbourMessage::Update(news.clone());
-        for hop in relay::next_hops(self.settings.peers, news.relay_root, &known) {
-            self.tell(hop, &message);
+        let message = NeighbourMessage::Update(update.clone());
+        for hop in relay::next_hops(self.settings.peers, update.relay_root, &known) {
+            self.send(hop, &message);
         }
     }
 
-    /// Hears what neighbours tell, for ever.
-    pub(super) async fn hear(self: Rc<Self>) {
+    /// Receives and handles datagrams; never returns.
+    pub(super) async fn receive_datagrams(self: Rc<Self>) {
         let mut buffer = vec![0; DATAGRAM_LIMIT * 4];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
                     log::debug!("E0403 datagram-not-received error={error:?}");
-                    sleep(RECEIVE_PAUSE).await;
+                    sleep(RECEIVE_RETRY_DELAY).await;
                     continue;
                 }
             };
-            self.take_datagram(from, &buffer[..length]);
+            self.handle_datagram(from, &buffer[..length]);
         }
     }
 
-    fn take_datagram(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
+    fn handle_datagram(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
         let message = match NeighbourMessage::decode(datagram) {
             Ok(message) => message,
             Err(error) => {
@@ -202,76 +206,76 @@
         };
         self.traffic.borrow_mut().received(&message, datagram.len());
         match message {
-            NeighbourMessage::Update(news) if news.cross_centre => self.take_abroad(news, from),
-            NeighbourMessage::Update(news) => {
-                let new = self.take_news(&news, from);
-                let further = self.passes_on(&news);
-                if (new || further) && news.size() > SMALL {
-                    self.pass_on(&news);
+            NeighbourMessage::Update(u) if u.cross_centre => self.handle_cross_centre(u, from),
+            NeighbourMessage::Update(update) => {
+                let new = self.handle_update(&update, from);
+                let further = self.mark_forwarded(&update);
+                if (new || further) && update.size() > DIRECT_SEND_LIMIT {
+                    self.forward(&update);
                 }
             }
             NeighbourMessage::ReadStarted(topic) => {
-                self.meet(from);
-                self.take_reading(topic);
+                self.add_neighbour(from);
+                self.handle_read_start(topic);
             }
-            NeighbourMessage::ReadFailed(topic) => self.take_trouble(topic),
+            NeighbourMessage::ReadFailed(topic) => self.handle_read_failure(topic),
             NeighbourMessage::SnapshotRequest(topic) => {
-                self.meet(from);
-                self.hand_over(from, topic);
+                self.add_neighbour(from);
+                self.send_snapshot(from, topic);
             }
-            NeighbourMessage::Snapshot(held) => self.take_held(held),
-            NeighbourMessage::RecordsRequest(topic, next) => self.send_again(from, topic, next),
-            NeighbourMessage::Fragment(topic, fragment) => self.take_fragment(topic, &fragment),
-            NeighbourMessage::FragmentRequest(topic, r) => self.take_lacking(from, topic, &r),
-            NeighbourMessage::Hello(hello) => self.take_hello(from, hello),
-            NeighbourMessage::CrashReport(crashes) => self.learn_crashes(crashes),
-            NeighbourMessage::LimitReport(limits) => self.hear_limits(limits),
-            NeighbourMessage::Borrow(number) => self.lend_questions(from, number),
+            NeighbourMessage::Snapshot(snapshot) => self.handle_snapshot(snapshot),
+            NeighbourMessage::RecordsRequest(topic, next) => self.resend_records(from, topic, next),
+            NeighbourMessage::Fragment(topic, fragment) => self.handle_fragment(topic, &fragment),
+            NeighbourMessage::FragmentRequest(topic, r) => self.resend_fragments(from, topic, &r),
+            NeighbourMessage::Hello(hello) => self.handle_hello(from, hello),
+            NeighbourMessage::CrashReport(crashes) => self.handle_crash_report(crashes),
+            NeighbourMessage::LimitReport(limits) => self.handle_limit_report(limits),
+            NeighbourMessage::Borrow(number) => self.lend_probes(from, number),
             NeighbourMessage::Lend(loan) => {
-                let mut asks = self.asks.borrow_mut();
-                asks.receive_loan(loan.request_id, loan.probes);
+                let mut budget = self.probe_budget.borrow_mut();
+                budget.receive_loan(loan.request_id, loan.probes);
             }
         }
     }
 
-    /// Returns whether news are yet to be passed on, and notes that they are.
-    fn passes_on(&self, news: &RecordUpdate) -> bool {
+    /// Returns whether an update hasn't been forwarded yet, and marks it as forwarded.
+    fn mark_forwarded(&self, update: &RecordUpdate) -> bool {
         let mut neighbours = self.neighbours.borrow_mut();
-        let passed = match news.topic {
+        let forwarded = match update.topic {
             Topic::Operators => &mut neighbours.operators,
             Topic::Endpoints => &mut neighbours.endpoints,
         };
-        passed.mark(news.relay_root, news.next())
+        forwarded.mark(update.relay_root, update.next())
     }
 
-    fn take_hello(&self, from: SocketAddr, hello: Hello) {
+    fn handle_hello(&self, from: SocketAddr, hello: Hello) {
         let now = clock::now();
-        let greeted = self
+        let effect = self
             .neighbours
             .borrow_mut()
             .greeting_received(from, &hello.centre, now);
-        match greeted {
+        match effect {
             _ if hello.wants_hosts => {
-                self.tell(from, &self.list(&hello.centre));
-                if let Some(crashes) = self.known_crashes() {
-                    self.tell(from, &crashes);
+                self.send(from, &self.host_list(&hello.centre));
+                if let Some(crashes) = self.quarantine_message() {
+                    self.send(from, &crashes);
                 }
             }
-            GreetingEffect::New | GreetingEffect::NewRemote => self.tell(from, &self.hello(false)),
+            GreetingEffect::New | GreetingEffect::NewRemote => self.send(from, &self.hello(false)),
             GreetingEffect::Known | GreetingEffect::Remote => {}
         }
         for contact in hello.contacts {
             self.neighbours.borrow_mut().add_remote(contact, now);
         }
         for other in hello.neighbours {
-            self.meet(other);
+            self.add_neighbour(other);
         }
-        if greeted == GreetingEffect::New {
-            self.want_all();
+        if effect == GreetingEffect::New {
+            self.request_unread_topics();
         }
     }
 
-    /// Returns the greeting; `wants_hosts` asks whom the other knows.
+    /// Returns a greeting; `wants_hosts` asks the receiver for the hosts that it knows.
     fn hello(&self, wants_hosts: bool) -> NeighbourMessage {
         NeighbourMessage::Hello(Hello {
             centre: self.settings.data_centre.clone(),
@@ -281,11 +285,11 @@
         })
     }
 
-    /// Returns the greeting that names all hosts of `centre`, for one of them that asked.
+    /// Returns a greeting that names all hosts of `centre`, for a host there that asked.
     ///
-    /// Were they named in every greeting, the bytes would grow with the square
-    /// of the hosts: 250 KB a second and host where a data centre has a hundred.
-    fn list(&self, centre: &str) -> NeighbourMessage {
+    /// With all hosts in every greeting, traffic would grow with the square of the
+    /// number of hosts: 250 KB/s per host in a data centre of a hundred hosts.
+    fn host_list(&self, centre: &str) -> NeighbourMessage {
         let now = clock::now();
         let mut known = self.neighbours.borrow_mut();
         NeighbourMessage::Hello(Hello {
@@ -296,36 +300,38 @@
         })
     }
 
-    /// Tells all neighbours.
-    pub(super) fn tell_all(&self, message: &NeighbourMessage) {
+    /// Sends a message to all neighbours.
+    pub(super) fn broadcast(&self, message: &NeighbourMessage) {
         let addresses = self.neighbours.borrow_mut().current(clock::now());
         for address in addresses {
-            self.tell(address, message);
+            self.send(address, message);
         }
     }
 
-    /// Tells all hosts: the neighbours, and some elsewhere that tell theirs.
+    /// Sends a message to all hosts: to the neighbours, and to some hosts of each
+    /// other data centre, which forward it to their neighbours.
     ///
-    /// `message` makes the message, by whether it goes to another data centre.
-    pub(super) fn tell_site(&self, message: impl Fn(bool) -> NeighbourMessage) {
-        self.tell_all(&message(false));
-        let abroad = message(true);
+    /// `message` builds the message; its argument tells whether the message goes to
+    /// another data centre.
+    pub(super) fn broadcast_all_centres(&self, message: impl Fn(bool) -> NeighbourMessage) {
+        self.broadcast(&message(false));
+        let cross_centre = message(true);
         let contacts = self.neighbours.borrow_mut().remote_targets(clock::now());
         for host in contacts.into_iter().flatten() {
-            self.tell(host, &abroad);
+            self.send(host, &cross_centre);
         }
     }
 
-    /// Tells one neighbour.
-    pub(super) fn tell(&self, address: SocketAddr, message: &NeighbourMessage) {
+    /// Sends a message to one host.
+    pub(super) fn send(&self, address: SocketAddr, message: &NeighbourMessage) {
         let datagram = message.encode();
         self.traffic.borrow_mut().sent(message, datagram.len());
-        send(&self.socket, address, &datagram);
+        send_datagram(&self.socket, address, &datagram);
     }
 }
 
-/// Sends a datagram, or drops it where the link is full: telling never blocks.
-fn send(socket: &UdpSocket, address: SocketAddr, datagram: &[u8]) {
+/// Sends a datagram without blocking; drops the datagram if the send buffer is full.
+fn send_datagram(socket: &UdpSocket, address: SocketAddr, datagram: &[u8]) {
     match socket.try_send_to(datagram, address) {
         Ok(_) => {}
         Err(error) if error.kind() == ErrorKind::WouldBlock => {
--- a/components/transport/src/gateway/ask.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints how they do, and finds one for a request.
+//! Probes the health and load of endpoints, and selects an endpoint for a request.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,121 +18,121 @@
 use tokio::time::timeout;
 
 use super::Gateway;
-use super::line::Standing;
+use super::wait_queue::QueueEntry;
 use crate::clock;
 use crate::upstream::{Connection, RequestBody};
 
-/// How long an endpoint may take to say how it does.
+/// Time limit for a probe.
 ///
-/// It takes one to eight milliseconds; a lost packet is sent again after 200 ms,
-/// by when another endpoint has long been asked.
-const ASK_LIMIT: Duration = Duration::from_millis(120);
+/// A probe takes 1 ms to 8 ms. A lost packet would be retransmitted after 200 ms
+/// only, and another endpoint is probed long before.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// The largest answer to a question; more than that is no health report.
-const ASK_SIZE: usize = 16 * 1024;
+/// Largest body of a probe's answer, in bytes; a larger one is no health report.
+const MAX_PROBE_BYTES: usize = 16 * 1024;
 
-/// Connections that were asked on and not yet used.
-struct Asked<'a> {
+/// Connections that carried a probe and haven't been used for a request.
+struct ProbedConnections<'a> {
     gateway: &'a Gateway,
     connections: BTreeMap<EndpointKey, (Connection, HeaderMap)>,
 }
 
-impl Asked<'_> {
-    /// Gives them back to the pool.
-    fn give_back(&mut self) {
-        for (connection, fields) in std::mem::take(&mut self.connections).into_values() {
-            self.gateway.keep(connection, &fields);
+impl ProbedConnections<'_> {
+    /// Returns the connections to the pool.
+    fn return_to_pool(&mut self) {
+        for (connection, headers) in std::mem::take(&mut self.connections).into_values() {
+            self.gateway.keep_connection(connection, &headers);
         }
     }
 }
 
-impl Drop for Asked<'_> {
+impl Drop for ProbedConnections<'_> {
     fn drop(&mut self) {
-        self.give_back();
+        self.return_to_pool();
     }
 }
 
 impl Gateway {
-    /// Finds an endpoint for a request, with a connection that leads there.
+    /// Selects an endpoint for a request, and returns a connection to it.
     ///
-    /// A request is sent on the connection on which its endpoint was asked:
-    /// it is known to be alive, which an idle one may not be.
-    pub(super) async fn find(
+    /// The request uses the connection that carried the probe, because that
+    /// connection is known to work, whereas an idle one may be closed.
+    pub(super) async fn select_endpoint(
         &self,
         placement: &RefCell<Placement>,
         request: &placement::Request,
         regions: &BTreeSet<RegionKey>,
     ) -> Result<(EndpointKey, Connection), Refusal> {
-        let mut asked = Asked {
+        let mut probed = ProbedConnections {
             gateway: self,
             connections: BTreeMap::new(),
         };
-        let mut standing = self
-            .anyone_waits(request.service)
-            .then(|| self.stand(request));
+        let mut entry = self
+            .has_waiting(request.service)
+            .then(|| self.enqueue(request));
         loop {
-            let is_first = standing.as_ref().is_none_or(Standing::is_first);
+            let is_first = entry.as_ref().is_none_or(QueueEntry::is_first);
             let step = self.step(&mut placement.borrow_mut(), request, regions, is_first);
             match step {
-                Step::Probe(key) => match self.ask(key).await {
+                Step::Probe(key) => match self.probe(key).await {
                     Some(answered) => {
-                        asked.connections.insert(key, answered);
+                        probed.connections.insert(key, answered);
                     }
                     None => placement.borrow_mut().note_unanswered(key),
                 },
                 Step::Place(key) => {
-                    let given = asked.connections.remove(&key).map(|(c, _)| c);
+                    let given = probed.connections.remove(&key).map(|(c, _)| c);
                     match self.connect(key, given).await {
                         Some(connection) => return Ok((key, connection)),
                         None => placement.borrow_mut().note_unanswered(key),
                     }
                 }
                 Step::Wait(time) => {
-                    asked.give_back();
-                    let standing = standing.get_or_insert_with(|| self.stand(request));
-                    standing.wait(time).await;
+                    probed.return_to_pool();
+                    let entry = entry.get_or_insert_with(|| self.enqueue(request));
+                    entry.wait(time).await;
                 }
                 Step::Refuse(refusal) => return Err(refusal),
             }
         }
     }
 
-    /// Returns whether the bound on questions lets this host ask one more.
-    fn may_ask(&self) -> bool {
+    /// Returns whether the probe rate limit allows one more probe.
+    fn may_probe(&self) -> bool {
         let rate = self.live.borrow().bounds.ask_rate;
         let endpoints = self.registry.borrow().len();
         let now = clock::now();
-        let mut asks = self.asks.borrow_mut();
-        asks.refill(rate, endpoints, self.share.get(), now);
-        let left = asks.is_available();
-        let wanted = asks.borrow(now);
-        drop(asks);
-        if let Some(request_id) = wanted {
-            self.borrow_questions(request_id);
+        let mut budget = self.probe_budget.borrow_mut();
+        budget.refill(rate, endpoints, self.share.get(), now);
+        let available = budget.is_available();
+        let loan_request = budget.borrow(now);
+        drop(budget);
+        if let Some(request_id) = loan_request {
+            self.borrow_probes(request_id);
         }
-        left
+        available
     }
 
-    /// Asks one neighbour for questions that it doesn't need.
-    fn borrow_questions(&self, request_id: u32) {
-        let draw = self.draw();
+    /// Asks a random neighbour for unused probe budget; `request_id` identifies the request.
+    fn borrow_probes(&self, request_id: u32) {
+        let draw = self.random_u64();
         let neighbour = self.neighbours.borrow().any(draw);
         if let Some(neighbour) = neighbour {
-            self.tell(neighbour, &NeighbourMessage::Borrow(request_id));
+            self.send(neighbour, &NeighbourMessage::Borrow(request_id));
         }
     }
 
-    /// Lends a neighbour questions that this host doesn't need.
-    pub(super) fn lend_questions(&self, to: SocketAddr, request_id: u32) {
+    /// Transfers unused probe budget to the neighbour `to`, in reply to its request `request_id`.
+    pub(super) fn lend_probes(&self, to: SocketAddr, request_id: u32) {
         let rate = self.live.borrow().bounds.ask_rate;
         let endpoints = self.registry.borrow().len();
-        let mut asks = self.asks.borrow_mut();
-        asks.refill(rate, endpoints, self.share.get(), clock::now());
-        let probes = asks.lend();
-        drop(asks);
+        let mut budget = self.probe_budget.borrow_mut();
+        budget.refill(rate, endpoints, self.share.get(), clock::now());
+        let probes = budget.lend();
+        drop(budget);
         if probes > 0 {
-            log::debug!("E0140 questions-lent to={to} questions={probes}");
-            self.tell(
+            log::debug!("E0140 probes-lent to={to} questions={probes}");
+            self.send(
                 to,
                 &NeighbourMessage::Lend(ProbeLoan { request_id, probes }),
             );
@@ -146,9 +146,9 @@
         regions: &BTreeSet<RegionKey>,
         is_first: bool,
     ) -> Step {
-        let may_probe = self.may_ask();
-        let orders = self.orders.borrow();
-        let plan = orders
+        let may_probe = self.may_probe();
+        let config = self.config.borrow();
+        let plan = config
             .catalogue
             .as_ref()
             .and_then(|c| c.services.get(&request.service));
@@ -160,16 +160,18 @@
             is_connected: &|key| pool.holds(key),
             is_first,
             may_probe,
-            leaving_centres: &orders.leaving_centres,
+            leaving_centres: &config.leaving_centres,
             topology: &self.settings.topology,
             regions,
             cold: Quota::cold(plan.map_or(0.0, |p| p.cold_rate), self.share.get()),
         };
-        let mut draw = || self.draw_share();
+        let mut draw = || self.random_fraction();
         placement.next(&mut context, request, clock::now(), &mut draw)
     }
 
-    /// Returns a connection to an endpoint: the given one, an idle one, or a new one.
+    /// Returns a connection to an endpoint: the given one, an idle one or a new one.
+    ///
+    /// Returns `None` where the endpoint is unknown or connecting fails.
     async fn connect(&self, key: EndpointKey, given: Option<Connection>) -> Option<Connection> {
         let idle = || self.pool.borrow_mut().take(key, clock::now());
         if let Some(connection) = given.or_else(idle) {
@@ -180,42 +182,43 @@
             Ok(connection) => Some(connection),
             Err(error) => {
                 log::debug!("E0120 endpoint-unreachable address={address} error={error:?}");
-                self.note(key, Outcome::Broken);
+                self.record_outcome(key, Outcome::Broken);
                 None
             }
         }
     }
 
-    /// Asks an endpoint how it does; nothing where it gave no answer to use.
-    async fn ask(&self, key: EndpointKey) -> Option<(Connection, HeaderMap)> {
+    /// Probes an endpoint; returns the connection and the answer's headers, or
+    /// `None` without a valid answer.
+    async fn probe(&self, key: EndpointKey) -> Option<(Connection, HeaderMap)> {
         let kept = self.pool.borrow_mut().take(key, clock::now());
         let reused = kept.is_some();
-        if let Ok(Some(answered)) = timeout(ASK_LIMIT, self.ask_on(key, kept)).await {
+        if let Ok(Some(answered)) = timeout(PROBE_TIMEOUT, self.probe_on(key, kept)).await {
             return Some(answered);
         }
         if !reused {
-            self.note(key, Outcome::Broken);
+            self.record_outcome(key, Outcome::Broken);
             return None;
         }
-        // The idle connection may have been forgotten by the other end, and
-        // then so have those that lay idle beside it.
+        // The other end may have dropped the idle connection; then it has most
+        // likely dropped the endpoint's other idle connections too.
         self.pool.borrow_mut().drop_all(key);
-        match timeout(ASK_LIMIT, self.ask_on(key, None)).await {
+        match timeout(PROBE_TIMEOUT, self.probe_on(key, None)).await {
             Ok(Some(answered)) => Some(answered),
             _ => {
-                self.note(key, Outcome::Broken);
+                self.record_outcome(key, Outcome::Broken);
                 None
             }
         }
     }
 
-    async fn ask_on(
+    async fn probe_on(
         &self,
         key: EndpointKey,
         kept: Option<Connection>,
     ) -> Option<(Connection, HeaderMap)> {
-        let request = self.question(key)?;
-        self.asks.borrow_mut().spend();
+        let request = self.probe_request(key)?;
+        self.probe_budget.borrow_mut().spend();
         let mut connection = match kept {
             Some(connection) => connection,
             None => self.connect(key, None).await?,
@@ -223,22 +226,22 @@
         let answer = connection.send(request).await.ok()?;
         let (parts, mut incoming) = answer.into_parts();
         let mut size = 0;
-        while let Some(piece) = connection.next_piece(&mut incoming).await {
-            size += piece.ok()?.len();
-            if size > ASK_SIZE {
+        while let Some(chunk) = connection.next_chunk(&mut incoming).await {
+            size += chunk.ok()?.len();
+            if size > MAX_PROBE_BYTES {
                 return None;
             }
         }
         let healthy = parts.status == StatusCode::OK;
-        self.learn(key, healthy, &parts.headers)
+        self.record_probe(key, healthy, &parts.headers)
             .then_some((connection, parts.headers))
     }
 
-    fn question(&self, key: EndpointKey) -> Option<Request<RequestBody>> {
+    fn probe_request(&self, key: EndpointKey) -> Option<Request<RequestBody>> {
         let registry = self.registry.borrow();
         let endpoint = &registry.get(key)?.endpoint;
-        let orders = self.orders.borrow();
-        let services = &orders.catalogue.as_ref()?.services;
+        let config = self.config.borrow();
+        let services = &config.catalogue.as_ref()?.services;
         let path = &services.get(&endpoint.service)?.health;
         let mut request = Request::new(RequestBody::Buffered(bytes::Bytes::new()));
         *request.uri_mut() = path.parse().ok()?;
@@ -247,14 +250,15 @@
         Some(request)
     }
 
-    /// Takes in what an endpoint says of itself; false where another has its address.
-    fn learn(&self, key: EndpointKey, healthy: bool, fields: &HeaderMap) -> bool {
+    /// Records a probe's answer; returns false where another endpoint has taken
+    /// over the address.
+    fn record_probe(&self, key: EndpointKey, healthy: bool, headers: &HeaderMap) -> bool {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let Some(state) = registry.get_mut(key) else {
             return false;
         };
-        let other = platform::headers::instance_id(fields)
+        let other = platform::headers::instance_id(headers)
             .is_some_and(|name| name != state.endpoint.instance);
         if other {
             log::debug!(
@@ -263,29 +267,31 @@
             );
             return false;
         }
-        state.note_cold(platform::headers::warmup_remaining(fields), now);
-        let told = platform::headers::load_report(fields, healthy, now);
-        state.set_sample(
-            told.unwrap_or_else(|| untold(state.running, state.endpoint.slots, healthy, now)),
-        );
+        state.note_cold(platform::headers::warmup_remaining(headers), now);
+        let reported = platform::headers::load_report(headers, healthy, now);
+        state
+            .set_sample(reported.unwrap_or_else(|| {
+                assumed_load(state.running, state.endpoint.slots, healthy, now)
+            }));
         registry.note_answer(key);
         drop(registry);
-        self.learn_limit(key, fields, Source::Probe);
+        self.record_limit(key, headers, Source::Probe);
         true
     }
 
-    /// Takes in the load that an endpoint told with an answer.
+    /// Records the load that an endpoint reports with an answer.
     ///
-    /// Whoever is first in line hears of the room: the host whose request has just
-    /// ended there knows of it before any other host can ask.
-    pub(super) fn overhear(&self, key: EndpointKey, fields: &HeaderMap) {
-        self.learn_limit(key, fields, Source::Request);
+    /// Wakes the first waiting request where the endpoint has room: the host whose
+    /// request has just ended there learns of the room before any other host can
+    /// probe.
+    pub(super) fn record_load(&self, key: EndpointKey, headers: &HeaderMap) {
+        self.record_limit(key, headers, Source::Request);
         let now = clock::now();
         let mut room = None;
         with_state(&mut self.registry.borrow_mut(), key, |state| {
             let healthy = state.sample.is_none_or(|l| l.healthy);
-            if let Some(look) = platform::headers::load_report(fields, healthy, now) {
-                state.set_sample(look);
+            if let Some(sample) = platform::headers::load_report(headers, healthy, now) {
+                state.set_sample(sample);
                 room = state.is_good(now).then_some(state.endpoint.service);
             }
         });
@@ -294,8 +300,8 @@
         }
     }
 
-    /// Takes in what a request met at an endpoint.
-    pub(super) fn note(&self, key: EndpointKey, outcome: Outcome) {
+    /// Records the outcome of a request at an endpoint.
+    pub(super) fn record_outcome(&self, key: EndpointKey, outcome: Outcome) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         if registry.note_outcome(key, outcome, now) {
@@ -315,14 +321,14 @@
     key: EndpointKey,
     act: impl FnOnce(&mut state::fleet::EndpointState),
 ) {
-    // An endpoint that has left meanwhile has nothing to be noted of.
+    // The endpoint may have been removed in the meantime.
     if let Some(state) = registry.get_mut(key) {
         act(state);
     }
 }
 
-/// Returns the look at an endpoint that doesn't tell its load.
-fn untold(running: u32, slots: u32, healthy: bool, at: Moment) -> LoadSample {
+/// Returns the assumed load of an endpoint that doesn't report its load.
+fn assumed_load(running: u32, slots: u32, healthy: bool, at: Moment) -> LoadSample {
     LoadSample {
         at,
         running,
--- a/components/transport/src/gateway/server.rs
+++ b/components/transport/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Accepts callers' connections and serves their HTTP requests.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -14,64 +14,65 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::stream::{CallerStream, Patience, Phase};
+use super::stream::{CallerStream, CallerTimeouts, ConnectionActivity};
 use super::{Gateway, Stage, call};
 
-/// How long to wait when no connection can be accepted, such as when no file is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after a connection could not be accepted, as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Header fields that one request may have.
-const FIELDS_LIMIT: usize = 200;
+/// Maximum number of header fields in a request.
+const MAX_HEADER_FIELDS: usize = 200;
 
-/// The smallest buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 * 1024;
+/// The smallest buffer size that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Limits until the operators' are known.
-const FIRST_PATIENCE: Patience = Patience {
+/// The time limits until the operators' configuration is known.
+const DEFAULT_TIMEOUTS: CallerTimeouts = CallerTimeouts {
     head: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
 
-/// The largest head until the operators' limit is known.
-const FIRST_HEAD: usize = 16 * 1024;
+/// The size limit of a request head, in bytes, until the operators' configuration is known.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
 
-/// Counts a caller's connection for as long as it lives.
-struct Counted(Rc<Gateway>);
+/// Counts a caller's connection as open until dropped.
+struct ConnectionGuard(Rc<Gateway>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.callers.set(self.0.callers.get() - 1);
     }
 }
 
 impl Gateway {
-    /// Accepts callers, for ever.
+    /// Accepts callers' connections; never returns.
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                // Closed at once: a caller that was not read comes back elsewhere.
+                // Close at once: no request has been read, so the caller can retry
+                // at another host.
                 Ok(_) if self.callers.get() >= self.live.borrow().callers_limit => {
                     log::warn!("E0124 callers-limit callers={}", self.callers.get());
                 }
                 Ok((stream, address)) => {
                     self.callers.set(self.callers.get() + 1);
-                    let counted = Counted(Rc::clone(&self));
-                    spawn_local(serve(counted, stream, address.ip()));
+                    let guard = ConnectionGuard(Rc::clone(&self));
+                    spawn_local(serve(guard, stream, address.ip()));
                 }
                 Err(error) => {
                     log::warn!("E0101 accept-failed error={error:?}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    fn patience(&self) -> (Patience, usize) {
-        let orders = self.orders.borrow();
-        match &orders.catalogue {
-            None => (FIRST_PATIENCE, FIRST_HEAD),
+    fn timeouts(&self) -> (CallerTimeouts, usize) {
+        let config = self.config.borrow();
+        match &config.catalogue {
+            None => (DEFAULT_TIMEOUTS, DEFAULT_HEAD_BYTES),
             Some(catalogue) => (
-                Patience {
+                CallerTimeouts {
                     head: catalogue.limits.head_time,
                     idle: catalogue.limits.idle_time,
                 },
@@ -81,33 +82,33 @@
     }
 }
 
-/// Serves the requests of one connection, one after the other.
-async fn serve(counted: Counted, stream: TcpStream, caller: IpAddr) {
-    let gateway = &counted.0;
+/// Serves the requests of one connection in sequence.
+async fn serve(guard: ConnectionGuard, stream: TcpStream, caller: IpAddr) {
+    let gateway = &guard.0;
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("E0125 caller-lost error={error:?}");
         return;
     }
-    let phase = Rc::new(Phase::new());
-    let (patience, head) = gateway.patience();
+    let activity = Rc::new(ConnectionActivity::new());
+    let (timeouts, head) = gateway.timeouts();
     let service = service_fn(|request| {
         let gateway = Rc::clone(gateway);
-        let phase = Rc::clone(&phase);
+        let activity = Rc::clone(&activity);
         async move {
-            phase.serving();
-            let mut response = call::answer(&gateway, request, caller).await;
+            activity.serving();
+            let mut response = call::handle(&gateway, request, caller).await;
             if *gateway.stage.borrow() >= Stage::Leaving {
-                let fields = response.headers_mut();
-                fields.insert(CONNECTION, HeaderValue::from_static("close"));
+                let headers = response.headers_mut();
+                headers.insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            response.body_mut().tell(phase);
+            response.body_mut().set_activity(activity);
             Ok::<_, Infallible>(response)
         }
     });
-    let io = TokioIo::new(CallerStream::new(stream, Rc::clone(&phase), patience));
+    let io = TokioIo::new(CallerStream::new(stream, Rc::clone(&activity), timeouts));
     let connection = http1::Builder::new()
-        .max_headers(FIELDS_LIMIT)
-        .max_buf_size(head.max(LEAST_BUFFER) + LEAST_BUFFER)
+        .max_headers(MAX_HEADER_FIELDS)
+        .max_buf_size(head.max(MIN_BUFFER_BYTES) + MIN_BUFFER_BYTES)
         .serve_connection(io, service);
     let mut connection = pin!(connection);
     let mut stage = gateway.stage.subscribe();
--- a/components/transport/src/gateway/traffic.rs
+++ b/components/transport/src/gateway/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what this host and others tell each other, by kind of message.
+//! Counts the datagrams between this host and others, by kind of message.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,34 +10,34 @@
 
 use super::Gateway;
 
-/// How often the counts are logged.
-const REPORT_EVERY: Duration = Duration::from_secs(10);
+/// The interval at which the counts are logged.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Datagrams and their bytes.
+/// A number of datagrams and of their bytes.
 #[derive(Clone, Copy, Default)]
-struct Amount {
+struct DatagramCount {
     datagrams: u64,
     bytes: u64,
 }
 
-impl Amount {
+impl DatagramCount {
     fn add(&mut self, bytes: usize) {
         self.datagrams += 1;
         self.bytes += bytes as u64;
     }
 }
 
-impl fmt::Display for Amount {
+impl fmt::Display for DatagramCount {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.datagrams, self.bytes)
     }
 }
 
-/// Datagrams by kind since the last report.
+/// The datagrams by kind of message since the last log line.
 #[derive(Default)]
 pub(super) struct Traffic {
-    sent: BTreeMap<&'static str, Amount>,
-    received: BTreeMap<&'static str, Amount>,
+    sent: BTreeMap<&'static str, DatagramCount>,
+    received: BTreeMap<&'static str, DatagramCount>,
 }
 
 impl Traffic {
@@ -46,7 +46,7 @@
         self.sent.entry(message.kind()).or_default().add(bytes);
     }
 
-    /// Counts a datagram that came.
+    /// Counts a datagram that was received.
     pub fn received(&mut self, message: &NeighbourMessage, bytes: usize) {
         self.received.entry(message.kind()).or_default().add(bytes);
     }
@@ -55,8 +55,8 @@
 impl fmt::Display for Traffic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (direction, kinds) in [("sent", &self.sent), ("received", &self.received)] {
-            for (kind, amount) in kinds {
-                write!(f, " {direction}_{kind}={amount}")?;
+            for (kind, count) in kinds {
+                write!(f, " {direction}_{kind}={count}")?;
             }
         }
         Ok(())
@@ -64,12 +64,12 @@
 }
 
 impl Gateway {
-    /// Logs how many datagrams of each kind went and came, for ever.
+    /// Periodically logs the counts of datagrams by kind; never returns.
     pub(super) async fn report_traffic(self: Rc<Self>) {
         loop {
-            sleep(REPORT_EVERY).await;
+            sleep(REPORT_INTERVAL).await;
             let traffic = std::mem::take(&mut *self.traffic.borrow_mut());
-            let seconds = REPORT_EVERY.as_secs();
+            let seconds = REPORT_INTERVAL.as_secs();
             log::info!("E0424 datagrams seconds={seconds}{traffic}");
         }
     }
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -1,4 +1,4 @@
-//! The one client of the platform's store.
+//! The HTTP client for the platform's store.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,65 +13,66 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout};
 
-use crate::upstream::connection::WireError;
+use crate::upstream::connection::RequestError;
 use crate::upstream::{ConnectError, Connection, RequestBody};
 
-/// How long the store may keep silent where it waits for nothing.
+/// Time limit for the head of an answer, and for each further chunk of its body.
 ///
-/// An answer takes 4 ms usually and 60 times as long when the store is slow. A
-/// connection that fell silent is given up after this.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(1_000);
+/// A long poll adds its own waiting time. An answer usually takes 4 ms, and 60
+/// times as long when the store is slow. A connection that stays silent for
+/// longer is closed.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long the body of an answer may take at most, though bytes keep coming.
+/// Time limit for the whole body of an answer, even while bytes keep arriving.
 ///
-/// A megabyte takes a link of 10 Mbit/s a second, and four where others use it too.
-const BODY_LIMIT: Duration = Duration::from_secs(5);
+/// One megabyte takes 1 s on a link of 10 Mbit/s, and 4 s when others share the link.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest answer taken; a page has at most one megabyte.
-const SIZE_LIMIT: usize = 8 * 1024 * 1024;
+/// Largest body of an answer, in bytes; a page has at most one megabyte.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a call of the store brought nothing.
+/// The reason why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// No connection could be had.
+    /// No connection could be opened.
     #[error(transparent)]
     Connect(#[from] ConnectError),
     /// The connection broke.
     #[error(transparent)]
-    Wire(#[from] WireError),
-    /// The answer broke off.
-    #[error("the store's answer broke off: {0}")]
+    Wire(#[from] RequestError),
+    /// The connection broke before the answer was complete.
+    #[error("the store's answer was cut off: {0}")]
     Cut(hyper::Error),
-    /// No whole answer came in time.
-    #[error("the store gave {received} bytes and no whole answer in {} ms", waited.as_millis())]
+    /// No complete answer arrived in time.
+    #[error("the store sent {received} bytes and no complete answer within {} ms", waited.as_millis())]
     Silent {
-        /// How long the answer was waited for.
+        /// The time limit that passed without a further byte.
         waited: Duration,
-        /// Bytes of its body that came meanwhile.
+        /// Bytes of the body received before.
         received: usize,
     },
-    /// The answer is larger than any may be.
-    #[error("the store's answer is larger than {SIZE_LIMIT} bytes")]
+    /// The answer's body exceeds the size limit.
+    #[error("the store's answer is larger than {MAX_ANSWER_BYTES} bytes")]
     TooLarge,
-    /// The records asked for are no longer there; the oldest one that is, where told.
-    #[error("the store has forgotten the records asked for, and goes on at {0:?}")]
+    /// The store has trimmed the requested records; holds its oldest offset, if reported.
+    #[error("the store has trimmed the requested records; its oldest offset is {0:?}")]
     Forgotten(Option<u64>),
-    /// The store refused.
+    /// The store answered with another status than 200 or 410.
     #[error("the store answered with status {}", .0.as_u16())]
     Refused(StatusCode),
-    /// The answer can't be understood.
+    /// The answer can't be parsed.
     #[error(transparent)]
     Format(#[from] StoreFormatError),
 }
 
 impl StoreError {
-    /// Returns whether the call surely was not carried out, and never will be.
+    /// Returns whether the call certainly had no effect and never will.
     ///
-    /// Only the store's own words count: 504 and the like may come from
-    /// something in between, after the effect.
+    /// Only statuses that the store itself sends count: 504 and similar ones may
+    /// come from a proxy in between, after the call took effect.
     pub fn is_not_applied(&self) -> bool {
         match self {
-            StoreError::Connect(_) | StoreError::Wire(WireError::Unsent) => true,
+            StoreError::Connect(_) | StoreError::Wire(RequestError::Unsent) => true,
             StoreError::Refused(status) => {
                 status.is_client_error()
                     || matches!(
@@ -80,7 +81,7 @@
                     )
             }
             StoreError::Forgotten(_) => true,
-            StoreError::Wire(WireError::Sent(_))
+            StoreError::Wire(RequestError::Sent(_))
             | StoreError::Cut(_)
             | StoreError::Silent { .. }
             | StoreError::TooLarge
@@ -89,51 +90,53 @@
     }
 }
 
-/// A client that keeps one connection.
+/// A client of the store that keeps one connection open.
 ///
-/// Each of the host's loops has its own: a read that waits must not hold up
-/// another, and a connection that fell silent must not take all of them along.
+/// Each task has its own client, so that a waiting read doesn't delay another
+/// task and a stalled connection affects only one.
 pub struct StoreClient {
     address: SocketAddr,
-    answer_limit: Duration,
+    answer_timeout: Duration,
     connection: Option<Connection>,
 }
 
 impl StoreClient {
-    /// Returns a client of the store at `address`.
+    /// Returns a client for the store at `address`; connects on the first call.
     pub fn new(address: SocketAddr) -> StoreClient {
         StoreClient {
             address,
-            answer_limit: ANSWER_LIMIT,
+            answer_timeout: ANSWER_TIMEOUT,
             connection: None,
         }
     }
 
-    /// Sets how long the store may keep silent where it waits for nothing.
+    /// Sets the time limit for the head of an answer and each chunk of its body.
     pub fn set_timeout(&mut self, limit: Duration) {
-        self.answer_limit = limit;
+        self.answer_timeout = limit;
     }
 
     /// Appends one record and returns its offset.
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing; [`StoreError::is_not_applied`] tells
-    /// whether the record may stand there all the same.
+    /// Returns why the call failed; [`StoreError::is_not_applied`] tells whether the
+    /// record may have been appended nevertheless.
     pub async fn append(&mut self, topic: &str, record: &Bytes) -> Result<u64, StoreError> {
         let path = platform::store::append_path(topic);
         let body = platform::store::frame([record]);
         let answer = self
-            .call(Method::POST, &path, body, self.answer_limit)
+            .call(Method::POST, &path, body, self.answer_timeout)
             .await?;
         Ok(platform::store::parse_append(&answer)?)
     }
 
-    /// Returns a page of the newest records of a topic.
+    /// Returns a page with the newest record of each key of a topic.
+    ///
+    /// `after` is the key with which the previous page ended, `None` for the first page.
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing.
+    /// Returns why the call failed.
     pub async fn newest(
         &mut self,
         topic: &str,
@@ -141,18 +144,19 @@
     ) -> Result<NewestPage, StoreError> {
         let path = platform::store::newest_path(topic, after);
         let body = self
-            .call(Method::GET, &path, Bytes::new(), self.answer_limit)
+            .call(Method::GET, &path, Bytes::new(), self.answer_timeout)
             .await?;
         Ok(platform::store::parse_newest(&body)?)
     }
 
     /// Reads a topic from an offset, and waits up to `wait` for a record.
     ///
-    /// `kilobytes` bounds the answer, none for as much as the store gives at once.
+    /// `kilobytes` limits the size of the answer; with `None` the store's own
+    /// limit applies.
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing.
+    /// Returns why the call failed.
     pub async fn read(
         &mut self,
         topic: &str,
@@ -162,33 +166,33 @@
     ) -> Result<ReadAnswer, StoreError> {
         let millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let path = platform::store::read_path(topic, from, millis, kilobytes);
-        let limit = wait + self.answer_limit;
+        let limit = wait + self.answer_timeout;
         let body = self.call(Method::GET, &path, Bytes::new(), limit).await?;
         Ok(platform::store::parse_read(body, from)?)
     }
 
-    /// Joins a group, or stays in it.
+    /// Joins a group, or renews the membership in it.
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing; it may have been carried out.
+    /// Returns why the call failed; the join may have taken effect nevertheless.
     pub async fn join(&mut self, body: Vec<u8>) -> Result<GroupMembership, StoreError> {
         let path = platform::store::JOIN_PATH;
         let answer = self
-            .call(Method::POST, path, Bytes::from(body), self.answer_limit)
+            .call(Method::POST, path, Bytes::from(body), self.answer_timeout)
             .await?;
         Ok(platform::store::parse_join(&answer)?)
     }
 
-    /// Returns the members of a group that hold a partition.
+    /// Returns the members of a group that hold at least one partition.
     ///
     /// # Errors
     ///
-    /// Says why the call brought nothing.
+    /// Returns why the call failed.
     pub async fn owners(&mut self, group: &str) -> Result<BTreeSet<String>, StoreError> {
         let path = platform::store::owners_path(group);
         let body = self
-            .call(Method::GET, &path, Bytes::new(), self.answer_limit)
+            .call(Method::GET, &path, Bytes::new(), self.answer_timeout)
             .await?;
         Ok(platform::store::parse_owners(&body)?)
     }
@@ -200,18 +204,18 @@
         body: Bytes,
         limit: Duration,
     ) -> Result<Bytes, StoreError> {
-        let begun = timeout(limit, self.begin(method, path, body));
+        let begun = timeout(limit, self.send_request(method, path, body));
         let (mut connection, answer) = begun.await.map_err(|_| StoreError::Silent {
             waited: limit,
             received: 0,
         })??;
         let status = answer.status();
-        let body = self.rest(&mut connection, answer.into_body()).await?;
+        let body = self.read_body(&mut connection, answer.into_body()).await?;
         self.connection = Some(connection);
         match status {
             StatusCode::OK => Ok(body),
             StatusCode::GONE => {
-                // Forgotten all the same where the rest of the answer makes no sense.
+                // Status 410 alone means that the records are trimmed; the body is optional.
                 let first = platform::store::parse_trimmed(&body)
                     .inspect_err(|e| log::warn!("E0319 log-answer-unclear error={e:?}"));
                 Err(StoreError::Forgotten(first.ok()))
@@ -220,8 +224,8 @@
         }
     }
 
-    /// Sends a request, and waits for the head of its answer.
-    async fn begin(
+    /// Sends a request and waits for the head of the answer.
+    async fn send_request(
         &mut self,
         method: Method,
         path: &str,
@@ -230,7 +234,7 @@
         let kept = self
             .connection
             .take()
-            .and_then(|mut c| c.usable().then_some(c));
+            .and_then(|mut c| c.is_usable().then_some(c));
         let mut connection = match kept {
             Some(connection) => connection,
             None => Connection::open(EndpointKey(0), self.address).await?,
@@ -240,21 +244,22 @@
         Ok((connection, answer))
     }
 
-    /// Reads an answer's body for as long as bytes keep coming.
+    /// Reads the body of an answer for as long as bytes keep arriving.
     ///
-    /// Were the whole answer timed, hosts that share what the store gives would
-    /// all give up together a read that is nearly done, and begin anew together.
-    async fn rest(
+    /// A single time limit for the whole answer would make hosts that share
+    /// the store's bandwidth all abort a nearly complete read at the same time
+    /// and then restart together.
+    async fn read_body(
         &self,
         connection: &mut Connection,
         mut incoming: Incoming,
     ) -> Result<Bytes, StoreError> {
         let mut read = BytesMut::new();
-        let last = Instant::now() + BODY_LIMIT;
+        let last = Instant::now() + BODY_TIMEOUT;
         loop {
-            let waited = self.answer_limit.min(last.duration_since(Instant::now()));
-            let piece = match timeout(waited, connection.next_piece(&mut incoming)).await {
-                Ok(Some(piece)) => piece.map_err(StoreError::Cut)?,
+            let waited = self.answer_timeout.min(last.duration_since(Instant::now()));
+            let chunk = match timeout(waited, connection.next_chunk(&mut incoming)).await {
+                Ok(Some(chunk)) => chunk.map_err(StoreError::Cut)?,
                 Ok(None) => return Ok(read.freeze()),
                 Err(_) => {
                     return Err(StoreError::Silent {
@@ -263,8 +268,8 @@
                     });
                 }
             };
-            read.extend_from_slice(&piece);
-            if read.len() > SIZE_LIMIT {
+            read.extend_from_slice(&chunk);
+            if read.len() > MAX_ANSWER_BYTES {
                 return Err(StoreError::TooLarge);
             }
         }
--- a/components/transport/src/upstream/mod.rs
+++ b/components/transport/src/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! The client side: connections to backend servers.
+//! HTTP client connections to backend servers.
 
 pub mod body;
 pub mod connection;
+pub mod counting_stream;
 pub mod exchange;
-pub mod meter;
 pub mod pool;
 
 pub use body::RequestBody;
