--- a/components/coordination/src/members/detector.rs
+++ b/components/coordination/src/members/detector.rs
@@ -14,43 +14,43 @@
 use super::watch::{MemberId, WatchMap};
 use super::watched::WatchedMember;
 
-/// How often a host beats to each of its watchers.
+/// The time between two heartbeats from a host to each of its watchers.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Each so manieth beat asks for an answer.
+/// One heartbeat in this many requests an acknowledgement.
 const HEARTBEATS_PER_ACK: u64 = 3;
 
-/// A gap between two ticks after which the silence of others proves nothing.
+/// The gap between two ticks after which the silence of other members proves nothing.
 ///
-/// A host that was itself paused finds everybody silent when it resumes.
-const OWN_PAUSE: Duration = Duration::from_millis(250);
+/// A host that was itself paused finds all others silent when it resumes.
+const PAUSE_LIMIT: Duration = Duration::from_millis(250);
 
-/// How long a host may lag behind a peer's offset before it asks for its configuration.
+/// How long a host may lag behind a peer's offset before it requests the peer's configuration.
 ///
-/// In ordinary times the log brings the same within milliseconds.
-const BEHIND: Duration = Duration::from_millis(500);
+/// Normally the log brings the same records within milliseconds.
+const LAG_LIMIT: Duration = Duration::from_millis(500);
 
-/// Beats whose moment of sending is kept for their answers.
-const ASKED_LIMIT: usize = 64;
+/// The number of heartbeats whose time of sending is kept, for their acknowledgements.
+const SENT_LIMIT: usize = 64;
 
-/// What the detector wants done.
+/// An action for the caller of the detector.
 #[value]
 pub enum Action {
-    /// Send a message.
+    /// Sends a message.
     Send(HostKey, MemberMessage),
-    /// Give up the link to a silent host and dial anew.
+    /// Closes the link to a silent host and dials again.
     Redial(HostKey),
-    /// Write the removal of a lost member to the log.
+    /// Writes the removal of a lost member to the log.
     Remove(MemberId),
-    /// Ask this host for its configuration, which is newer.
+    /// Requests the configuration of this host, which is newer.
     AskConfig(HostKey),
-    /// A member is suspected from now on.
+    /// Reports that a member is suspected from now on.
     Suspected(HostKey),
-    /// A suspected member lives.
+    /// Reports that a suspected member is alive.
     Refuted(HostKey),
 }
 
-/// Watches others, is watched, and tells who is alive.
+/// Watches other members, sends heartbeats to its own watchers, and reports who is alive.
 pub struct Detector {
     pub(super) me: MemberId,
     pub(super) epoch: u64,
@@ -66,17 +66,17 @@
     pub(super) watched: BTreeMap<MemberId, WatchedMember>,
     pub(super) gossip_state: GossipState,
     suspected: BTreeSet<MemberId>,
-    pub(super) asked: BTreeMap<u64, Moment>,
-    pub(super) answers: BTreeMap<MemberId, WatcherAck>,
+    pub(super) sent: BTreeMap<u64, Moment>,
+    pub(super) acks: BTreeMap<MemberId, WatcherAck>,
     log_read: Option<Moment>,
     pub(super) ahead: Option<(HostKey, Moment)>,
     unlisted: BTreeSet<HostKey>,
     pub(super) poll: Option<RemovalPoll>,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Detector {
-    /// Returns a detector that knows of no members yet.
+    /// Returns a detector that does not know any members yet.
     pub fn new(me: MemberId, now: Moment) -> Detector {
         Detector {
             me,
@@ -93,17 +93,17 @@
             watched: BTreeMap::new(),
             gossip_state: GossipState::default(),
             suspected: BTreeSet::new(),
-            asked: BTreeMap::new(),
-            answers: BTreeMap::new(),
+            sent: BTreeMap::new(),
+            acks: BTreeMap::new(),
             log_read: None,
             ahead: None,
             unlisted: BTreeSet::new(),
             poll: None,
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// Takes over a configuration; an older one than the last changes nothing.
+    /// Applies a configuration, unless it is older than the last.
     pub fn configure(&mut self, config: &Config, now: Moment) {
         if config.offset < self.offset {
             return;
@@ -131,15 +131,15 @@
         }
         self.watched = watched;
         self.gossip_state.retain(&self.map);
-        self.answers
+        self.acks
             .retain(|id, _| self.map.member(id.host) == Some(*id));
         self.announce_removals(&old);
         self.refresh(now);
     }
 
-    /// Tells all that this host has seen the end of members it watched.
+    /// Announces that this host has applied the removal of members that it watched.
     ///
-    /// Their successors wait for it: see [`WatchHistory::settled`].
+    /// Their successors wait for it: see [`WatchHistory::owner_status`].
     fn announce_removals(&mut self, old: &WatchMap) {
         let watched: Vec<MemberId> = old
             .members()
@@ -165,17 +165,17 @@
         self.forward_gossip(&gossip, None);
     }
 
-    /// Notes that the log's end was read, with a request sent at `asked`.
-    pub fn note_log_end(&mut self, asked: Moment) {
-        self.log_read = self.log_read.max(Some(asked));
+    /// Records that the end of the log was read by a request sent at `sent`.
+    pub fn note_log_end(&mut self, sent: Moment) {
+        self.log_read = self.log_read.max(Some(sent));
     }
 
-    /// Takes over which members a usable list of the platform lacks or calls leaving.
+    /// Sets the members that a usable list of the platform lacks or reports as leaving.
     pub fn set_unlisted(&mut self, unlisted: BTreeSet<HostKey>) {
         self.unlisted = unlisted;
     }
 
-    /// Notes what a peer said when its link was made.
+    /// Records the incarnation and offset that a peer sent when its link was made.
     pub fn peer_connected(&mut self, from: HostKey, incarnation: u64, offset: u64, now: Moment) {
         let id = MemberId {
             host: from,
@@ -188,9 +188,9 @@
         self.note_peer_offset(from, offset, now);
     }
 
-    /// Does what is due. To be called every 50 ms.
+    /// Performs due work. The caller has to call it every 50 ms.
     pub fn tick(&mut self, now: Moment) {
-        if now.since(self.last_tick) > OWN_PAUSE {
+        if now.since(self.last_tick) > PAUSE_LIMIT {
             self.reset_silence(now);
         }
         self.last_tick = now;
@@ -202,29 +202,29 @@
         for id in watched {
             self.watch(id, now);
         }
-        self.settle_poll(now);
+        self.update_poll(now);
         if let Some((host, since)) = self.ahead
-            && now.since(since) >= BEHIND
+            && now.since(since) >= LAG_LIMIT
         {
             self.ahead = None;
-            self.out.push(Action::AskConfig(host));
+            self.actions.push(Action::AskConfig(host));
         }
         self.gossip_state.expire(now);
         self.refresh(now);
     }
 
-    /// Returns what is to be done, once.
+    /// Takes the actions collected since the last call.
     pub fn actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Asks `host` how far it has folded the configuration.
+    /// Asks `host` for the offset up to which it has applied the configuration.
     pub fn ask(&mut self, host: HostKey, now: Moment) {
-        let heartbeat = self.next(true, now);
-        self.out.push(Action::Send(host, heartbeat));
+        let heartbeat = self.new_heartbeat(true, now);
+        self.actions.push(Action::Send(host, heartbeat));
     }
 
-    /// Returns whether this process is a member of the configuration taken over last.
+    /// Returns whether the current configuration contains this process as a member.
     pub fn is_member(&self) -> bool {
         self.map.member(self.me.host) == Some(self.me)
     }
@@ -234,20 +234,20 @@
         self.current_at().is_some_and(|at| is_fresh(now, at))
     }
 
-    /// Returns when a member's configuration was last shown to be the current one.
+    /// Returns when this member's configuration was last proved to be the current one.
     pub fn current_at(&self) -> Option<Moment> {
         let watchers = self.map.watchers(self.me);
-        let latest = current_at(self.offset, self.log_read, watchers, &self.answers);
+        let latest = current_at(self.offset, self.log_read, watchers, &self.acks);
         latest.filter(|_| self.is_member())
     }
 
-    /// Returns what is known of a previous owner after the change at `change`.
+    /// Returns whether a previous owner may still act after the change at offset `change`.
     pub fn owner_status(&self, owner: MemberId, change: u64) -> OwnerStatus {
         self.history
             .owner_status(owner, change, self.gossip_state.applied())
     }
 
-    /// Returns who is alive.
+    /// Returns which members are alive.
     pub fn view(&self) -> LiveView {
         let peer = |id: MemberId| PeerState {
             data_centre: self.centres.get(&id.host).cloned().unwrap_or_default(),
@@ -266,7 +266,7 @@
             return;
         };
         if member.should_redial(now) {
-            self.out.push(Action::Redial(id.host));
+            self.actions.push(Action::Redial(id.host));
         }
         if member.should_query(now) {
             let query = LivenessQuery {
@@ -277,17 +277,17 @@
             };
             for watcher in self.map.watchers(id).iter().filter(|w| **w != self.me) {
                 let message = MemberMessage::LivenessQuery(query.clone());
-                self.out.push(Action::Send(watcher.host, message));
+                self.actions.push(Action::Send(watcher.host, message));
             }
         }
         if !member.is_agreed(now, other_watchers.len()) {
             return;
         }
-        let before = other_watchers.iter().filter(|f| **f < self.me).count();
-        let lost = member.is_lost(now, &other_watchers, u32::try_from(before).unwrap_or(0));
+        let before = other_watchers.iter().filter(|w| **w < self.me).count();
+        let lost = member.is_removable(now, &other_watchers, u32::try_from(before).unwrap_or(0));
         let round = member.silence(now).as_secs();
         let epoch = member.epoch;
-        if self.gossip_state.is_stale(id, now) {
+        if self.gossip_state.is_repeat_due(id, now) {
             let gossip = Gossip {
                 host: id.host,
                 incarnation: id.incarnation,
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Returns the other watchers of `id` that are not themselves suspected.
+    /// Returns the other watchers of `id` that are not suspected themselves.
     fn other_watchers(&self, id: MemberId, now: Moment) -> Vec<MemberId> {
         let watchers = self.map.watchers(id).iter().copied();
         watchers
@@ -310,17 +310,17 @@
     }
 
     fn start_poll(&mut self, target: MemberId, now: Moment) {
-        let heartbeat = self.next(true, now);
+        let heartbeat = self.new_heartbeat(true, now);
         self.poll = Some(RemovalPoll::new(target, self.sequence, now));
         let region: Vec<MemberId> = self.map.region(target.host).collect();
         for id in region {
             if id != self.me && id != target {
-                self.out.push(Action::Send(id.host, heartbeat.clone()));
+                self.actions.push(Action::Send(id.host, heartbeat.clone()));
             }
         }
     }
 
-    fn settle_poll(&mut self, now: Moment) {
+    fn update_poll(&mut self, now: Moment) {
         let Some(poll) = &mut self.poll else {
             return;
         };
@@ -333,7 +333,7 @@
         let silent = self.watched.get(&target);
         let silent = silent.is_some_and(|s| s.silence(now) >= super::watched::REMOVE_AFTER);
         if silent && poll.should_remove(region, listed, now) {
-            self.out.push(Action::Remove(target));
+            self.actions.push(Action::Remove(target));
         }
         if !silent || poll.is_over(now) {
             self.poll = None;
@@ -342,18 +342,19 @@
 
     fn send_heartbeats(&mut self, now: Moment) {
         let wants_ack = (self.sequence + 1).is_multiple_of(HEARTBEATS_PER_ACK);
-        let heartbeat = self.next(wants_ack, now);
+        let heartbeat = self.new_heartbeat(wants_ack, now);
         for watcher in self.map.watchers(self.me) {
-            self.out.push(Action::Send(watcher.host, heartbeat.clone()));
+            self.actions
+                .push(Action::Send(watcher.host, heartbeat.clone()));
         }
     }
 
-    fn next(&mut self, wants_ack: bool, now: Moment) -> MemberMessage {
+    fn new_heartbeat(&mut self, wants_ack: bool, now: Moment) -> MemberMessage {
         self.sequence += 1;
         if wants_ack {
-            self.asked.insert(self.sequence, now);
-            while self.asked.len() > ASKED_LIMIT {
-                self.asked.pop_first();
+            self.sent.insert(self.sequence, now);
+            while self.sent.len() > SENT_LIMIT {
+                self.sent.pop_first();
             }
         }
         MemberMessage::Heartbeat(Heartbeat {
@@ -365,10 +366,10 @@
         })
     }
 
-    /// Passes news on to the hosts this one watches and is watched by.
+    /// Forwards gossip to the hosts that this one watches and that watch it.
     ///
-    /// Those pairs form a random graph of degree ten: news reach 300 hosts in
-    /// three or four hops, at a cost a host that does not grow with them.
+    /// These pairs form a random graph of degree ten: gossip reaches 300 hosts in
+    /// three or four hops, at a cost per host that does not grow with their number.
     pub(super) fn forward_gossip(&mut self, gossip: &Gossip, from: Option<HostKey>) {
         let watchers = self.map.watchers(self.me).iter().map(|w| w.host);
         let watched = self.watched.keys().map(|s| s.host);
@@ -382,7 +383,7 @@
     }
 
     pub(super) fn send(&mut self, to: HostKey, message: MemberMessage) {
-        self.out.push(Action::Send(to, message));
+        self.actions.push(Action::Send(to, message));
     }
 
     fn reset_silence(&mut self, now: Moment) {
@@ -391,7 +392,7 @@
         }
     }
 
-    /// Tells which members have become suspected, and which no longer are.
+    /// Reports members that have become suspected, and those that no longer are.
     pub(super) fn refresh(&mut self, now: Moment) {
         if self.gossip_state.is_quiet() && self.suspected.is_empty() {
             return;
@@ -399,11 +400,11 @@
         let is_suspected = |id: &MemberId| self.gossip_state.suspected(*id, now).is_some();
         let suspected: BTreeSet<MemberId> = self.map.members().filter(is_suspected).collect();
         for id in suspected.difference(&self.suspected) {
-            self.out.push(Action::Suspected(id.host));
+            self.actions.push(Action::Suspected(id.host));
         }
         for id in self.suspected.difference(&suspected) {
             if self.map.member(id.host) == Some(*id) {
-                self.out.push(Action::Refuted(id.host));
+                self.actions.push(Action::Refuted(id.host));
             }
         }
         self.suspected = suspected;
--- a/components/coordination/tests/claim_bounds.rs
+++ b/components/coordination/tests/claim_bounds.rs
@@ -1,4 +1,4 @@
-//! What a home of claims spends and keeps at the most.
+//! Limits on the appends, keys and cached answers of a claims home.
 
 use std::time::Duration;
 
@@ -67,8 +67,8 @@
     home.replies().pop().expect("a repeat is answered").answer
 }
 
-// The log's appends are for the whole site: a home with more claims than ever
-// must not take those that operators need.
+// The store's appends are shared by the whole site. A home with an unusual
+// number of claims must not take the appends that operators need.
 #[test]
 fn append_budget() {
     let mut budget = AppendBudget::new(30.0, 10.0, second(0));
@@ -77,8 +77,9 @@
     assert!((300..=310).contains(&spent), "{spent} appends in 10 s");
 }
 
-// Too many keys in two hours. A home that forgot the oldest would let a deposit
-// run twice; new ones are refused instead, and nothing of them is appended.
+// More keys within their TTL of two hours than a table holds. A home that dropped
+// the oldest would let a deposit run twice; new keys are refused instead, without
+// any append.
 #[test]
 fn full_table() {
     let mut home = Home::new(CARRY_AFTER);
@@ -91,24 +92,24 @@
         );
     }
     home.request(ENTRY, request(u128::MAX), second(30), second(2));
-    let told = home.replies().pop().map(|r| r.answer);
-    assert!(matches!(told, Some(Answer::NotRun(_))), "{told:?}");
+    let reply = home.replies().pop().map(|r| r.answer);
+    assert!(matches!(reply, Some(Answer::NotRun(_))), "{reply:?}");
     assert!(!home.has_claims());
     assert_eq!(repeat(&mut home, 0, second(2)), Answer::Started);
 }
 
-// Answers are kept for repeats. They may not take all memory, whatever their
-// size; a repeat of one that was dropped hears that the call was started.
+// The cache of answers must not take all memory, whatever the size of the
+// answers. A repeat of a dropped one is answered that the call was started.
 #[rstest]
 #[case::few_small(10, 1_000, true)]
 #[case::too_large(10, CACHED_ANSWER_LIMIT, false)]
 #[case::too_many(1_000, ANSWER_CACHE_LIMIT / 500, false)]
 fn kept_answers(#[case] keys: u128, #[case] size: usize, #[case] first_is_kept: bool) {
     let mut home = answered(keys, size, second(1));
-    let told = repeat(&mut home, 0, second(2));
+    let reply = repeat(&mut home, 0, second(2));
     match first_is_kept {
-        true => assert_eq!(told, Answer::Known(answer(size))),
-        false => assert_eq!(told, Answer::Started),
+        true => assert_eq!(reply, Answer::Known(answer(size))),
+        false => assert_eq!(reply, Answer::Started),
     }
 }
 
@@ -120,10 +121,10 @@
     assert_eq!(repeat(&mut home, 0, later), Answer::Started);
 }
 
-// Answers to deposits are kept for ten minutes. Each was a slice of the buffer it
-// came in, and an entry host grew by twice what it counted.
+// Answers to deposits are cached for ten minutes. When each was a slice of its
+// receive buffer, an entry host grew by twice the size that it counted.
 #[test]
-fn kept_apart() {
+fn detached_answer() {
     let buffer = Bytes::from(vec![b'x'; 65_536]);
     let answer = CachedAnswer {
         status: 201,
@@ -133,5 +134,5 @@
     let kept = answer.detached();
     assert_eq!(kept, answer);
     drop(answer);
-    assert!(buffer.is_unique(), "the kept answer holds the buffer");
+    assert!(buffer.is_unique(), "the cached answer holds the buffer");
 }
--- a/components/coordination/tests/claim_races.rs
+++ b/components/coordination/tests/claim_races.rs
@@ -1,4 +1,4 @@
-//! One key, one run: homes doubled, answers lost, appends that land late, hosts that crash.
+//! A key runs at most one call, with duplicate homes, lost answers, late appends and crashes.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use state::{HostKey, Moment};
 
 const KEY_TTL: Duration = Duration::from_secs(60);
-const PATIENCE: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const CARRY: Duration = Duration::from_secs(20);
 const ENTRY: HostKey = HostKey(9);
 
-/// What an entry host knows of one call.
+/// What an entry host knows about one call.
 struct Call {
     key: ClaimKey,
     made: Moment,
@@ -30,11 +30,11 @@
     Open,
     /// Sent to a backend server.
     Ran,
-    /// Sent, and surely not run: the backend server shed it.
+    /// Sent, but certainly not run: the backend server shed it.
     Freed,
-    /// Told "not run" without having been sent.
+    /// Answered "not run" without having been sent.
     GivenUp,
-    /// Told of an earlier call.
+    /// Answered with the state of an earlier call.
     Repeat,
 }
 
@@ -47,9 +47,9 @@
     mail: Vec<Reply>,
 }
 
-/// What becomes of an append.
+/// The outcome of an append.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum AppendOutcome {
     Answered,
     AnswerLost,
     Late,
@@ -66,7 +66,7 @@
     },
     Append {
         home: usize,
-        fate: Fate,
+        outcome: AppendOutcome,
         reads: bool,
     },
     LandLate,
@@ -76,12 +76,12 @@
     },
     GiveUp {
         which: usize,
-        told: bool,
+        sent: bool,
     },
     Finish {
         which: usize,
         how: usize,
-        told: bool,
+        sent: bool,
     },
     Crash {
         home: usize,
@@ -113,7 +113,7 @@
     fn call(&mut self, key: u128, digest: u128, homes: &[usize]) -> usize {
         let id = ClaimId(self.calls.len() as u128);
         let key = ClaimKey(key);
-        let until = self.now + PATIENCE;
+        let until = self.now + CALL_TIMEOUT;
         self.calls.push(Call {
             key,
             made: self.now,
@@ -133,24 +133,24 @@
         self.calls.len() - 1
     }
 
-    fn append(&mut self, home: usize, fate: Fate, reads: bool) {
+    fn append(&mut self, home: usize, outcome: AppendOutcome, reads: bool) {
         let now = self.now;
         let Some(batch) = self.homes[home].next_batch(true, now) else {
             return;
         };
-        match fate {
-            Fate::Answered | Fate::AnswerLost => self.log.push(batch),
-            Fate::Late => self.late.push(batch),
-            Fate::Refused => {}
+        match outcome {
+            AppendOutcome::Answered | AppendOutcome::AnswerLost => self.log.push(batch),
+            AppendOutcome::Late => self.late.push(batch),
+            AppendOutcome::Refused => {}
         }
-        match fate {
-            Fate::Refused => self.homes[home].fail_append(true),
+        match outcome {
+            AppendOutcome::Refused => self.homes[home].fail_append(true),
             _ if !reads => self.homes[home].fail_append(false),
-            Fate::Answered => {
+            AppendOutcome::Answered => {
                 self.read(home);
                 self.homes[home].complete_append(true, now);
             }
-            Fate::AnswerLost | Fate::Late => {
+            AppendOutcome::AnswerLost | AppendOutcome::Late => {
                 self.read(home);
                 self.homes[home].complete_append(false, now);
             }
@@ -178,7 +178,7 @@
         if self.calls[index].state != CallState::Open {
             return;
         }
-        let deadline = self.calls[index].made + PATIENCE;
+        let deadline = self.calls[index].made + CALL_TIMEOUT;
         match reply.answer {
             Answer::Granted if !may_start(self.now, deadline) => self.give_up(index, true),
             Answer::Granted => self.run(index),
@@ -204,14 +204,14 @@
         self.calls[index].state = CallState::Ran;
     }
 
-    fn give_up(&mut self, index: usize, told: bool) {
+    fn give_up(&mut self, index: usize, sent: bool) {
         if self.calls[index].state == CallState::Open {
             self.calls[index].state = CallState::GivenUp;
-            self.end(index, &Ending::GivenUp, told);
+            self.end(index, &Ending::GivenUp, sent);
         }
     }
 
-    fn finish(&mut self, index: usize, how: usize, told: bool) {
+    fn finish(&mut self, index: usize, how: usize, sent: bool) {
         if self.calls[index].state != CallState::Ran {
             return;
         }
@@ -223,14 +223,14 @@
         if ending == Ending::NotRun {
             self.calls[index].state = CallState::Freed;
         }
-        self.end(index, &ending, told);
+        self.end(index, &ending, sent);
     }
 
-    fn end(&mut self, index: usize, ending: &Ending, told: bool) {
+    fn end(&mut self, index: usize, ending: &Ending, sent: bool) {
         let id = ClaimId(index as u128);
         let key = self.calls[index].key;
         for home in self.calls[index].homes.clone() {
-            if told {
+            if sent {
                 self.homes[home].end_call(id, key, ending.clone(), self.now);
             }
         }
@@ -249,7 +249,11 @@
                 let homes: Vec<usize> = [home].into_iter().chain(second).collect();
                 self.call(key, digest, &homes);
             }
-            Op::Append { home, fate, reads } => self.append(home, fate, reads),
+            Op::Append {
+                home,
+                outcome,
+                reads,
+            } => self.append(home, outcome, reads),
             Op::LandLate => {
                 if !self.late.is_empty() {
                     let batch = self.late.remove(0);
@@ -262,11 +266,11 @@
                     self.deliver(&reply);
                 }
             }
-            Op::GiveUp { which, told } if !self.calls.is_empty() => {
-                self.give_up(which % self.calls.len(), told);
+            Op::GiveUp { which, sent } if !self.calls.is_empty() => {
+                self.give_up(which % self.calls.len(), sent);
             }
-            Op::Finish { which, how, told } if !self.calls.is_empty() => {
-                self.finish(which % self.calls.len(), how, told);
+            Op::Finish { which, how, sent } if !self.calls.is_empty() => {
+                self.finish(which % self.calls.len(), how, sent);
             }
             Op::Crash { home } => {
                 self.homes[home] = Home::new(CARRY);
@@ -299,24 +303,24 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Late),
-        1 => Just(Fate::Refused),
+    let outcome = prop_oneof![
+        4 => Just(AppendOutcome::Answered),
+        2 => Just(AppendOutcome::AnswerLost),
+        2 => Just(AppendOutcome::Late),
+        1 => Just(AppendOutcome::Refused),
     ];
     prop_oneof![
         4 => (0_u128..2, 0_u128..8, 0_usize..3, proptest::option::of(0_usize..3)).prop_map(
             |(key, digest, home, second)| Op::Call { key, digest: digest / 7, home, second }
         ),
-        6 => (0_usize..3, fate, prop::bool::weighted(0.8))
-            .prop_map(|(home, fate, reads)| Op::Append { home, fate, reads }),
+        6 => (0_usize..3, outcome, prop::bool::weighted(0.8))
+            .prop_map(|(home, outcome, reads)| Op::Append { home, outcome, reads }),
         2 => Just(Op::LandLate),
         8 => (any::<usize>(), prop::bool::weighted(0.1))
             .prop_map(|(which, lost)| Op::Deliver { which, lost }),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, told)| Op::GiveUp { which, told }),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, sent)| Op::GiveUp { which, sent }),
         3 => (any::<usize>(), any::<usize>(), prop::bool::weighted(0.8))
-            .prop_map(|(which, how, told)| Op::Finish { which, how, told }),
+            .prop_map(|(which, how, sent)| Op::Finish { which, how, sent }),
         1 => (0_usize..3).prop_map(|home| Op::Crash { home }),
         1 => (1_u64..40).prop_map(|seconds| Op::Wait { seconds }),
     ]
@@ -329,10 +333,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Callers repeat a deposit at other entry hosts while homes are doubled and
-    // crash, appends land late or without an answer, and replies are lost or
-    // overtake each other. No deposit may be taken twice while its key is
-    // remembered; `World::run` fails the test where one is.
+    // Callers repeat a deposit at other entry hosts while streams have several homes,
+    // homes crash, appends land late or without an answer, and replies are lost or
+    // reordered. No deposit may run twice within the TTL of its key; `World::run`
+    // fails the test if one does.
     #[test]
     fn never_twice(ops in proptest::collection::vec(op(), 10..120)) {
         replay(ops);
@@ -346,7 +350,7 @@
         ..ProptestConfig::default()
     })]
 
-    // The same from another seed, which found that a "go" taken up after its
+    // The same with another seed, which found that a grant processed after its
     // call's deadline let a key run twice.
     #[test]
     fn never_twice_late(ops in proptest::collection::vec(op(), 10..120)) {
@@ -369,73 +373,72 @@
         .count()
 }
 
-// The same key comes to two entry hosts at the same moment, and each has
-// another home in mind.
+// Two entry hosts request the same key at the same time from different homes.
 #[test]
 fn two_homes() {
     let mut world = World::new(2);
     let first = world.call(1, 0, &[0]);
     let second = world.call(1, 0, &[1]);
-    world.append(1, Fate::Answered, true);
-    world.append(0, Fate::Answered, true);
+    world.append(1, AppendOutcome::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[second].state, CallState::Ran);
     assert_eq!(world.calls[first].state, CallState::Repeat);
 }
 
-// The append took effect and its answer was lost. Reading tells; the caller
-// notices nothing.
+// An append takes effect but its answer is lost. The home finds the record when
+// it reads the stream, and the caller notices nothing.
 #[test]
 fn lost_answer() {
     let mut world = World::new(1);
     let call = world.call(1, 0, &[0]);
-    world.append(0, Fate::AnswerLost, true);
+    world.append(0, AppendOutcome::AnswerLost, true);
     world.deliver_all();
     assert_eq!(world.calls[call].state, CallState::Ran);
     assert_eq!(world.log.len(), 1);
 }
 
-// The log answers nothing, and reading it fails too. The caller is told "not
-// run" and comes again; the first append lands only after that. It must not
-// run, and must not keep the second from running.
+// The store answers no append, and reading fails too. The caller is answered "not
+// run" and retries; the first append lands only after that. It must not run, and
+// must not keep the second from running.
 #[test]
 fn late_landing() {
     let mut world = World::new(1);
     let first = world.call(1, 0, &[0]);
-    world.append(0, Fate::Late, false);
+    world.append(0, AppendOutcome::Late, false);
     world.deliver_all();
     assert_eq!(world.calls[first].state, CallState::GivenUp);
     let second = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[second].state, CallState::Ran);
     world.step(Op::LandLate);
     let third = world.call(1, 0, &[0]);
     world.finish(second, 0, true);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[third].state, CallState::Repeat);
     assert_eq!(ran(&world), 1);
 }
 
-// The late append lands before the caller comes again: the key is blocked until
-// the record that gives the claim up is folded, in the same append as the repeat.
+// The late append lands before the caller retries. The key is blocked until the
+// record that releases the claim is folded, in the same append as the retry.
 #[test]
 fn landed_before_repeat() {
     let mut world = World::new(1);
     let first = world.call(1, 0, &[0]);
-    world.append(0, Fate::Late, false);
+    world.append(0, AppendOutcome::Late, false);
     world.deliver_all();
     world.step(Op::LandLate);
     world.read(0);
     let second = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[first].state, CallState::GivenUp);
     assert_eq!(world.calls[second].state, CallState::Ran);
 }
 
-// A repeat while the first is running waits for its answer.
+// A repeat waits for the answer of the first call while that is running.
 #[rstest]
 #[case::answered(0, CallState::Repeat)]
 #[case::unknown(1, CallState::Repeat)]
@@ -443,43 +446,43 @@
 fn waiting_repeat(#[case] how: usize, #[case] repeat: CallState) {
     let mut world = World::new(1);
     let first = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     let second = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
-    let told = world.mail.pop().map(|r| r.answer);
-    assert_eq!(told, Some(Answer::InProgress));
+    world.append(0, AppendOutcome::Answered, true);
+    let answer = world.mail.pop().map(|r| r.answer);
+    assert_eq!(answer, Some(Answer::InProgress));
     assert!(
         world.mail.is_empty(),
         "the repeat was answered before the first ended"
     );
     world.finish(first, how, true);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[second].state, repeat);
     assert_eq!(ran(&world), 1);
 }
 
-// The same key with another deposit: one of the two is a mistake.
+// Two different deposits with the same key: one of them is a mistake.
 #[test]
 fn other_request() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.call(1, 5, &[0]);
     assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Mismatch));
 }
 
-// The entry host that ran the call is lost between "sent" and "answered", or
-// the key's home is. Whoever asks again hears that the call was started.
+// The entry host that ran the call is lost before the answer, or the home of the
+// key is. A repeat is answered that the call was started.
 #[rstest]
 #[case::entry_lost(false)]
 #[case::home_lost(true)]
 fn lost_host(#[case] home: bool) {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     if home {
         world.step(Op::Crash { home: 0 });
@@ -493,18 +496,18 @@
     assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Started));
 }
 
-// The log keeps records for a limited time. A key that is still to be
-// remembered is written again before its record falls off, so that a home that
-// starts later and reads only what is left knows it.
+// The store keeps records for a limited time. A key within its TTL is written
+// again before its record is trimmed, so that a home that starts later and reads
+// only the remaining records knows the key.
 #[test]
 fn carried_over() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.now = world.now + Duration::from_secs(25);
-    world.append(0, Fate::Refused, true);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Refused, true);
+    world.append(0, AppendOutcome::Answered, true);
     assert_eq!(world.log.len(), 2, "the key was not carried over");
     let mut late = Home::new(CARRY);
     late.restart(1);
@@ -522,61 +525,61 @@
         late.replies().pop().map(|r| r.answer),
         Some(Answer::Started)
     );
-    // Its age is carried too: the key is free after its time, not later.
+    // The age is carried over too: the key expires on time, not later.
     let over = world.now + Duration::from_secs(36);
     late.request(ENTRY, request(78), over + KEY_TTL, over);
     assert_eq!(late.replies(), []);
     assert!(late.has_claims());
 }
 
-// A key may be used again once its time is over.
+// A key may be used again once its TTL is over.
 #[test]
-fn forgotten_key() {
+fn expired_key() {
     let mut world = World::new(2);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.now = world.now + KEY_TTL;
     let again = world.call(1, 3, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[again].state, CallState::Ran);
     let soon = world.call(1, 3, &[1]);
-    world.append(1, Fate::Answered, true);
+    world.append(1, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[soon].state, CallState::Repeat);
 }
 
-// The claim is given up, the record that says so stands on the log, and only
-// then the claim itself lands. Taken for a holder, it would keep every repeat
-// from running until the key's time is over.
+// A claim lands after the record that releases it. If it became the holder, it
+// would keep every repeat from running until the TTL of the key is over.
 #[test]
 fn landed_after_release() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Late, false);
+    world.append(0, AppendOutcome::Late, false);
     world.deliver_all();
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     assert_eq!(world.log.len(), 1);
     world.step(Op::LandLate);
     world.read(0);
     let repeat = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[repeat].state, CallState::Ran);
 }
 
-// The log goes down after a deposit was started. Its repeat must hear so: "not
-// run" would be read as "the deposit was not taken". A new key is refused.
+// The store becomes unreachable after a deposit was started. "Not run" would tell
+// the caller that the deposit was not taken, so its repeat must be answered that
+// it was started. A new key is refused.
 #[test]
 fn known_offline() {
     let mut world = World::new(1);
     world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.homes[0].host_lost(ENTRY);
     let until = world.now + KEY_TTL;
-    for (key, told) in [
+    for (key, expected) in [
         (1, Answer::Started),
         (2, Answer::NotRun(Duration::from_secs(1))),
     ] {
@@ -587,22 +590,25 @@
             ttl: KEY_TTL,
         };
         world.homes[0].request_offline(ENTRY, request, until, world.now);
-        assert_eq!(world.homes[0].replies().pop().map(|r| r.answer), Some(told));
+        assert_eq!(
+            world.homes[0].replies().pop().map(|r| r.answer),
+            Some(expected)
+        );
     }
 }
 
-// An entry host is paused while "go" is on its way, for longer than the key is
-// remembered. Another call runs under the key meanwhile; the first, taken up
-// after the pause, must not run too.
+// An entry host is paused for longer than the TTL of the key while a grant is on
+// its way. Another call runs under the key meanwhile; the first, processed after
+// the pause, must not run too.
 #[test]
-fn late_go() {
+fn late_grant() {
     let mut world = World::new(1);
     let paused = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     let late: Vec<Reply> = world.mail.drain(..).collect();
     world.now = world.now + KEY_TTL;
     let repeat = world.call(1, 0, &[0]);
-    world.append(0, Fate::Answered, true);
+    world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     assert_eq!(world.calls[repeat].state, CallState::Ran);
     for reply in &late {
@@ -611,10 +617,10 @@
     assert_eq!(world.calls[paused].state, CallState::GivenUp);
 }
 
-// A preset forgets keys sooner than its calls may take.
+// A preset with a key TTL that is shorter than its calls may take.
 #[test]
-fn short_memory() {
-    let keep = key_ttl(Duration::from_secs(5), PATIENCE);
-    assert!(keep > PATIENCE);
-    assert_eq!(key_ttl(KEY_TTL * 120, PATIENCE), KEY_TTL * 120);
+fn short_ttl() {
+    let keep = key_ttl(Duration::from_secs(5), CALL_TIMEOUT);
+    assert!(keep > CALL_TIMEOUT);
+    assert_eq!(key_ttl(KEY_TTL * 120, CALL_TIMEOUT), KEY_TTL * 120);
 }
--- a/components/coordination/tests/preset_errors.rs
+++ b/components/coordination/tests/preset_errors.rs
@@ -1,4 +1,5 @@
-//! Faulty preset files: each fault is named with its line, and nothing is taken.
+//! Tests preset files with errors: each error is reported with its line, and the file is
+//! rejected.
 
 use coordination::config::parse_preset;
 use proptest::prelude::*;
@@ -20,8 +21,8 @@
     assert_eq!((preset.services.len(), found), (3, endpoints));
 }
 
-// An operator slips in one place of a long file. The answer names the line and
-// what would mend it, and the file is not taken.
+// An operator makes one mistake in a long file. The answer names the line and the
+// correction, and the file is rejected.
 #[rstest]
 #[case(
     "slots = 6\n",
@@ -53,26 +54,26 @@
 #[case(
     "name = \"fiddlebook\"",
     "name = \"hallboard\"",
-    "service \"hallboard\" stands twice"
+    "service \"hallboard\" appears twice"
 )]
 #[case(
     "name = \"fiddlebook\"",
     "name = \"fiddle/book\"",
-    "can't stand in a path"
+    "can't be part of a path"
 )]
 #[case("name = \"fiddlebook\"", "name = \"\"", "\"name\" is empty")]
 #[case(
     "name = \"soar\"",
     "name = \"trent\"",
-    "data centre \"trent\" stands twice"
+    "data centre \"trent\" appears twice"
 )]
 #[case(
     "127.1.1.2:7101",
     "127.1.1.1:7101",
-    "address 127.1.1.1:7101 stands twice"
+    "address 127.1.1.1:7101 appears twice"
 )]
 #[case("127.1.1.2:7101", "127.1.1.1:7102", "first in service \"hallboard\"")]
-#[case("127.1.1.2:7101", "trent-2:7101", "is no IP number with a port")]
+#[case("127.1.1.2:7101", "trent-2:7101", "is not an IP address with a port")]
 #[case("127.1.1.2:7101", "127.1.1.2:0", "has port 0")]
 #[case("127.1.1.2:7101", "0.0.0.0:7101", "names no host")]
 #[case(
@@ -80,25 +81,24 @@
     "7101\", data-centre = \"sour\"",
     "no [[data-centre]] is named \"sour\""
 )]
-fn single_slips(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
+fn single_errors(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
     let text = GOOD.replacen(good, bad, 1);
     assert_ne!(text, GOOD);
-    let faults = parse_preset(&text).unwrap_err();
-    let fault = faults.0.iter().find(|f| f.message.contains(message));
-    assert!(fault.is_some(), "{faults}");
+    let errors = parse_preset(&text).unwrap_err();
+    let error = errors.0.iter().find(|f| f.message.contains(message));
+    assert!(error.is_some(), "{errors}");
 }
 
-// A file is written by hand in a hurry and has a fault in each part. The
-// operator sees all of them at once, in the order of the lines.
+// A file has an error in each section. The answer contains all errors in line order.
 #[test]
-fn all_named() {
+fn all_errors_reported() {
     let text = "nam = \"x\"\n[[data-centre]]\nname = \"a\"\nregion = 3\n\
                 [[service]]\nname = \"s\"\nslots = 0\nendpoints = []\n\
                 [[service]]\nname = \"t\"\nendpoints = [{ address = \"here\", data-centre = \"b\" }]\n";
-    let faults = parse_preset(text).unwrap_err();
-    let lines: Vec<usize> = faults.0.iter().map(|f| f.line).collect();
-    assert_eq!(lines, [1, 1, 4, 7, 8, 11, 11], "{faults}");
-    assert!(faults.to_string().starts_with("line 1: "));
+    let errors = parse_preset(text).unwrap_err();
+    let lines: Vec<usize> = errors.0.iter().map(|f| f.line).collect();
+    assert_eq!(lines, [1, 1, 4, 7, 8, 11, 11], "{errors}");
+    assert!(errors.to_string().starts_with("line 1: "));
 }
 
 #[rstest]
@@ -126,8 +126,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A file that was cut, or has something pasted into it, is a preset or has
-    /// faults, each on a line of the file.
+    /// A file that was truncated or has text pasted into it either is a valid preset or
+    /// has errors, each on a line of the file.
     #[test]
     fn pasted_text(
         from in 0..GOOD.len(),
@@ -137,10 +137,10 @@
         let to = (from + cut).min(GOOD.len());
         prop_assume!(GOOD.is_char_boundary(from) && GOOD.is_char_boundary(to));
         let text = format!("{}{paste}{}", &GOOD[..from], &GOOD[to..]);
-        if let Err(faults) = parse_preset(&text) {
+        if let Err(errors) = parse_preset(&text) {
             let lines = text.split('\n').count();
-            prop_assert!(!faults.0.is_empty());
-            prop_assert!(faults.0.iter().all(|f| (1..=lines).contains(&f.line)));
+            prop_assert!(!errors.0.is_empty());
+            prop_assert!(errors.0.iter().all(|f| (1..=lines).contains(&f.line)));
         }
     }
 
--- a/components/protocol/src/crash_report.rs
+++ b/components/protocol/src/crash_report.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell each other of requests that crash endpoints.
+//! Reports between entry hosts on requests that crash endpoints.
 
 use std::time::Duration;
 
@@ -7,38 +7,42 @@
 use state::fleet::quarantine::QuarantineUpdate;
 use state::fleet::{Fingerprint, Fingerprints};
 
-/// Runs that ended with their endpoint, or requests that are quarantined or cleared.
+/// Requests that were running when their endpoint crashed, and changes of the quarantine.
 #[value]
 pub struct CrashReport {
-    /// Whether the receiver is to tell the hosts of its data centre.
+    /// Whether the sender is in another data centre.
+    ///
+    /// The receiver then distributes the report within its own data centre.
     pub cross_centre: bool,
-    /// Runs that ended with their endpoint.
+    /// The requests that were running when their endpoint crashed.
     pub runs: Vec<CrashedRun>,
-    /// Requests that are quarantined, or were lately.
+    /// The requests that are quarantined, or were until recently.
     pub findings: Vec<QuarantineUpdate>,
 }
 
-/// A run that ended with its endpoint, in times that any host can read.
+/// A request that was running when its endpoint crashed.
+///
+/// Times are durations relative to sending, so that any host can interpret them.
 #[value]
 pub struct CrashedRun {
-    /// The request that ran.
+    /// The fingerprints of the request.
     pub request: Fingerprints,
-    /// How long it ran.
+    /// How long the request had been running.
     pub ran: Duration,
-    /// How long ago it ended.
+    /// How long ago the endpoint crashed.
     pub age: Duration,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct WireCrashes {
+pub(crate) struct WireCrashReport {
     #[prost(message, repeated, tag = "1")]
-    ended: Vec<WireEnded>,
+    runs: Vec<WireCrashedRun>,
     #[prost(message, repeated, tag = "2")]
-    findings: Vec<WireFinding>,
+    findings: Vec<WireQuarantineUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireEnded {
+struct WireCrashedRun {
     #[prost(fixed64, tag = "1")]
     content: u64,
     #[prost(fixed64, tag = "2")]
@@ -50,7 +54,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireFinding {
+struct WireQuarantineUpdate {
     #[prost(fixed64, tag = "1")]
     request: u64,
     #[prost(uint32, tag = "2")]
@@ -61,38 +65,46 @@
     age_ms: u32,
 }
 
-impl From<&CrashReport> for WireCrashes {
-    fn from(crashes: &CrashReport) -> WireCrashes {
-        WireCrashes {
-            ended: crashes.runs.iter().map(WireEnded::from).collect(),
-            findings: crashes.findings.iter().map(WireFinding::from).collect(),
+impl From<&CrashReport> for WireCrashReport {
+    fn from(report: &CrashReport) -> WireCrashReport {
+        WireCrashReport {
+            runs: report.runs.iter().map(WireCrashedRun::from).collect(),
+            findings: report
+                .findings
+                .iter()
+                .map(WireQuarantineUpdate::from)
+                .collect(),
         }
     }
 }
 
-impl WireCrashes {
-    pub(crate) fn read(self, cross_centre: bool) -> CrashReport {
+impl WireCrashReport {
+    pub(crate) fn into_report(self, cross_centre: bool) -> CrashReport {
         CrashReport {
             cross_centre,
-            runs: self.ended.iter().map(WireEnded::read).collect(),
-            findings: self.findings.iter().map(WireFinding::read).collect(),
+            runs: self.runs.iter().map(WireCrashedRun::to_run).collect(),
+            findings: self
+                .findings
+                .iter()
+                .map(WireQuarantineUpdate::to_update)
+                .collect(),
         }
     }
 }
 
-impl From<&CrashedRun> for WireEnded {
-    fn from(ended: &CrashedRun) -> WireEnded {
-        WireEnded {
-            content: ended.request.content.0,
-            request: ended.request.request.0,
-            ran_ms: millis(ended.ran),
-            age_ms: millis(ended.age),
+impl From<&CrashedRun> for WireCrashedRun {
+    fn from(run: &CrashedRun) -> WireCrashedRun {
+        WireCrashedRun {
+            content: run.request.content.0,
+            request: run.request.request.0,
+            ran_ms: millis(run.ran),
+            age_ms: millis(run.age),
         }
     }
 }
 
-impl WireEnded {
-    fn read(&self) -> CrashedRun {
+impl WireCrashedRun {
+    fn to_run(&self) -> CrashedRun {
         CrashedRun {
             request: Fingerprints {
                 content: Fingerprint(self.content),
@@ -104,19 +116,19 @@
     }
 }
 
-impl From<&QuarantineUpdate> for WireFinding {
-    fn from(finding: &QuarantineUpdate) -> WireFinding {
-        WireFinding {
-            request: finding.request.0,
-            crashes: finding.crashes,
-            left_ms: millis(finding.remaining),
-            age_ms: millis(finding.age),
+impl From<&QuarantineUpdate> for WireQuarantineUpdate {
+    fn from(update: &QuarantineUpdate) -> WireQuarantineUpdate {
+        WireQuarantineUpdate {
+            request: update.request.0,
+            crashes: update.crashes,
+            left_ms: millis(update.remaining),
+            age_ms: millis(update.age),
         }
     }
 }
 
-impl WireFinding {
-    fn read(&self) -> QuarantineUpdate {
+impl WireQuarantineUpdate {
+    fn to_update(&self) -> QuarantineUpdate {
         QuarantineUpdate {
             request: Fingerprint(self.request),
             crashes: self.crashes,
--- a/components/state/src/admission.rs
+++ b/components/state/src/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whether a call that finds no free slot may wait.
+//! Decides whether a call that finds no free slot may wait in the queue.
 
 use std::time::Duration;
 
@@ -6,113 +6,117 @@
 
 use crate::moment::Moment;
 
-/// What becomes of a call that finds no free slot.
+/// The decision on a call that finds no free slot.
 #[tag]
 pub enum Admission {
-    /// It may wait.
+    /// The call may wait.
     Wait,
-    /// Too many calls wait already.
+    /// The queue is full.
     Full,
-    /// It would be served too late; to be tried again after this time.
+    /// The call would be served too late; the caller may retry after this time.
     TooLate(Duration),
 }
 
-/// Watches how fast waiting calls are started, and limits how long calls wait.
+/// Controls admission to a service's queue by the rate at which waiting calls are
+/// started.
 ///
-/// Made for arrivals above what all slots bear, for a minute or more. Without
-/// it every call would wait as long as the queue is deep, and callers would
-/// give up on work that then runs for nobody. Two rules:
+/// Protects against arrivals above the capacity of all slots for a minute or more.
+/// Without admission control every call would wait as long as the queue is deep, and
+/// callers would give up on calls that then run for nobody. Two rules apply:
 ///
-/// - A call whose estimated wait is past its deadline is refused at once, while
-///   "not run" is true and the caller can still go elsewhere.
-/// - A queue that has not been empty for [`STANDING`] is a standing queue: it
-///   adds delay and serves nobody better. The longer it stands, the shorter
-///   the wait up to which new calls are admitted, down to [`TARGET`]. A burst
-///   shorter than [`STANDING`] is queued whole, and a busy spell of a few
-///   seconds below full load still costs no call.
+/// - A call whose estimated wait exceeds its deadline is rejected at once, while "not
+///   run" is still true and the caller can try elsewhere.
+/// - A queue that has not been empty for [`STANDING_AFTER`] is a standing queue: it adds
+///   delay without improving throughput. The longer it stands, the shorter the wait up to
+///   which new calls are admitted, down to [`STANDING_WAIT_LIMIT`]. A burst shorter than
+///   [`STANDING_AFTER`] is queued completely, and a busy period of a few seconds below
+///   full load still costs no call.
 #[value]
 pub struct AdmissionControl {
     interval: Duration,
     samples: u32,
-    started: Option<Moment>,
-    emptied: Moment,
+    last_start: Option<Moment>,
+    last_empty: Moment,
 }
 
-/// A queue that is never empty for this long is standing, not a burst.
-pub const STANDING: Duration = Duration::from_millis(1_000);
-/// The wait up to which calls are admitted to a standing queue.
-pub const TARGET: Duration = Duration::from_millis(100);
+/// A queue that is never empty for this long is a standing queue, not a burst.
+pub const STANDING_AFTER: Duration = Duration::from_millis(1_000);
+/// The estimated wait up to which calls are admitted to a queue that has stood for long.
+pub const STANDING_WAIT_LIMIT: Duration = Duration::from_millis(100);
 
-/// Starts seen before the estimate is believed.
-const SAMPLES: u32 = 8;
-/// The weight of the newest interval is one in this many.
-const WEIGHT: u32 = 16;
+/// The number of starts observed before the estimate is used.
+const MIN_SAMPLES: u32 = 8;
+/// The newest interval enters the running mean with the weight of one in this many.
+const MEAN_WINDOW: u32 = 16;
 
 impl AdmissionControl {
-    /// Returns a gate that has seen nothing yet.
+    /// Returns the state of a queue that is empty at `now`, without any observed start.
     pub fn new(now: Moment) -> AdmissionControl {
         AdmissionControl {
             interval: Duration::ZERO,
             samples: 0,
-            started: None,
-            emptied: now,
+            last_start: None,
+            last_empty: now,
         }
     }
 
-    /// Notes that a waiting call was started, and whether others wait still.
+    /// Notes that a waiting call was started, and how many calls are still waiting.
     pub fn note_start(&mut self, waiting: usize, now: Moment) {
-        if let Some(last) = self.started {
+        if let Some(last) = self.last_start {
             let interval = now.since(last);
             self.interval = match self.samples {
                 0 => interval,
-                _ => (self.interval * (WEIGHT - 1) + interval) / WEIGHT,
+                _ => (self.interval * (MEAN_WINDOW - 1) + interval) / MEAN_WINDOW,
             };
             self.samples = self.samples.saturating_add(1);
         }
-        self.started = (waiting > 0).then_some(now);
+        self.last_start = (waiting > 0).then_some(now);
         if waiting == 0 {
-            self.emptied = now;
+            self.last_empty = now;
         }
     }
 
-    /// Notes that no call waits.
+    /// Notes that no call is waiting.
     pub fn note_empty(&mut self, now: Moment) {
-        self.started = None;
-        self.emptied = now;
+        self.last_start = None;
+        self.last_empty = now;
     }
 
-    /// Returns the estimated wait behind `ahead` calls, where one can be given.
+    /// Returns the estimated wait behind `ahead` calls, once enough starts were observed.
     ///
-    /// A rate that falls suddenly shows in the time since the last start
-    /// before it shows in the mean.
+    /// A sudden drop of the rate shows in the time since the last start before it shows
+    /// in the mean.
     pub fn estimate(&self, ahead: usize, now: Moment) -> Option<Duration> {
-        if self.samples < SAMPLES {
+        if self.samples < MIN_SAMPLES {
             return None;
         }
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
-        let silence = self.started.map_or(Duration::ZERO, |at| now.since(at));
+        let since_last_start = self.last_start.map_or(Duration::ZERO, |at| now.since(at));
         let spacing = self.interval.saturating_mul(ahead.saturating_add(1));
-        Some(spacing.max(silence))
+        Some(spacing.max(since_last_start))
     }
 
     /// Returns the wait up to which calls are admitted.
     ///
-    /// A second over the seconds for which the queue has stood: 500 ms after
-    /// two, 100 ms from ten on.
-    fn allowed(&self, now: Moment) -> Duration {
-        let stood = now.since(self.emptied);
-        if stood <= STANDING {
+    /// The limit is one second divided by the number of seconds for which the queue has
+    /// stood: 500 ms after two seconds, 100 ms from ten seconds on.
+    fn max_wait(&self, now: Moment) -> Duration {
+        let standing = now.since(self.last_empty);
+        if standing <= STANDING_AFTER {
             return Duration::MAX;
         }
-        STANDING.div_f64(stood.as_secs_f64()).max(TARGET)
+        STANDING_AFTER
+            .div_f64(standing.as_secs_f64())
+            .max(STANDING_WAIT_LIMIT)
     }
 
-    /// Decides about a call that would wait behind `ahead` others.
+    /// Decides on a call that would wait behind `ahead` others and has `left` until its
+    /// deadline.
     pub fn decide(&self, ahead: usize, full: bool, left: Duration, now: Moment) -> Admission {
         let wait = self.estimate(ahead, now);
         let limit = match ahead {
             0 => left,
-            _ => left.min(self.allowed(now)),
+            _ => left.min(self.max_wait(now)),
         };
         match wait {
             _ if full => Admission::Full,
--- a/components/state/tests/windowed_retry_budget.rs
+++ b/components/state/tests/windowed_retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats over all hosts together.
+//! The budget of retries within a window, over all hosts together.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     window: Duration::from_secs(10),
 };
 
-/// Every request of a failing service would be sent again, at hosts that are
-/// unevenly loaded, are killed and start anew, and know nothing of each other.
-/// Without a bound over all of them, the repeats keep the service down.
+/// A failing service's requests would all be retried, at hosts that are unevenly loaded,
+/// are killed and restart, and don't communicate. Without a bound on the total, the
+/// retries keep the service down.
 #[test]
 fn sum_of_hosts() {
     for seed in 0..20 {
@@ -26,7 +26,7 @@
             .map(|_| WindowedRetryBudget::new(BOUNDS, Moment(0)))
             .collect();
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for step in 0..40_000u64 {
             let now = Moment::from_millis(step);
             if step == 20_000 {
@@ -41,7 +41,7 @@
             budgets[host].count(now);
             requests.push(step);
             if budgets[host].take(1.0 / hosts as f64, now) {
-                repeats.push(step);
+                retries.push(step);
             }
         }
         for from in (0..30_000).step_by(100) {
@@ -53,18 +53,18 @@
             };
             let allowed = within(&requests) as f64 * BOUNDS.ratio + BOUNDS.slack;
             assert!(
-                within(&repeats) as f64 <= allowed,
+                within(&retries) as f64 <= allowed,
                 "seed {seed} from {from}"
             );
         }
         assert!(
-            repeats.len() * 7 > requests.len(),
-            "seed {seed}: hardly any repeat"
+            retries.len() * 7 > requests.len(),
+            "seed {seed}: hardly any retries"
         );
     }
 }
 
-/// A host that has served nothing has nothing to send again, but its share.
+/// A host without requests has nothing to retry but its share of the slack.
 #[test]
 fn idle_host() {
     let mut budget = WindowedRetryBudget::new(BOUNDS, Moment(0));
--- a/components/transport/src/gateway/answer.rs
+++ b/components/transport/src/gateway/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller.
+//! Answer bodies sent to callers.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -8,47 +8,47 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::task::spawn_local;
 
-use super::attempt::Rest;
-use super::stream::Phase;
+use super::attempt::RemainingBody;
+use super::stream::ConnectionActivity;
 use crate::edge::body::SharedBody;
 
-/// What a host sends as an answer's body.
+/// The body of an answer to a caller.
 pub(super) struct AnswerBody {
     start: Bytes,
-    rest: Option<Rest>,
-    phase: Option<Rc<Phase>>,
+    rest: Option<RemainingBody>,
+    activity: Option<Rc<ConnectionActivity>>,
     unread: Option<SharedBody>,
 }
 
 impl AnswerBody {
-    /// Returns a body that is all here.
+    /// Returns a body that is completely in memory.
     pub fn whole(bytes: Bytes) -> AnswerBody {
         AnswerBody {
             start: bytes,
             rest: None,
-            phase: None,
+            activity: None,
             unread: None,
         }
     }
 
-    /// Returns a body whose rest is still on its way.
-    pub fn relay(start: Bytes, rest: Option<Rest>) -> AnswerBody {
+    /// Returns a body of buffered bytes followed by the rest that an endpoint still sends.
+    pub fn relay(start: Bytes, rest: Option<RemainingBody>) -> AnswerBody {
         AnswerBody {
             start,
             rest,
-            phase: None,
+            activity: None,
             unread: None,
         }
     }
 
-    /// Has the rest of the request's body read once this answer is out.
-    pub fn then_drain(&mut self, unread: SharedBody) {
+    /// Makes the rest of the request body be read and discarded once this body is sent.
+    pub fn drain_afterwards(&mut self, unread: SharedBody) {
         self.unread = Some(unread);
     }
 
-    /// Has the caller's connection told when this body ends.
-    pub fn tell(&mut self, phase: Rc<Phase>) {
-        self.phase = Some(phase);
+    /// Sets the activity of the caller's connection, which becomes idle when this body ends.
+    pub fn set_activity(&mut self, activity: Rc<ConnectionActivity>) {
+        self.activity = Some(activity);
     }
 }
 
@@ -68,8 +68,8 @@
             None => Poll::Ready(None),
             Some(rest) => rest
                 .connection
-                .poll_piece(&mut rest.incoming, cx)
-                .map(|piece| piece.map(|result| result.map(Frame::data))),
+                .poll_chunk(&mut rest.incoming, cx)
+                .map(|chunk| chunk.map(|result| result.map(Frame::data))),
         }
     }
 
@@ -95,22 +95,22 @@
 
 impl Drop for AnswerBody {
     fn drop(&mut self) {
-        let answered = self.phase.take().map(Answered);
+        let guard = self.activity.take().map(AnswerGuard);
         if let Some(unread) = self.unread.take().filter(|u| !u.is_end()) {
-            // Until the body has ended the connection is not idle.
+            // The connection isn't idle before the request body has ended.
             spawn_local(async move {
                 unread.drain().await;
-                drop(answered);
+                drop(guard);
             });
         }
     }
 }
 
-/// Tells a caller's connection, when dropped, that its request is done.
-struct Answered(Rc<Phase>);
+/// Marks the request on a caller's connection as finished when dropped.
+struct AnswerGuard(Rc<ConnectionActivity>);
 
-impl Drop for Answered {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
-        self.0.answered();
+        self.0.idle();
     }
 }
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -17,88 +17,88 @@
 use super::Gateway;
 use crate::clock;
 use crate::edge::fields::remove_hop_by_hop;
-use crate::upstream::connection::WireError;
+use crate::upstream::connection::RequestError;
 use crate::upstream::{Connection, RequestBody};
 
-/// The largest part of an answer held back until it is known to be whole.
+/// How many bytes of an answer are buffered before it is forwarded to the caller.
 ///
-/// An answer that breaks off while it is held can still be replaced, by
-/// another endpoint's or by one that says what happened.
-const HELD_LIMIT: usize = 128 * 1024;
+/// An answer that breaks off while it is buffered can still be replaced by
+/// another endpoint's answer, or by this host's own.
+const ANSWER_BUFFER_LIMIT: usize = 128 * 1024;
 
-/// How many times as long as promised an answer may take before it counts as slow.
+/// An answer counts as slow if it takes this many times as long as expected.
 const SLOW_FACTOR: f64 = 3.0;
 
-/// What an attempt has to know.
+/// The inputs shared by all attempts of one request.
 pub(super) struct Attempt<'a> {
     pub gateway: &'a Gateway,
     /// The caller's request, without its body.
     pub parts: &'a RequestParts,
-    /// How it is placed.
+    /// The request as seen by endpoint selection.
     pub request: placement::Request,
-    /// The route's name, for what is learned of its work.
+    /// The route, under whose name service times are recorded.
     pub route: &'a state::routing::Route,
-    /// The request's names, the same whenever it comes again.
+    /// The request's fingerprints, equal for each repetition of the request.
     pub fingerprints: Fingerprints,
-    /// Endpoints that the request was sent to.
+    /// The endpoint selection, with the endpoints already tried.
     pub placement: &'a RefCell<Placement>,
-    /// Requests sent that may have run.
-    pub exposed: &'a Cell<u32>,
+    /// The number of attempts that may have run.
+    pub may_have_run: &'a Cell<u32>,
 }
 
-/// How an attempt ended.
-pub(super) enum Ending {
-    /// With the endpoint's own answer, to be passed on unchanged.
+/// The result of one attempt.
+pub(super) enum AttemptEnd {
+    /// The endpoint's answer, to be forwarded unchanged.
     Answered(Box<Answer>),
-    /// With an endpoint's own failure, which may be passed on unchanged.
+    /// The endpoint's own 5xx answer, which may be forwarded unchanged.
     Failed(Box<Answer>),
-    /// It reached an endpoint, which says that it did not run it.
+    /// An endpoint received the request and says that it didn't run it.
     Rejected(&'static str),
-    /// It reached no endpoint.
+    /// The request reached no endpoint.
     Unsent(&'static str),
-    /// It may have run, and no answer can be passed on.
+    /// The request may have run, and there is no answer to forward.
     Lost(&'static str),
-    /// No endpoint was found for it.
+    /// No endpoint could be selected.
     Refused(Refusal),
-    /// It crashed endpoints before, and may not be sent for as long.
+    /// The request crashed endpoints before and is quarantined for this time.
     Quarantined(Duration),
 }
 
 /// An endpoint's answer.
 pub(super) struct Answer {
     pub parts: AnswerParts,
-    /// What is held of the body.
+    /// The buffered part of the body.
     pub start: Bytes,
-    /// The rest of the body, none where `start` is all of it.
-    pub rest: Option<Rest>,
+    /// The rest of the body, `None` if `start` is the complete body.
+    pub rest: Option<RemainingBody>,
     /// When the request was sent to the endpoint.
     pub sent: Moment,
-    /// The pace that the endpoint promised then, 1 for as long as usual.
-    pub pace: f64,
+    /// The endpoint's expected slowdown at that moment; 1 means as long as usual.
+    pub slowdown: f64,
 }
 
-/// The rest of a long answer, still on its way.
-pub(super) struct Rest {
+/// The rest of a long answer's body, still being received.
+pub(super) struct RemainingBody {
     pub connection: Connection,
     pub incoming: Incoming,
 }
 
-/// Counts a request as running at its endpoint for as long as it lives.
-struct Running<'a> {
+/// Counts a request as running at its endpoint until dropped.
+struct RunningGuard<'a> {
     gateway: &'a Gateway,
     key: EndpointKey,
 }
 
-impl Running<'_> {
-    fn start(gateway: &Gateway, key: EndpointKey) -> Running<'_> {
+impl RunningGuard<'_> {
+    fn start(gateway: &Gateway, key: EndpointKey) -> RunningGuard<'_> {
         if let Some(state) = gateway.registry.borrow_mut().get_mut(key) {
             state.start();
         }
-        Running { gateway, key }
+        RunningGuard { gateway, key }
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         if let Some(state) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             state.finish();
@@ -107,58 +107,58 @@
 }
 
 impl Attempt<'_> {
-    /// Finds an endpoint, sends the request and reads the answer.
+    /// Selects an endpoint, sends the request and reads the answer.
     ///
-    /// Dropping it gives the attempt up: its connection is closed, so that the
-    /// endpoint stops and a late answer reaches nobody else.
-    pub async fn run(&self, body: RequestBody) -> Ending {
+    /// Dropping the future cancels the attempt and closes its connection, so that
+    /// the endpoint stops and a late answer can't be taken for another one.
+    pub async fn run(&self, body: RequestBody) -> AttemptEnd {
         let found = self
             .gateway
-            .find(self.placement, &self.request, &self.route.regions)
+            .select_endpoint(self.placement, &self.request, &self.route.regions)
             .await;
         let (key, mut connection) = match found {
             Ok(found) => found,
-            Err(refusal) => return Ending::Refused(refusal),
+            Err(refusal) => return AttemptEnd::Refused(refusal),
         };
         if let Err(left) = self.gateway.admit(self.fingerprints) {
-            return Ending::Quarantined(left);
+            return AttemptEnd::Quarantined(left);
         }
-        let Some(request) = self.request_to(key, body) else {
-            return Ending::Unsent("the endpoint has left");
+        let Some(request) = self.build_request(key, body) else {
+            return AttemptEnd::Unsent("the endpoint has left");
         };
         self.placement.borrow_mut().note_tried(key);
         let began = clock::now();
-        let pace = self.slowdown(key, began);
-        let _running = Running::start(self.gateway, key);
-        self.exposed.set(self.exposed.get() + 1);
+        let slowdown = self.expected_slowdown(key, began);
+        let _running = RunningGuard::start(self.gateway, key);
+        self.may_have_run.set(self.may_have_run.get() + 1);
         match connection.send(request).await {
             Ok(answer) => {
                 let (parts, incoming) = answer.into_parts();
                 let ending = self
-                    .read(key, connection, parts, incoming, (began, pace))
+                    .read(key, connection, parts, incoming, (began, slowdown))
                     .await;
-                self.judge(key, &ending, began, pace);
+                self.record_ending(key, &ending, began, slowdown);
                 ending
             }
-            Err(WireError::Unsent) => {
-                self.hide();
-                Ending::Unsent("the connection was closed before the request was sent")
+            Err(RequestError::Unsent) => {
+                self.mark_not_run();
+                AttemptEnd::Unsent("the connection was closed before the request was sent")
             }
-            Err(WireError::Sent(error)) => {
+            Err(RequestError::Sent(error)) => {
                 self.gateway.log_broken(self, key, began, &error);
                 self.gateway.note_broken(self.fingerprints, key, began);
-                self.gateway.note(key, Outcome::Broken);
-                Ending::Lost("the connection to the endpoint broke")
+                self.gateway.record_outcome(key, Outcome::Broken);
+                AttemptEnd::Lost("the connection to the endpoint broke")
             }
         }
     }
 
-    /// Takes back that the request may have run.
-    fn hide(&self) {
-        self.exposed.set(self.exposed.get() - 1);
+    /// Records that this attempt didn't run.
+    fn mark_not_run(&self) {
+        self.may_have_run.set(self.may_have_run.get() - 1);
     }
 
-    fn slowdown(&self, key: EndpointKey, now: Moment) -> f64 {
+    fn expected_slowdown(&self, key: EndpointKey, now: Moment) -> f64 {
         let registry = self.gateway.registry.borrow();
         registry
             .get(key)
@@ -166,20 +166,20 @@
             .unwrap_or(1.0)
     }
 
-    fn request_to(&self, key: EndpointKey, body: RequestBody) -> Option<Request<RequestBody>> {
+    fn build_request(&self, key: EndpointKey, body: RequestBody) -> Option<Request<RequestBody>> {
         let registry = self.gateway.registry.borrow();
         let endpoint = &registry.get(key)?.endpoint;
         let mut request = Request::new(body);
         *request.method_mut() = self.parts.method.clone();
         *request.version_mut() = Version::HTTP_11;
         *request.uri_mut() = self.parts.uri.path_and_query()?.clone().into();
-        let mut fields = self.parts.headers.clone();
-        remove_hop_by_hop(&mut fields);
-        // This host has answered an expectation by reading the body.
-        fields.remove(EXPECT);
+        let mut headers = self.parts.headers.clone();
+        remove_hop_by_hop(&mut headers);
+        // This host has already met `Expect: 100-continue` by reading the body.
+        headers.remove(EXPECT);
         let left = clock::now().until(self.request.deadline);
-        platform::headers::set_request_headers(&mut fields, &endpoint.instance, left);
-        *request.headers_mut() = fields;
+        platform::headers::set_request_headers(&mut headers, &endpoint.instance, left);
+        *request.headers_mut() = headers;
         Some(request)
     }
 
@@ -189,106 +189,108 @@
         mut connection: Connection,
         parts: AnswerParts,
         mut incoming: Incoming,
-        (sent, pace): (Moment, f64),
-    ) -> Ending {
+        (sent, slowdown): (Moment, f64),
+    ) -> AttemptEnd {
         if !platform::headers::matches_request(&self.parts.headers, &parts.headers) {
-            return Ending::Lost("the answer belongs to another request");
+            return AttemptEnd::Lost("the answer belongs to another request");
         }
         let mut start = BytesMut::new();
         let rest = loop {
-            match connection.next_piece(&mut incoming).await {
+            match connection.next_chunk(&mut incoming).await {
                 None => {
-                    self.gateway.keep(connection, &parts.headers);
+                    self.gateway.keep_connection(connection, &parts.headers);
                     break None;
                 }
                 Some(Err(_)) => {
                     self.gateway.note_broken(self.fingerprints, key, sent);
-                    return Ending::Lost("the answer broke off");
+                    return AttemptEnd::Lost("the answer broke off");
                 }
-                Some(Ok(piece)) => start.extend_from_slice(&piece),
+                Some(Ok(chunk)) => start.extend_from_slice(&chunk),
             }
-            if start.len() > HELD_LIMIT {
-                break Some(Rest {
+            if start.len() > ANSWER_BUFFER_LIMIT {
+                break Some(RemainingBody {
                     connection,
                     incoming,
                 });
             }
         };
-        self.gateway.overhear(key, &parts.headers);
+        self.gateway.record_load(key, &parts.headers);
         let answer = Answer {
             parts,
             start: start.freeze(),
             rest,
             sent,
-            pace,
+            slowdown,
         };
-        self.sort(Box::new(answer))
+        self.classify(Box::new(answer))
     }
 
-    /// Sorts out what an answer means.
-    fn sort(&self, answer: Box<Answer>) -> Ending {
-        let fields = &answer.parts.headers;
+    /// Classifies an answer.
+    fn classify(&self, answer: Box<Answer>) -> AttemptEnd {
+        let headers = &answer.parts.headers;
         match answer.parts.status {
-            status if platform::headers::is_not_run(fields) => {
-                self.hide();
+            status if platform::headers::is_not_run(headers) => {
+                self.mark_not_run();
                 match status {
                     StatusCode::MISDIRECTED_REQUEST => {
-                        Ending::Rejected("another endpoint is there")
+                        AttemptEnd::Rejected("another endpoint is there")
                     }
-                    _ => Ending::Rejected("the endpoint rejects new work"),
+                    _ => AttemptEnd::Rejected("the endpoint rejects new work"),
                 }
             }
             StatusCode::MISDIRECTED_REQUEST => {
-                self.hide();
-                Ending::Rejected("another endpoint is there")
+                self.mark_not_run();
+                AttemptEnd::Rejected("another endpoint is there")
             }
-            _ if !platform::headers::is_signed(fields) => Ending::Lost("the answer is not signed"),
-            _ if fields.contains_key(CONTENT_ENCODING) => {
-                Ending::Lost("the answer's body is encoded")
+            _ if !platform::headers::is_signed(headers) => {
+                AttemptEnd::Lost("the answer is not signed")
             }
-            // These would promise the caller that the request was not run,
-            // which the endpoint hasn't said.
+            _ if headers.contains_key(CONTENT_ENCODING) => {
+                AttemptEnd::Lost("the answer's body is encoded")
+            }
+            // Forwarding these statuses would promise the caller that the request
+            // was not run, which the endpoint hasn't stated.
             StatusCode::TOO_MANY_REQUESTS
             | StatusCode::REQUEST_TIMEOUT
             | StatusCode::SERVICE_UNAVAILABLE => {
-                Ending::Lost("the endpoint rejects without saying that it did not run")
+                AttemptEnd::Lost("the endpoint rejects without saying that it did not run")
             }
-            status if status.is_server_error() => Ending::Failed(answer),
-            _ => Ending::Answered(answer),
+            status if status.is_server_error() => AttemptEnd::Failed(answer),
+            _ => AttemptEnd::Answered(answer),
         }
     }
 
-    /// Notes what the ending says of the endpoint.
-    fn judge(&self, key: EndpointKey, ending: &Ending, began: Moment, pace: f64) {
+    /// Records the attempt's result in the endpoint's state.
+    fn record_ending(&self, key: EndpointKey, ending: &AttemptEnd, began: Moment, slowdown: f64) {
         let time = clock::now().since(began);
         let outcome = match ending {
-            Ending::Answered(_) => {
+            AttemptEnd::Answered(_) => {
                 self.gateway.note_answered(self.fingerprints);
-                let usual = self
+                let slow_limit = self
                     .request
                     .service_time
-                    .mul_f64(pace.max(1.0) * SLOW_FACTOR);
+                    .mul_f64(slowdown.max(1.0) * SLOW_FACTOR);
                 self.gateway
-                    .with_tempo(self.route, |tempo| tempo.note(time, pace));
-                match time > usual {
+                    .with_service_time(self.route, |s| s.note(time, slowdown));
+                match time > slow_limit {
                     true => Outcome::Slow,
                     false => Outcome::Answered,
                 }
             }
-            Ending::Failed(_) => Outcome::Failed,
-            Ending::Rejected(_) => Outcome::Shed,
-            Ending::Lost(_) => Outcome::Broken,
-            Ending::Unsent(_) | Ending::Refused(_) | Ending::Quarantined(_) => return,
+            AttemptEnd::Failed(_) => Outcome::Failed,
+            AttemptEnd::Rejected(_) => Outcome::Shed,
+            AttemptEnd::Lost(_) => Outcome::Broken,
+            AttemptEnd::Unsent(_) | AttemptEnd::Refused(_) | AttemptEnd::Quarantined(_) => return,
         };
-        self.gateway.note(key, outcome);
+        self.gateway.record_outcome(key, outcome);
     }
 }
 
 impl Answer {
-    /// Returns the fields for the caller.
-    pub fn fields(&self) -> HeaderMap {
-        let mut fields = self.parts.headers.clone();
-        remove_hop_by_hop(&mut fields);
-        fields
+    /// Returns the answer's headers to be sent to the caller.
+    pub fn headers(&self) -> HeaderMap {
+        let mut headers = self.parts.headers.clone();
+        remove_hop_by_hop(&mut headers);
+        headers
     }
 }
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! One request: its route, its attempts, and its one final answer.
+//! Handles one request: finds its route, runs its attempts and returns one final answer.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::future::{Future, poll_fn};
@@ -20,28 +20,28 @@
 use state::{Moment, ServiceKey};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::answer::AnswerBody;
-use super::attempt::{Answer, Attempt, Ending};
-use super::refusal::Denial;
+use super::answer_body::AnswerBody;
+use super::attempt::{Answer, Attempt, AttemptEnd};
+use super::denial::Denial;
 use super::{Gateway, Stage};
 use crate::clock;
 use crate::edge::body::{CallerBody, REPLAY_LIMIT, SharedBody};
 use crate::upstream::RequestBody;
 
-/// Attempts that reach no endpoint before a request is given up.
+/// Attempts of one request that may fail without reaching an endpoint.
 ///
-/// They cost no endpoint anything; several endpoints may have left at once.
-const UNSENT_LIMIT: u32 = 4;
+/// Such attempts cost no endpoint anything, and several endpoints may have left
+/// at the same time.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// How many times as long as usual an answer is waited for before another
-/// endpoint gets the request too.
+/// A request is hedged after this many times its usual service time.
 ///
-/// Work spreads by a third, so one undisturbed answer in ten takes longer; the
-/// rest are endpoints that hang, were disturbed after they were asked, or lost
-/// the answer.
-const SECOND_AFTER: f64 = 1.6;
+/// Processing times vary by a third, so one answer in ten exceeds the limit
+/// without a fault. The others come from endpoints that hang, became slow after
+/// the probe or lost the answer.
+const HEDGE_FACTOR: f64 = 1.6;
 
-/// One request with its route.
+/// A request with its route and deadline.
 struct Call<'a> {
     gateway: &'a Gateway,
     parts: &'a Parts,
@@ -52,22 +52,22 @@
     deadline: Moment,
 }
 
-/// What is kept of a request's attempts.
+/// The results of a request's attempts so far.
 #[derive(Default)]
 struct Progress {
-    /// Endpoints that the request was sent to.
+    /// The first attempt, and the retries and hedges allowed by the retry budget.
     attempts: u32,
     /// Attempts that reached no endpoint.
     unsent: u32,
-    /// How the last attempt ended.
-    last: Option<Last>,
-    /// An endpoint's own failure, passed on where nothing better comes.
+    /// The result of the last attempt that ended.
+    last: Option<LastFailure>,
+    /// An endpoint's own 5xx answer, forwarded if no attempt gets a better one.
     failure: Option<Box<Answer>>,
 }
 
-/// How an attempt without an answer ended.
+/// The result of an attempt without an answer to forward at once.
 #[derive(Clone, Copy)]
-enum Last {
+enum LastFailure {
     Failed,
     Rejected(&'static str),
     Unsent(&'static str),
@@ -76,17 +76,17 @@
     Quarantined(Duration),
 }
 
-type Racer<'a> = Pin<Box<dyn Future<Output = Ending> + 'a>>;
+type PendingAttempt<'a> = Pin<Box<dyn Future<Output = AttemptEnd> + 'a>>;
 
-/// What happens next to a request whose attempts are under way.
+/// The next event of a request with attempts in progress.
 enum Event {
-    Ended(Ending),
-    SecondDue,
+    Ended(AttemptEnd),
+    HedgeDue,
     Expired,
 }
 
-/// Answers one request.
-pub(super) async fn answer(
+/// Handles one request, and returns the answer for the caller.
+pub(super) async fn handle(
     gateway: &Gateway,
     request: Request<Incoming>,
     caller: IpAddr,
@@ -95,19 +95,19 @@
     let (parts, incoming) = request.into_parts();
     let rest = OnceCell::new();
     let mut response = match run(gateway, &parts, incoming, (arrived, caller), &rest).await {
-        Ok(answer) => pass_on(answer),
+        Ok(answer) => forward_answer(answer),
         Err(denial) => {
             gateway.log_denial(&parts.headers, &denial, arrived);
             denial.response(&parts.headers)
         }
     };
     if let Some(rest) = rest.into_inner() {
-        response.body_mut().then_drain(rest);
+        response.body_mut().drain_afterwards(rest);
     }
     response
 }
 
-/// Serves one request; what is still to come of a long body is put into `rest`.
+/// Runs one request; stores the unread part of a long request body in `rest`.
 async fn run(
     gateway: &Gateway,
     parts: &Parts,
@@ -118,7 +118,7 @@
     if *gateway.stage.borrow() >= Stage::Closing {
         return Err(Denial::Stopping);
     }
-    gateway.await_knowledge(parts).await;
+    gateway.await_config(parts).await;
     let (route, limit) = route(gateway, parts)?;
     let announced = incoming.size_hint().exact();
     let body = CallerBody::new(incoming, limit).map_err(Denial::Body)?;
@@ -136,9 +136,12 @@
         }
     };
     let service = route
-        .pick_service(gateway.draw())
-        .ok_or(Denial::NotRun("the route has no service", SOON))?;
-    let patience = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
+        .pick_service(gateway.random_u64())
+        .ok_or(Denial::NotRun(
+            "the route has no service",
+            DEFAULT_RETRY_DELAY,
+        ))?;
+    let timeout = platform::headers::time_remaining(&parts.headers).unwrap_or(route.timeout);
     let call = Call {
         gateway,
         parts,
@@ -146,9 +149,9 @@
         service,
         fingerprints,
         arrived,
-        deadline: arrived + patience.min(route.timeout),
+        deadline: arrived + timeout.min(route.timeout),
     };
-    gateway.with_budget(service, |budget| budget.count(arrived));
+    gateway.with_retry_budget(service, |budget| budget.count(arrived));
     let result = call.serve(body).await;
     if let Ok(answer) = &result {
         gateway.log_late(&parts.headers, answer, arrived, route.objective);
@@ -156,7 +159,7 @@
     result
 }
 
-/// Returns what a request asks for; `start` is the part of its body that is held.
+/// Returns the content that identifies a request; `start` is the buffered part of its body.
 fn content<'a>(parts: &'a Parts, start: &'a [u8], length: Option<u64>) -> Content<'a> {
     Content {
         method: parts.method.as_str(),
@@ -167,7 +170,7 @@
     }
 }
 
-/// Returns the host name that a request is for.
+/// Returns the host name from a request's URI or `Host` header.
 fn host(parts: &Parts) -> Result<&str, Denial> {
     match (parts.uri.host(), parts.headers.get(HOST)) {
         (Some(host), _) => Ok(host),
@@ -176,11 +179,11 @@
     }
 }
 
-/// Finds the route of a request, and the largest body it may have.
+/// Returns the route of a request, and the body size limit in bytes.
 fn route(gateway: &Gateway, parts: &Parts) -> Result<(Route, u64), Denial> {
-    let orders = gateway.orders.borrow();
-    let catalogue = orders.catalogue.as_ref().ok_or(Denial::NoCatalogue)?;
-    if !gateway.listed.get() {
+    let config = gateway.config.borrow();
+    let catalogue = config.catalogue.as_ref().ok_or(Denial::NoCatalogue)?;
+    if !gateway.endpoints_loaded.get() {
         return Err(Denial::NoCatalogue);
     }
     let route = catalogue
@@ -189,118 +192,121 @@
     Ok((route.clone(), catalogue.limits.body_size))
 }
 
-/// The share of the time left for which a request waits at a host that has just started.
-const START_SHARE: f64 = 0.25;
+/// The part of a request's remaining time that it may wait for the configuration.
+const START_WAIT_FRACTION: f64 = 0.25;
 
-/// The longest time for which it waits.
-const START_LIMIT: Duration = Duration::from_millis(1_500);
+/// Maximum time that a request waits for the configuration of a host that has just started.
+const MAX_START_WAIT: Duration = Duration::from_millis(1_500);
 
 impl Gateway {
-    /// Waits until routes and endpoints are known, for a part of the request's time.
+    /// Waits for routes and endpoints to be loaded, for a part of the request's time.
     ///
-    /// Made for the moment at which all hosts start again: rejected, a request comes
-    /// back to another host that has just started, and callers come back once or
-    /// twice only.
-    async fn await_knowledge(&self, parts: &Parts) {
-        let left = platform::headers::time_remaining(&parts.headers).unwrap_or(START_LIMIT);
-        let last = Instant::now() + left.mul_f64(START_SHARE).min(START_LIMIT);
-        while !self.knows_all() {
-            if timeout_at(last, self.known.notified()).await.is_err() {
+    /// Guards against lost requests when all hosts restart together: a rejected
+    /// request would be retried at another host that has just started, and callers
+    /// retry only once or twice.
+    async fn await_config(&self, parts: &Parts) {
+        let left = platform::headers::time_remaining(&parts.headers).unwrap_or(MAX_START_WAIT);
+        let last = Instant::now() + left.mul_f64(START_WAIT_FRACTION).min(MAX_START_WAIT);
+        while !self.has_all_topics() {
+            if timeout_at(last, self.config_loaded.notified())
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }
 }
 
-/// When to come back where nothing better is known.
-const SOON: Duration = Duration::from_millis(300);
+/// Time until the caller should retry, where no better estimate exists.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Call<'_> {
     async fn serve(&self, body: RequestBody) -> Result<Box<Answer>, Denial> {
-        if let Some(left) = self.gateway.quarantined(self.fingerprints) {
+        if let Some(left) = self.gateway.quarantine_left(self.fingerprints) {
             return Err(Denial::Quarantined(left));
         }
         let placement = RefCell::new(Placement::default());
-        let exposed = Cell::new(0);
+        let may_have_run = Cell::new(0);
         let attempt = Attempt {
             gateway: self.gateway,
             parts: self.parts,
-            request: self.placing_request(),
+            request: self.placement_request(),
             route: self.route,
             fingerprints: self.fingerprints,
             placement: &placement,
-            exposed: &exposed,
+            may_have_run: &may_have_run,
         };
-        let whole = match &body {
+        let replay = match &body {
             RequestBody::Buffered(bytes) => Some(bytes.clone()),
             RequestBody::Streamed(..) => None,
         };
-        self.race(&attempt, body, whole).await
+        self.run_attempts(&attempt, body, replay).await
     }
 
-    /// Runs attempts until one brings an answer, or none is left to make.
+    /// Runs attempts until one gets an answer or no further attempt is allowed.
     ///
-    /// `whole` is the body where it can be sent again.
-    async fn race<'a>(
+    /// `replay` is the complete request body, `None` if the body can't be sent again.
+    async fn run_attempts<'a>(
         &self,
         attempt: &'a Attempt<'a>,
         first: RequestBody,
-        whole: Option<Bytes>,
+        replay: Option<Bytes>,
     ) -> Result<Box<Answer>, Denial> {
-        let again = || attempt.run(RequestBody::Buffered(whole.clone().unwrap_or_default()));
-        let mut racers: Vec<Racer<'a>> = vec![Box::pin(attempt.run(first))];
+        let again = || attempt.run(RequestBody::Buffered(replay.clone().unwrap_or_default()));
+        let mut pending: Vec<PendingAttempt<'a>> = vec![Box::pin(attempt.run(first))];
         let mut progress = Progress {
             attempts: 1,
             ..Progress::default()
         };
-        let mut second = self.second_at(whole.is_some());
+        let mut hedge = self.hedge_at(replay.is_some());
         loop {
-            match self.next(&mut racers, second).await {
-                Event::Ended(Ending::Answered(answer)) => return Ok(answer),
+            match self.next(&mut pending, hedge).await {
+                Event::Ended(AttemptEnd::Answered(answer)) => return Ok(answer),
                 Event::Ended(ending) => {
-                    progress.take(ending);
-                    let exposed = attempt.exposed.get();
-                    if whole.is_some() && self.may_repeat(&mut progress, exposed) {
-                        self.log_repeat(progress.why());
-                        racers.push(Box::pin(again()));
-                    } else if racers.is_empty() {
-                        let back = self.come_back(progress.last);
-                        return progress.give_up(exposed, back);
+                    progress.record(ending);
+                    let may_have_run = attempt.may_have_run.get();
+                    if replay.is_some() && self.may_retry(&mut progress, may_have_run) {
+                        self.log_retry(progress.reason());
+                        pending.push(Box::pin(again()));
+                    } else if pending.is_empty() {
+                        let delay = self.retry_after(progress.last);
+                        return progress.give_up(may_have_run, delay);
                     }
                 }
-                Event::SecondDue => {
-                    second = None;
-                    if attempt.exposed.get() > 0 && self.may_send(&mut progress) {
-                        self.log_repeat("no answer yet");
-                        racers.push(Box::pin(again()));
+                Event::HedgeDue => {
+                    hedge = None;
+                    if attempt.may_have_run.get() > 0 && self.may_send(&mut progress) {
+                        self.log_retry("no answer yet");
+                        pending.push(Box::pin(again()));
                     }
                 }
                 Event::Expired => {
-                    let back = self.come_back(progress.last);
-                    return progress.expire(attempt.exposed.get(), back);
+                    let delay = self.retry_after(progress.last);
+                    return progress.expire(attempt.may_have_run.get(), delay);
                 }
             }
         }
     }
 
-    /// Returns when the caller should come back.
-    fn come_back(&self, last: Option<Last>) -> Duration {
-        let draw = self.gateway.draw_share();
-        if let Some(Last::Rejected(_) | Last::Unsent(_)) = last {
+    /// Returns the time after which the caller should retry.
+    fn retry_after(&self, last: Option<LastFailure>) -> Duration {
+        let draw = self.gateway.random_fraction();
+        if let Some(LastFailure::Rejected(_) | LastFailure::Unsent(_)) = last {
             return retry_after::short_delay(draw);
         }
-        retry_after::retry_after(&self.placing_request(), draw, clock::now())
+        retry_after::retry_after(&self.placement_request(), draw, clock::now())
     }
 
-    fn log_repeat(&self, why: &str) {
+    fn log_retry(&self, reason: &str) {
         self.gateway
-            .log_repeat(&self.parts.headers, why, self.arrived);
+            .log_retry(&self.parts.headers, reason, self.arrived);
     }
 
-    fn placing_request(&self) -> placement::Request {
+    fn placement_request(&self) -> placement::Request {
         let service_time = self
             .gateway
-            .with_tempo(self.route, |tempo| tempo.estimate());
+            .with_service_time(self.route, |service_time| service_time.estimate());
         placement::Request {
             service: self.service,
             home: self.gateway.home,
@@ -311,27 +317,28 @@
         }
     }
 
-    /// Returns when a second endpoint gets the request too, if ever.
+    /// Returns when the request is hedged, `None` if never.
     ///
-    /// Only where the work may run twice, and where the second answer could
-    /// still come within the objective: a late one is hardly worth the work.
-    fn second_at(&self, whole: bool) -> Option<Moment> {
-        if !self.route.idempotent || !whole || self.route.attempts < 2 {
+    /// Hedging requires that the request is idempotent, and that the second
+    /// answer can still arrive within the route's objective: a late answer
+    /// hardly justifies the additional load.
+    fn hedge_at(&self, replay: bool) -> Option<Moment> {
+        if !self.route.idempotent || !replay || self.route.attempts < 2 {
             return None;
         }
         let service_time = self
             .gateway
-            .with_tempo(self.route, |tempo| tempo.estimate());
-        let at = service_time.mul_f64(SECOND_AFTER);
+            .with_service_time(self.route, |service_time| service_time.estimate());
+        let at = service_time.mul_f64(HEDGE_FACTOR);
         (at + service_time <= self.route.objective).then(|| self.arrived + at)
     }
 
-    /// Waits for the first of: an attempt's end, the time for a second, the deadline.
-    async fn next(&self, racers: &mut Vec<Racer<'_>>, second: Option<Moment>) -> Event {
+    /// Waits for an attempt to end, for the hedge time or for the deadline.
+    async fn next(&self, pending: &mut Vec<PendingAttempt<'_>>, hedge: Option<Moment>) -> Event {
         let ended = poll_fn(|cx| {
-            for at in 0..racers.len() {
-                if let Poll::Ready(ending) = racers[at].as_mut().poll(cx) {
-                    drop(racers.swap_remove(at));
+            for at in 0..pending.len() {
+                if let Poll::Ready(ending) = pending[at].as_mut().poll(cx) {
+                    drop(pending.swap_remove(at));
                     return Poll::Ready(ending);
                 }
             }
@@ -339,112 +346,118 @@
         });
         let now = clock::now();
         let deadline = Instant::now() + now.until(self.deadline);
-        let second_at = second.map(|at| Instant::now() + now.until(at));
+        let hedge_at = hedge.map(|at| Instant::now() + now.until(at));
         tokio::select! {
             biased;
             ending = ended => Event::Ended(ending),
             () = sleep_until(deadline) => Event::Expired,
-            () = sleep_until(second_at.unwrap_or(deadline)), if second_at.is_some() => Event::SecondDue,
+            () = sleep_until(hedge_at.unwrap_or(deadline)), if hedge_at.is_some() => Event::HedgeDue,
         }
     }
 
-    /// Decides whether the request goes to another endpoint, and pays for it.
+    /// Decides whether the request is retried, and charges the retry budget.
     ///
-    /// What surely reached no endpoint costs nothing. Work that may have run is
-    /// only repeated where that does no harm.
-    fn may_repeat(&self, progress: &mut Progress, exposed: u32) -> bool {
+    /// Retrying an attempt that reached no endpoint is free. A request that may
+    /// have run is retried only if its route is idempotent.
+    fn may_retry(&self, progress: &mut Progress, may_have_run: u32) -> bool {
         match progress.last {
-            _ if exposed > 0 && !self.route.idempotent => return false,
-            Some(Last::Refused(_) | Last::Quarantined(_)) => return false,
-            _ if self.gateway.quarantined(self.fingerprints).is_some() => return false,
-            Some(Last::Unsent(_)) => return progress.unsent < UNSENT_LIMIT,
+            _ if may_have_run > 0 && !self.route.idempotent => return false,
+            Some(LastFailure::Refused(_) | LastFailure::Quarantined(_)) => return false,
+            _ if self.gateway.quarantine_left(self.fingerprints).is_some() => return false,
+            Some(LastFailure::Unsent(_)) => return progress.unsent < MAX_UNSENT_ATTEMPTS,
             _ => {}
         }
         self.may_send(progress)
     }
 
-    /// Decides whether one more endpoint may get the request, and takes it from the budget.
+    /// Decides whether one more attempt is allowed, and charges the retry budget.
     fn may_send(&self, progress: &mut Progress) -> bool {
         let share = self.gateway.share.get();
         let left = progress.attempts < self.route.attempts;
         let allowed = left
             && self
                 .gateway
-                .with_budget(self.service, |budget| budget.take(share, clock::now()));
+                .with_retry_budget(self.service, |budget| budget.take(share, clock::now()));
         progress.attempts += u32::from(allowed);
         allowed
     }
 }
 
 impl Progress {
-    /// Takes in how an attempt ended that brought no answer to pass on at once.
-    fn take(&mut self, ending: Ending) {
+    /// Records the result of an attempt without an answer to forward at once.
+    fn record(&mut self, ending: AttemptEnd) {
         self.last = Some(match ending {
-            Ending::Answered(answer) | Ending::Failed(answer) => {
+            AttemptEnd::Answered(answer) | AttemptEnd::Failed(answer) => {
                 self.failure = Some(answer);
-                Last::Failed
+                LastFailure::Failed
             }
-            Ending::Rejected(reason) => Last::Rejected(reason),
-            Ending::Unsent(reason) => {
+            AttemptEnd::Rejected(reason) => LastFailure::Rejected(reason),
+            AttemptEnd::Unsent(reason) => {
                 self.unsent += 1;
-                Last::Unsent(reason)
+                LastFailure::Unsent(reason)
             }
-            Ending::Lost(reason) => Last::Lost(reason),
-            Ending::Refused(refusal) => Last::Refused(refusal),
-            Ending::Quarantined(left) => Last::Quarantined(left),
+            AttemptEnd::Lost(reason) => LastFailure::Lost(reason),
+            AttemptEnd::Refused(refusal) => LastFailure::Refused(refusal),
+            AttemptEnd::Quarantined(left) => LastFailure::Quarantined(left),
         });
     }
 
-    /// Returns why the last attempt brought no answer, for the log.
-    fn why(&self) -> &'static str {
+    /// Returns the reason of the last attempt's failure, for the log.
+    fn reason(&self) -> &'static str {
         match self.last {
-            Some(Last::Rejected(why) | Last::Unsent(why) | Last::Lost(why)) => why,
-            Some(Last::Failed) => "the endpoint failed",
-            Some(Last::Quarantined(_)) => "it crashed endpoints before",
-            Some(Last::Refused(_)) | None => "no endpoint was found",
+            Some(
+                LastFailure::Rejected(reason)
+                | LastFailure::Unsent(reason)
+                | LastFailure::Lost(reason),
+            ) => reason,
+            Some(LastFailure::Failed) => "the endpoint failed",
+            Some(LastFailure::Quarantined(_)) => "it crashed endpoints before",
+            Some(LastFailure::Refused(_)) | None => "no endpoint was found",
         }
     }
 
-    /// Returns the final answer of a request whose time is over.
-    fn expire(self, exposed: u32, back: Duration) -> Result<Box<Answer>, Denial> {
+    /// Returns the final answer of a request whose deadline has passed.
+    fn expire(self, may_have_run: u32, delay: Duration) -> Result<Box<Answer>, Denial> {
         match self.failure {
             Some(answer) => Ok(answer),
-            None if exposed > 0 => Err(Denial::Silent),
-            None => Err(not_run(Refusal::TooLate, back)),
+            None if may_have_run > 0 => Err(Denial::Silent),
+            None => Err(not_run(Refusal::TooLate, delay)),
         }
     }
 
-    /// Returns the final answer of a request that is not tried again.
+    /// Returns the final answer of a request that is not retried.
     ///
-    /// "Not run" is only said where every endpoint that it reached said so.
-    fn give_up(self, exposed: u32, back: Duration) -> Result<Box<Answer>, Denial> {
+    /// "Not run" is only reported if every endpoint that received the request said so.
+    fn give_up(self, may_have_run: u32, delay: Duration) -> Result<Box<Answer>, Denial> {
         if let Some(answer) = self.failure {
             return Ok(answer);
         }
         Err(match self.last {
-            Some(Last::Lost(reason)) => Denial::Unknown(reason),
-            _ if exposed > 0 => Denial::Unknown("an earlier attempt may have run"),
-            Some(Last::Quarantined(left)) => Denial::Quarantined(left),
-            Some(Last::Refused(refusal)) => not_run(refusal, back),
-            Some(Last::Rejected(reason) | Last::Unsent(reason)) => Denial::NotRun(reason, back),
-            Some(Last::Failed) | None => Denial::Unknown("the endpoint failed"),
+            Some(LastFailure::Lost(reason)) => Denial::Unknown(reason),
+            _ if may_have_run > 0 => Denial::Unknown("an earlier attempt may have run"),
+            Some(LastFailure::Quarantined(left)) => Denial::Quarantined(left),
+            Some(LastFailure::Refused(refusal)) => not_run(refusal, delay),
+            Some(LastFailure::Rejected(reason) | LastFailure::Unsent(reason)) => {
+                Denial::NotRun(reason, delay)
+            }
+            Some(LastFailure::Failed) | None => Denial::Unknown("the endpoint failed"),
         })
     }
 }
 
-fn not_run(refusal: Refusal, back: Duration) -> Denial {
+fn not_run(refusal: Refusal, delay: Duration) -> Denial {
     match refusal {
-        Refusal::NoEndpoint => Denial::NotRun("no endpoint can be used", back),
-        Refusal::Full => Denial::NotRun("all endpoints are full", back),
-        Refusal::TooLate => Denial::NotRun("no endpoint was free in time", back),
-        Refusal::Limited => Denial::NotRun("the endpoints' rate limits are used up", back),
+        Refusal::NoEndpoint => Denial::NotRun("no endpoint can be used", delay),
+        Refusal::Full => Denial::NotRun("all endpoints are full", delay),
+        Refusal::TooLate => Denial::NotRun("no endpoint was free in time", delay),
+        Refusal::Limited => Denial::NotRun("the endpoints' rate limits are used up", delay),
     }
 }
 
-fn pass_on(answer: Box<Answer>) -> Response<AnswerBody> {
-    let fields = answer.fields();
+fn forward_answer(answer: Box<Answer>) -> Response<AnswerBody> {
+    let headers = answer.headers();
     let mut response = Response::new(AnswerBody::relay(answer.start, answer.rest));
     *response.status_mut() = answer.parts.status;
-    *response.headers_mut() = fields;
+    *response.headers_mut() = headers;
     response
 }
--- a/components/transport/src/gateway/drain.rs
+++ b/components/transport/src/gateway/drain.rs
@@ -1,4 +1,4 @@
-//! How a host stops without losing a request.
+//! Graceful shutdown of a host.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,35 +7,37 @@
 
 use super::{Gateway, Stage};
 
-/// How long the balancer may still send new connections.
+/// How long the platform's balancer may still send new connections to a host that isn't ready.
 ///
-/// It asks once a second and believes the second miss.
-const NOTICE: Duration = Duration::from_millis(2_600);
+/// The balancer checks readiness once a second and removes a host after the
+/// second failed check.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_600);
 
-/// How long before the platform ends the process it ends by itself.
-const MARGIN: Duration = Duration::from_millis(250);
+/// How long before the end of the platform's grace period the process exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
 
-/// How often it is looked whether the last caller has left.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The interval at which the number of open caller connections is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Gateway {
-    /// Stops: not ready at once, no new work in time, and ended with the last answer.
+    /// Shuts down: reports not ready at once, later rejects new requests, and
+    /// returns after the last answer or shortly before the grace period ends.
     ///
-    /// Callers with kept connections hear with each answer that they should
-    /// connect elsewhere, and are served as before while the balancer takes
-    /// this host out. After that the time may not suffice for a request any
-    /// more: it is rejected as not run, so that its caller goes elsewhere at
-    /// once rather than lose it when the process ends.
+    /// While the balancer removes this host, requests are served as before, and
+    /// each answer asks the caller to close its connection. After that the
+    /// remaining time may be too short for a new request: such a request is
+    /// rejected as not run, so that the caller retries elsewhere at once instead
+    /// of losing the request when the process ends.
     pub async fn drain(self: &Rc<Self>) {
         let began = Instant::now();
         log::info!("E0503 host-draining name={}", self.settings.name);
         self.stage.send_replace(Stage::Leaving);
         let grace = self.live.borrow().bounds.grace;
-        sleep(NOTICE.min(grace / 2)).await;
+        sleep(BALANCER_DELAY.min(grace / 2)).await;
         self.stage.send_replace(Stage::Closing);
-        let last = began + grace.saturating_sub(MARGIN);
+        let last = began + grace.saturating_sub(EXIT_MARGIN);
         while self.callers.get() > 0 && Instant::now() < last {
-            sleep_until((Instant::now() + LOOK_EVERY).min(last)).await;
+            sleep_until((Instant::now() + POLL_INTERVAL).min(last)).await;
         }
         log::info!(
             "E0504 host-stopped name={} left={}",
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -1,7 +1,7 @@
-//! Keeps the operators' orders and the list of endpoints in step with the store.
+//! Follows the store's topics: the operators' configuration and the list of endpoints.
 //!
-//! `coordination::read_schedule` decides when this host reads; what it reads it tells
-//! its neighbours.
+//! `coordination::read_schedule` decides when this host reads from the store. The host
+//! sends the records that it reads to its neighbours.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,110 +22,116 @@
 use crate::store::{StoreClient, StoreError};
 
 impl Gateway {
-    /// Follows one topic, for ever.
+    /// Follows one topic; never returns.
     pub(super) async fn follow(self: Rc<Self>, topic: Topic) {
         let mut store = StoreClient::new(self.settings.log);
         loop {
-            self.wait_due(topic).await;
-            let (next, reads) = self.feed(topic, |feed| {
-                feed.begin_read();
-                (feed.next(), feed.is_reader())
+            self.await_due(topic).await;
+            let (next, is_reader) = self.with_schedule(topic, |schedule| {
+                schedule.begin_read();
+                (schedule.next(), schedule.is_reader())
             });
-            if !reads {
-                self.tell_all(&NeighbourMessage::ReadStarted(topic));
+            if !is_reader {
+                self.broadcast(&NeighbourMessage::ReadStarted(topic));
             }
             let result = match next {
-                None => self.read_all(&mut store, topic).await,
-                Some(from) => self.read_on(&mut store, topic, from).await,
+                None => self.read_snapshot(&mut store, topic).await,
+                Some(from) => self.read_next(&mut store, topic, from).await,
             };
             if let Err(error) = result {
-                self.note_trouble(topic, &error);
+                self.note_read_failure(topic, &error);
             }
             self.registry.borrow_mut().forget_warm_buckets(clock::now());
         }
     }
 
-    /// Waits until this host has to read by itself.
-    async fn wait_due(&self, topic: Topic) {
+    /// Waits until the next read by this host itself is due.
+    async fn await_due(&self, topic: Topic) {
         loop {
-            let due = self.feed(topic, |feed| feed.due());
+            let due = self.with_schedule(topic, |schedule| schedule.due());
             let left = clock::now().until(due);
             if left.is_zero() {
                 return;
             }
-            // Either way it looks again at when it is due.
-            let _sooner = timeout(left, self.sooner.notified()).await;
+            // After a wake-up or a timeout the due time is checked again.
+            let _notified = timeout(left, self.schedule_changed.notified()).await;
         }
     }
 
-    /// Changes how far this host is with a topic.
-    pub(super) fn feed<R>(&self, topic: Topic, act: impl FnOnce(&mut ReadSchedule) -> R) -> R {
-        let mut feeds = self.feeds.borrow_mut();
+    /// Runs `act` on the read schedule of a topic.
+    pub(super) fn with_schedule<R>(
+        &self,
+        topic: Topic,
+        act: impl FnOnce(&mut ReadSchedule) -> R,
+    ) -> R {
+        let mut schedules = self.schedules.borrow_mut();
         match topic {
-            Topic::Operators => act(&mut feeds.operators),
-            Topic::Endpoints => act(&mut feeds.endpoints),
+            Topic::Operators => act(&mut schedules.operators),
+            Topic::Endpoints => act(&mut schedules.endpoints),
         }
     }
 
-    fn note_trouble(&self, topic: Topic, error: &StoreError) {
+    fn note_read_failure(&self, topic: Topic, error: &StoreError) {
         let now = clock::now();
-        let draw = self.draw_share();
+        let draw = self.random_fraction();
         if let StoreError::Forgotten(_) = error {
-            self.feed(topic, |feed| feed.offset_trimmed(now));
+            self.with_schedule(topic, |schedule| schedule.offset_trimmed(now));
             return;
         }
-        let failures = self.feed(topic, |feed| {
-            feed.read_failed(draw, now);
-            feed.failures()
+        let failures = self.with_schedule(topic, |schedule| {
+            schedule.read_failed(draw, now);
+            schedule.failures()
         });
         if failures == 1 {
             log::warn!("E0301 log-unreadable topic={topic:?} error={error:?}");
         }
-        self.tell_all(&NeighbourMessage::ReadFailed(topic));
-        self.want(topic);
+        self.broadcast(&NeighbourMessage::ReadFailed(topic));
+        self.request_snapshot(topic);
     }
 
-    /// Takes in that a neighbour could not read a topic.
-    pub(super) fn take_trouble(&self, topic: Topic) {
-        let draw = self.draw_share();
-        self.feed(topic, |feed| feed.neighbour_read_failed(draw, clock::now()));
+    /// Handles a neighbour's message that its read of a topic failed.
+    pub(super) fn handle_read_failure(&self, topic: Topic) {
+        let draw = self.random_fraction();
+        self.with_schedule(topic, |s| s.neighbour_read_failed(draw, clock::now()));
     }
 
-    /// Takes in that a neighbour has begun to read a topic by itself.
-    pub(super) fn take_reading(&self, topic: Topic) {
-        let draw = self.draw_share();
-        self.feed(topic, |f| f.neighbour_read_started(draw, clock::now()));
+    /// Handles a neighbour's message that it has begun to read a topic.
+    pub(super) fn handle_read_start(&self, topic: Topic) {
+        let draw = self.random_fraction();
+        self.with_schedule(topic, |s| s.neighbour_read_started(draw, clock::now()));
     }
 
-    /// Takes in what a host of another data centre has read, for this whole one.
-    pub(super) fn take_abroad(self: &Rc<Self>, news: RecordUpdate, teller: SocketAddr) {
-        let topic = news.topic;
-        let Some(next) = self.feed(topic, |feed| feed.next()) else {
+    /// Handles records read by a host of another data centre, on behalf of all neighbours.
+    pub(super) fn handle_cross_centre(self: &Rc<Self>, update: RecordUpdate, sender: SocketAddr) {
+        let topic = update.topic;
+        let Some(next) = self.with_schedule(topic, |schedule| schedule.next()) else {
             return;
         };
-        if news.from > next {
-            if self.awaits(topic) {
+        if update.from > next {
+            if self.is_receiving(topic) {
                 return;
             }
-            self.feed(topic, |feed| feed.mark_lagging(clock::now()));
-            self.sooner.notify_waiters();
+            self.with_schedule(topic, |schedule| schedule.mark_lagging(clock::now()));
+            self.schedule_changed.notify_waiters();
             return;
         }
-        let stale = self.feed(topic, |feed| feed.is_stale(clock::now()));
-        let new = self.take_news(&news, teller);
+        let stale = self.with_schedule(topic, |schedule| schedule.is_stale(clock::now()));
+        let new = self.handle_update(&update, sender);
         if new || stale {
-            let news = RecordUpdate {
+            let update = RecordUpdate {
                 relay_root: self.settings.peers,
                 cross_centre: false,
-                ..news
+                ..update
             };
-            self.tell_news(news, true);
+            self.send_update(update, true);
         }
     }
 
-    /// Notes that a topic could be read, by this host or by a neighbour.
-    fn note_return(&self, topic: Topic, back: bool) {
-        if !back {
+    /// Records that a topic is readable again, by this host or by a neighbour.
+    ///
+    /// `recovered` tells whether reads of this host had failed before.
+    fn note_readable(&self, topic: Topic, recovered: bool) {
+        if !recovered {
             return;
         }
         log::info!("E0310 log-readable-again topic={topic:?}");
@@ -134,27 +140,29 @@
         }
     }
 
-    async fn read_on(
+    async fn read_next(
         self: &Rc<Self>,
         store: &mut StoreClient,
         topic: Topic,
         from: u64,
     ) -> Result<(), StoreError> {
-        let (wait, lags) = self.feed(topic, |feed| {
-            (feed.read_wait(clock::now()), feed.is_lagging())
+        let (wait, is_lagging) = self.with_schedule(topic, |schedule| {
+            (schedule.read_wait(clock::now()), schedule.is_lagging())
         });
-        let read = store.read(name(topic), from, wait, None).await?;
-        // A neighbour may have told some of it meanwhile.
-        let known = self.feed(topic, |feed| feed.next()).unwrap_or(from);
+        let read = store.read(topic_name(topic), from, wait, None).await?;
+        // A neighbour may have sent some of the records in the meantime.
+        let known = self
+            .with_schedule(topic, |schedule| schedule.next())
+            .unwrap_or(from);
         let alone = self.neighbours.borrow().is_empty();
-        let draw = self.draw_share();
-        let back = self.feed(topic, |feed| {
-            feed.read_finished(read.next(), alone, draw, clock::now())
+        let draw = self.random_fraction();
+        let recovered = self.with_schedule(topic, |schedule| {
+            schedule.read_finished(read.next(), alone, draw, clock::now())
         });
-        self.note_return(topic, back);
+        self.note_readable(topic, recovered);
         let skip = usize::try_from(known.saturating_sub(from)).unwrap_or(usize::MAX);
-        self.take_records(topic, known, read.records.iter().skip(skip));
-        let news = RecordUpdate {
+        self.apply_records(topic, known, read.records.iter().skip(skip));
+        let update = RecordUpdate {
             topic,
             reader: self.settings.peers,
             relay_root: self.settings.peers,
@@ -162,67 +170,78 @@
             from,
             records: read.records,
         };
-        let reader = self.feed(topic, |feed| feed.is_reader());
+        let reader = self.with_schedule(topic, |schedule| schedule.is_reader());
         if reader {
-            self.tell_abroad(&news);
+            self.send_cross_centre(&update);
         }
-        self.tell_news(news, reader || lags);
+        self.send_update(update, reader || is_lagging);
         Ok(())
     }
 
-    /// Takes in what a neighbour has read, and returns whether it was new.
+    /// Handles records that a neighbour has read, and returns whether any were new.
     ///
-    /// Where records before it are missing, `teller` is asked for them, unless
-    /// they are on their way.
-    pub(super) fn take_news(self: &Rc<Self>, news: &RecordUpdate, teller: SocketAddr) -> bool {
-        let ahead = |next: u64| news.from > next;
-        if self.awaits(news.topic) && self.feed(news.topic, |f| f.next()).is_some_and(ahead) {
-            self.put_off(news, teller);
+    /// If earlier records are missing, requests them from `sender`, unless a
+    /// message with them is being received.
+    pub(super) fn handle_update(
+        self: &Rc<Self>,
+        update: &RecordUpdate,
+        sender: SocketAddr,
+    ) -> bool {
+        let ahead = |next: u64| update.from > next;
+        if self.is_receiving(update.topic)
+            && self
+                .with_schedule(update.topic, |s| s.next())
+                .is_some_and(ahead)
+        {
+            self.defer_update(update, sender);
             return false;
         }
         let now = clock::now();
-        let draw = self.draw_share();
-        // Where two read, the one with the lower address goes on.
-        let yields = news.reader < self.settings.peers;
-        let next = news.next();
-        let told = self.feed(news.topic, |feed| {
-            feed.update_received(news.from, next, yields, draw, now)
+        let draw = self.random_fraction();
+        // Of two readers, the one with the lower address continues.
+        let yields = update.reader < self.settings.peers;
+        let next = update.next();
+        let outcome = self.with_schedule(update.topic, |schedule| {
+            schedule.update_received(update.from, next, yields, draw, now)
         });
-        let (skip, recovered) = match told {
+        let (skip, recovered) = match outcome {
             UpdateOutcome::Apply { skip, recovered } => (skip, recovered),
             UpdateOutcome::Known => return false,
             UpdateOutcome::Gap => {
-                if let Some(from) = self.feed(news.topic, |feed| feed.next()) {
-                    self.tell(teller, &NeighbourMessage::RecordsRequest(news.topic, from));
+                if let Some(from) = self.with_schedule(update.topic, |schedule| schedule.next()) {
+                    self.send(
+                        sender,
+                        &NeighbourMessage::RecordsRequest(update.topic, from),
+                    );
                 }
                 return false;
             }
         };
-        self.note_return(news.topic, recovered);
-        let known = news.from + skip;
+        self.note_readable(update.topic, recovered);
+        let known = update.from + skip;
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
-        self.take_records(news.topic, known, news.records.iter().skip(skip));
+        self.apply_records(update.topic, known, update.records.iter().skip(skip));
         true
     }
 
-    /// Takes in records, the first of which lies at offset `from`.
-    fn take_records<'a>(&self, topic: Topic, from: u64, records: impl Iterator<Item = &'a Bytes>) {
+    /// Applies records; `from` is the offset of the first one.
+    fn apply_records<'a>(&self, topic: Topic, from: u64, records: impl Iterator<Item = &'a Bytes>) {
         for (offset, bytes) in (from..).zip(records) {
-            let mut shelves = self.shelves.borrow_mut();
-            shelves.of(topic).recent.push(offset, bytes.clone());
-            drop(shelves);
+            let mut caches = self.caches.borrow_mut();
+            caches.of(topic).recent.push(offset, bytes.clone());
+            drop(caches);
             let Some(record) = platform::store::decode_record(bytes.clone()) else {
                 log::error!("E0304 record-skipped topic={topic:?} error=damaged");
                 continue;
             };
-            self.shelves
+            self.caches
                 .borrow_mut()
                 .of(topic)
                 .put(&record, bytes.clone());
             match topic {
-                Topic::Operators => self.take_order(&record),
+                Topic::Operators => self.apply_operator_record(&record),
                 Topic::Endpoints => {
-                    let entry = decoded(&record);
+                    let entry = decode_entry(&record);
                     self.registry
                         .borrow_mut()
                         .apply(&record.key, entry, clock::now());
@@ -231,47 +250,47 @@
         }
     }
 
-    /// Reads the newest record of each key: at the start, or where the log forgot.
-    async fn read_all(
+    /// Reads the newest record of each key, at the start or after the store has trimmed records.
+    async fn read_snapshot(
         self: &Rc<Self>,
         store: &mut StoreClient,
         topic: Topic,
     ) -> Result<(), StoreError> {
-        let (records, end) = newest(store, name(topic)).await?;
-        let draw = self.draw_share();
-        let back = self.feed(topic, |feed| {
-            feed.full_read_finished(end, draw, clock::now())
+        let (records, end) = read_newest(store, topic_name(topic)).await?;
+        let draw = self.random_fraction();
+        let recovered = self.with_schedule(topic, |schedule| {
+            schedule.full_read_finished(end, draw, clock::now())
         });
-        self.note_return(topic, back);
-        let first = !self.knows(topic);
-        self.take_all(topic, &records);
-        self.share_all(topic, first);
+        self.note_readable(topic, recovered);
+        let first = !self.has_topic(topic);
+        self.apply_snapshot(topic, &records);
+        self.distribute_snapshot(topic, first);
         Ok(())
     }
 
-    /// Takes in the newest record of each key of a topic.
-    pub(super) fn take_all(self: &Rc<Self>, topic: Topic, records: &[Record]) {
-        self.shelves.borrow_mut().of(topic).replace(records);
+    /// Applies the newest records of all keys of a topic.
+    pub(super) fn apply_snapshot(self: &Rc<Self>, topic: Topic, records: &[Record]) {
+        self.caches.borrow_mut().of(topic).replace(records);
         match topic {
-            Topic::Operators => self.take_all_orders(records),
-            Topic::Endpoints => self.take_all_endpoints(records),
+            Topic::Operators => self.apply_all_operator_records(records),
+            Topic::Endpoints => self.apply_all_endpoints(records),
         }
     }
 
-    fn take_all_endpoints(&self, records: &[Record]) {
+    fn apply_all_endpoints(&self, records: &[Record]) {
         let entries: BTreeMap<String, Entry> = records
             .iter()
-            .filter_map(|r| Some((r.key.clone(), decoded(r)?)))
+            .filter_map(|r| Some((r.key.clone(), decode_entry(r)?)))
             .collect();
         let mut registry = self.registry.borrow_mut();
         registry.replace(entries, clock::now());
-        self.listed.set(true);
-        self.known.notify_waiters();
+        self.endpoints_loaded.set(true);
+        self.config_loaded.notify_waiters();
         log::info!("E0313 endpoints-listed endpoints={}", registry.len());
     }
 
-    /// Takes in the newest orders of all; data centres that aren't named there are back.
-    fn take_all_orders(&self, records: &[Record]) {
+    /// Applies the newest operator records; data centres without a record return to service.
+    fn apply_all_operator_records(&self, records: &[Record]) {
         let named: BTreeSet<DataCentreKey> = records
             .iter()
             .filter_map(|r| match operator::classify_key(&r.key) {
@@ -279,61 +298,62 @@
                 _ => None,
             })
             .collect();
-        let left = self.orders.borrow().leaving_centres.clone();
+        let left = self.config.borrow().leaving_centres.clone();
         for centre in left.difference(&named) {
             self.set_leaving(*centre, false);
         }
         for record in records {
-            self.take_order(record);
+            self.apply_operator_record(record);
         }
     }
 
-    fn take_order(&self, record: &Record) {
+    fn apply_operator_record(&self, record: &Record) {
         match (operator::classify_key(&record.key), &record.value) {
             (Subject::Leaving(centre), value) => self.set_leaving(centre, value.is_some()),
-            (Subject::Catalogue, Some(value)) => self.take_catalogue(value),
+            (Subject::Catalogue, Some(value)) => self.apply_catalogue(value),
             (Subject::Catalogue, None) => {
-                log::warn!("E0311 config-withdrawn; the one in force stays");
+                log::warn!("E0311 config-withdrawn; the current configuration stays in force");
             }
             (Subject::Other, _) => log::debug!("E0304 record-skipped key={:?}", record.key),
         }
     }
 
-    fn take_catalogue(&self, value: &[u8]) {
+    fn apply_catalogue(&self, value: &[u8]) {
         match operator::decode(value) {
             Ok(catalogue) => {
                 let version = catalogue.version;
-                if self.orders.borrow_mut().adopt(catalogue) {
+                if self.config.borrow_mut().adopt(catalogue) {
                     log::info!(
                         "E0302 config-in-force version={version} bytes={}",
                         value.len()
                     );
                     self.forget_routes();
-                    self.known.notify_waiters();
+                    self.config_loaded.notify_waiters();
                 }
             }
             Err(error) => log::error!("E0304 record-skipped key=config error={error:?}"),
         }
     }
 
-    /// Forgets what was learned of routes that are no more.
+    /// Drops the measured service times of removed routes.
     ///
-    /// Operators make a thousand changes a day, many of them with new names.
+    /// Operators make a thousand changes a day, many of them with new route names,
+    /// so the map would otherwise grow without limit.
     fn forget_routes(&self) {
-        let orders = self.orders.borrow();
-        let Some(catalogue) = &orders.catalogue else {
+        let config = self.config.borrow();
+        let Some(catalogue) = &config.catalogue else {
             return;
         };
         let named: BTreeSet<&str> = catalogue.routes.iter().map(|r| r.name.as_str()).collect();
-        let mut tempos = self.tempos.borrow_mut();
-        tempos.retain(|name, _| named.contains(name.as_str()));
+        let mut service_times = self.service_times.borrow_mut();
+        service_times.retain(|name, _| named.contains(name.as_str()));
     }
 
     fn set_leaving(&self, centre: DataCentreKey, leaving: bool) {
-        let mut orders = self.orders.borrow_mut();
+        let mut config = self.config.borrow_mut();
         let changed = match leaving {
-            true => orders.leaving_centres.insert(centre),
-            false => orders.leaving_centres.remove(&centre),
+            true => config.leaving_centres.insert(centre),
+            false => config.leaving_centres.remove(&centre),
         };
         if !changed {
             return;
@@ -343,7 +363,7 @@
             centre.0
         );
         if !leaving {
-            let catalogue = orders.catalogue.as_ref();
+            let catalogue = config.catalogue.as_ref();
             let warmup = |service: ServiceKey| {
                 let plan = catalogue.and_then(|c| c.services.get(&service));
                 plan.map(|p| p.warmup).unwrap_or_default()
@@ -355,18 +375,21 @@
     }
 }
 
-fn name(topic: Topic) -> &'static str {
+fn topic_name(topic: Topic) -> &'static str {
     match topic {
         Topic::Operators => operator::TOPIC,
         Topic::Endpoints => endpoint::TOPIC,
     }
 }
 
-/// Reads all pages of a topic's newest records, and where to read on.
+/// Returns the newest record of each key of a topic, and the offset to continue from.
 ///
-/// Pages are no snapshot: what is written meanwhile is read again from the end
-/// that the first page tells.
-async fn newest(store: &mut StoreClient, topic: &str) -> Result<(Vec<Record>, u64), StoreError> {
+/// The pages are not a consistent snapshot. Reading continues from the end offset
+/// of the first page, so records written in the meantime are read again.
+async fn read_newest(
+    store: &mut StoreClient,
+    topic: &str,
+) -> Result<(Vec<Record>, u64), StoreError> {
     let mut page = store.newest(topic, None).await?;
     let end = page.end;
     let mut records = page.records;
@@ -377,8 +400,8 @@
     Ok((records, end))
 }
 
-/// Returns the entry of a record, nothing where the key was dropped.
-fn decoded(record: &Record) -> Option<Entry> {
+/// Returns the entry of a record, or `None` for a record that deletes its key.
+fn decode_entry(record: &Record) -> Option<Entry> {
     let value = record.value.as_ref()?;
     let result = endpoint::decode(&record.key, value);
     if let Err(error) = &result {
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -1,4 +1,4 @@
-//! Sends messages to neighbours that are too large for a datagram, and gathers them.
+//! Sends and receives messages between neighbours that are too large for a datagram.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,28 +17,28 @@
 use super::Gateway;
 use crate::clock;
 
-/// How long a message may lack fragments without one coming before they are asked for.
+/// How long to wait for the next fragment before the missing ones are requested.
 ///
-/// They come every few milliseconds while they are on their way.
-const SILENCE: Duration = Duration::from_millis(100);
+/// While a message is being sent, fragments arrive every few milliseconds.
+const FRAGMENT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// News kept that wait for a message that is on its way.
-const PENDING_LIMIT: usize = 8;
+/// Number of updates kept until a large message with the preceding records is complete.
+const MAX_DEFERRED_UPDATES: usize = 8;
 
-/// Large messages on their way, in and out.
+/// The large messages being sent and received.
 #[derive(Default)]
-pub(super) struct Large {
+pub(super) struct Transfers {
     fragments: Reassembly,
-    /// Messages of which fragments are awaited.
-    awaited: BTreeMap<MessageKey, Topic>,
-    /// News that follow on records in a message that is awaited, and who told them.
-    pending: VecDeque<(RecordUpdate, SocketAddr)>,
+    /// Incomplete messages.
+    receiving: BTreeMap<MessageKey, Topic>,
+    /// Updates whose preceding records are in an incomplete message, with their senders.
+    deferred: VecDeque<(RecordUpdate, SocketAddr)>,
     outbox: FragmentQueue<Topic>,
 }
 
 impl Gateway {
-    /// Tells one neighbour, in fragments where the message is too large for a datagram.
-    pub(super) fn tell_whole(
+    /// Sends a message to one neighbour, in fragments if it is too large for a datagram.
+    pub(super) fn send_in_fragments(
         self: &Rc<Self>,
         to: SocketAddr,
         topic: Topic,
@@ -46,30 +46,31 @@
     ) {
         let encoded = Bytes::from(message.encode());
         if encoded.len() <= DATAGRAM_LIMIT {
-            self.tell(to, message);
+            self.send(to, message);
             return;
         }
-        if self.large.borrow().outbox.is_busy() {
-            // It asks another one soon, or reads the store.
+        if self.transfers.borrow().outbox.is_busy() {
+            // The neighbour soon asks another host, or reads from the store.
             return;
         }
-        let fragments = self.cut(&encoded);
-        let queued = |f: &Fragment| self.large.borrow().outbox.contains(to, f.message);
+        let fragments = self.split(&encoded);
+        let queued = |f: &Fragment| self.transfers.borrow().outbox.contains(to, f.message);
         if fragments.first().is_some_and(queued) {
-            // It asked again before its turn came.
+            // The neighbour repeated its request before the fragments were sent.
             return;
         }
         let pairs = fragments.into_iter().map(|f| (to, f));
         self.queue(topic, pairs);
     }
 
-    /// Tells all neighbours: each gets some fragments and passes them on to the others.
-    pub(super) fn spread(self: &Rc<Self>, topic: Topic, message: &NeighbourMessage) {
+    /// Distributes a message to all neighbours; each receives some of the fragments
+    /// and forwards them to the others.
+    pub(super) fn distribute(self: &Rc<Self>, topic: Topic, message: &NeighbourMessage) {
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let encoded = Bytes::from(message.encode());
-        let fragments = self.cut(&encoded);
+        let fragments = self.split(&encoded);
         log::info!(
-            "E0422 message-spread topic={topic:?} bytes={} fragments={} neighbours={}",
+            "E0422 message-distributed topic={topic:?} bytes={} fragments={} neighbours={}",
             encoded.len(),
             fragments.len(),
             neighbours.len()
@@ -78,83 +79,89 @@
         self.queue(topic, pairs.into_iter());
     }
 
-    /// Cuts a message of this host's, and keeps it for neighbours that lose some.
-    fn cut(self: &Rc<Self>, message: &Bytes) -> Vec<Fragment> {
+    /// Splits a message into fragments, and keeps them for neighbours that lose some.
+    fn split(self: &Rc<Self>, message: &Bytes) -> Vec<Fragment> {
         let now = clock::now();
         let count = self.neighbours.borrow_mut().current(now).len();
         let fragments = fragments::split(self.settings.peers, message, count + 1);
-        self.large
+        self.transfers
             .borrow_mut()
             .fragments
             .insert_own(&fragments, now);
-        spawn_local(Rc::clone(self).forget_later());
+        spawn_local(Rc::clone(self).expire_later());
         fragments
     }
 
-    /// Gives the memory of messages back that nobody asks for any more.
-    async fn forget_later(self: Rc<Self>) {
+    /// Frees the memory of expired messages.
+    async fn expire_later(self: Rc<Self>) {
         sleep(KEEP_TIME).await;
-        self.large.borrow_mut().fragments.expire(clock::now());
+        self.transfers.borrow_mut().fragments.expire(clock::now());
     }
 
     fn queue(&self, topic: Topic, pairs: impl Iterator<Item = (SocketAddr, Fragment)>) {
-        let mut large = self.large.borrow_mut();
+        let mut transfers = self.transfers.borrow_mut();
         let mut dropped = 0;
         for (to, fragment) in pairs {
-            if !large.outbox.push(to, topic, fragment) {
+            if !transfers.outbox.push(to, topic, fragment) {
                 dropped += 1;
             }
         }
         if dropped > 0 {
             log::warn!("E0420 fragments-dropped topic={topic:?} fragments={dropped}");
         }
-        self.fragments_wait.notify_one();
+        self.fragments_notify.notify_one();
     }
 
-    /// Sends fragments, for ever, no faster than a narrow link bears beside callers.
+    /// Sends queued fragments; never returns.
+    ///
+    /// The rate is limited so that a link of low bandwidth still carries the
+    /// callers' traffic.
     pub(super) async fn send_fragments(self: Rc<Self>) {
         loop {
-            let next = self.large.borrow_mut().outbox.pop();
+            let next = self.transfers.borrow_mut().outbox.pop();
             let Some((to, topic, fragment)) = next else {
-                self.fragments_wait.notified().await;
+                self.fragments_notify.notified().await;
                 continue;
             };
-            self.tell(to, &NeighbourMessage::Fragment(topic, fragment));
-            let pause = self.large.borrow_mut().outbox.pause();
+            self.send(to, &NeighbourMessage::Fragment(topic, fragment));
+            let pause = self.transfers.borrow_mut().outbox.pause();
             if let Some(pause) = pause {
                 sleep(pause).await;
             }
         }
     }
 
-    /// Takes in a fragment, and passes it on where it is asked to.
-    pub(super) fn take_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
+    /// Handles a fragment, and forwards a fragment marked for distribution.
+    pub(super) fn handle_fragment(self: &Rc<Self>, topic: Topic, fragment: &Fragment) {
         let now = clock::now();
-        let taken = self.large.borrow_mut().fragments.insert(fragment, now);
-        if taken == Inserted::Ignored {
+        let inserted = self.transfers.borrow_mut().fragments.insert(fragment, now);
+        if inserted == Inserted::Ignored {
             return;
         }
         if fragment.relay {
-            self.relay(topic, fragment);
+            self.forward_fragment(topic, fragment);
         }
-        match taken {
+        match inserted {
             Inserted::Ignored => {}
-            Inserted::New => self.await_rest(topic, fragment.message),
+            Inserted::New => self.await_fragments(topic, fragment.message),
             Inserted::Complete(message) => {
-                self.large.borrow_mut().awaited.remove(&fragment.message);
+                self.transfers
+                    .borrow_mut()
+                    .receiving
+                    .remove(&fragment.message);
                 log::info!(
-                    "E0423 message-whole topic={topic:?} bytes={} origin={}",
+                    "E0423 message-complete topic={topic:?} bytes={} origin={}",
                     message.len(),
                     fragment.origin
                 );
-                self.take_message(fragment.origin, &message);
-                self.take_pending(topic);
+                self.handle_message(fragment.origin, &message);
+                self.handle_deferred(topic);
             }
         }
     }
 
-    /// Passes a fragment on to all neighbours but the host that sent it first.
-    fn relay(&self, topic: Topic, fragment: &Fragment) {
+    /// Forwards a fragment to all neighbours except its origin.
+    fn forward_fragment(&self, topic: Topic, fragment: &Fragment) {
         let neighbours = self.neighbours.borrow_mut().current(clock::now());
         let hosts = fragments::relay_order(self.settings.peers, fragment.origin, neighbours);
         let copy = Fragment {
@@ -164,107 +171,124 @@
         self.queue(topic, hosts.into_iter().map(|h| (h, copy.clone())));
     }
 
-    /// Waits for the rest of a message before this host reads the store for it.
-    fn await_rest(self: &Rc<Self>, topic: Topic, message: MessageKey) {
-        self.hold_off(topic);
-        let before = self.large.borrow_mut().awaited.insert(message, topic);
+    /// Waits for the remaining fragments of a message, and postpones reading from the store.
+    fn await_fragments(self: &Rc<Self>, topic: Topic, message: MessageKey) {
+        self.postpone_read(topic);
+        let before = self.transfers.borrow_mut().receiving.insert(message, topic);
         if before.is_none() {
-            spawn_local(Rc::clone(self).gather(topic, message));
+            spawn_local(Rc::clone(self).reassemble(topic, message));
         }
     }
 
-    fn hold_off(&self, topic: Topic) {
-        let draw = self.draw_share();
-        self.feed(topic, |feed| feed.fragment_received(draw, clock::now()));
+    fn postpone_read(&self, topic: Topic) {
+        let draw = self.random_fraction();
+        self.with_schedule(topic, |s| s.fragment_received(draw, clock::now()));
     }
 
-    /// Asks for what a message lacks until it is whole, or given up.
-    async fn gather(self: Rc<Self>, topic: Topic, message: MessageKey) {
-        while self.large.borrow().fragments.is_incomplete(message) {
-            sleep(SILENCE).await;
+    /// Requests missing fragments until the message is complete or given up.
+    async fn reassemble(self: Rc<Self>, topic: Topic, message: MessageKey) {
+        while self.transfers.borrow().fragments.is_incomplete(message) {
+            sleep(FRAGMENT_TIMEOUT).await;
             let now = clock::now();
-            let ask = self
-                .large
-                .borrow_mut()
-                .fragments
-                .next_request(message, SILENCE, now);
-            if let Some((source, lacking)) = ask {
-                self.ask_again(topic, source, lacking);
+            let request =
+                self.transfers
+                    .borrow_mut()
+                    .fragments
+                    .next_request(message, FRAGMENT_TIMEOUT, now);
+            if let Some((target, request)) = request {
+                self.request_fragments(topic, target, request);
             }
         }
-        if self.large.borrow_mut().awaited.remove(&message).is_some() {
+        if self
+            .transfers
+            .borrow_mut()
+            .receiving
+            .remove(&message)
+            .is_some()
+        {
             log::info!(
                 "E0421 message-incomplete topic={topic:?} digest={:016x}",
                 message.digest
             );
-            self.take_pending(topic);
+            self.handle_deferred(topic);
         }
-        self.forget_later().await;
+        self.expire_later().await;
     }
 
-    fn ask_again(&self, topic: Topic, source: RequestTarget, lacking: FragmentRequest) {
-        self.hold_off(topic);
-        let draw = self.draw();
-        let to = match source {
+    fn request_fragments(&self, topic: Topic, target: RequestTarget, request: FragmentRequest) {
+        self.postpone_read(topic);
+        let draw = self.random_u64();
+        let to = match target {
             RequestTarget::Origin(origin) => Some(origin),
             RequestTarget::Any => self.neighbours.borrow().any(draw),
         };
         if let Some(to) = to {
-            self.tell(to, &NeighbourMessage::FragmentRequest(topic, lacking));
+            self.send(to, &NeighbourMessage::FragmentRequest(topic, request));
         }
     }
 
-    /// Sends the fragments that a neighbour lacks.
-    pub(super) fn take_lacking(&self, from: SocketAddr, topic: Topic, lacking: &FragmentRequest) {
+    /// Sends the fragments that a neighbour requests.
+    pub(super) fn resend_fragments(
+        &self,
+        from: SocketAddr,
+        topic: Topic,
+        request: &FragmentRequest,
+    ) {
         let now = clock::now();
-        if self.large.borrow().outbox.is_busy() {
-            // It asks again soon.
+        if self.transfers.borrow().outbox.is_busy() {
+            // The neighbour soon repeats its request.
             return;
         }
-        let fragments = self.large.borrow_mut().fragments.resend(lacking, now);
+        let fragments = self.transfers.borrow_mut().fragments.resend(request, now);
         self.queue(topic, fragments.into_iter().map(|f| (from, f)));
     }
 
-    fn take_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
+    fn handle_message(self: &Rc<Self>, origin: SocketAddr, message: &[u8]) {
         match NeighbourMessage::decode(message) {
-            Ok(NeighbourMessage::Update(news)) => {
-                let news = RecordUpdate {
+            Ok(NeighbourMessage::Update(update)) => {
+                let update = RecordUpdate {
                     reader: origin,
                     relay_root: origin,
-                    ..news
+                    ..update
                 };
-                self.take_news(&news, origin);
+                self.handle_update(&update, origin);
             }
-            Ok(NeighbourMessage::Snapshot(held)) => self.take_held(held),
-            Ok(_) => log::warn!("E0405 datagram-refused from={origin} error=no large message"),
+            Ok(NeighbourMessage::Snapshot(snapshot)) => self.handle_snapshot(snapshot),
+            Ok(_) => log::warn!(
+                "E0405 datagram-refused from={origin} error=message kind not allowed in fragments"
+            ),
             Err(error) => log::warn!("E0405 datagram-refused from={origin} error={error}"),
         }
     }
 
-    /// Returns whether a message about this topic is on its way.
-    pub(super) fn awaits(&self, topic: Topic) -> bool {
-        self.large.borrow().awaited.values().any(|t| *t == topic)
+    /// Returns whether a fragmented message about this topic is being received.
+    pub(super) fn is_receiving(&self, topic: Topic) -> bool {
+        self.transfers
+            .borrow()
+            .receiving
+            .values()
+            .any(|t| *t == topic)
     }
 
-    /// Keeps news until what lies before them has come.
-    pub(super) fn put_off(&self, news: &RecordUpdate, teller: SocketAddr) {
-        let mut large = self.large.borrow_mut();
-        if large.pending.len() == PENDING_LIMIT {
-            // The store is read for what follows on a gap.
-            large.pending.pop_front();
+    /// Keeps an update until the records before it have arrived.
+    pub(super) fn defer_update(&self, update: &RecordUpdate, sender: SocketAddr) {
+        let mut transfers = self.transfers.borrow_mut();
+        if transfers.deferred.len() == MAX_DEFERRED_UPDATES {
+            // A gap in the records is filled by reading from the store.
+            transfers.deferred.pop_front();
         }
-        large.pending.push_back((news.clone(), teller));
+        transfers.deferred.push_back((update.clone(), sender));
     }
 
-    /// Takes in the news that waited for a message.
-    fn take_pending(self: &Rc<Self>, topic: Topic) {
-        let waiting = std::mem::take(&mut self.large.borrow_mut().pending);
-        for (news, teller) in waiting {
-            match news.topic == topic {
+    /// Handles the updates that waited for a large message about this topic.
+    fn handle_deferred(self: &Rc<Self>, topic: Topic) {
+        let waiting = std::mem::take(&mut self.transfers.borrow_mut().deferred);
+        for (update, sender) in waiting {
+            match update.topic == topic {
                 true => {
-                    self.take_news(&news, teller);
+                    self.handle_update(&update, sender);
                 }
-                false => self.put_off(&news, teller),
+                false => self.defer_update(&update, sender),
             }
         }
     }
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! Learns the rate limits that endpoints advertise, from them and from other hosts.
+//! Learns advertised rate limits, from endpoints and from other hosts.
 
 use hyper::HeaderMap;
 use protocol::limit_report::LimitReport;
@@ -10,12 +10,13 @@
 use crate::clock;
 
 impl Gateway {
-    /// Takes in the rate limit that an endpoint advertises with an answer, or that it doesn't.
+    /// Records the rate limit that an endpoint advertises with an answer.
     ///
-    /// A rejection may leave it out, and ends none.
-    pub(super) fn learn_limit(&self, key: EndpointKey, fields: &HeaderMap, source: Source) {
-        let rate = match platform::headers::rate_limit(fields) {
-            Ok(None) if platform::headers::is_not_run(fields) => return,
+    /// An answer without a limit ends a known one, except for a rejection, which
+    /// may omit the limit.
+    pub(super) fn record_limit(&self, key: EndpointKey, headers: &HeaderMap, source: Source) {
+        let rate = match platform::headers::rate_limit(headers) {
+            Ok(None) if platform::headers::is_not_run(headers) => return,
             Ok(rate) => rate,
             Err(error) => {
                 log::debug!("E0145 limit-unreadable error={error}");
@@ -23,9 +24,9 @@
             }
         };
         let mut registry = self.registry.borrow_mut();
-        let held = registry.limits().contains(key);
+        let cached = registry.limits().contains(key);
         let advice = registry.observe_limit(key, rate, source);
-        if held != registry.limits().contains(key) {
+        if cached != registry.limits().contains(key) {
             let instance = registry.get(key).map(|s| s.endpoint.instance.as_str());
             log::info!(
                 "E0144 limit-advertised instance={} rate={rate:?} source={source:?}",
@@ -34,9 +35,9 @@
         }
         drop(registry);
         let granted =
-            |_: &RateLimitUpdate| self.limit_reports.borrow_mut().take(1, clock::now()) == 1;
+            |_: &RateLimitUpdate| self.limit_reports.borrow_mut().grant(1, clock::now()) == 1;
         if let Some(advice) = advice.filter(granted) {
-            self.tell_site(|cross_centre| {
+            self.broadcast_all_centres(|cross_centre| {
                 NeighbourMessage::LimitReport(LimitReport {
                     cross_centre,
                     advice: vec![advice],
@@ -45,15 +46,15 @@
         }
     }
 
-    /// Takes in what another host has heard of endpoints' rate limits.
-    pub(super) fn hear_limits(&self, limits: LimitReport) {
+    /// Handles rate limits that another host has received from endpoints.
+    pub(super) fn handle_limit_report(&self, limits: LimitReport) {
         let mut registry = self.registry.borrow_mut();
         for advice in &limits.advice {
             registry.apply_limit_update(advice);
         }
         drop(registry);
         if limits.cross_centre {
-            self.tell_all(&NeighbourMessage::LimitReport(LimitReport {
+            self.broadcast(&NeighbourMessage::LimitReport(LimitReport {
                 cross_centre: false,
                 ..limits
             }));
--- a/components/transport/src/gateway/mod.rs
+++ b/components/transport/src/gateway/mod.rs
@@ -1,31 +1,32 @@
-//! An entry host on the platform: requests in, endpoints out, the store behind.
+//! The entry host on the platform: forwards callers' requests to endpoints, and
+//! gets its configuration and endpoints from the platform's store.
 //!
-//! One thread runs everything, so that state is shared without locks: a host
-//! has a fifth of a core. Decisions are made by `state::fleet`; this module
-//! moves bytes, keeps time and follows the store.
+//! A host has a fifth of a core, so a single thread runs all tasks and they share
+//! state without locks. `state::fleet` makes the decisions; this module transfers
+//! bytes, reads the clock and follows the store.
 
-mod answer;
-mod ask;
+mod answer_body;
 mod attempt;
 mod call;
+mod denial;
 mod drain;
 mod follow;
 mod fragments;
-mod held;
+mod group;
 mod limits;
-mod line;
 mod neighbours;
 mod pool;
+mod probe;
 mod quarantine;
 mod ready;
-mod refusal;
-mod reports;
+mod report_limiter;
 mod request_log;
 mod server;
 mod settings;
-mod share;
 mod stream;
+mod topic_cache;
 mod traffic;
+mod wait_queue;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -49,51 +50,53 @@
 use tokio::task::spawn_local;
 
 use crate::clock;
-use fragments::Large;
-use held::Shelves;
-use line::Lines;
+use fragments::Transfers;
 use pool::Pool;
-use quarantine::Suspects;
-use reports::Reports;
+use quarantine::CrashTracker;
+use report_limiter::ReportLimiter;
 use request_log::RequestLog;
 pub use settings::{Bounds, Live, Settings};
+use topic_cache::TopicCaches;
 use traffic::Traffic;
+use wait_queue::WaitQueues;
 
-/// Why a host can't start.
+/// The reason why a host can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A port can't be had.
-    #[error("can't listen on {0}: {1}; is another process there?")]
+    /// A socket can't be bound.
+    #[error("can't listen on {0}: {1}; does another process use the port?")]
     Listen(SocketAddr, io::Error),
 }
 
-/// How far a host's shutdown has come.
+/// The stage of a host's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     /// Requests are served.
     Serving,
-    /// Requests are served; each answer asks the caller to connect elsewhere.
+    /// Requests are served; each answer asks the caller to close the connection.
     Leaving,
     /// Requests are rejected as not run, and idle connections are closed.
     Closing,
 }
 
-/// How far this host is with each topic of the store.
-struct Feeds {
+/// The read schedule of each topic of the store.
+struct ReadSchedules {
     operators: ReadSchedule,
     endpoints: ReadSchedule,
 }
 
-impl Feeds {
-    /// Returns the feeds of a host, which may start `first`, with its whole site.
-    fn new(first: bool, draw: f64, now: Moment) -> Feeds {
-        let feed = match first {
+impl ReadSchedules {
+    /// Returns the initial schedules; `first` means that the whole site starts with this host.
+    ///
+    /// `draw` is a random number from 0 to 1.
+    fn new(first: bool, draw: f64, now: Moment) -> ReadSchedules {
+        let schedule = match first {
             true => ReadSchedule::at_site_start(draw, now),
             false => ReadSchedule::restarted(now),
         };
-        Feeds {
-            operators: feed.clone(),
-            endpoints: feed,
+        ReadSchedules {
+            operators: schedule.clone(),
+            endpoints: schedule,
         }
     }
 }
@@ -104,43 +107,48 @@
     live: RefCell<Live>,
     home: DataCentreKey,
     started: Moment,
-    orders: RefCell<OperatorConfig>,
+    config: RefCell<OperatorConfig>,
     registry: RefCell<Registry>,
-    listed: Cell<bool>,
-    feeds: RefCell<Feeds>,
-    /// Wakes the tasks that follow the store where they have to read sooner.
-    sooner: Notify,
-    /// Wakes requests that wait until routes and endpoints are known.
-    known: Notify,
-    shelves: RefCell<Shelves>,
+    /// Whether the list of endpoints has been received.
+    endpoints_loaded: Cell<bool>,
+    schedules: RefCell<ReadSchedules>,
+    /// Wakes the tasks that follow the store when their next read is due earlier.
+    schedule_changed: Notify,
+    /// Wakes requests that wait for routes and endpoints to be loaded.
+    config_loaded: Notify,
+    caches: RefCell<TopicCaches>,
     socket: UdpSocket,
     neighbours: RefCell<Neighbours>,
-    large: RefCell<Large>,
+    transfers: RefCell<Transfers>,
     traffic: RefCell<Traffic>,
     /// Wakes the task that sends fragments.
-    fragments_wait: Notify,
+    fragments_notify: Notify,
     pool: RefCell<Pool>,
-    budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
-    tempos: RefCell<BTreeMap<String, ServiceTime>>,
-    asks: RefCell<HostProbeBudget>,
-    lines: RefCell<Lines>,
+    retry_budgets: RefCell<BTreeMap<ServiceKey, WindowedRetryBudget>>,
+    /// Service time estimates by route name.
+    service_times: RefCell<BTreeMap<String, ServiceTime>>,
+    probe_budget: RefCell<HostProbeBudget>,
+    queues: RefCell<WaitQueues>,
+    /// This host's fraction of all hosts, from 0 to 1; 0 until known.
     share: Cell<f64>,
     random: RefCell<SmallRng>,
     stage: watch::Sender<Stage>,
+    /// The number of open connections from callers.
     callers: Cell<usize>,
-    requests: RefCell<RequestLog>,
-    suspects: RefCell<Suspects>,
-    limit_reports: RefCell<Reports>,
-    /// Wakes the task that finds out whether an endpoint crashed.
-    broken_wait: Notify,
+    request_log: RefCell<RequestLog>,
+    crash_tracker: RefCell<CrashTracker>,
+    /// Limits the reports of endpoints' rate limits to other hosts.
+    limit_reports: RefCell<ReportLimiter>,
+    /// Wakes the task that checks whether an endpoint crashed.
+    broken_notify: Notify,
 }
 
 impl Gateway {
-    /// Opens the ports and starts to serve, on the current thread's local set.
+    /// Binds the sockets and spawns the host's tasks on the current `LocalSet`.
     ///
     /// # Errors
     ///
-    /// Fails where a port can't be had.
+    /// Fails if a socket can't be bound.
     pub async fn start(settings: Settings) -> Result<Rc<Gateway>, StartError> {
         let callers = listen(settings.callers).await?;
         let readiness = listen(settings.readiness).await?;
@@ -150,17 +158,17 @@
         let gateway = Rc::new(Gateway::new(settings, socket));
         spawn_local(Rc::clone(&gateway).accept(callers));
         spawn_local(Rc::clone(&gateway).answer_readiness(readiness));
-        spawn_local(Rc::clone(&gateway).hear());
-        spawn_local(Rc::clone(&gateway).greet());
+        spawn_local(Rc::clone(&gateway).receive_datagrams());
+        spawn_local(Rc::clone(&gateway).send_greetings());
         spawn_local(Rc::clone(&gateway).send_fragments());
-        spawn_local(Rc::clone(&gateway).seek_all());
+        spawn_local(Rc::clone(&gateway).fetch_topics());
         spawn_local(Rc::clone(&gateway).follow(Topic::Operators));
         spawn_local(Rc::clone(&gateway).follow(Topic::Endpoints));
-        spawn_local(Rc::clone(&gateway).keep_share());
-        spawn_local(Rc::clone(&gateway).keep_pool());
+        spawn_local(Rc::clone(&gateway).maintain_group());
+        spawn_local(Rc::clone(&gateway).sweep_pool());
         spawn_local(Rc::clone(&gateway).report_traffic());
         spawn_local(Rc::clone(&gateway).confirm_crashes());
-        spawn_local(Rc::clone(&gateway).remind_of_crashes());
+        spawn_local(Rc::clone(&gateway).send_reminders());
         log::info!(
             "E0502 host-started name={} callers={} log={}",
             gateway.settings.name,
@@ -172,9 +180,9 @@
 
     fn new(settings: Settings, socket: UdpSocket) -> Gateway {
         let mut random = SmallRng::from_os_rng();
-        let feeds = Feeds::new(settings.first_start, random.random(), clock::now());
+        let schedules = ReadSchedules::new(settings.first_start, random.random(), clock::now());
         let neighbours = Neighbours::new(settings.peers, &settings.data_centre);
-        let asks = match settings.first_start {
+        let probe_budget = match settings.first_start {
             true => HostProbeBudget::new(clock::now()),
             false => HostProbeBudget::restarted(clock::now()),
         };
@@ -183,67 +191,67 @@
             live: RefCell::new(settings.live.clone()),
             settings,
             started: clock::now(),
-            orders: RefCell::default(),
+            config: RefCell::default(),
             registry: RefCell::default(),
-            listed: Cell::new(false),
-            feeds: RefCell::new(feeds),
-            sooner: Notify::new(),
-            known: Notify::new(),
-            shelves: RefCell::default(),
+            endpoints_loaded: Cell::new(false),
+            schedules: RefCell::new(schedules),
+            schedule_changed: Notify::new(),
+            config_loaded: Notify::new(),
+            caches: RefCell::default(),
             socket,
             neighbours: RefCell::new(neighbours),
-            large: RefCell::default(),
+            transfers: RefCell::default(),
             traffic: RefCell::default(),
-            fragments_wait: Notify::new(),
+            fragments_notify: Notify::new(),
             pool: RefCell::default(),
-            budgets: RefCell::default(),
-            tempos: RefCell::default(),
-            asks: RefCell::new(asks),
-            lines: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            service_times: RefCell::default(),
+            probe_budget: RefCell::new(probe_budget),
+            queues: RefCell::default(),
             share: Cell::new(0.0),
             random: RefCell::new(random),
             stage: watch::Sender::new(Stage::Serving),
             callers: Cell::new(0),
-            requests: RefCell::default(),
-            suspects: RefCell::default(),
+            request_log: RefCell::default(),
+            crash_tracker: RefCell::default(),
             limit_reports: RefCell::default(),
-            broken_wait: Notify::new(),
+            broken_notify: Notify::new(),
         }
     }
 
-    /// Takes over what has changed in the settings, for all that comes from now on.
+    /// Replaces the reloadable settings; requests and connections from now on use them.
     pub fn reload(&self, live: Live) {
         self.live.replace(live);
     }
 
-    /// Returns whether this host can serve: it knows routes and endpoints.
+    /// Returns whether this host has routes and endpoints and isn't shutting down.
     pub fn is_ready(&self) -> bool {
-        self.knows_all() && *self.stage.borrow() == Stage::Serving
+        self.has_all_topics() && *self.stage.borrow() == Stage::Serving
     }
 
-    fn knows_all(&self) -> bool {
-        self.knows(Topic::Operators) && self.knows(Topic::Endpoints)
+    fn has_all_topics(&self) -> bool {
+        self.has_topic(Topic::Operators) && self.has_topic(Topic::Endpoints)
     }
 
-    fn knows(&self, topic: Topic) -> bool {
+    fn has_topic(&self, topic: Topic) -> bool {
         match topic {
-            Topic::Operators => self.orders.borrow().catalogue.is_some(),
-            Topic::Endpoints => self.listed.get(),
+            Topic::Operators => self.config.borrow().catalogue.is_some(),
+            Topic::Endpoints => self.endpoints_loaded.get(),
         }
     }
 
-    /// Returns an evenly drawn number from all of `u64`.
-    fn draw(&self) -> u64 {
+    /// Returns a uniformly distributed random `u64`.
+    fn random_u64(&self) -> u64 {
         self.random.borrow_mut().random()
     }
 
-    /// Returns an evenly drawn number from 0 to 1.
-    fn draw_share(&self) -> f64 {
+    /// Returns a uniformly distributed random number from 0 to 1.
+    fn random_fraction(&self) -> f64 {
         self.random.borrow_mut().random()
     }
 
-    /// Changes the repeat budget of a service.
-    fn with_budget<R>(
+    /// Runs `act` on the retry budget of a service.
+    fn with_retry_budget<R>(
         &self,
         service: ServiceKey,
         act: impl FnOnce(&mut WindowedRetryBudget) -> R,
@@ -256,21 +264,21 @@
                 window: bounds.repeat_window,
             }
         };
-        let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let budget = retry_budgets
             .entry(service)
             .or_insert_with(|| WindowedRetryBudget::new(bounds, self.started));
         budget.set_bounds(bounds);
         act(budget)
     }
 
-    /// Changes what is known of how long a route's work takes.
-    fn with_tempo<R>(&self, route: &Route, act: impl FnOnce(&mut ServiceTime) -> R) -> R {
-        let mut tempos = self.tempos.borrow_mut();
-        let tempo = tempos
+    /// Runs `act` on the service time estimate of a route.
+    fn with_service_time<R>(&self, route: &Route, act: impl FnOnce(&mut ServiceTime) -> R) -> R {
+        let mut service_times = self.service_times.borrow_mut();
+        let service_time = service_times
             .entry(route.name.clone())
             .or_insert_with(|| ServiceTime::new(route.objective));
-        act(tempo)
+        act(service_time)
     }
 }
 
--- a/components/transport/src/gateway/pool.rs
+++ b/components/transport/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to endpoints, kept for the next request.
+//! A pool of idle connections to endpoints.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,54 +12,54 @@
 use crate::clock;
 use crate::upstream::Connection;
 
-/// How long an idle connection is kept where the endpoint doesn't say.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// How long an idle connection is kept if the endpoint doesn't advertise its own limit.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How much earlier than the endpoint this host lets go of a connection.
+/// How long before the endpoint's idle limit this host closes a connection.
 ///
-/// A request that crosses the endpoint's close may have run or not.
-const EARLIER: Duration = Duration::from_millis(1_500);
+/// A request sent while the endpoint closes may or may not have run.
+const CLOSE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// How often idle connections are looked over.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// The interval at which expired and closed idle connections are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Idle connections kept to one endpoint at most.
+/// Maximum number of idle connections to one endpoint.
 ///
-/// A host seldom has more than a few requests at one endpoint at a time.
-const KEPT: usize = 6;
+/// A host seldom has more than a few requests at one endpoint at the same time.
+const MAX_IDLE: usize = 6;
 
 /// The idle connections of all endpoints.
 #[derive(Default)]
 pub struct Pool {
-    idle: BTreeMap<EndpointKey, Vec<Kept>>,
+    idle: BTreeMap<EndpointKey, Vec<IdleConnection>>,
 }
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
     until: Moment,
 }
 
 impl Pool {
-    /// Returns whether a connection to an endpoint lies idle.
+    /// Returns whether there is an idle connection to an endpoint.
     pub fn holds(&self, key: EndpointKey) -> bool {
         self.idle.get(&key).is_some_and(|kept| !kept.is_empty())
     }
 
-    /// Takes the connection used last, none where no usable one lies idle.
+    /// Takes the most recently used open connection to an endpoint, if there is one.
     pub fn take(&mut self, key: EndpointKey, now: Moment) -> Option<Connection> {
         let kept = self.idle.get_mut(&key)?;
         while let Some(mut last) = kept.pop() {
-            if now < last.until && last.connection.usable() {
+            if now < last.until && last.connection.is_usable() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Adds a connection whose last answer was read completely.
     ///
-    /// `limit` is how long the endpoint says that it keeps it, `most` how many
-    /// are kept to one endpoint.
+    /// `limit` is the idle limit that the endpoint advertises, `most` the maximum
+    /// number of idle connections to the endpoint.
     pub fn put(
         &mut self,
         mut connection: Connection,
@@ -68,59 +68,61 @@
         now: Moment,
     ) {
         let kept = self.idle.entry(connection.endpoint).or_default();
-        if kept.len() >= most || !connection.usable() {
+        if kept.len() >= most || !connection.is_usable() {
             return;
         }
-        let time = limit.map_or(IDLE_LIMIT, |l| l.saturating_sub(EARLIER));
+        let time = limit.map_or(IDLE_TIMEOUT, |l| l.saturating_sub(CLOSE_MARGIN));
         connection.reused = true;
         connection.idle_since = now;
-        kept.push(Kept {
+        kept.push(IdleConnection {
             connection,
             until: now + time,
         });
     }
 
-    /// Drops the idle connections to an endpoint, as one of them fell silent.
+    /// Drops all idle connections to an endpoint, after one of them stopped responding.
     pub fn drop_all(&mut self, key: EndpointKey) {
         self.idle.remove(&key);
     }
 
-    /// Drops connections that are closed or too old.
+    /// Drops connections that are closed or have expired.
     fn sweep(&mut self, now: Moment) {
         for kept in self.idle.values_mut() {
-            kept.retain_mut(|k| now < k.until && k.connection.usable());
+            kept.retain_mut(|k| now < k.until && k.connection.is_usable());
         }
         self.idle.retain(|_, kept| !kept.is_empty());
     }
 }
 
 impl Gateway {
-    /// Keeps a connection whose last answer had these fields and was read whole.
-    pub(super) fn keep(&self, connection: Connection, fields: &HeaderMap) {
-        let limit = platform::headers::keep_alive_timeout(fields);
-        let most = self.kept_limit(connection.endpoint);
+    /// Returns a connection to the pool; `headers` are the headers of its last answer.
+    ///
+    /// The answer must have been read completely.
+    pub(super) fn keep_connection(&self, connection: Connection, headers: &HeaderMap) {
+        let limit = platform::headers::keep_alive_timeout(headers);
+        let most = self.max_idle(connection.endpoint);
         self.pool
             .borrow_mut()
             .put(connection, limit, most, clock::now());
     }
 
-    /// Returns how many idle connections this host keeps to an endpoint.
+    /// Returns how many idle connections this host may keep to an endpoint.
     ///
-    /// The endpoint's connections are for all hosts together; this host's part
-    /// of them leaves as much again for those in use.
-    fn kept_limit(&self, key: EndpointKey) -> usize {
-        let orders = self.orders.borrow();
+    /// The endpoint's connection limit applies to all hosts together. Half of this
+    /// host's share may be idle, which leaves the other half for those in use.
+    fn max_idle(&self, key: EndpointKey) -> usize {
+        let config = self.config.borrow();
         let registry = self.registry.borrow();
         let service = registry.get(key).map(|s| s.endpoint.service);
-        let plan = service.and_then(|s| orders.catalogue.as_ref()?.services.get(&s));
+        let plan = service.and_then(|s| config.catalogue.as_ref()?.services.get(&s));
         let connections = f64::from(plan.map_or(0, |p| p.connections));
         let mine = connections * self.share.get() / 2.0;
-        (mine as usize).clamp(1, KEPT)
+        (mine as usize).clamp(1, MAX_IDLE)
     }
 
-    /// Looks over the idle connections, for ever.
-    pub(super) async fn keep_pool(self: Rc<Self>) {
-        let mut ticks = interval(SWEEP_EVERY);
+    /// Periodically drops expired and closed idle connections; never returns.
+    pub(super) async fn sweep_pool(self: Rc<Self>) {
+        let mut ticks = interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -1,7 +1,8 @@
-//! Finds requests that crash endpoints, and keeps them from the other endpoints.
+//! Detects requests that crash endpoints, and quarantines them.
 //!
-//! What hosts tell each other of them is bounded: a few reports a second, and one
-//! reminder a second to one neighbour and one host elsewhere while there are any.
+//! The traffic between hosts is bounded: a few reports per second, and while any
+//! request is quarantined one reminder per second to one neighbour and to one
+//! host of another data centre.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -19,66 +20,70 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::Gateway;
-use super::reports::Reports;
+use super::report_limiter::ReportLimiter;
 use crate::clock;
 use crate::upstream::Connection;
 use crate::upstream::connection::ConnectError;
 
-/// How often another host is reminded of what is quarantined.
+/// The interval at which the quarantine is sent to a random neighbour.
 ///
-/// It reaches hosts that a report did not, and those that have just started.
-const REMIND_EVERY: Duration = Duration::from_secs(1);
+/// Reminders reach hosts that missed a report, and hosts that have just started.
+const REMINDER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A run whose connection broke.
-struct Broken {
+/// A request's run whose connection broke.
+struct BrokenRun {
     endpoint: EndpointKey,
     address: SocketAddr,
     crash: Crash,
 }
 
-/// What this host knows of requests that crash endpoints.
+/// This host's knowledge of requests that crash endpoints.
 #[derive(Default)]
-pub(super) struct Suspects {
+pub(super) struct CrashTracker {
     quarantine: Quarantine,
-    /// Runs of which it isn't known yet whether their endpoint ended.
-    broken: Vec<Broken>,
-    reports: Reports,
+    /// Broken runs not yet checked for a crash of their endpoint.
+    broken: Vec<BrokenRun>,
+    reports: ReportLimiter,
 }
 
 impl Gateway {
-    /// Returns how much longer a request is quarantined, nothing where it may be sent.
-    pub(super) fn quarantined(&self, request: Fingerprints) -> Option<Duration> {
-        let suspects = self.suspects.borrow();
-        suspects.quarantine.remaining(request, clock::now())
+    /// Returns how much longer a request is quarantined, `None` if it may be sent.
+    pub(super) fn quarantine_left(&self, request: Fingerprints) -> Option<Duration> {
+        let crash_tracker = self.crash_tracker.borrow();
+        crash_tracker.quarantine.remaining(request, clock::now())
     }
 
     /// Decides whether a request may be sent to an endpoint now.
     ///
     /// # Errors
     ///
-    /// Says how much longer it is quarantined.
+    /// Returns how much longer the request is quarantined.
     pub(super) fn admit(&self, request: Fingerprints) -> Result<(), Duration> {
         let now = clock::now();
-        let admission = self.suspects.borrow_mut().quarantine.admit(request, now);
+        let admission = self
+            .crash_tracker
+            .borrow_mut()
+            .quarantine
+            .admit(request, now);
         match admission {
             Decision::Pass => Ok(()),
             Decision::Reject(left) => Err(left),
             Decision::Trial(findings) => {
                 log::info!("E0142 quarantine-trial content={:016x}", request.content.0);
-                self.tell_crashes(&[], &findings);
+                self.report_crashes(&[], &findings);
                 Ok(())
             }
         }
     }
 
-    /// Takes in that the connection broke on which a request ran since `sent`.
+    /// Records that the connection of a request sent at `sent` broke.
     pub(super) fn note_broken(&self, request: Fingerprints, endpoint: EndpointKey, sent: Moment) {
         let registry = self.registry.borrow();
         let Some(state) = registry.get(endpoint) else {
-            // One that has left ends its connections.
+            // An endpoint that was removed closes its connections; this is no crash.
             return;
         };
-        self.suspects.borrow_mut().broken.push(Broken {
+        self.crash_tracker.borrow_mut().broken.push(BrokenRun {
             endpoint,
             address: state.endpoint.address,
             crash: Crash {
@@ -87,135 +92,143 @@
                 at: clock::now(),
             },
         });
-        self.broken_wait.notify_one();
+        self.broken_notify.notify_one();
     }
 
-    /// Takes in that an endpoint answered a request.
+    /// Records that an endpoint answered a request, which may clear its quarantine.
     pub(super) fn note_answered(&self, request: Fingerprints) {
         let now = clock::now();
-        let mut suspects = self.suspects.borrow_mut();
-        let cleared = suspects.quarantine.note_answer(request, now);
-        let told = suspects.reports.take(cleared.len(), now);
-        drop(suspects);
-        if told > 0 {
-            self.tell_crashes(&[], &cleared);
+        let mut crash_tracker = self.crash_tracker.borrow_mut();
+        let cleared = crash_tracker.quarantine.note_answer(request, now);
+        let granted = crash_tracker.reports.grant(cleared.len(), now);
+        drop(crash_tracker);
+        if granted > 0 {
+            self.report_crashes(&[], &cleared);
         }
     }
 
-    /// Finds out of broken runs whether their endpoints crashed, for ever.
+    /// Checks after broken runs whether their endpoints crashed; never returns.
     pub(super) async fn confirm_crashes(self: Rc<Self>) {
         loop {
-            self.broken_wait.notified().await;
-            let broken = std::mem::take(&mut self.suspects.borrow_mut().broken);
+            self.broken_notify.notified().await;
+            let broken = std::mem::take(&mut self.crash_tracker.borrow_mut().broken);
             let mut endpoints: BTreeMap<(EndpointKey, SocketAddr), Vec<Crash>> = BTreeMap::new();
             for run in broken {
                 let runs = endpoints.entry((run.endpoint, run.address)).or_default();
                 runs.push(run.crash);
             }
             for ((endpoint, address), runs) in endpoints {
-                spawn_local(Rc::clone(&self).confirm(endpoint, address, runs));
+                spawn_local(Rc::clone(&self).confirm_crash(endpoint, address, runs));
             }
         }
     }
 
-    /// Finds out whether an endpoint crashed under these runs.
+    /// Checks by connecting whether an endpoint crashed during these runs.
     ///
-    /// Connections also break where something between the two ends resets them, or
-    /// where an endpoint fails a part of its requests. Only a port on which nobody
-    /// listens any more shows that the process has ended. Silence shows nothing: it
-    /// may be this host that is cut off.
-    async fn confirm(self: Rc<Self>, endpoint: EndpointKey, address: SocketAddr, runs: Vec<Crash>) {
+    /// A connection also breaks when a middlebox resets it, or when an endpoint
+    /// aborts some of its requests. Only a refused connection shows that the process
+    /// has ended. A timeout proves nothing: this host itself may be disconnected.
+    async fn confirm_crash(
+        self: Rc<Self>,
+        endpoint: EndpointKey,
+        address: SocketAddr,
+        runs: Vec<Crash>,
+    ) {
         match Connection::open(endpoint, address).await {
-            Ok(connection) => self.keep(connection, &HeaderMap::new()),
+            Ok(connection) => self.keep_connection(connection, &HeaderMap::new()),
             Err(ConnectError::Refused(_, error))
                 if error.kind() == ErrorKind::ConnectionRefused =>
             {
-                self.take_crashes(&runs);
+                self.record_crashes(&runs);
             }
             Err(error) => log::debug!("E0143 crash-unconfirmed address={address} error={error}"),
         }
     }
 
-    /// Takes in runs that ended with their endpoint, and tells the other hosts.
-    fn take_crashes(&self, runs: &[Crash]) {
+    /// Records runs that ended with a crash of their endpoint, and reports them to all hosts.
+    fn record_crashes(&self, runs: &[Crash]) {
         let now = clock::now();
-        let mut suspects = self.suspects.borrow_mut();
+        let mut crash_tracker = self.crash_tracker.borrow_mut();
         let mut findings = Vec::new();
         for run in runs {
-            findings.extend(suspects.quarantine.note_crash(run, Reporter::ThisHost));
+            findings.extend(crash_tracker.quarantine.note_crash(run, Reporter::ThisHost));
         }
-        let told = suspects.reports.take(runs.len(), now);
-        drop(suspects);
+        let granted = crash_tracker.reports.grant(runs.len(), now);
+        drop(crash_tracker);
         findings.iter().for_each(log_finding);
-        let ended = runs.iter().take(told).map(|run| CrashedRun {
+        let crashed = runs.iter().take(granted).map(|run| CrashedRun {
             request: run.request,
             ran: run.at.since(run.sent),
             age: now.since(run.at),
         });
-        let ended: Vec<CrashedRun> = ended.collect();
-        self.tell_crashes(&ended, &findings);
+        let crashed: Vec<CrashedRun> = crashed.collect();
+        self.report_crashes(&crashed, &findings);
     }
 
-    /// Takes in what another host tells of such requests.
-    pub(super) fn learn_crashes(&self, crashes: CrashReport) {
+    /// Handles another host's report of crashes and quarantined requests.
+    pub(super) fn handle_crash_report(&self, crashes: CrashReport) {
         let now = clock::now();
-        let mut suspects = self.suspects.borrow_mut();
-        for ended in &crashes.runs {
-            let at = now - ended.age;
+        let mut crash_tracker = self.crash_tracker.borrow_mut();
+        for crashed in &crashes.runs {
+            let at = now - crashed.age;
             let crash = Crash {
-                request: ended.request,
-                sent: at - ended.ran,
+                request: crashed.request,
+                sent: at - crashed.ran,
                 at,
             };
-            let findings = suspects.quarantine.note_crash(&crash, Reporter::OtherHost);
+            let findings = crash_tracker
+                .quarantine
+                .note_crash(&crash, Reporter::OtherHost);
             findings.iter().for_each(log_finding);
         }
         for finding in &crashes.findings {
-            if suspects.quarantine.apply(finding, now) {
+            if crash_tracker.quarantine.apply(finding, now) {
                 log_finding(finding);
             }
         }
-        drop(suspects);
+        drop(crash_tracker);
         if crashes.cross_centre {
-            self.tell_all(&NeighbourMessage::CrashReport(CrashReport {
+            self.broadcast(&NeighbourMessage::CrashReport(CrashReport {
                 cross_centre: false,
                 ..crashes
             }));
         }
     }
 
-    /// Returns what a host that has just started is to know, nothing where there is nothing.
-    pub(super) fn known_crashes(&self) -> Option<NeighbourMessage> {
-        let suspects = self.suspects.borrow();
-        let findings = suspects.quarantine.updates(clock::now());
+    /// Returns a message with all quarantined requests, `None` if there are none.
+    pub(super) fn quarantine_message(&self) -> Option<NeighbourMessage> {
+        let crash_tracker = self.crash_tracker.borrow();
+        let findings = crash_tracker.quarantine.updates(clock::now());
         (!findings.is_empty()).then(|| message(false, Vec::new(), findings))
     }
 
-    /// Reminds other hosts of what is quarantined, for ever.
-    pub(super) async fn remind_of_crashes(self: Rc<Self>) {
-        let mut ticks = interval(REMIND_EVERY);
+    /// Periodically sends the quarantine to other hosts; never returns.
+    pub(super) async fn send_reminders(self: Rc<Self>) {
+        let mut ticks = interval(REMINDER_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             let now = clock::now();
-            self.suspects.borrow_mut().quarantine.forget(now);
-            let Some(reminder) = self.known_crashes() else {
+            self.crash_tracker.borrow_mut().quarantine.forget(now);
+            let Some(reminder) = self.quarantine_message() else {
                 continue;
             };
             let known = self.neighbours.borrow();
-            let one = known.any(self.draw());
-            let stranger = known.any_remote(self.draw());
+            let one = known.any(self.random_u64());
+            let remote = known.any_remote(self.random_u64());
             drop(known);
-            for host in one.into_iter().chain(stranger) {
-                self.tell(host, &reminder);
+            for host in one.into_iter().chain(remote) {
+                self.send(host, &reminder);
             }
         }
     }
 
-    /// Tells all hosts of runs that ended with their endpoint, and of what that led to.
-    fn tell_crashes(&self, ended: &[CrashedRun], findings: &[QuarantineUpdate]) {
-        if !ended.is_empty() || !findings.is_empty() {
-            self.tell_site(|cross_centre| message(cross_centre, ended.to_vec(), findings.to_vec()));
+    /// Reports runs that ended with a crash, and the resulting findings, to all hosts.
+    fn report_crashes(&self, crashed: &[CrashedRun], findings: &[QuarantineUpdate]) {
+        if !crashed.is_empty() || !findings.is_empty() {
+            self.broadcast_all_centres(|cross_centre| {
+                message(cross_centre, crashed.to_vec(), findings.to_vec())
+            });
         }
     }
 }
--- a/components/transport/src/gateway/request_log.rs
+++ b/components/transport/src/gateway/request_log.rs
@@ -1,8 +1,9 @@
-//! The log lines of requests, bounded.
+//! Rate-limited log lines about requests.
 //!
-//! Every request that failed, was refused, was repeated or came late has a line; what went
-//! well has one only at the level debug. Under overload a host refuses hundreds
-//! of requests a second, and lines cost processor time that callers need.
+//! Every request that was denied, lost its connection to an endpoint, was retried
+//! or was answered late gets a line; any other request gets none. Under overload
+//! a host denies hundreds of requests per second, and writing lines takes CPU
+//! time that requests need, so the rate of lines is limited.
 
 use std::time::Duration;
 
@@ -11,95 +12,95 @@
 
 use super::Gateway;
 use super::attempt::{Answer, Attempt};
-use super::refusal::Denial;
+use super::denial::Denial;
 use crate::clock;
 
-/// Lines a second beyond which they are counted rather than written.
+/// Maximum number of lines per window; further lines are counted, not written.
 ///
-/// A line costs about 20 µs, so this is a fiftieth of a small host's processor.
-/// In the heaviest days seen a host writes fewer than twenty.
-const LINES_LIMIT: u32 = 100;
+/// A line costs about 20 µs, so the limit is 2 % of a small host's CPU. On the
+/// busiest days observed a host writes fewer than 20 lines per second.
+const MAX_LINES: u32 = 100;
 
-/// The span in which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// The window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Counts the lines of the current second.
+/// Counts the lines of the current window.
 #[derive(Default)]
 pub(super) struct RequestLog {
     began: Moment,
     lines: u32,
-    left: u32,
+    skipped: u32,
 }
 
 impl RequestLog {
-    /// Returns whether a line may be written now.
-    fn take(&mut self, now: Moment) -> bool {
-        if now.since(self.began) >= SPAN {
-            if self.left > 0 {
-                log::info!("E0127 denials-unlogged lines={}", self.left);
+    /// Returns whether a line may be written now, and counts the line.
+    fn try_line(&mut self, now: Moment) -> bool {
+        if now.since(self.began) >= WINDOW {
+            if self.skipped > 0 {
+                log::info!("E0127 denials-unlogged lines={}", self.skipped);
             }
             *self = RequestLog {
                 began: now,
                 ..RequestLog::default()
             };
         }
-        let written = self.lines < LINES_LIMIT;
+        let written = self.lines < MAX_LINES;
         match written {
             true => self.lines += 1,
-            false => self.left += 1,
+            false => self.skipped += 1,
         }
         written
     }
 }
 
 impl Gateway {
-    /// Logs a request that got no endpoint's answer.
-    pub(super) fn log_denial(&self, fields: &HeaderMap, denial: &Denial, arrived: Moment) {
+    /// Logs a request that got no answer from an endpoint.
+    pub(super) fn log_denial(&self, headers: &HeaderMap, denial: &Denial, arrived: Moment) {
         let now = clock::now();
-        if !self.requests.borrow_mut().take(now) {
+        if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
-        let orders = self.orders.borrow();
-        let version = orders.catalogue.as_ref().map_or(0, |c| c.version);
+        let config = self.config.borrow();
+        let version = config.catalogue.as_ref().map_or(0, |c| c.version);
         log::info!(
             "E0126 request-denied id={} status={} reason={denial:?} after_ms={} version={version}",
-            id(fields),
+            id(headers),
             denial.status().as_u16(),
             now.since(arrived).as_millis()
         );
     }
 
-    /// Logs a request whose answer came after its objective.
+    /// Logs a request whose answer came later than its route's objective.
     ///
-    /// It tells how long the host looked for an endpoint, and what pace the one
-    /// it took had promised.
+    /// The line contains the time until the request was sent to an endpoint, and
+    /// the slowdown that was expected of the endpoint.
     pub(super) fn log_late(
         &self,
-        fields: &HeaderMap,
+        headers: &HeaderMap,
         answer: &Answer,
         arrived: Moment,
         objective: Duration,
     ) {
         let now = clock::now();
         let time = now.since(arrived);
-        if time <= objective || !self.requests.borrow_mut().take(now) {
+        if time <= objective || !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         log::info!(
             "E0129 request-late id={} status={} after_ms={} objective_ms={} sent_ms={} pace={:.2}",
-            id(fields),
+            id(headers),
             answer.parts.status.as_u16(),
             time.as_millis(),
             objective.as_millis(),
             answer.sent.since(arrived).as_millis(),
-            answer.pace
+            answer.slowdown
         );
     }
 
-    /// Logs that the connection to an endpoint broke while a request was there.
+    /// Logs that the connection to an endpoint broke while a request was running.
     ///
-    /// Lines of one endpoint and moment name the requests that ran beside each other;
-    /// those of one fingerprint are about the same request, whatever their ids.
+    /// Lines with the same endpoint and time show which requests ran concurrently.
+    /// Lines with the same fingerprint are about the same request, whatever its id.
     pub(super) fn log_broken(
         &self,
         attempt: &Attempt<'_>,
@@ -108,7 +109,7 @@
         error: &hyper::Error,
     ) {
         let now = clock::now();
-        if !self.requests.borrow_mut().take(now) {
+        if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         let registry = self.registry.borrow();
@@ -123,21 +124,21 @@
         );
     }
 
-    /// Logs that a request goes to another endpoint.
-    pub(super) fn log_repeat(&self, fields: &HeaderMap, why: &str, arrived: Moment) {
+    /// Logs that a request is retried or hedged.
+    pub(super) fn log_retry(&self, headers: &HeaderMap, why: &str, arrived: Moment) {
         let now = clock::now();
-        if !self.requests.borrow_mut().take(now) {
+        if !self.request_log.borrow_mut().try_line(now) {
             return;
         }
         log::info!(
             "E0128 request-repeated id={} why={why:?} after_ms={}",
-            id(fields),
+            id(headers),
             now.since(arrived).as_millis()
         );
     }
 }
 
-fn id(fields: &HeaderMap) -> &str {
-    let id = fields.get(platform::headers::ATTEMPT_ID);
+fn id(headers: &HeaderMap) -> &str {
+    let id = headers.get(platform::headers::ATTEMPT_ID);
     id.and_then(|v| v.to_str().ok()).unwrap_or("-")
 }
