--- a/components/transport/src/gateway/stream.rs
+++ b/components/transport/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! A caller's stream, with limits on how long a head and an idle time may be.
+//! A caller's TCP stream with time limits for request heads and idle connections.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -11,77 +11,82 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// What a connection is doing, told by its requests to its stream.
-pub(super) struct Phase(Cell<Doing>);
+/// The current activity of a connection, shared between its requests and its stream.
+pub(super) struct ConnectionActivity(Cell<Activity>);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Doing {
-    /// No byte of the next request has come since then.
+enum Activity {
+    /// Waiting for the next request since this time.
     Idle(Instant),
-    /// The first bytes of a head came then.
+    /// Receiving a request head since this time.
     Head(Instant),
     /// A request is being served.
     Serving,
 }
 
-impl Phase {
-    /// Returns the phase of a connection that was just made.
-    pub fn new() -> Phase {
-        Phase(Cell::new(Doing::Idle(Instant::now())))
+impl ConnectionActivity {
+    /// Returns the activity of a new connection, which is idle.
+    pub fn new() -> ConnectionActivity {
+        ConnectionActivity(Cell::new(Activity::Idle(Instant::now())))
     }
 
-    /// Notes that a request's head has been read.
+    /// Marks a request as being served, after its head was read.
     pub fn serving(&self) {
-        self.0.set(Doing::Serving);
+        self.0.set(Activity::Serving);
     }
 
-    /// Notes that an answer has been handed over.
-    pub fn answered(&self) {
-        self.0.set(Doing::Idle(Instant::now()));
+    /// Marks the connection as idle, after an answer was sent.
+    pub fn idle(&self) {
+        self.0.set(Activity::Idle(Instant::now()));
     }
 }
 
-/// How long a head may take and a connection may lie idle.
+/// Time limits for receiving a request head and for an idle connection.
 #[derive(Clone, Copy)]
-pub(super) struct Patience {
+pub(super) struct CallerTimeouts {
     pub head: Duration,
     pub idle: Duration,
 }
 
-/// A caller's stream that ends by itself where the caller takes too long.
+/// A caller's stream that ends when the caller exceeds a time limit.
 ///
-/// The HTTP library has one limit for both times; operators set two, and the
-/// shorter one would close idle connections that callers still count on.
+/// The HTTP library has one limit for both times, but operators set two. With the
+/// shorter one for both, idle connections would be closed that callers still
+/// expect to use.
 pub(super) struct CallerStream {
     stream: TcpStream,
-    phase: Rc<Phase>,
-    patience: Patience,
+    activity: Rc<ConnectionActivity>,
+    timeouts: CallerTimeouts,
     timer: Pin<Box<Sleep>>,
 }
 
 impl CallerStream {
-    pub fn new(stream: TcpStream, phase: Rc<Phase>, patience: Patience) -> CallerStream {
+    pub fn new(
+        stream: TcpStream,
+        activity: Rc<ConnectionActivity>,
+        timeouts: CallerTimeouts,
+    ) -> CallerStream {
         CallerStream {
             stream,
-            phase,
-            patience,
-            timer: Box::pin(sleep_until(Instant::now() + patience.idle)),
+            activity,
+            timeouts,
+            timer: Box::pin(sleep_until(Instant::now() + timeouts.idle)),
         }
     }
 
-    fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let until = match self.phase.0.get() {
-            Doing::Serving => return Poll::Pending,
-            Doing::Idle(since) => since + self.patience.idle,
-            Doing::Head(since) => since + self.patience.head,
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let until = match self.activity.0.get() {
+            Activity::Serving => return Poll::Pending,
+            Activity::Idle(since) => since + self.timeouts.idle,
+            Activity::Head(since) => since + self.timeouts.head,
         };
         if self.timer.deadline() != until {
             self.timer.as_mut().reset(until);
         }
-        match (self.timer.as_mut().poll(cx), self.phase.0.get()) {
+        match (self.timer.as_mut().poll(cx), self.activity.0.get()) {
             (Poll::Pending, _) => Poll::Pending,
-            // No more bytes: the library ends an idle connection in order.
-            (Poll::Ready(()), Doing::Idle(_)) => Poll::Ready(Ok(())),
+            // An end of input makes the library close an idle connection gracefully.
+            (Poll::Ready(()), Activity::Idle(_)) => Poll::Ready(Ok(())),
             (Poll::Ready(()), _) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
         }
     }
@@ -95,11 +100,11 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         match Pin::new(&mut self.stream).poll_read(cx, buffer) {
-            Poll::Pending => self.poll_patience(cx),
+            Poll::Pending => self.poll_timeout(cx),
             ready => {
                 let came = buffer.filled().len() > before;
-                if came && matches!(self.phase.0.get(), Doing::Idle(_)) {
-                    self.phase.0.set(Doing::Head(Instant::now()));
+                if came && matches!(self.activity.0.get(), Activity::Idle(_)) {
+                    self.activity.0.set(Activity::Head(Instant::now()));
                 }
                 ready
             }
--- a/components/transport/src/upstream/meter.rs
+++ b/components/transport/src/upstream/counting_stream.rs
@@ -1,4 +1,4 @@
-//! A stream that counts the bytes handed to the kernel.
+//! A TCP stream that counts the bytes handed to the kernel.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -10,28 +10,28 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection to a backend server that counts what was written to it.
+/// A TCP stream to a backend server that counts the bytes written.
 ///
-/// A call whose connection breaks may be sent again only if no byte of it can
-/// have reached the backend server. The count taken before and after says so
-/// for certain: what was never handed to the kernel was never sent.
-pub struct Meter {
+/// A call whose connection breaks may be retried without risk only if no byte
+/// of the request can have reached the backend server. Comparing the count before
+/// and after proves it: bytes never handed to the kernel were never sent.
+pub struct CountingStream {
     stream: TcpStream,
     written: Arc<AtomicU64>,
 }
 
-impl Meter {
-    /// Returns the stream with its count at zero, and the count.
-    pub fn new(stream: TcpStream) -> (Meter, Arc<AtomicU64>) {
+impl CountingStream {
+    /// Returns the counting stream, and the shared counter starting at zero.
+    pub fn new(stream: TcpStream) -> (CountingStream, Arc<AtomicU64>) {
         let written = Arc::new(AtomicU64::new(0));
-        let meter = Meter {
+        let counting_stream = CountingStream {
             stream,
             written: Arc::clone(&written),
         };
-        (meter, written)
+        (counting_stream, written)
     }
 
-    /// Returns the stream itself.
+    /// Returns the underlying TCP stream.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
@@ -44,7 +44,7 @@
     }
 }
 
-impl AsyncRead for Meter {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -54,7 +54,7 @@
     }
 }
 
-impl AsyncWrite for Meter {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stand-in log` and `stand-in backend`: what lies outside, as processes.
+//! The commands `stand-in log` and `stand-in backend`, which run external systems as processes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -12,14 +12,14 @@
 use crate::cli::{self, StandInCmd};
 use crate::logs;
 
-/// A free port of the loopback address.
+/// The loopback address with any free port.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Runs the stand-in that `flags` name until the process is ended by SIGTERM or SIGINT.
+/// Runs the stand-in that `flags` select until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails where an address can't be listened on.
+/// Fails if the stand-in can't listen on an address.
 pub fn run(flags: cli::StandIn) -> Result<ExitCode> {
     logs::start(LevelFilter::Info)?;
     let runtime = tokio::runtime::Runtime::new().wrap_err("can't start the runtime")?;
@@ -32,31 +32,33 @@
     })
 }
 
-/// Prints one line `log IP:PORT`.
+/// Runs a stand-in of the platform's store; prints a line `log IP:PORT` once it listens.
 async fn run_log(flags: &cli::Log) -> Result<()> {
-    let usual = Behaviour::default();
+    let defaults = Behaviour::default();
     let behaviour = Behaviour {
-        keep_records: flags.retain.or(usual.keep_records),
-        appends_second: flags.appends.unwrap_or(usual.appends_second),
-        ..usual
+        keep_records: flags.retain.or(defaults.keep_records),
+        appends_second: flags.appends.unwrap_or(defaults.appends_second),
+        ..defaults
     };
     let log = LogStandIn::start(listen(flags.address.unwrap_or(ANY_PORT))?, behaviour)?;
     println!("log {}", log.address());
-    until_told().await
+    wait_for_signal().await
 }
 
-/// Prints one line `backend IP:PORT` each, then `control IP:PORT`.
+/// Runs stand-ins of backend servers.
+///
+/// Prints a line `backend IP:PORT` for each, then a line `control IP:PORT`.
 async fn run_backends(flags: &cli::Backend) -> Result<()> {
     ensure!(
         !flags.address.is_empty(),
         "no address to listen on: give at least one --address IP:PORT"
     );
-    let usual = Options::default();
+    let defaults = Options::default();
     let options = Options {
-        slots: flags.slots.unwrap_or(usual.slots),
-        cold_slots: flags.cold_slots.unwrap_or(usual.cold_slots),
+        slots: flags.slots.unwrap_or(defaults.slots),
+        cold_slots: flags.cold_slots.unwrap_or(defaults.cold_slots),
         cold: flags.cold,
-        ..usual
+        ..defaults
     };
     let history = History::default();
     let mut backends = Vec::new();
@@ -68,14 +70,14 @@
     let listener = listen(flags.control_address.unwrap_or(ANY_PORT))?;
     println!("control {}", listener.local_addr()?);
     let _control = Control::start(listener, &backends, history)?;
-    until_told().await
+    wait_for_signal().await
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).wrap_err_with(|| format!("can't listen on {address}"))
 }
 
-async fn until_told() -> Result<()> {
+async fn wait_for_signal() -> Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
