--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use common::{Resources, Rig, until};
+use common::{Cluster, Resources, until};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stand_ins::backend::{Knobs, Report};
@@ -68,20 +68,20 @@
     let seconds = setting("SOAK_SECONDS", SECONDS);
     let mut random = SmallRng::seed_from_u64(setting("SOAK_SEED", SEED));
     let text = SITE.replace("seconds = 120", &format!("seconds = {}", seconds + 600));
-    let mut rig = Rig::proxied(&text).await;
+    let mut cluster = Cluster::start_proxied(&text).await;
     let start = Instant::now();
-    let load = rig.load();
-    print(&rig, start, "start");
+    let load = cluster.load();
+    print(&cluster, start, "start");
     while start.elapsed().as_secs() < seconds {
         tokio::time::sleep(REST).await;
         let kind = KINDS[random.random_range(0..KINDS.len())];
         let place = random.random_range(0..3);
-        cause(&mut rig, kind, place).await;
-        print(&rig, start, &format!("{kind:?} {place}"));
+        cause(&mut cluster, kind, place).await;
+        print(&cluster, start, &format!("{kind:?} {place}"));
     }
     load.stop().await;
-    let faults = rig.faults(&Limits::default());
-    println!("{:?}", rig.tally());
+    let faults = cluster.violations(&Limits::default());
+    println!("{:?}", cluster.tally());
     for (check, count) in tally(&faults) {
         println!("{check:?}: {count}");
     }
@@ -95,57 +95,57 @@
 }
 
 /// Causes a fault at one of three places and ends it.
-async fn cause(rig: &mut Rig, kind: Kind, place: usize) {
+async fn cause(cluster: &mut Cluster, kind: Kind, place: usize) {
     match kind {
         Kind::Killed => {
-            rig.kill(place);
+            cluster.kill(place);
             tokio::time::sleep(FAULT).await;
-            rig.start_again(place);
-            ready(rig, place).await;
+            cluster.restart_host(place);
+            ready(cluster, place).await;
         }
         Kind::Paused => {
-            rig.pause(place);
+            cluster.pause(place);
             tokio::time::sleep(FAULT).await;
-            rig.resume(place);
-            ready(rig, place).await;
+            cluster.resume(place);
+            ready(cluster, place).await;
         }
         Kind::Replaced => {
-            rig.shut_down(place).await;
-            rig.start_again(place);
-            ready(rig, place).await;
+            cluster.shut_down(place).await;
+            cluster.restart_host(place);
+            ready(cluster, place).await;
         }
         Kind::CentreLeaves => {
-            let centre = rig.site.deployment.data_centres[place].clone();
-            order(rig, Order::CentreLeaves, &centre).await;
+            let centre = cluster.site.deployment.data_centres[place].clone();
+            order(cluster, Order::CentreLeaves, &centre).await;
             tokio::time::sleep(FAULT).await;
-            order(rig, Order::CentreReturns, &centre).await;
+            order(cluster, Order::CentreReturns, &centre).await;
         }
         Kind::LogDown => {
-            rig.site.log.change(|b| b.outage = Some(Outage::Silent));
+            cluster.site.log.change(|b| b.outage = Some(Outage::Silent));
             tokio::time::sleep(FAULT).await;
-            rig.site.log.change(|b| b.outage = None);
+            cluster.site.log.change(|b| b.outage = None);
         }
-        Kind::LostAnswers => rig.site.log.change(|b| {
+        Kind::LostAnswers => cluster.site.log.change(|b| {
             b.loss = Some(Loss::Gateway);
             b.losses = 5;
         }),
-        Kind::Silence => rig.site.proxies("hallboard")[place].silence(),
+        Kind::Silence => cluster.site.proxies("hallboard")[place].silence(),
         Kind::OneWay => {
-            let proxy = &rig.site.proxies("hallboard")[place];
+            let proxy = &cluster.site.proxies("hallboard")[place];
             proxy.set(Fault::LoseAnswers);
             tokio::time::sleep(FAULT).await;
             proxy.set(Fault::Pass);
         }
-        Kind::Cold => set(rig, place, |k| k.turn_cold = true),
-        Kind::Restarted => set(rig, place, |k| k.restart = true),
-        Kind::CutAnswers => set(rig, place, |k| k.cut_answers = Some(3)),
+        Kind::Cold => set(cluster, place, |k| k.turn_cold = true),
+        Kind::Restarted => set(cluster, place, |k| k.restart = true),
+        Kind::CutAnswers => set(cluster, place, |k| k.cut_answers = Some(3)),
         Kind::Slow => {
-            set(rig, place, |k| {
+            set(cluster, place, |k| {
                 k.slow = Some(20);
                 k.report = Some(Report::Idle);
             });
             tokio::time::sleep(FAULT).await;
-            set(rig, place, |k| {
+            set(cluster, place, |k| {
                 k.slow = Some(1);
                 k.report = Some(Report::Honest);
             });
@@ -153,30 +153,30 @@
     }
 }
 
-fn set(rig: &Rig, place: usize, change: impl FnOnce(&mut Knobs)) {
+fn set(cluster: &Cluster, place: usize, change: impl FnOnce(&mut Knobs)) {
     let mut knobs = Knobs::default();
     change(&mut knobs);
-    rig.site.backends("hallboard")[place].set(&knobs);
+    cluster.site.backends("hallboard")[place].set(&knobs);
 }
 
-async fn order(rig: &Rig, order: Order, name: &str) {
-    if let Err(error) = rig.site.order(order, name).await {
+async fn order(cluster: &Cluster, order: Order, name: &str) {
+    if let Err(error) = cluster.site.order(order, name).await {
         println!("{order:?} {name}: {error}");
     }
 }
 
-async fn ready(rig: &Rig, place: usize) {
-    until("the entry host is ready", || rig.targets[place].is_up()).await;
+async fn ready(cluster: &Cluster, place: usize) {
+    until("the entry host is ready", || cluster.targets[place].is_up()).await;
 }
 
-fn print(rig: &Rig, start: Instant, what: &str) {
-    let uses: Vec<String> = (0..rig.hosts.len())
+fn print(cluster: &Cluster, start: Instant, what: &str) {
+    let uses: Vec<String> = (0..cluster.hosts.len())
         .map(|host| {
             let Resources {
                 memory_kb,
                 threads,
                 files,
-            } = rig.resources(host);
+            } = cluster.resources(host);
             format!("{memory_kb:>6} kB {threads:>3} threads {files:>4} files")
         })
         .collect();
--- a/tests/backend_faults.rs
+++ b/tests/backend_faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::Rig;
+use common::Cluster;
 use stand_ins::backend::{Knobs, Report};
 use stand_ins::history::{Event, Outcome};
 
@@ -13,14 +13,14 @@
 // falls over; the callers must be served by the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn turns_cold() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(300).await;
-    rig.site.backends("hallboard")[0].set(&Knobs {
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(300).await;
+    cluster.site.backends("hallboard")[0].set(&Knobs {
         turn_cold: true,
         ..Knobs::default()
     });
-    rig.more_answers(3_000).await;
+    cluster.more_answers(3_000).await;
     let samples = load.stop().await;
     let hurt: Vec<_> = samples
         .iter()
@@ -33,7 +33,7 @@
         samples.len(),
         hurt[0]
     );
-    rig.assert_kept();
+    cluster.assert_kept();
 }
 
 // A noisy neighbour makes one backend server 20 times slower, while its load report
@@ -41,19 +41,19 @@
 // see them: it must lose its share of the work.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_with_lying_report() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(500).await;
-    let slow = &rig.site.backends("hallboard")[0];
-    let others: Vec<_> = rig.site.backends("hallboard")[1..].iter().collect();
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(500).await;
+    let slow = &cluster.site.backends("hallboard")[0];
+    let others: Vec<_> = cluster.site.backends("hallboard")[1..].iter().collect();
     slow.set(&Knobs {
         slow: Some(20),
         report: Some(Report::Idle),
         ..Knobs::default()
     });
-    rig.more_answers(1_000).await;
+    cluster.more_answers(1_000).await;
     let before = (slow.counts().started, others[0].counts().started);
-    rig.more_answers(1_500).await;
+    cluster.more_answers(1_500).await;
     let got = slow.counts().started - before.0;
     let fair = others[0].counts().started - before.1;
     assert!(
@@ -66,7 +66,7 @@
         .filter(|s| s.outcome == Outcome::Broken)
         .collect();
     assert_eq!(broken.len(), 0);
-    rig.assert_kept();
+    cluster.assert_kept();
 }
 
 // A box between the hosts loses track of its connections: the open ones go silent
@@ -74,21 +74,21 @@
 // callers are told so, and calls after that go over new connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections() {
-    let mut rig = Rig::proxied(SITE).await;
-    let load = rig.load();
-    rig.more_answers(300).await;
-    rig.site.proxies("hallboard")[0].silence();
-    let silent = rig.site.backends("hallboard")[0].address();
-    rig.more_answers(500).await;
-    let since = rig.history.sorted().last().unwrap().at;
+    let mut cluster = Cluster::start_proxied(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(300).await;
+    cluster.site.proxies("hallboard")[0].silence();
+    let silent = cluster.site.backends("hallboard")[0].address();
+    cluster.more_answers(500).await;
+    let since = cluster.history.sorted().last().unwrap().at;
     let answered = |r: &stand_ins::history::Record| match r.event {
         Event::Received { endpoint, .. } if endpoint == silent && r.at > since => Some(()),
         _ => None,
     };
     common::until("new connections are used", || {
-        !rig.picked(answered).is_empty()
+        !cluster.picked(answered).is_empty()
     })
     .await;
     load.stop().await;
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/centre_leaves.rs
+++ b/tests/centre_leaves.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Rig, until};
+use common::{Cluster, until};
 use stand_ins::history::{Event, Order, Outcome};
 
 const SITE: &str = include_str!("common/small.toml");
@@ -13,28 +13,36 @@
 // goes there. When it is brought back it serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn unnoticed() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(300).await;
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(300).await;
     let long: Vec<_> = (0..4)
-        .map(|_| rig.new_call("GET", "/hallboard/archive?work-ms=3000"))
-        .map(|call| rig.send(1, &call))
+        .map(|_| cluster.new_call("GET", "/hallboard/archive?work-ms=3000"))
+        .map(|call| cluster.send(1, &call))
         .collect();
-    rig.more_answers(50).await;
-    rig.site.order(Order::CentreLeaves, "trent").await.unwrap();
+    cluster.more_answers(50).await;
+    cluster
+        .site
+        .order(Order::CentreLeaves, "trent")
+        .await
+        .unwrap();
     for reply in long {
         assert_eq!(reply.await.unwrap().outcome, Outcome::Complete);
     }
-    rig.more_answers(1_500).await;
-    rig.site.order(Order::CentreReturns, "trent").await.unwrap();
-    let back = rig.history.sorted().last().unwrap().at;
-    let trent = rig.site.backends("hallboard")[0].address();
+    cluster.more_answers(1_500).await;
+    cluster
+        .site
+        .order(Order::CentreReturns, "trent")
+        .await
+        .unwrap();
+    let back = cluster.history.sorted().last().unwrap().at;
+    let trent = cluster.site.backends("hallboard")[0].address();
     let served = |r: &stand_ins::history::Record| match r.event {
         Event::Received { endpoint, .. } if endpoint == trent && r.at > back => Some(()),
         _ => None,
     };
-    until("trent serves again", || !rig.picked(served).is_empty()).await;
-    rig.more_answers(500).await;
+    until("trent serves again", || !cluster.picked(served).is_empty()).await;
+    cluster.more_answers(500).await;
     let samples = load.stop().await;
     let hurt: Vec<_> = samples
         .iter()
@@ -47,5 +55,5 @@
         samples.len(),
         hurt[0]
     );
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -47,7 +47,7 @@
 }
 
 /// A site, its entry hosts and the balancer before them.
-pub struct Rig {
+pub struct Cluster {
     pub site: Arc<Site>,
     pub history: History,
     pub hosts: Vec<Host>,
@@ -72,31 +72,31 @@
     task: JoinHandle<Vec<Sample>>,
 }
 
-impl Rig {
+impl Cluster {
     /// Starts what `experiment` deploys, and waits until every entry host is ready.
-    pub async fn start(experiment: &str) -> Rig {
-        Rig::with(experiment, &SiteOptions::default()).await
+    pub async fn start(experiment: &str) -> Cluster {
+        Cluster::with(experiment, &SiteOptions::default()).await
     }
 
     /// The same with a proxy before each backend server.
-    pub async fn proxied(experiment: &str) -> Rig {
+    pub async fn start_proxied(experiment: &str) -> Cluster {
         let options = SiteOptions {
             proxied: true,
             ..SiteOptions::default()
         };
-        Rig::with(experiment, &options).await
+        Cluster::with(experiment, &options).await
     }
 
     /// The same with backend servers as `backend` says.
-    pub async fn backends(experiment: &str, backend: Options) -> Rig {
+    pub async fn backends(experiment: &str, backend: Options) -> Cluster {
         let options = SiteOptions {
             backend,
             ..SiteOptions::default()
         };
-        Rig::with(experiment, &options).await
+        Cluster::with(experiment, &options).await
     }
 
-    async fn with(experiment: &str, options: &SiteOptions) -> Rig {
+    async fn with(experiment: &str, options: &SiteOptions) -> Cluster {
         let experiment = Arc::new(Experiment::parse(experiment).unwrap());
         let deployment = experiment.deployment.clone();
         let history = History::default();
@@ -115,7 +115,7 @@
         targets.iter().for_each(|t| t.set_up(false));
         let admins: Vec<_> = hosts.iter().map(|h| h.ports.admin).collect();
         let balancer = Balancer::start(&targets, &admins, &history);
-        let rig = Rig {
+        let cluster = Cluster {
             site: Arc::new(site),
             caller: Caller {
                 history: history.clone(),
@@ -127,14 +127,14 @@
             balancer: Some(balancer),
             next: AtomicU64::new(1),
         };
-        rig.all_ready().await;
-        rig.all_settled().await;
-        let deployment = &rig.site.deployment;
+        cluster.all_ready().await;
+        cluster.all_settled().await;
+        let deployment = &cluster.site.deployment;
         assert!(
-            warm_up(deployment, &rig.targets, &admins, LIMIT).await,
+            warm_up(deployment, &cluster.targets, &admins, LIMIT).await,
             "a backend server stays cold"
         );
-        rig
+        cluster
     }
 
     /// Waits until every entry host is ready.
@@ -265,7 +265,7 @@
     }
 
     /// Starts an entry host anew, on its old ports.
-    pub fn start_again(&mut self, host: usize) {
+    pub fn restart_host(&mut self, host: usize) {
         let old = &self.hosts[host];
         let log = self.site.log.address();
         self.hosts[host] = Host::start(&old.name, &old.centre, log, Some(old.ports), &self.history);
@@ -326,14 +326,14 @@
     }
 
     /// Returns every promise that was broken, once all is over.
-    pub fn faults(&mut self, limits: &Limits) -> Vec<Fault> {
+    pub fn violations(&mut self, limits: &Limits) -> Vec<Fault> {
         self.balancer = None;
         check(&self.history.sorted(), limits)
     }
 
     /// Checks that every promise was kept.
     pub fn assert_kept(&mut self) {
-        let faults = self.faults(&Limits::default());
+        let faults = self.violations(&Limits::default());
         let shown: Vec<String> = faults.iter().take(10).map(Fault::to_string).collect();
         let tally = self.tally();
         assert!(
--- a/tests/cut_answers.rs
+++ b/tests/cut_answers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::Rig;
+use common::Cluster;
 use stand_ins::backend::Knobs;
 use stand_ins::history::Outcome;
 
@@ -19,21 +19,21 @@
 #[case::small("/hallboard/free?size=300")]
 #[tokio::test(flavor = "multi_thread")]
 async fn never_taken_for_whole(#[case] path: &str) {
-    let mut rig = Rig::start(SITE).await;
-    for backend in rig.site.backends("hallboard") {
+    let mut cluster = Cluster::start(SITE).await;
+    for backend in cluster.site.backends("hallboard") {
         backend.set(&Knobs {
             cut_answers: Some(2),
             ..Knobs::default()
         });
     }
     for round in 0..24 {
-        let mut call = rig.new_call("GET", path);
+        let mut call = cluster.new_call("GET", path);
         call.size = if path.contains("300000") {
             300_000
         } else {
             300
         };
-        let reply = rig.call(round % 3, &call).await;
+        let reply = cluster.call(round % 3, &call).await;
         assert!(
             matches!(
                 (reply.outcome, reply.own),
@@ -44,43 +44,43 @@
     }
     // Which backend server answers is the entry hosts' choice: one may not have
     // been called yet, and would cut the last answer too.
-    for backend in rig.site.backends("hallboard") {
+    for backend in cluster.site.backends("hallboard") {
         backend.set(&Knobs {
             cut_answers: Some(0),
             ..Knobs::default()
         });
     }
-    let mut call = rig.new_call("GET", path);
+    let mut call = cluster.new_call("GET", path);
     call.size = if path.contains("300000") {
         300_000
     } else {
         300
     };
-    assert_eq!(rig.call(0, &call).await.outcome, Outcome::Complete);
-    rig.assert_kept();
+    assert_eq!(cluster.call(0, &call).await.outcome, Outcome::Complete);
+    cluster.assert_kept();
 }
 
 // The answer to a deposit is cut: it may have been taken. The caller must not be
 // told "not run", and it must not be sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn deposit_not_repeated() {
-    let mut rig = Rig::start(SITE).await;
-    for backend in rig.site.backends("ledgerhouse") {
+    let mut cluster = Cluster::start(SITE).await;
+    for backend in cluster.site.backends("ledgerhouse") {
         backend.set(&Knobs {
             cut_answers: Some(10),
             ..Knobs::default()
         });
     }
     for host in 0..3 {
-        let call = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
-        let reply = rig.call(host, &call).await;
+        let call = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
+        let reply = cluster.call(host, &call).await;
         assert!(
             matches!(reply.outcome, Outcome::Broken | Outcome::Unknown),
             "{reply:?}"
         );
     }
-    assert_eq!(rig.runs(), 3);
-    rig.assert_kept();
+    assert_eq!(cluster.runs(), 3);
+    cluster.assert_kept();
 }
 
 // Callers give up on slow look-ups while the answers are still on their way. Each
@@ -88,14 +88,14 @@
 // answers and never the late ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answer_reaches_nobody() {
-    let mut rig = Rig::start(SITE).await;
+    let mut cluster = Cluster::start(SITE).await;
     for round in 0..12 {
-        let mut slow = rig.new_call("GET", "/hallboard/free?work-ms=150");
+        let mut slow = cluster.new_call("GET", "/hallboard/free?work-ms=150");
         slow.deadline = Duration::from_millis(100);
-        let late = rig.send(round % 3, &slow);
+        let late = cluster.send(round % 3, &slow);
         let next: Vec<_> = (0..4)
-            .map(|_| rig.new_call("GET", "/hallboard/free?work-ms=1"))
-            .map(|call| rig.send(round % 3, &call))
+            .map(|_| cluster.new_call("GET", "/hallboard/free?work-ms=1"))
+            .map(|call| cluster.send(round % 3, &call))
             .collect();
         assert_ne!(late.await.unwrap().outcome, Outcome::Broken);
         for reply in next {
@@ -103,5 +103,5 @@
             assert_eq!((reply.outcome, reply.own), (Outcome::Complete, true));
         }
     }
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/host_killed.rs
+++ b/tests/host_killed.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::Rig;
+use common::Cluster;
 use stand_ins::history::{Event, Outcome};
 
 const SITE: &str = include_str!("common/small.toml");
@@ -12,26 +12,26 @@
 // and its slots must serve again without any backend server getting too much.
 #[tokio::test(flavor = "multi_thread")]
 async fn others_unhurt() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(500).await;
-    rig.kill(0);
-    rig.more_answers(3_000).await;
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(500).await;
+    cluster.kill(0);
+    cluster.more_answers(3_000).await;
     let samples = load.stop().await;
-    let dead = rig.hosts[0].name.clone();
-    let to_dead: Vec<u64> = rig.picked(|r| match &r.event {
+    let dead = cluster.hosts[0].name.clone();
+    let to_dead: Vec<u64> = cluster.picked(|r| match &r.event {
         Event::Sent { call, host, .. } if *host == dead => Some(*call),
         _ => None,
     });
-    let harmed = rig.harmed(&samples).into_iter();
+    let harmed = cluster.harmed(&samples).into_iter();
     let hurt: Vec<_> = harmed
-        .filter(|s| !to_dead.contains(&rig.number(s)))
+        .filter(|s| !to_dead.contains(&cluster.number(s)))
         .collect();
     assert!(
         hurt.is_empty(),
         "calls of other entry hosts were hurt: {hurt:?}"
     );
-    rig.assert_kept();
+    cluster.assert_kept();
 }
 
 // The host dies between sending a deposit and passing its answer on. The
@@ -39,24 +39,24 @@
 // not be taken twice, and "not run" would be a lie.
 #[tokio::test(flavor = "multi_thread")]
 async fn deposit_once() {
-    let mut rig = Rig::start(SITE).await;
-    let mut first = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=400");
+    let mut cluster = Cluster::start(SITE).await;
+    let mut first = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=400");
     first.key = Some("deposit-of-the-hall".to_owned());
-    let sending = rig.send(0, &first);
+    let sending = cluster.send(0, &first);
     let number = first.number;
     let started = move |e: &Event| matches!(e, Event::Received { call, started: true, .. } if *call == number);
-    rig.event("the deposit is being taken", started).await;
-    rig.kill(0);
+    cluster.event("the deposit is being taken", started).await;
+    cluster.kill(0);
     assert_eq!(sending.await.unwrap().outcome, Outcome::Broken);
     for host in [1, 2] {
-        let mut again = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=400");
+        let mut again = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=400");
         again.key.clone_from(&first.key);
         again.repeats = Some(first.number);
-        let reply = rig.call(host, &again).await;
+        let reply = cluster.call(host, &again).await;
         assert!(
             matches!(reply.outcome, Outcome::Complete | Outcome::Unknown),
             "{reply:?}"
         );
     }
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/log_down.rs
+++ b/tests/log_down.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::Rig;
+use common::Cluster;
 use stand_ins::history::{Event, Outcome};
 use stand_ins::log::Outage;
 
@@ -16,25 +16,25 @@
 #[case::refusing(Outage::Refusing)]
 #[tokio::test(flavor = "multi_thread")]
 async fn deposits_refused(#[case] outage: Outage) {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(300).await;
-    rig.site.log.change(|b| b.outage = Some(outage));
-    let mut deposit = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(300).await;
+    cluster.site.log.change(|b| b.outage = Some(outage));
+    let mut deposit = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
     deposit.key = Some("deposit-in-outage".to_owned());
-    let refused = rig.call(0, &deposit).await;
+    let refused = cluster.call(0, &deposit).await;
     assert_eq!(refused.outcome, Outcome::NotRun, "{refused:?}");
     assert!(refused.retry_after.is_some(), "{refused:?}");
     for _ in 0..20 {
-        let free = rig.new_call("GET", "/hallboard/free?work-ms=5");
-        assert_eq!(rig.call(1, &free).await.outcome, Outcome::Complete);
+        let free = cluster.new_call("GET", "/hallboard/free?work-ms=5");
+        assert_eq!(cluster.call(1, &free).await.outcome, Outcome::Complete);
     }
-    rig.site.log.change(|b| b.outage = None);
+    cluster.site.log.change(|b| b.outage = None);
     let taken = async {
         loop {
-            let mut again = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
+            let mut again = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
             again.key.clone_from(&deposit.key);
-            let reply = rig.call(2, &again).await;
+            let reply = cluster.call(2, &again).await;
             match reply.outcome {
                 Outcome::NotRun => tokio::time::sleep(std::time::Duration::from_millis(50)).await,
                 outcome => break outcome,
@@ -44,12 +44,12 @@
     let outcome = tokio::time::timeout(common::LIMIT, taken).await.unwrap();
     assert_eq!(outcome, Outcome::Complete);
     load.stop().await;
-    let free_hurt = rig.picked(|r| match &r.event {
+    let free_hurt = cluster.picked(|r| match &r.event {
         Event::Answered { outcome, .. } => {
             matches!(outcome, Outcome::Broken | Outcome::Unreachable).then_some(())
         }
         _ => None,
     });
     assert_eq!(free_hurt.len(), 0);
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/operators_race.rs
+++ b/tests/operators_race.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Rig, until};
+use common::{Cluster, until};
 use stand_ins::history::{Event, Order};
 use stand_ins::site::SiteError;
 use transport::log::Outcome;
@@ -14,10 +14,10 @@
 // the other was first, and every entry host must act on the same choice.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_choice() {
-    let mut rig = Rig::start(SITE).await;
-    rig.site.put("peak").await.unwrap();
-    let looked = rig.site.put("maintenance").await.unwrap();
-    let choose = |name| rig.site.order_on(Some(looked), Order::Choose, name);
+    let mut cluster = Cluster::start(SITE).await;
+    cluster.site.put("peak").await.unwrap();
+    let looked = cluster.site.put("maintenance").await.unwrap();
+    let choose = |name| cluster.site.order_on(Some(looked), Order::Choose, name);
     let (peak, maintenance) = tokio::join!(choose("peak"), choose("maintenance"));
     let accepted = [&peak, &maintenance].into_iter().flatten().count();
     let refused = [&peak, &maintenance]
@@ -29,14 +29,14 @@
         "{peak:?} {maintenance:?}"
     );
     let chosen = if peak.is_ok() { "peak" } else { "maintenance" };
-    for host in rig.hosts.iter().map(|h| h.name.clone()) {
+    for host in cluster.hosts.iter().map(|h| h.name.clone()) {
         let shows = |e: &Event| {
             matches!(e, Event::Seen { host: h, preset, .. }
                 if *h == host && preset.as_deref() == Some(chosen))
         };
-        rig.event("the choice is in force", shows).await;
+        cluster.event("the choice is in force", shows).await;
     }
-    rig.assert_kept();
+    cluster.assert_kept();
 }
 
 // A data centre is taken out and brought back twice within seconds, at once with a
@@ -44,29 +44,30 @@
 // word is in force everywhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn twice_in_a_row() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.site.put("peak").await.unwrap();
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.site.put("peak").await.unwrap();
     for _ in 0..2 {
-        let leave = rig.site.order(Order::CentreLeaves, "severn");
-        let choose = rig.site.order(Order::Choose, "peak");
+        let leave = cluster.site.order(Order::CentreLeaves, "severn");
+        let choose = cluster.site.order(Order::Choose, "peak");
         let (leave, choose) = tokio::join!(leave, choose);
         assert!(leave.is_ok() && choose.is_ok(), "{leave:?} {choose:?}");
-        rig.more_answers(100).await;
-        rig.site
+        cluster.more_answers(100).await;
+        cluster
+            .site
             .order(Order::CentreReturns, "severn")
             .await
             .unwrap();
-        rig.more_answers(100).await;
+        cluster.more_answers(100).await;
     }
     load.stop().await;
-    let revision = rig.picked(|r| match r.event {
+    let revision = cluster.picked(|r| match r.event {
         Event::Ordered { revision, .. } => Some(revision),
         _ => None,
     });
     let last = revision.into_iter().max().unwrap();
     let shown = |host: &str| {
-        let seen = rig.picked(|r| match &r.event {
+        let seen = cluster.picked(|r| match &r.event {
             Event::Seen {
                 host: h, revision, ..
             } if h == host => Some(*revision),
@@ -75,10 +76,10 @@
         seen.last().is_some_and(|r| *r >= last)
     };
     until("the last word is in force", || {
-        rig.hosts.iter().all(|h| shown(&h.name))
+        cluster.hosts.iter().all(|h| shown(&h.name))
     })
     .await;
-    let tally = rig.tally();
+    let tally = cluster.tally();
     assert_eq!((tally.broken, tally.unreachable), (0, 0), "{tally:?}");
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::Rig;
+use common::Cluster;
 use stand_ins::history::Outcome;
 
 const SITE: &str = include_str!("common/overload.toml");
@@ -12,13 +12,13 @@
 // to come back; the other half must be served; no backend server gets a seventh call.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_is_served() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(2_000).await;
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(2_000).await;
     let mut asked = Vec::new();
     for _ in 0..40 {
-        let call = rig.new_call("GET", "/hallboard/free?work-ms=20");
-        asked.push(rig.call(1, &call).await);
+        let call = cluster.new_call("GET", "/hallboard/free?work-ms=20");
+        asked.push(cluster.call(1, &call).await);
     }
     let samples = load.stop().await;
     let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count();
@@ -37,5 +37,5 @@
     );
     let told = |r: &stand_ins::load::Reply| r.outcome != Outcome::NotRun || r.retry_after.is_some();
     assert!(asked.iter().all(told), "a refusal without Retry-After");
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/paused_holder.rs
+++ b/tests/paused_holder.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Rig, until};
+use common::{Cluster, until};
 
 const SITE: &str = include_str!("common/small.toml");
 
@@ -11,17 +11,17 @@
 // slots that others hold by now: no backend server may ever get a seventh call.
 #[tokio::test(flavor = "multi_thread")]
 async fn never_a_seventh_call() {
-    let mut rig = Rig::start(SITE).await;
-    let load = rig.load();
-    rig.more_answers(300).await;
+    let mut cluster = Cluster::start(SITE).await;
+    let load = cluster.load();
+    cluster.more_answers(300).await;
     for _ in 0..2 {
-        rig.pause(0);
-        rig.more_answers(2_500).await;
-        rig.resume(0);
-        let target = &rig.targets[0];
+        cluster.pause(0);
+        cluster.more_answers(2_500).await;
+        cluster.resume(0);
+        let target = &cluster.targets[0];
         until("the host is ready again", || target.is_up()).await;
-        rig.more_answers(500).await;
+        cluster.more_answers(500).await;
     }
     load.stop().await;
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::Rig;
+use common::Cluster;
 use coordination::config::Record;
 use protocol::config_record::decode_record;
 use stand_ins::history::{Order, Outcome};
@@ -12,23 +12,23 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-async fn revision(rig: &Rig, host: usize) -> u64 {
-    rig.status(host).await["revision"].as_u64().unwrap()
+async fn revision(cluster: &Cluster, host: usize) -> u64 {
+    cluster.status(host).await["revision"].as_u64().unwrap()
 }
 
 /// Waits until the hosts that run show a revision, before their next record falls off.
-async fn follow(rig: &Rig, made: u64) {
+async fn follow(cluster: &Cluster, made: u64) {
     let limit = Instant::now() + common::LIMIT;
     for host in [1, 2] {
-        while revision(rig, host).await < made {
+        while revision(cluster, host).await < made {
             assert!(Instant::now() < limit, "{made} is not in force");
         }
     }
 }
 
 /// Returns whether the log holds a snapshot for those who missed records.
-fn has_snapshot(rig: &Rig) -> bool {
-    let client = LogClient::new(rig.site.log.address(), PATIENCE);
+fn has_snapshot(cluster: &Cluster) -> bool {
+    let client = LogClient::new(cluster.site.log.address(), PATIENCE);
     let page = client.read(CONFIG_STREAM, 0, None, Duration::ZERO).unwrap();
     let mut records = page.records.iter().map(decode_record);
     records.any(|r| matches!(r, Ok(Record::Snapshot(_))))
@@ -41,37 +41,41 @@
 // catches up though the records are gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn missed_leaving() {
-    let mut rig = Rig::start(SITE).await;
-    let before = revision(&rig, 0).await;
-    rig.pause(0);
-    let left = rig.site.order(Order::CentreLeaves, "trent").await.unwrap();
-    follow(&rig, left).await;
-    rig.site.log.change(|b| b.keep_records = Some(8));
+    let mut cluster = Cluster::start(SITE).await;
+    let before = revision(&cluster, 0).await;
+    cluster.pause(0);
+    let left = cluster
+        .site
+        .order(Order::CentreLeaves, "trent")
+        .await
+        .unwrap();
+    follow(&cluster, left).await;
+    cluster.site.log.change(|b| b.keep_records = Some(8));
     let waiting: Vec<_> = (0..12)
-        .map(|_| rig.new_call("GET", "/hallboard/free?work-ms=5"))
-        .map(|call| rig.send(0, &call))
+        .map(|_| cluster.new_call("GET", "/hallboard/free?work-ms=5"))
+        .map(|call| cluster.send(0, &call))
         .collect();
     for _ in 0..6 {
         for order in [Order::CentreLeaves, Order::CentreReturns] {
-            let made = rig.site.order(order, "soar").await.unwrap();
-            follow(&rig, made).await;
+            let made = cluster.site.order(order, "soar").await.unwrap();
+            follow(&cluster, made).await;
         }
     }
     let limit = Instant::now() + common::LIMIT;
-    while !has_snapshot(&rig) {
+    while !has_snapshot(&cluster) {
         assert!(Instant::now() < limit, "no host writes a snapshot");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    rig.resume(0);
+    cluster.resume(0);
     let mut shown = before;
     while shown < left {
         assert!(Instant::now() < limit, "revision {shown}, not {left}");
-        let now = revision(&rig, 0).await;
+        let now = revision(&cluster, 0).await;
         assert!(now >= shown, "revision {now} after {shown}");
         shown = now;
     }
     for reply in waiting {
         assert_eq!(reply.await.unwrap().outcome, Outcome::Complete);
     }
-    rig.assert_kept();
+    cluster.assert_kept();
 }
--- a/tests/same_key.rs
+++ b/tests/same_key.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::Rig;
+use common::Cluster;
 use stand_ins::history::Outcome;
 
 const SITE: &str = include_str!("common/small.toml");
@@ -11,15 +11,15 @@
 // two entry hosts at the same moment. The deposit must be taken once.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_once() {
-    let mut rig = Rig::start(SITE).await;
+    let mut cluster = Cluster::start(SITE).await;
     for round in 0..20 {
         let key = Some(format!("deposit-{round}"));
-        let mut first = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=30");
+        let mut first = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=30");
         first.key.clone_from(&key);
-        let mut second = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=30");
+        let mut second = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=30");
         second.key = key;
         second.repeats = Some(first.number);
-        let sending = [rig.send(0, &first), rig.send(1, &second)];
+        let sending = [cluster.send(0, &first), cluster.send(1, &second)];
         for reply in sending {
             let reply = reply.await.unwrap();
             assert!(
@@ -28,39 +28,39 @@
             );
         }
     }
-    assert_eq!(rig.runs(), 20);
-    rig.assert_kept();
+    assert_eq!(cluster.runs(), 20);
+    cluster.assert_kept();
 }
 
 // The secretary asks again a little later, through another host, since the page
 // was closed before the answer came. The kept answer of the first must come.
 #[tokio::test(flavor = "multi_thread")]
 async fn later() {
-    let mut rig = Rig::start(SITE).await;
-    let mut first = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
+    let mut cluster = Cluster::start(SITE).await;
+    let mut first = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
     first.key = Some("deposit-later".to_owned());
-    assert_eq!(rig.call(0, &first).await.outcome, Outcome::Complete);
+    assert_eq!(cluster.call(0, &first).await.outcome, Outcome::Complete);
     for host in 0..3 {
-        let mut again = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
+        let mut again = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
         again.key.clone_from(&first.key);
         again.repeats = Some(first.number);
-        let reply = rig.call(host, &again).await;
+        let reply = cluster.call(host, &again).await;
         assert_eq!((reply.outcome, reply.own), (Outcome::Complete, true));
     }
-    rig.assert_kept();
+    cluster.assert_kept();
 }
 
 // A form is sent with the key of another deposit by mistake. It must be refused
 // as not run: neither a second deposit nor the other's receipt.
 #[tokio::test(flavor = "multi_thread")]
 async fn other_request() {
-    let rig = Rig::start(SITE).await;
-    let mut first = rig.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
+    let cluster = Cluster::start(SITE).await;
+    let mut first = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
     first.key = Some("deposit-other".to_owned());
-    assert_eq!(rig.call(0, &first).await.outcome, Outcome::Complete);
-    let mut other = rig.new_call("POST", "/ledgerhouse/fees?work-ms=5");
+    assert_eq!(cluster.call(0, &first).await.outcome, Outcome::Complete);
+    let mut other = cluster.new_call("POST", "/ledgerhouse/fees?work-ms=5");
     other.key.clone_from(&first.key);
-    let reply = rig.call(1, &other).await;
+    let reply = cluster.call(1, &other).await;
     assert_eq!((reply.outcome, reply.status), (Outcome::NotRun, Some(422)));
-    assert_eq!(rig.runs(), 1);
+    assert_eq!(cluster.runs(), 1);
 }
