--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -19,7 +19,7 @@
 use eyre::{Result, ensure, eyre};
 use stand_ins::backend::{Backend, Options};
 use stand_ins::history::History;
-use stand_ins::log::{Behaviour, LogStandIn};
+use stand_ins::store::{Behaviour, StoreStandIn};
 use transport::log::{CommandRequest, Outcome, submit_by_log};
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -40,7 +40,7 @@
 /// A log, backend servers, and entry hosts.
 struct Site {
     hosts: Vec<Host>,
-    _log: LogStandIn,
+    _log: StoreStandIn,
     _backends: Vec<Backend>,
 }
 
@@ -133,7 +133,7 @@
 impl Site {
     fn start(hosts: usize, endpoints: usize) -> Result<Site> {
         let history = History::default();
-        let log = LogStandIn::on_loopback(Behaviour::default())?;
+        let log = StoreStandIn::on_loopback(Behaviour::default())?;
         let mut backends = Vec::new();
         for n in 0..endpoints {
             let options = Options {
--- a/benches/config_history.rs
+++ b/benches/config_history.rs
@@ -29,19 +29,19 @@
 impl Total {
     fn add(&mut self, history: &History) {
         self.runs += 1;
-        self.commands += history.told.len() as u64;
-        for told in &history.told {
-            self.asked_again += (told.outcomes.len() > 1) as u64;
-            match told.outcomes.last() {
+        self.commands += history.issued.len() as u64;
+        for issued in &history.issued {
+            self.asked_again += (issued.outcomes.len() > 1) as u64;
+            match issued.outcomes.last() {
                 Some(Outcome::Accepted { .. }) => self.accepted += 1,
                 Some(Outcome::Refused { .. }) => self.refused += 1,
                 Some(Outcome::Unreachable { .. }) => self.unreachable += 1,
                 Some(Outcome::Unknown { .. }) | None => {}
             }
         }
-        self.shown += history.shown.len() as u64;
+        self.shown += history.observations.len() as u64;
         self.records += history.records.len() as u64;
-        self.revisions += history.last.first().copied().unwrap_or(0);
+        self.revisions += history.final_revisions.first().copied().unwrap_or(0);
         let (sum, one) = (&mut self.faults, &history.faults);
         sum.outages += one.outages;
         sum.losses += one.losses;
--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -13,7 +13,7 @@
 
 use coordination::config::{Applied, Change, Command, CommandId, Fold, Record, parse_preset};
 use protocol::config_record::{decode_record, encode_command, encode_snapshot};
-use stand_ins::log::{Behaviour, LogStandIn, Outage};
+use stand_ins::store::{Behaviour, Outage, StoreStandIn};
 use transport::log::{
     CommandRequest, Follower, FollowerOptions, LogClient, Outcome, PATIENCE, Submission,
 };
@@ -42,14 +42,14 @@
 
 /// Hosts that follow one log, and an operator beside them.
 struct Site {
-    log: LogStandIn,
+    log: StoreStandIn,
     hosts: Vec<Arc<Follower>>,
     operator: Submission,
 }
 
 impl Site {
     fn start(hosts: usize) -> Site {
-        let log = LogStandIn::on_loopback(Behaviour::default()).expect("the log starts");
+        let log = StoreStandIn::on_loopback(Behaviour::default()).expect("the log starts");
         let address = log.address();
         let client = || LogClient::new(address, PATIENCE);
         let follow = || Arc::new(Follower::start(client(), FollowerOptions::default()));
--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -16,8 +16,8 @@
 use stand_ins::backend::{Knobs, Report};
 use stand_ins::history::Order;
 use stand_ins::history::check::{Limits, tally};
-use stand_ins::log::{Loss, Outage};
 use stand_ins::proxy::Fault;
+use stand_ins::store::{Loss, Outage};
 
 const SITE: &str = include_str!("../tests/common/small.toml");
 const SECONDS: u64 = 900;
@@ -121,11 +121,14 @@
             order(cluster, Order::CentreReturns, &centre).await;
         }
         Kind::LogDown => {
-            cluster.site.log.change(|b| b.outage = Some(Outage::Silent));
+            cluster
+                .site
+                .store
+                .change(|b| b.outage = Some(Outage::Silent));
             tokio::time::sleep(FAULT).await;
-            cluster.site.log.change(|b| b.outage = None);
+            cluster.site.store.change(|b| b.outage = None);
         }
-        Kind::LostAnswers => cluster.site.log.change(|b| {
+        Kind::LostAnswers => cluster.site.store.change(|b| {
             b.loss = Some(Loss::Gateway);
             b.losses = 5;
         }),
--- a/components/stand_ins/src/balancer.rs
+++ b/components/stand_ins/src/balancer.rs
@@ -46,7 +46,7 @@
 
 /// Returns whether the entry hosts with these admin ports have found each
 /// other, and each endpoint has an owner that leases its slots. Blocks.
-pub fn settled(admins: &[SocketAddr]) -> bool {
+pub fn is_converged(admins: &[SocketAddr]) -> bool {
     let pages = statuses(admins);
     let linked =
         |page: &Status| page.members.len() == admins.len() && page.members.iter().all(|m| m.linked);
--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -12,11 +12,11 @@
 use transport::log::{CommandRequest, Outcome};
 
 use super::History;
-use super::operators::Told;
+use super::operators::IssuedCommand;
 
 /// A promise that a run broke.
 #[value]
-pub enum Broken {
+pub enum Violation {
     /// A host showed a lower revision than before.
     Reverted {
         /// The host.
@@ -69,7 +69,7 @@
     },
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
@@ -93,49 +93,54 @@
 }
 
 /// Returns every promise that the run broke.
-pub fn check(history: &History) -> Vec<Broken> {
+pub fn check(history: &History) -> Vec<Violation> {
     let truth = Truth::of(&history.records);
     let mut broken = Vec::new();
     broken.extend(reverts(history));
     broken.extend(differences(history, &truth));
     broken.extend(truth.missing_presets());
     broken.extend(truth.lost_choices());
-    broken.extend(truth.repeated.iter().map(|id| Broken::Repeated { id: *id }));
-    broken.extend(history.told.iter().flat_map(|t| truth.untruths(t)));
+    broken.extend(
+        truth
+            .repeated
+            .iter()
+            .map(|id| Violation::Repeated { id: *id }),
+    );
+    broken.extend(history.issued.iter().flat_map(|t| truth.untruths(t)));
     broken.extend(left_behind(history, &truth));
     broken
 }
 
-fn reverts(history: &History) -> Vec<Broken> {
+fn reverts(history: &History) -> Vec<Violation> {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     let mut broken = Vec::new();
-    for shown in &history.shown {
+    for shown in &history.observations {
         let to = shown.config.revision;
         let from = last.insert((shown.host, shown.start), to).unwrap_or(0);
         if to < from {
             let host = shown.host;
-            broken.push(Broken::Reverted { host, from, to });
+            broken.push(Violation::Reverted { host, from, to });
         }
     }
     broken
 }
 
-fn differences(history: &History, truth: &Truth) -> Vec<Broken> {
+fn differences(history: &History, truth: &Truth) -> Vec<Violation> {
     let differs = |config: &Arc<Config>| truth.configs.get(&config.revision) != Some(config);
-    let shown = history.shown.iter().filter(|s| differs(&s.config));
+    let shown = history.observations.iter().filter(|s| differs(&s.config));
     shown
-        .map(|s| Broken::Differs {
+        .map(|s| Violation::Differs {
             host: s.host,
             revision: s.config.revision,
         })
         .collect()
 }
 
-fn left_behind(history: &History, truth: &Truth) -> Vec<Broken> {
+fn left_behind(history: &History, truth: &Truth) -> Vec<Violation> {
     let end = truth.configs.keys().next_back().copied().unwrap_or(0);
-    let last = history.last.iter().copied().enumerate();
+    let last = history.final_revisions.iter().copied().enumerate();
     last.filter(|(_, revision)| *revision != end)
-        .map(|(host, revision)| Broken::Behind { host, revision })
+        .map(|(host, revision)| Violation::Behind { host, revision })
         .collect()
 }
 
@@ -201,7 +206,7 @@
     }
 
     /// Checks by the accepted choices alone which preset has to be in force.
-    fn missing_presets(&self) -> Vec<Broken> {
+    fn missing_presets(&self) -> Vec<Violation> {
         let wanted = |revision: u64| {
             let before = self.choices.iter().take_while(|c| c.revision <= revision);
             before.last().map(|c| &c.name)
@@ -212,38 +217,38 @@
         };
         let wrong = self.configs.values().filter(|c| !holds(c));
         wrong
-            .map(|c| Broken::NoPreset {
+            .map(|c| Violation::NoPreset {
                 revision: c.revision,
             })
             .collect()
     }
 
-    fn lost_choices(&self) -> Vec<Broken> {
+    fn lost_choices(&self) -> Vec<Violation> {
         let pairs = self.choices.windows(2);
         let lost = pairs.filter(|pair| pair[1].decided_on < pair[0].revision);
-        lost.map(|pair| Broken::LostChoice {
+        lost.map(|pair| Violation::LostChoice {
             revision: pair[0].revision,
         })
         .collect()
     }
 
-    fn untruths(&self, told: &Told) -> Vec<Broken> {
-        let mut ids = told.outcomes.iter().filter_map(|o| match o {
+    fn untruths(&self, issued: &IssuedCommand) -> Vec<Violation> {
+        let mut ids = issued.outcomes.iter().filter_map(|o| match o {
             Outcome::Unknown { id } => Some(*id),
             _ => None,
         });
-        let id = told.request.id.or(ids.next());
-        let mut broken: Vec<Broken> = told
+        let id = issued.request.id.or(ids.next());
+        let mut broken: Vec<Violation> = issued
             .outcomes
             .iter()
-            .filter(|o| !self.is_true(&told.request, id, o))
-            .map(|o| Broken::Untrue {
-                request: Box::new(told.request.clone()),
+            .filter(|o| !self.is_true(&issued.request, id, o))
+            .map(|o| Violation::Untrue {
+                request: Box::new(issued.request.clone()),
                 outcome: o.clone(),
             })
             .collect();
-        if let Some(Outcome::Unknown { id }) = told.outcomes.last() {
-            broken.push(Broken::Unsettled { id: *id });
+        if let Some(Outcome::Unknown { id }) = issued.outcomes.last() {
+            broken.push(Violation::Unsettled { id: *id });
         }
         broken
     }
--- a/components/stand_ins/src/config_run/faults.rs
+++ b/components/stand_ins/src/config_run/faults.rs
@@ -10,8 +10,8 @@
 use transport::log::CONFIG_STREAM;
 
 use super::hosts::Hosts;
-use crate::log::{LogStandIn, Loss, Outage};
 use crate::proxy::Fault;
+use crate::store::{Loss, Outage, StoreStandIn};
 
 /// How often each kind of fault was caused.
 #[tag]
@@ -37,7 +37,7 @@
 
 /// Causes `count` faults and mends what is left of them.
 pub(super) fn cause(
-    log: &LogStandIn,
+    log: &StoreStandIn,
     hosts: &Hosts,
     count: usize,
     mut draw: StdRng,
@@ -94,14 +94,14 @@
     counts
 }
 
-fn outage(log: &LogStandIn, kind: Outage, long: Duration, counts: &mut FaultCounts) {
+fn outage(log: &StoreStandIn, kind: Outage, long: Duration, counts: &mut FaultCounts) {
     counts.outages += 1;
     log.change(|b| b.outage = Some(kind));
     std::thread::sleep(long);
     log.change(|b| b.outage = None);
 }
 
-fn lose(log: &LogStandIn, kind: Loss, draw: &mut StdRng, counts: &mut FaultCounts) {
+fn lose(log: &StoreStandIn, kind: Loss, draw: &mut StdRng, counts: &mut FaultCounts) {
     counts.losses += 1;
     let losses = draw.random_range(1..4);
     log.change(|b| (b.loss, b.losses) = (Some(kind), losses));
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -13,12 +13,12 @@
 use transport::log::{Follower, FollowerOptions, LogClient, Submission};
 
 use super::lock;
-use crate::log::LogStandIn;
 use crate::proxy::{Fault, Proxy};
+use crate::store::StoreStandIn;
 
 /// A configuration that a host showed.
 #[value]
-pub struct Shown {
+pub struct Observation {
     /// The host.
     pub host: usize,
     /// Counts the host's starts: a new process remembers nothing.
@@ -36,12 +36,16 @@
 /// All hosts of a run.
 pub(super) struct Hosts<'a> {
     hosts: Vec<Host>,
-    shown: Arc<Mutex<Vec<Shown>>>,
+    shown: Arc<Mutex<Vec<Observation>>>,
     runtime: &'a Runtime,
 }
 
 impl<'a> Hosts<'a> {
-    pub(super) fn start(count: usize, log: &LogStandIn, runtime: &'a Runtime) -> io::Result<Self> {
+    pub(super) fn start(
+        count: usize,
+        log: &StoreStandIn,
+        runtime: &'a Runtime,
+    ) -> io::Result<Self> {
         let _inside = runtime.enter();
         let shown = Arc::default();
         let mut hosts = Hosts {
@@ -100,7 +104,7 @@
     }
 
     /// Waits until every host has folded the whole log; returns their revisions.
-    pub(super) fn settle(&self, log: &LogStandIn, deadline: Instant) -> Vec<u64> {
+    pub(super) fn settle(&self, log: &StoreStandIn, deadline: Instant) -> Vec<u64> {
         let end = |f: &Arc<Follower>| {
             let fold = f.fold();
             let next = log.journal(transport::log::CONFIG_STREAM).len() as u64;
@@ -113,7 +117,7 @@
         (0..self.count()).map(revision).collect()
     }
 
-    pub(super) fn shown(&self) -> Vec<Shown> {
+    pub(super) fn shown(&self) -> Vec<Observation> {
         lock(&self.shown).clone()
     }
 
@@ -122,7 +126,7 @@
         self.runtime.spawn(async move {
             loop {
                 let config_now = Arc::clone(&config.borrow_and_update());
-                lock(&shown).push(Shown {
+                lock(&shown).push(Observation {
                     host,
                     start,
                     config: config_now,
--- a/components/stand_ins/src/config_run/mod.rs
+++ b/components/stand_ins/src/config_run/mod.rs
@@ -17,12 +17,12 @@
 use rand::rngs::StdRng;
 use transport::log::CONFIG_STREAM;
 
-use crate::log::{Behaviour, LogStandIn};
+use crate::store::{Behaviour, StoreStandIn};
 
-pub use check::{Broken, check};
+pub use check::{Violation, check};
 pub use faults::FaultCounts;
-pub use hosts::Shown;
-pub use operators::Told;
+pub use hosts::Observation;
+pub use operators::IssuedCommand;
 
 use hosts::Hosts;
 
@@ -46,13 +46,13 @@
 #[derive(Default)]
 pub struct History {
     /// What hosts showed, in each host's own order.
-    pub shown: Vec<Shown>,
+    pub observations: Vec<Observation>,
     /// What operators were told.
-    pub told: Vec<Told>,
+    pub issued: Vec<IssuedCommand>,
     /// Every record of the log, in its order.
     pub records: Vec<bytes::Bytes>,
     /// The revision in force at each host when all had read to the end.
-    pub last: Vec<u64>,
+    pub final_revisions: Vec<u64>,
     /// The faults that were caused.
     pub faults: FaultCounts,
 }
@@ -70,29 +70,29 @@
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let log = LogStandIn::on_loopback(Behaviour {
+    let log = StoreStandIn::on_loopback(Behaviour {
         keep_records: Some(96),
         ..Behaviour::default()
     })?;
-    log.keep_journal();
+    log.record_journal();
     let hosts = Hosts::start(options.hosts, &log, &runtime)?;
-    let told = Mutex::new(Vec::new());
+    let issued = Mutex::new(Vec::new());
     let mut faults = FaultCounts::default();
     std::thread::scope(|scope| {
         for operator in 0..options.operators {
-            let (hosts, told) = (&hosts, &told);
+            let (hosts, issued) = (&hosts, &issued);
             let draw = generator(options.seed, 1 + operator as u64);
-            scope.spawn(move || operators::work(hosts, operator, options.commands, draw, told));
+            scope.spawn(move || operators::work(hosts, operator, options.commands, draw, issued));
         }
         faults = faults::cause(&log, &hosts, options.faults, generator(options.seed, 0));
     });
-    let told = operators::ask_again(&hosts, told.into_inner().unwrap_or_default());
-    let last = hosts.settle(&log, Instant::now() + HEAL_LIMIT);
+    let issued = operators::ask_again(&hosts, issued.into_inner().unwrap_or_default());
+    let final_revisions = hosts.settle(&log, Instant::now() + HEAL_LIMIT);
     Ok(History {
-        shown: hosts.shown(),
-        told,
+        observations: hosts.shown(),
+        issued,
         records: log.journal(CONFIG_STREAM),
-        last,
+        final_revisions,
         faults,
     })
 }
--- a/components/stand_ins/src/config_run/operators.rs
+++ b/components/stand_ins/src/config_run/operators.rs
@@ -25,7 +25,7 @@
 
 /// A command and what its author was told.
 #[value]
-pub struct Told {
+pub struct IssuedCommand {
     /// The command, with its id where the author drew one.
     pub request: CommandRequest,
     /// The answers, in order: more than one where it was asked again.
@@ -38,7 +38,7 @@
     operator: usize,
     count: usize,
     mut draw: StdRng,
-    told: &Mutex<Vec<Told>>,
+    issued: &Mutex<Vec<IssuedCommand>>,
 ) {
     let mut seen_revision = 0;
     for number in 0..count {
@@ -58,7 +58,7 @@
         };
         let outcome = hosts.submission(host, LIMIT).submit(&request);
         seen_revision = mark.revision;
-        lock(told).push(Told {
+        lock(issued).push(IssuedCommand {
             request,
             outcomes: vec![outcome],
         });
@@ -66,8 +66,8 @@
 }
 
 /// Asks again for every command whose outcome is unknown.
-pub(super) fn ask_again(hosts: &Hosts, mut told: Vec<Told>) -> Vec<Told> {
-    for one in &mut told {
+pub(super) fn ask_again(hosts: &Hosts, mut issued: Vec<IssuedCommand>) -> Vec<IssuedCommand> {
+    for one in &mut issued {
         for n in 0..TRIES {
             let Some(Outcome::Unknown { id }) = one.outcomes.last() else {
                 break;
@@ -81,7 +81,7 @@
                 .push(hosts.submission(host, LIMIT).submit(&request));
         }
     }
-    told
+    issued
 }
 
 /// Draws a change; puts and joins are unlike all others by `unique`.
--- a/components/stand_ins/src/demo.rs
+++ b/components/stand_ins/src/demo.rs
@@ -9,7 +9,7 @@
 
 use crate::fleet::Fleet;
 use crate::history::History;
-use crate::history::check::{Check, Fault, Tally};
+use crate::history::check::{Check, Tally, Violation};
 use crate::load::bench::BenchError;
 use crate::load::experiment::{Action, Experiment, ExperimentError};
 use crate::load::measure::{Summary, measure};
@@ -80,7 +80,7 @@
 
     /// Returns lines that say where everything listens.
     pub fn addresses(&self) -> Vec<String> {
-        let mut lines = vec![format!("log        {}", self.site.log.address())];
+        let mut lines = vec![format!("log        {}", self.site.store.address())];
         for (entry, target) in self.fleet.entries.iter().zip(self.fleet.targets.iter()) {
             let ports = entry.ports();
             lines.push(format!(
@@ -102,7 +102,7 @@
         let Some(ports) = entry else {
             return Vec::new();
         };
-        let log = self.site.log.address();
+        let log = self.site.store.address();
         vec![
             format!(
                 "curl -i 'http://{}/hallboard/free?work-ms=20'",
@@ -128,7 +128,7 @@
         let all = &measured.summary.report.all;
         Shown {
             run_twice: count(&measured.faults, Check::AtMostOnce),
-            broken_promises: measured.faults.iter().map(Fault::to_string).collect(),
+            broken_promises: measured.faults.iter().map(Violation::to_string).collect(),
             hurt_calls: all.broken + all.unknown + all.unreachable,
             summary: measured.summary,
         }
@@ -203,7 +203,7 @@
     )
 }
 
-fn count(faults: &[Fault], check: Check) -> usize {
+fn count(faults: &[Violation], check: Check) -> usize {
     faults.iter().filter(|f| f.check == check).count()
 }
 
--- a/components/stand_ins/src/fleet.rs
+++ b/components/stand_ins/src/fleet.rs
@@ -7,7 +7,7 @@
 use state::policy::Policy;
 use transport::entry::{Entry, Settings, StartError};
 
-use crate::balancer::{Balancer, settled};
+use crate::balancer::{Balancer, is_converged};
 use crate::history::{Event, History};
 use crate::load::Target;
 use crate::load::warm_up::warm_up;
@@ -61,7 +61,7 @@
                 callers: ANY_PORT,
                 peers: ANY_PORT,
                 admin: ANY_PORT,
-                log: site.log.address(),
+                log: site.store.address(),
                 policy,
                 drain: DRAIN_LIMIT,
                 trace_every: 0,
@@ -118,7 +118,7 @@
             tokio::time::sleep(POLL).await;
         }
         // A new site serves once its hosts have found each other.
-        while self.policy == Policy::Shared && !self.settled().await {
+        while self.policy == Policy::Shared && !self.is_converged().await {
             if Instant::now() > end {
                 return Err(FleetError::NotReady("any".to_owned()));
             }
@@ -127,9 +127,9 @@
         Ok(())
     }
 
-    async fn settled(&self) -> bool {
+    async fn is_converged(&self) -> bool {
         let admins: Vec<_> = self.entries.iter().map(|e| e.ports().admin).collect();
-        let asked = tokio::task::spawn_blocking(move || settled(&admins));
+        let asked = tokio::task::spawn_blocking(move || is_converged(&admins));
         asked.await.unwrap_or(false)
     }
 }
--- a/components/stand_ins/src/history/check.rs
+++ b/components/stand_ins/src/history/check.rs
@@ -54,7 +54,7 @@
 
 /// A promise that was broken.
 #[value]
-pub struct Fault {
+pub struct Violation {
     /// The promise.
     pub check: Check,
     /// When, in microseconds since 1970.
@@ -63,7 +63,7 @@
     pub seen: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?} at {}: {}", self.check, self.at, self.seen)
     }
@@ -100,7 +100,7 @@
 }
 
 /// Returns every broken promise in `records`, which are sorted by time.
-pub fn check(records: &[Record], limits: &Limits) -> Vec<Fault> {
+pub fn check(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut faults = Vec::new();
     faults.extend(servers::probe_budget(records, limits));
     faults.extend(servers::overload(records, limits));
@@ -115,7 +115,7 @@
 }
 
 /// Returns how many faults each check found, also those that found none.
-pub fn tally(faults: &[Fault]) -> BTreeMap<Check, usize> {
+pub fn tally(faults: &[Violation]) -> BTreeMap<Check, usize> {
     let count = |check| faults.iter().filter(|f| f.check == check).count();
     Check::ALL.map(|check| (check, count(check))).into()
 }
--- a/components/stand_ins/src/history/check/answers.rs
+++ b/components/stand_ins/src/history/check/answers.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Check, Fault, Limits};
+use super::{Check, Limits, Violation};
 use crate::history::{Event, Outcome, Record};
 
 /// Every call is answered in time, and a whole answer is the call's own.
 ///
 /// Lateness is excused where the call's entry host was gone meanwhile: killed,
 /// or paused by the test.
-pub(super) fn own_answer(records: &[Record], limits: &Limits) -> Vec<Fault> {
+pub(super) fn own_answer(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut faults = Vec::new();
     let mut open = BTreeMap::new();
     let mut gone: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
-    let fault = |at, seen| Fault {
+    let fault = |at, seen| Violation {
         check: Check::OwnAnswer,
         at,
         seen,
@@ -68,7 +68,7 @@
 }
 
 /// A call refused as not run never reached the work, nor had any other call of its key.
-pub(super) fn not_run(records: &[Record]) -> Vec<Fault> {
+pub(super) fn not_run(records: &[Record]) -> Vec<Violation> {
     let keys: BTreeMap<u64, &String> = records.iter().filter_map(key_of).collect();
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
@@ -93,7 +93,7 @@
                 refused.insert(*call, record.at);
                 let key = keys.get(call).filter(|key| started_keys.contains(*key));
                 if let Some(key) = key {
-                    faults.push(Fault {
+                    faults.push(Violation {
                         check: Check::NotRun,
                         at: record.at,
                         seen: format!("call {call} told not run, but its key {key} had run"),
@@ -106,7 +106,7 @@
     let lies = refused
         .into_iter()
         .filter(|(c, _)| started_calls.contains(c));
-    faults.extend(lies.map(|(call, at)| Fault {
+    faults.extend(lies.map(|(call, at)| Violation {
         check: Check::NotRun,
         at,
         seen: format!("call {call} told not run, but it was started"),
@@ -115,7 +115,7 @@
 }
 
 /// Non-idempotent calls are started once, and so are all calls of one key together.
-pub(super) fn at_most_once(records: &[Record]) -> Vec<Fault> {
+pub(super) fn at_most_once(records: &[Record]) -> Vec<Violation> {
     let mut once = BTreeSet::new();
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
@@ -146,7 +146,7 @@
             }
             _ => None,
         };
-        faults.extend(twice.map(|seen| Fault {
+        faults.extend(twice.map(|seen| Violation {
             check: Check::AtMostOnce,
             at: record.at,
             seen,
@@ -156,7 +156,7 @@
 }
 
 /// No call breaks at an entry host between its order to stop and its next start.
-pub(super) fn shutdown(records: &[Record]) -> Vec<Fault> {
+pub(super) fn shutdown(records: &[Record]) -> Vec<Violation> {
     let mut sent_to = BTreeMap::new();
     let mut stopping = BTreeSet::new();
     let mut faults = Vec::new();
@@ -177,7 +177,7 @@
                 ..
             } => {
                 let host = sent_to.get(call).filter(|host| stopping.contains(*host));
-                faults.extend(host.map(|host| Fault {
+                faults.extend(host.map(|host| Violation {
                     check: Check::Shutdown,
                     at: record.at,
                     seen: format!("call {call} was cut off by {host}, which shut down"),
--- a/components/stand_ins/src/history/check/config.rs
+++ b/components/stand_ins/src/history/check/config.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use super::{Check, Fault, Limits};
+use super::{Check, Limits, Violation};
 use crate::history::{Event, Record};
 
 /// A change is in force everywhere in time, is the same everywhere, and never reverts.
-pub(super) fn configuration(records: &[Record], limits: &Limits) -> Vec<Fault> {
+pub(super) fn configuration(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut accepted: Vec<(u64, u64)> = Vec::new();
     let mut up: BTreeMap<&String, u64> = BTreeMap::new();
     let mut shown: BTreeMap<&String, u64> = BTreeMap::new();
@@ -30,7 +30,7 @@
             _ => continue,
         };
         let mut fault = |seen| {
-            faults.push(Fault {
+            faults.push(Violation {
                 check: Check::Configuration,
                 at: record.at,
                 seen,
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Check, Fault, Limits};
+use super::{Check, Limits, Violation};
 use crate::history::{Event, Order, Record};
 
 /// Load reports take no more than their share of a backend server's slot time.
-pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Fault> {
+pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut slots = BTreeMap::new();
     let mut spent: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     let mut faults = Vec::new();
@@ -27,7 +27,7 @@
                 let slot_time = (record.at - since) * slots;
                 let budget = slot_time * limits.probe_permille / 1_000 + limits.probe_burst;
                 if *spent > budget {
-                    faults.push(Fault {
+                    faults.push(Violation {
                         check: Check::ProbeBudget,
                         at: record.at,
                         seen: format!("{endpoint}: {spent} us of load reports, {budget} allowed"),
@@ -41,7 +41,7 @@
 }
 
 /// No backend server gets more calls at once than it bears, cold or warm.
-pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Fault> {
+pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut turned = BTreeMap::new();
     let mut faults = Vec::new();
     for record in records {
@@ -64,7 +64,7 @@
                     true => Check::Cold,
                     false => Check::Slots,
                 };
-                faults.push(Fault {
+                faults.push(Violation {
                     check,
                     at: record.at,
                     seen: format!("{endpoint}: {running} calls at once, it bears {bears}"),
@@ -77,7 +77,7 @@
 }
 
 /// What is leaving, by data centre, by host or by its own word, gets no new work.
-pub(super) fn leaving(records: &[Record], limits: &Limits) -> Vec<Fault> {
+pub(super) fn leaving(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut centres = BTreeMap::new();
     let mut out = Out::default();
     let mut faults = Vec::new();
@@ -113,7 +113,7 @@
                     (_, Some(at)) if since(at) => Check::ServerLeaving,
                     _ => continue,
                 };
-                faults.push(Fault {
+                faults.push(Violation {
                     check,
                     at: record.at,
                     seen: format!("{endpoint} got call {call} long after it was taken out"),
--- a/components/stand_ins/src/lib.rs
+++ b/components/stand_ins/src/lib.rs
@@ -9,6 +9,6 @@
 pub mod fleet;
 pub mod history;
 pub mod load;
-pub mod log;
 pub mod proxy;
 pub mod site;
+pub mod store;
--- a/components/stand_ins/src/load.rs
+++ b/components/stand_ins/src/load.rs
@@ -15,5 +15,5 @@
 
 pub use caller::{Call, Caller, Reply, Target};
 pub use experiment::{Experiment, ExperimentError};
-pub use plan::{Plan, Planned};
+pub use plan::{Plan, PlannedCall};
 pub use report::{Report, Sample};
--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -11,8 +11,8 @@
 use super::limit::{Ideal, limit};
 use super::plan::Plan;
 use super::report::{Distributions, Figures, Report, Sample};
-use super::run::{Load, work_times};
-use crate::history::check::{Check, Fault, Limits, check, tally};
+use super::run::{LoadGenerator, work_times};
+use crate::history::check::{Check, Limits, Violation, check, tally};
 use crate::history::{Event, Order, Outcome, Record};
 use crate::site::Site;
 
@@ -27,7 +27,7 @@
     /// The figures.
     pub summary: Summary,
     /// The broken promises.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<Violation>,
 }
 
 /// The figures of a run against a site.
@@ -98,7 +98,7 @@
         history: site.history.clone(),
     };
     let driving = tokio::spawn(drive(Arc::clone(experiment), Arc::clone(site)));
-    let load = Load {
+    let load = LoadGenerator {
         experiment: Arc::clone(experiment),
         plan: Arc::clone(&plan),
         targets: Arc::clone(targets),
--- a/components/stand_ins/src/load/plan.rs
+++ b/components/stand_ins/src/load/plan.rs
@@ -13,12 +13,12 @@
 #[derive(Default)]
 pub struct Plan {
     /// The calls; a call's number is its place here.
-    pub calls: Vec<Planned>,
+    pub calls: Vec<PlannedCall>,
 }
 
 /// One call to be sent.
 #[value]
-pub struct Planned {
+pub struct PlannedCall {
     /// When, from the start.
     pub at: Duration,
     /// The flow it is of, counted from 0.
@@ -40,7 +40,7 @@
             let mut random = SmallRng::seed_from_u64(seed);
             calls.extend(draw_flow(experiment, number, flow, &mut random));
         }
-        calls.sort_by_key(|call: &Planned| call.at);
+        calls.sort_by_key(|call: &PlannedCall| call.at);
         let mut random = SmallRng::seed_from_u64(!experiment.seed);
         repeat(&mut calls, &experiment.flows, &mut random);
         Plan { calls }
@@ -54,7 +54,7 @@
     number: usize,
     flow: &Flow,
     random: &mut SmallRng,
-) -> Vec<Planned> {
+) -> Vec<PlannedCall> {
     let rate = experiment.rate(flow);
     let peak = flow.bursts.iter().map(|b| b.factor).fold(1.0, f64::max);
     let hosts = experiment.deployment.entry_hosts as usize;
@@ -68,7 +68,7 @@
                 true => 0,
                 false => random.random_range(0..hosts),
             };
-            calls.push(Planned {
+            calls.push(PlannedCall {
                 at: Duration::from_secs_f64(at),
                 flow: number,
                 entry,
@@ -82,7 +82,7 @@
 }
 
 /// Turns some keyed calls into repeats of the last call of their flow.
-fn repeat(calls: &mut [Planned], flows: &[Flow], random: &mut SmallRng) {
+fn repeat(calls: &mut [PlannedCall], flows: &[Flow], random: &mut SmallRng) {
     let mut last = vec![None; flows.len()];
     for number in 0..calls.len() {
         let flow = calls[number].flow;
--- a/components/stand_ins/src/load/run.rs
+++ b/components/stand_ins/src/load/run.rs
@@ -10,7 +10,7 @@
 
 use super::caller::{Call, Caller, Target};
 use super::experiment::Experiment;
-use super::plan::{Plan, Planned};
+use super::plan::{Plan, PlannedCall};
 use super::report::Sample;
 use crate::history::Outcome;
 
@@ -18,7 +18,7 @@
 
 /// The sending of a plan's calls.
 #[derive(Clone)]
-pub struct Load {
+pub struct LoadGenerator {
     /// What is sent.
     pub experiment: Arc<Experiment>,
     /// When.
@@ -33,7 +33,7 @@
     pub stop: Arc<AtomicBool>,
 }
 
-impl Load {
+impl LoadGenerator {
     /// Sends all calls and returns what became of each.
     ///
     /// The sender never waits for an answer (open loop), so that a slow system
@@ -75,7 +75,7 @@
 }
 
 struct Pacer {
-    load: Load,
+    load: LoadGenerator,
     sender: mpsc::UnboundedSender<Sample>,
     runtime: Handle,
 }
@@ -116,7 +116,7 @@
     }
 }
 
-impl Load {
+impl LoadGenerator {
     /// Returns the planned entry host, or the next one that is up.
     fn target(&self, entry: usize) -> &Target {
         let count = self.targets.len();
@@ -126,7 +126,7 @@
             .unwrap_or(&self.targets[entry % count])
     }
 
-    fn call(&self, number: usize, planned: &Planned) -> Call {
+    fn call(&self, number: usize, planned: &PlannedCall) -> Call {
         let flow = &self.experiment.flows[planned.flow];
         let deadline = self
             .experiment
--- a/components/stand_ins/src/load/warm_up.rs
+++ b/components/stand_ins/src/load/warm_up.rs
@@ -17,7 +17,7 @@
 use crate::history::Outcome;
 
 /// Numbers of these calls, far from all others.
-pub const FIRST: u64 = 1 << 40;
+pub const FIRST_CALL: u64 = 1 << 40;
 const DEADLINE: Duration = Duration::from_secs(10);
 const POLL: Duration = Duration::from_millis(50);
 
@@ -35,7 +35,7 @@
     limit: Duration,
 ) -> bool {
     let stop = Arc::new(AtomicBool::new(false));
-    let next = Arc::new(AtomicU64::new(FIRST));
+    let next = Arc::new(AtomicU64::new(FIRST_CALL));
     let mut callers = JoinSet::new();
     for service in &deployment.services {
         for _ in 0..service.endpoints * service.slots {
--- a/components/stand_ins/src/site.rs
+++ b/components/stand_ins/src/site.rs
@@ -13,8 +13,8 @@
 use crate::backend::{Backend, Knobs, Options};
 use crate::history::{Event, History, Order};
 use crate::load::experiment::{Action, Deployment};
-use crate::log::{Behaviour, LogStandIn, Outage};
 use crate::proxy::Proxy;
+use crate::store::{Behaviour, Outage, StoreStandIn};
 
 const COMMAND_LIMIT: Duration = Duration::from_secs(20);
 /// The preset that is chosen when the site starts.
@@ -38,7 +38,7 @@
     /// Where backend servers and operators write.
     pub history: History,
     /// The platform's log.
-    pub log: LogStandIn,
+    pub store: StoreStandIn,
     backends: BTreeMap<String, Vec<Backend>>,
     /// One before each backend server, in the same order; empty where none were asked for.
     proxies: BTreeMap<String, Vec<Proxy>>,
@@ -69,7 +69,7 @@
         options: &SiteOptions,
         history: History,
     ) -> Result<Site, SiteError> {
-        let log = LogStandIn::on_loopback(Behaviour::default())?;
+        let store = StoreStandIn::on_loopback(Behaviour::default())?;
         let mut backends: BTreeMap<String, Vec<Backend>> = BTreeMap::new();
         let mut proxies: BTreeMap<String, Vec<Proxy>> = BTreeMap::new();
         for service in &deployment.services {
@@ -94,11 +94,11 @@
         let site = Site {
             deployment,
             history,
-            log,
+            store,
             backends,
             proxies,
         };
-        site.put(ORDINARY).await?;
+        site.put_preset(ORDINARY).await?;
         site.order(Order::Choose, ORDINARY).await?;
         Ok(site)
     }
@@ -160,7 +160,7 @@
     /// # Errors
     ///
     /// Fails where it is refused or its outcome isn't known.
-    pub async fn put(&self, name: &str) -> Result<u64, SiteError> {
+    pub async fn put_preset(&self, name: &str) -> Result<u64, SiteError> {
         let text = self.preset(name);
         self.command(None, Change::PutPreset { text }).await
     }
@@ -171,7 +171,7 @@
     ///
     /// Fails where it is refused or its outcome isn't known.
     pub async fn order(&self, order: Order, name: &str) -> Result<u64, SiteError> {
-        self.order_on(None, order, name).await
+        self.order_at_revision(None, order, name).await
     }
 
     /// The same by an operator who has looked at the revision `looked`.
@@ -179,7 +179,7 @@
     /// # Errors
     ///
     /// Fails where it is refused or its outcome isn't known.
-    pub async fn order_on(
+    pub async fn order_at_revision(
         &self,
         looked: Option<u64>,
         order: Order,
@@ -225,9 +225,9 @@
                 set,
             } => self.set(service, *endpoint, set),
             Action::LogDown(ms) => {
-                self.log.change(|b| b.outage = Some(Outage::Silent));
+                self.store.change(|b| b.outage = Some(Outage::Silent));
                 tokio::time::sleep(Duration::from_millis(*ms)).await;
-                self.log.change(|b| b.outage = None);
+                self.store.change(|b| b.outage = None);
             }
         }
         Ok(())
@@ -240,7 +240,7 @@
     }
 
     async fn command(&self, looked: Option<u64>, change: Change) -> Result<u64, SiteError> {
-        let address = self.log.address();
+        let address = self.store.address();
         let request = CommandRequest {
             id: None,
             decided_on: looked,
--- a/components/stand_ins/src/log/mod.rs
+++ b/components/stand_ins/src/store/mod.rs
@@ -2,7 +2,7 @@
 
 mod groups;
 mod server;
-mod store;
+mod topics;
 
-pub use server::LogStandIn;
-pub use store::{Behaviour, Counts, Loss, Outage};
+pub use server::StoreStandIn;
+pub use topics::{Behaviour, Counts, Loss, Outage};
--- a/components/stand_ins/src/log/server.rs
+++ b/components/stand_ins/src/store/server.rs
@@ -12,13 +12,13 @@
 use tiny_http::{Method, Request, Response, Server};
 use transport::peers::host_list::HostEntry;
 
-use super::store::{Behaviour, Counts, Loss, Refused, Store};
+use super::topics::{Behaviour, Counts, Loss, Refused, Store};
 
 /// The largest call that is taken, in bytes.
 const CALL_LIMIT: u64 = 4 * 1024 * 1024;
 
 /// The stand-in, serving on threads of its own until it is dropped.
-pub struct LogStandIn {
+pub struct StoreStandIn {
     address: SocketAddr,
     store: Arc<Store>,
     servers: Vec<Arc<Server>>,
@@ -29,20 +29,20 @@
     hosts: Vec<HostEntry>,
 }
 
-impl LogStandIn {
+impl StoreStandIn {
     /// Serves the log on `listener`.
     ///
     /// # Errors
     ///
     /// Says why the listener can't be served.
-    pub fn start(listener: TcpListener, behaviour: Behaviour) -> io::Result<LogStandIn> {
+    pub fn start(listener: TcpListener, behaviour: Behaviour) -> io::Result<StoreStandIn> {
         let address = listener.local_addr()?;
-        let mut log = LogStandIn {
+        let mut log = StoreStandIn {
             address,
             store: Arc::new(Store::new(behaviour)),
             servers: Vec::new(),
         };
-        log.also_listen(listener)?;
+        log.add_listener(listener)?;
         log::info!("E0901 log-stand-in-started address={address}");
         Ok(log)
     }
@@ -52,8 +52,8 @@
     /// # Errors
     ///
     /// Says why no port can be had.
-    pub fn on_loopback(behaviour: Behaviour) -> io::Result<LogStandIn> {
-        LogStandIn::start(TcpListener::bind(("127.0.0.1", 0))?, behaviour)
+    pub fn on_loopback(behaviour: Behaviour) -> io::Result<StoreStandIn> {
+        StoreStandIn::start(TcpListener::bind(("127.0.0.1", 0))?, behaviour)
     }
 
     /// Serves the same on another listener, such as one that no fault proxy stands before.
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// Says why the listener can't be served.
-    pub fn also_listen(&mut self, listener: TcpListener) -> io::Result<()> {
+    pub fn add_listener(&mut self, listener: TcpListener) -> io::Result<()> {
         // Taken over by each connection. Without it an answer of more than one
         // write waits for a delayed acknowledgement, 40 ms, as no real log would.
         SockRef::from(&listener).set_tcp_nodelay(true)?;
@@ -93,11 +93,11 @@
     }
 
     /// Keeps every record from now on, whatever the retention, to check against.
-    pub fn keep_journal(&self) {
-        self.store.keep_journal();
+    pub fn record_journal(&self) {
+        self.store.record_journal();
     }
 
-    /// Returns every record of a topic since [`LogStandIn::keep_journal`].
+    /// Returns every record of a topic since [`StoreStandIn::record_journal`].
     pub fn journal(&self, topic: &str) -> Vec<Bytes> {
         self.store.journal(topic)
     }
@@ -117,12 +117,12 @@
     }
 
     /// Forgets the records of a topic but for the newest of each key.
-    pub fn forget(&self, topic: &str) {
-        self.store.forget(topic);
+    pub fn compact(&self, topic: &str) {
+        self.store.compact(topic);
     }
 }
 
-impl Drop for LogStandIn {
+impl Drop for StoreStandIn {
     fn drop(&mut self) {
         self.store.stop();
         self.servers.iter().for_each(|s| s.unblock());
--- a/components/stand_ins/src/log/store.rs
+++ b/components/stand_ins/src/store/topics.rs
@@ -283,7 +283,7 @@
         self.lock().hosts = hosts;
     }
 
-    pub(super) fn keep_journal(&self) {
+    pub(super) fn record_journal(&self) {
         self.lock().keeps_journal = true;
     }
 
@@ -399,7 +399,7 @@
     }
 
     /// Drops all records of a topic but for the newest of each key.
-    pub(super) fn forget(&self, name: &str) {
+    pub(super) fn compact(&self, name: &str) {
         self.trim(name, u64::MAX);
     }
 
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -6,7 +6,9 @@
 use coordination::config::{Change, Command, CommandId};
 use protocol::config_record::encode_command;
 use rstest::rstest;
-use stand_ins::config_run::{Broken, History, RunOptions, Shown, Told, check, run};
+use stand_ins::config_run::{
+    History, IssuedCommand, Observation, RunOptions, Violation, check, run,
+};
 use state::Config;
 use transport::log::{CommandRequest, Outcome};
 
@@ -30,8 +32,12 @@
     };
     let history = run(options).unwrap();
     assert_eq!(check(&history), []);
-    assert_eq!(history.told.len(), 75);
-    assert!(history.last[0] > 5, "{:?}", history.last);
+    assert_eq!(history.issued.len(), 75);
+    assert!(
+        history.final_revisions[0] > 5,
+        "{:?}",
+        history.final_revisions
+    );
 }
 
 fn record(offset: u64, decided_on: u64, change: Change) -> Bytes {
@@ -63,7 +69,7 @@
         record(2, 2, choose("ordinary")),
         record(3, 3, choose("peak")),
     ];
-    let told = Told {
+    let issued = IssuedCommand {
         request: CommandRequest {
             id: Some(CommandId::new(3, 9)),
             decided_on: Some(3),
@@ -73,14 +79,14 @@
     };
     History {
         records,
-        told: vec![told],
-        last: vec![4],
+        issued: vec![issued],
+        final_revisions: vec![4],
         ..History::default()
     }
 }
 
-fn shown(revision: u64) -> Shown {
-    Shown {
+fn shown(revision: u64) -> Observation {
+    Observation {
         host: 0,
         start: 0,
         config: Arc::new(Config {
@@ -92,7 +98,7 @@
 
 fn tell(outcome: Outcome) -> History {
     let mut history = sound();
-    history.told[0].outcomes = vec![outcome];
+    history.issued[0].outcomes = vec![outcome];
     history
 }
 
@@ -104,8 +110,8 @@
 #[test]
 fn planted_revert() {
     let mut history = sound();
-    history.shown = vec![shown(4), shown(3)];
-    let revert = Broken::Reverted {
+    history.observations = vec![shown(4), shown(3)];
+    let revert = Violation::Reverted {
         host: 0,
         from: 4,
         to: 3,
@@ -116,8 +122,8 @@
 #[test]
 fn planted_difference() {
     let mut history = sound();
-    history.shown = vec![shown(3)];
-    let broken = Broken::Differs {
+    history.observations = vec![shown(3)];
+    let broken = Violation::Differs {
         host: 0,
         revision: 3,
     };
@@ -130,21 +136,24 @@
 #[case(Outcome::Unreachable { reason: "down".to_owned() })]
 fn planted_untruth(#[case] outcome: Outcome) {
     let broken = check(&tell(outcome));
-    assert!(matches!(broken[..], [Broken::Untrue { .. }]), "{broken:?}");
+    assert!(
+        matches!(broken[..], [Violation::Untrue { .. }]),
+        "{broken:?}"
+    );
 }
 
 #[test]
 fn planted_silence() {
     let id = CommandId::new(3, 9);
     let broken = check(&tell(Outcome::Unknown { id }));
-    assert_eq!(broken, [Broken::Unsettled { id }]);
+    assert_eq!(broken, [Violation::Unsettled { id }]);
 }
 
 #[test]
 fn planted_lag() {
     let mut history = sound();
-    history.last = vec![4, 3];
-    let broken = Broken::Behind {
+    history.final_revisions = vec![4, 3];
+    let broken = Violation::Behind {
         host: 1,
         revision: 3,
     };
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -10,7 +10,7 @@
 use stand_ins::load::limit::limit;
 use stand_ins::load::plot::{Course, Curve, draw};
 use stand_ins::load::report::Times;
-use stand_ins::load::run::{Load, work_times};
+use stand_ins::load::run::{LoadGenerator, work_times};
 use stand_ins::load::{Caller, Experiment, ExperimentError, Plan, Report, Sample, Target};
 
 const FILE: &str = r#"
@@ -71,7 +71,7 @@
     let caller = Caller {
         history: history.clone(),
     };
-    let load = Load {
+    let load = LoadGenerator {
         experiment: Arc::clone(&experiment),
         plan: Arc::clone(&plan),
         targets,
--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/log_calls.rs
@@ -5,16 +5,16 @@
 
 use bytes::Bytes;
 use coordination::group_joins;
-use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
+use stand_ins::store::{Behaviour, Loss, Outage, StoreStandIn};
 use transport::store::{StoreClient, StoreError};
 
-fn started() -> (LogStandIn, StoreClient) {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+fn started() -> (StoreStandIn, StoreClient) {
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let store = StoreClient::new(log.address());
     (log, store)
 }
 
-fn put(log: &LogStandIn, key: &str, value: Option<&'static str>) {
+fn put(log: &StoreStandIn, key: &str, value: Option<&'static str>) {
     log.put("keyed.op", key, value.map(Bytes::from));
 }
 
@@ -45,7 +45,7 @@
 async fn forgotten_records() {
     let (log, mut store) = started();
     put(&log, "a", Some("1"));
-    log.forget("keyed.op");
+    log.compact("keyed.op");
     let read = store.read("keyed.op", 0, Duration::ZERO, None).await;
     assert!(
         matches!(read, Err(StoreError::Forgotten(Some(1)))),
--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use coordination::claims::ClaimKey;
 use entry_hosts::{Host, Site, request, until};
-use stand_ins::log::{Loss, Outage};
+use stand_ins::store::{Loss, Outage};
 use transport::claims::{CachedAnswer, ClaimEnding, ClaimTicket, Verdict, WorkerOptions};
 
 const PATIENCE: Duration = Duration::from_secs(15);
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use coordination::config::{Change, CommandId, SnapshotPolicy};
 use protocol::config_record::encode_command;
-use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
 use stand_ins::proxy::{Fault, Proxy};
+use stand_ins::store::{Behaviour, Loss, Outage, StoreStandIn};
 use state::Config;
 use transport::log::{
     AppendError, CONFIG_STREAM, CommandRequest, Follower, FollowerOptions, LogClient, Outcome,
@@ -18,11 +18,11 @@
 const PEAK: &str = include_str!("../../../examples/midlands-peak.toml");
 const LIMIT: Duration = Duration::from_secs(20);
 
-fn client(log: &LogStandIn) -> LogClient {
+fn client(log: &StoreStandIn) -> LogClient {
     LogClient::new(log.address(), Duration::from_millis(400))
 }
 
-fn operator(log: &LogStandIn) -> Submission {
+fn operator(log: &StoreStandIn) -> Submission {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
         longest_pause: Duration::from_millis(100),
@@ -113,7 +113,7 @@
 
 #[test]
 fn put_and_choose() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let operator = operator(&log);
     let host = Follower::start(client(&log), FollowerOptions::default());
     assert_eq!(accepted(&operator.submit(&put(ORDINARY))), 1);
@@ -138,7 +138,7 @@
 #[case(Loss::Gateway)]
 #[case(Loss::Silence)]
 fn answer_lost(#[case] loss: Loss) {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let operator = operator(&log);
     log.change(|b| (b.loss, b.losses) = (Some(loss), 3));
     assert_eq!(accepted(&operator.submit(&put(ORDINARY))), 1);
@@ -152,7 +152,7 @@
 // the log is back the command goes through.
 #[test]
 fn log_down() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let patient = operator(&log);
     accepted(&patient.submit(&put(ORDINARY)));
     accepted(&patient.submit(&choose("ordinary")));
@@ -179,7 +179,7 @@
 fn first_records_gone() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _inside = runtime.enter();
-    let log = LogStandIn::on_loopback(Behaviour {
+    let log = StoreStandIn::on_loopback(Behaviour {
         keep_records: Some(40),
         ..Behaviour::default()
     })
@@ -210,7 +210,7 @@
 // what it has changes nothing.
 #[test]
 fn start_without_log() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let operator = operator(&log);
     let peer = host_at(log.address());
     open(&operator);
@@ -243,7 +243,7 @@
 fn silent_link() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _inside = runtime.enter();
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let proxy = Proxy::start(log.address()).unwrap();
     let host = host_at(proxy.address());
     let operator = operator(&log);
@@ -260,7 +260,7 @@
 // Hosts go on following it, late as it is.
 #[test]
 fn slow_log() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let host = host_at(log.address());
     let operator = operator(&log);
     open(&operator);
@@ -280,7 +280,7 @@
 // it is in force.
 #[test]
 fn damaged_record() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
+    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     log.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
     let host = host_at(log.address());
     let operator = operator(&log);
@@ -295,12 +295,12 @@
 // which is surely not on the log, and reading goes on.
 #[test]
 fn append_budget() {
-    let log = LogStandIn::on_loopback(Behaviour {
+    let log = StoreStandIn::on_loopback(Behaviour {
         appends_second: 5,
         ..Behaviour::default()
     })
     .unwrap();
-    log.keep_journal();
+    log.record_journal();
     let client = client(&log);
     let appended: Vec<_> = (0..12)
         .map(|_| client.append("claims-0", &"x".into()))
--- a/components/transport/tests/entry_hosts/mod.rs
+++ b/components/transport/tests/entry_hosts/mod.rs
@@ -6,7 +6,7 @@
 
 use coordination::members::watch::WATCHERS;
 use protocol::PeerMessage;
-use stand_ins::log::{Behaviour, LogStandIn};
+use stand_ins::store::{Behaviour, StoreStandIn};
 use state::{HostKey, Moment, ServiceKey};
 use tokio::net::TcpListener;
 use transport::claims::{ClaimRequest, Claims, ClaimsOptions, WorkerOptions};
@@ -27,7 +27,7 @@
 
 /// The log and its entry hosts.
 pub struct Site {
-    pub log: LogStandIn,
+    pub log: StoreStandIn,
     pub hosts: Vec<Host>,
 }
 
@@ -49,7 +49,7 @@
             appends_second: 10_000,
             ..Behaviour::default()
         };
-        let log = LogStandIn::on_loopback(behaviour).unwrap();
+        let log = StoreStandIn::on_loopback(behaviour).unwrap();
         let mut site = Site {
             log,
             hosts: Vec::new(),
--- a/components/transport/tests/members_run.rs
+++ b/components/transport/tests/members_run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use entry_hosts::{Site, until};
-use stand_ins::log::Outage;
+use stand_ins::store::Outage;
 use transport::claims::WorkerOptions;
 use transport::peers::fetch_config;
 
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -7,7 +7,7 @@
 use log::LevelFilter;
 use stand_ins::backend::{Backend, Control, Options};
 use stand_ins::history::History;
-use stand_ins::log::{Behaviour, LogStandIn};
+use stand_ins::store::{Behaviour, StoreStandIn};
 
 use crate::cli::{self, StandInCmd};
 use crate::logs;
@@ -40,7 +40,7 @@
         appends_second: flags.appends.unwrap_or(defaults.appends_second),
         ..defaults
     };
-    let log = LogStandIn::start(listen(flags.address.unwrap_or(ANY_PORT))?, behaviour)?;
+    let log = StoreStandIn::start(listen(flags.address.unwrap_or(ANY_PORT))?, behaviour)?;
     println!("log {}", log.address());
     wait_for_signal().await
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,12 +15,12 @@
 use nix::unistd::Pid;
 use serde::Deserialize;
 use stand_ins::backend::Options;
-use stand_ins::balancer::{Balancer, settled};
-use stand_ins::history::check::{Fault, Limits, Tally, check};
+use stand_ins::balancer::{Balancer, is_converged};
+use stand_ins::history::check::{Limits, Tally, Violation, check};
 use stand_ins::history::{Event, History, Outcome, Record};
-use stand_ins::load::run::Load;
-use stand_ins::load::warm_up::{FIRST as WARM_UP, warm_up};
-use stand_ins::load::{Call, Caller, Experiment, Plan, Planned, Reply, Sample, Target};
+use stand_ins::load::run::LoadGenerator;
+use stand_ins::load::warm_up::{FIRST_CALL as WARM_UP, warm_up};
+use stand_ins::load::{Call, Caller, Experiment, Plan, PlannedCall, Reply, Sample, Target};
 use stand_ins::site::{Site, SiteOptions};
 use tokio::task::JoinHandle;
 
@@ -103,7 +103,7 @@
         let site = Site::start(deployment, options, history.clone())
             .await
             .unwrap();
-        let log = site.log.address();
+        let log = site.store.address();
         let hosts: Vec<Host> = (0..site.deployment.entry_hosts)
             .map(|index| {
                 let name = format!("entry-{}", index + 1);
@@ -151,7 +151,7 @@
         let end = Instant::now() + LIMIT;
         loop {
             let admins = admins.clone();
-            let asked = tokio::task::spawn_blocking(move || settled(&admins));
+            let asked = tokio::task::spawn_blocking(move || is_converged(&admins));
             if asked.await.unwrap() {
                 return;
             }
@@ -166,7 +166,7 @@
     /// Sends the experiment's flows until it is stopped.
     pub fn load(&self) -> Background {
         let stop = Arc::new(AtomicBool::new(false));
-        let load = Load {
+        let load = LoadGenerator {
             experiment: Arc::clone(&self.experiment),
             plan: Arc::new(Plan::draw(&self.experiment)),
             targets: Arc::clone(&self.targets),
@@ -267,7 +267,7 @@
     /// Starts an entry host anew, on its old ports.
     pub fn restart_host(&mut self, host: usize) {
         let old = &self.hosts[host];
-        let log = self.site.log.address();
+        let log = self.site.store.address();
         self.hosts[host] = Host::start(&old.name, &old.centre, log, Some(old.ports), &self.history);
     }
 
@@ -317,7 +317,7 @@
             Outcome::Complete | Outcome::NotRun => false,
             // It may be told that another call of its key was started and is not yet known.
             Outcome::Unknown => {
-                let repeated = |c: &Planned| c.repeats == Some(s.call);
+                let repeated = |c: &PlannedCall| c.repeats == Some(s.call);
                 plan.calls[s.call].repeats.is_none() && !plan.calls.iter().any(repeated)
             }
             Outcome::Broken | Outcome::Unreachable => true,
@@ -326,7 +326,7 @@
     }
 
     /// Returns every promise that was broken, once all is over.
-    pub fn violations(&mut self, limits: &Limits) -> Vec<Fault> {
+    pub fn violations(&mut self, limits: &Limits) -> Vec<Violation> {
         self.balancer = None;
         check(&self.history.sorted(), limits)
     }
@@ -334,7 +334,7 @@
     /// Checks that every promise was kept.
     pub fn assert_kept(&mut self) {
         let faults = self.violations(&Limits::default());
-        let shown: Vec<String> = faults.iter().take(10).map(Fault::to_string).collect();
+        let shown: Vec<String> = faults.iter().take(10).map(Violation::to_string).collect();
         let tally = self.tally();
         assert!(
             faults.is_empty(),
--- a/tests/log_down.rs
+++ b/tests/log_down.rs
@@ -4,7 +4,7 @@
 
 use common::Cluster;
 use stand_ins::history::{Event, Outcome};
-use stand_ins::log::Outage;
+use stand_ins::store::Outage;
 
 const SITE: &str = include_str!("common/small.toml");
 
@@ -19,7 +19,7 @@
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.more_answers(300).await;
-    cluster.site.log.change(|b| b.outage = Some(outage));
+    cluster.site.store.change(|b| b.outage = Some(outage));
     let mut deposit = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
     deposit.key = Some("deposit-in-outage".to_owned());
     let refused = cluster.call(0, &deposit).await;
@@ -29,7 +29,7 @@
         let free = cluster.new_call("GET", "/hallboard/free?work-ms=5");
         assert_eq!(cluster.call(1, &free).await.outcome, Outcome::Complete);
     }
-    cluster.site.log.change(|b| b.outage = None);
+    cluster.site.store.change(|b| b.outage = None);
     let taken = async {
         loop {
             let mut again = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand_ins::log::{Behaviour, LogStandIn, Loss};
+use stand_ins::store::{Behaviour, Loss, StoreStandIn};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_cardamomvale");
 const ORDINARY: &str = "examples/midlands.toml";
@@ -33,18 +33,18 @@
 }
 
 /// Runs a command against a log and returns its exit code and all it printed.
-fn at(log: &LogStandIn, arguments: &[&str]) -> (i32, String) {
+fn at(log: &StoreStandIn, arguments: &[&str]) -> (i32, String) {
     let address = log.address().to_string();
     let ended = operate(&[arguments, &["--log-address", &address]].concat());
     (ended.code, ended.out + &ended.err)
 }
 
-fn log() -> LogStandIn {
-    LogStandIn::on_loopback(Behaviour::default()).unwrap()
+fn log() -> StoreStandIn {
+    StoreStandIn::on_loopback(Behaviour::default()).unwrap()
 }
 
 /// Puts both presets and brings the ordinary one into force.
-fn opened() -> LogStandIn {
+fn opened() -> StoreStandIn {
     let log = log();
     for arguments in [
         ["preset", "put", ORDINARY],
@@ -228,7 +228,7 @@
 }
 
 impl EntryHost {
-    fn start(log: &LogStandIn) -> EntryHost {
+    fn start(log: &StoreStandIn) -> EntryHost {
         let address = log.address().to_string();
         let mut child = Command::new(BINARY)
             .args(["entry", "--name", "trent-1", "--data-centre", "trent"])
--- a/tests/operators_race.rs
+++ b/tests/operators_race.rs
@@ -15,9 +15,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_choice() {
     let mut cluster = Cluster::start(SITE).await;
-    cluster.site.put("peak").await.unwrap();
-    let looked = cluster.site.put("maintenance").await.unwrap();
-    let choose = |name| cluster.site.order_on(Some(looked), Order::Choose, name);
+    cluster.site.put_preset("peak").await.unwrap();
+    let looked = cluster.site.put_preset("maintenance").await.unwrap();
+    let choose = |name| {
+        cluster
+            .site
+            .order_at_revision(Some(looked), Order::Choose, name)
+    };
     let (peak, maintenance) = tokio::join!(choose("peak"), choose("maintenance"));
     let accepted = [&peak, &maintenance].into_iter().flatten().count();
     let refused = [&peak, &maintenance]
@@ -46,7 +50,7 @@
 async fn twice_in_a_row() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.site.put("peak").await.unwrap();
+    cluster.site.put_preset("peak").await.unwrap();
     for _ in 0..2 {
         let leave = cluster.site.order(Order::CentreLeaves, "severn");
         let choose = cluster.site.order(Order::Choose, "peak");
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -28,7 +28,7 @@
 
 /// Returns whether the log holds a snapshot for those who missed records.
 fn has_snapshot(cluster: &Cluster) -> bool {
-    let client = LogClient::new(cluster.site.log.address(), PATIENCE);
+    let client = LogClient::new(cluster.site.store.address(), PATIENCE);
     let page = client.read(CONFIG_STREAM, 0, None, Duration::ZERO).unwrap();
     let mut records = page.records.iter().map(decode_record);
     records.any(|r| matches!(r, Ok(Record::Snapshot(_))))
@@ -50,7 +50,7 @@
         .await
         .unwrap();
     follow(&cluster, left).await;
-    cluster.site.log.change(|b| b.keep_records = Some(8));
+    cluster.site.store.change(|b| b.keep_records = Some(8));
     let waiting: Vec<_> = (0..12)
         .map(|_| cluster.new_call("GET", "/hallboard/free?work-ms=5"))
         .map(|call| cluster.send(0, &call))
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use stand_ins::log::{Behaviour, LogStandIn, Outage};
+use stand_ins::store::{Behaviour, Outage, StoreStandIn};
 
 /// How the store behaves.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -21,12 +21,12 @@
 #[derive(Clone)]
 pub struct Store {
     pub address: SocketAddr,
-    log: Arc<LogStandIn>,
+    log: Arc<StoreStandIn>,
 }
 
 impl Store {
     pub async fn start() -> Store {
-        let log = LogStandIn::on_loopback(Behaviour::default()).expect("a port is free");
+        let log = StoreStandIn::on_loopback(Behaviour::default()).expect("a port is free");
         Store {
             address: log.address(),
             log: Arc::new(log),
@@ -41,7 +41,7 @@
 
     /// Forgets the records of a topic but for the newest of each key.
     pub fn forget(&self, topic: &str) {
-        self.log.forget(topic);
+        self.log.compact(topic);
     }
 
     pub fn set(&self, mode: Mode) {
