--- a/benches/added_latency.rs
+++ b/benches/added_latency.rs
@@ -32,7 +32,7 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
 use transport::clock;
-use transport::dispatch::{Dispatcher, Setup};
+use transport::dispatch::{Dispatcher, DispatcherOptions};
 use transport::edge::{Edge, Limits};
 
 /// As many as the brief's deployments have together.
@@ -296,7 +296,7 @@
 
 async fn start_edge(endpoints: &[SocketAddr]) -> Result<SocketAddr> {
     let config = Arc::new(config(endpoints));
-    let setup = Setup {
+    let setup = DispatcherOptions {
         host: HostKey::named(HOST),
         incarnation: 1,
         data_centre: "trent".into(),
@@ -304,7 +304,7 @@
     };
     let dispatcher = Dispatcher::new(&setup, Arc::new(|_, _| {}));
     dispatcher.configure(&config);
-    dispatcher.watch(BTreeSet::from([setup.host]));
+    dispatcher.set_alive(BTreeSet::from([setup.host]));
     tokio::spawn(confirm(Arc::clone(&dispatcher)));
     let (sender, receiver) = watch::channel(config);
     let edge = Edge::new(Limits::default(), dispatcher, receiver);
--- a/components/protocol/src/crash_report.rs
+++ b/components/protocol/src/crash_report.rs
@@ -17,7 +17,7 @@
     /// The requests that were running when their endpoint crashed.
     pub runs: Vec<CrashedRun>,
     /// The requests that are quarantined, or were until recently.
-    pub findings: Vec<QuarantineUpdate>,
+    pub updates: Vec<QuarantineUpdate>,
 }
 
 /// A request that was running when its endpoint crashed.
@@ -38,7 +38,7 @@
     #[prost(message, repeated, tag = "1")]
     runs: Vec<WireCrashedRun>,
     #[prost(message, repeated, tag = "2")]
-    findings: Vec<WireQuarantineUpdate>,
+    updates: Vec<WireQuarantineUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -69,8 +69,8 @@
     fn from(report: &CrashReport) -> WireCrashReport {
         WireCrashReport {
             runs: report.runs.iter().map(WireCrashedRun::from).collect(),
-            findings: report
-                .findings
+            updates: report
+                .updates
                 .iter()
                 .map(WireQuarantineUpdate::from)
                 .collect(),
@@ -83,8 +83,8 @@
         CrashReport {
             cross_centre,
             runs: self.runs.iter().map(WireCrashedRun::to_run).collect(),
-            findings: self
-                .findings
+            updates: self
+                .updates
                 .iter()
                 .map(WireQuarantineUpdate::to_update)
                 .collect(),
--- a/components/protocol/src/limit_report.rs
+++ b/components/protocol/src/limit_report.rs
@@ -12,13 +12,13 @@
     /// The receiver then distributes the report within its own data centre.
     pub cross_centre: bool,
     /// One entry for each endpoint.
-    pub advice: Vec<RateLimitUpdate>,
+    pub updates: Vec<RateLimitUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireLimitReport {
     #[prost(message, repeated, tag = "1")]
-    advice: Vec<WireRateLimitUpdate>,
+    updates: Vec<WireRateLimitUpdate>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -32,12 +32,12 @@
 
 impl From<&LimitReport> for WireLimitReport {
     fn from(limits: &LimitReport) -> WireLimitReport {
-        let advice = limits.advice.iter().map(|advice| WireRateLimitUpdate {
-            endpoint: advice.endpoint.0,
-            rate: advice.rate,
+        let updates = limits.updates.iter().map(|update| WireRateLimitUpdate {
+            endpoint: update.endpoint.0,
+            rate: update.rate,
         });
         WireLimitReport {
-            advice: advice.collect(),
+            updates: updates.collect(),
         }
     }
 }
@@ -46,8 +46,8 @@
     /// Decodes the report and drops limits that are negative or not finite.
     pub(crate) fn into_report(self, cross_centre: bool) -> LimitReport {
         let is_valid = |rate: f64| rate.is_finite() && rate >= 0.0;
-        let advice = self.advice.into_iter();
-        let advice = advice
+        let updates = self.updates.into_iter();
+        let updates = updates
             .filter(|a| a.rate.is_none_or(is_valid))
             .map(|a| RateLimitUpdate {
                 endpoint: EndpointKey(a.endpoint),
@@ -55,7 +55,7 @@
             });
         LimitReport {
             cross_centre,
-            advice: advice.collect(),
+            updates: updates.collect(),
         }
     }
 }
--- a/components/protocol/tests/neighbour_messages.rs
+++ b/components/protocol/tests/neighbour_messages.rs
@@ -33,13 +33,13 @@
 }
 
 fn limits() -> LimitReport {
-    let advice = [Some(1.5), None].map(|rate| RateLimitUpdate {
+    let updates = [Some(1.5), None].map(|rate| RateLimitUpdate {
         endpoint: EndpointKey(u64::MAX),
         rate,
     });
     LimitReport {
         cross_centre: true,
-        advice: advice.to_vec(),
+        updates: updates.to_vec(),
     }
 }
 
@@ -54,7 +54,7 @@
             ran: Duration::from_millis(60),
             age: Duration::from_millis(2),
         }],
-        findings: vec![QuarantineUpdate {
+        updates: vec![QuarantineUpdate {
             request: Fingerprint(7),
             crashes: 3,
             remaining: Duration::from_secs(10),
@@ -139,35 +139,35 @@
 #[test]
 fn invalid_limits() {
     let rates = [f64::NAN, f64::INFINITY, -1.0, 2.0];
-    let advice = rates.map(|rate| RateLimitUpdate {
+    let updates = rates.map(|rate| RateLimitUpdate {
         endpoint: EndpointKey(1),
         rate: Some(rate),
     });
     let message = NeighbourMessage::LimitReport(LimitReport {
         cross_centre: false,
-        advice: advice.to_vec(),
+        updates: updates.to_vec(),
     });
     let Ok(NeighbourMessage::LimitReport(read)) = NeighbourMessage::decode(&message.encode())
     else {
         panic!("the message is not decoded as limits");
     };
-    assert_eq!(read.advice, advice[3..]);
+    assert_eq!(read.updates, updates[3..]);
 }
 
 /// Reports are sent to all hosts, so each byte of a report is sent hundreds of times.
 #[test]
 fn small_reports() {
-    let CrashReport { runs, findings, .. } = crashes();
-    let size = |runs: &[CrashedRun], findings: &[QuarantineUpdate]| {
+    let CrashReport { runs, updates, .. } = crashes();
+    let size = |runs: &[CrashedRun], updates: &[QuarantineUpdate]| {
         let crashes = CrashReport {
             cross_centre: true,
             runs: runs.to_vec(),
-            findings: findings.to_vec(),
+            updates: updates.to_vec(),
         };
         NeighbourMessage::CrashReport(crashes).encode().len()
     };
     assert!(size(&runs, &[]) <= 40);
-    assert!(size(&[], &findings) <= 40);
-    assert!(size(&[], &findings.repeat(32)) <= 800);
+    assert!(size(&[], &updates) <= 40);
+    assert!(size(&[], &updates.repeat(32)) <= 800);
     assert!(NeighbourMessage::LimitReport(limits()).encode().len() <= 48);
 }
--- a/components/stand_ins/src/fleet.rs
+++ b/components/stand_ins/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use state::policy::Policy;
-use transport::entry::{Entry, Settings, StartError};
+use transport::entry::{EntryHost, Settings, StartError};
 
 use crate::balancer::{Balancer, is_converged};
 use crate::history::{Event, History};
@@ -38,7 +38,7 @@
     /// Where calls are sent, in the order of the hosts.
     pub targets: Arc<Vec<Target>>,
     /// The hosts.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EntryHost>,
     history: History,
     balancer: Balancer,
     policy: Policy,
@@ -66,7 +66,7 @@
                 drain: DRAIN_LIMIT,
                 trace_every: 0,
             };
-            let entry = Entry::start(settings).await?;
+            let entry = EntryHost::start(settings).await?;
             let target = Target::new(&name, entry.ports().callers);
             target.set_up(false);
             site.history.add(Event::Up { host: name });
--- a/components/transport/src/dispatch/mod.rs
+++ b/components/transport/src/dispatch/mod.rs
@@ -51,7 +51,7 @@
 
 /// Who this entry host is, and how it places its calls.
 #[value]
-pub struct Setup {
+pub struct DispatcherOptions {
     /// The host's key.
     pub host: HostKey,
     /// Its incarnation, as in the configuration's members.
@@ -103,7 +103,7 @@
     /// # Panics
     ///
     /// Where no tokio runtime is entered.
-    pub fn new(setup: &Setup, send: SendMessage) -> Arc<Dispatcher> {
+    pub fn new(setup: &DispatcherOptions, send: SendMessage) -> Arc<Dispatcher> {
         let way = match setup.policy {
             Policy::Shared => Way::Shared(Shared::run(setup, send)),
             policy => Way::Naive(Naive::new(policy, Some(setup.host))),
@@ -120,9 +120,9 @@
     }
 
     /// Takes over who is alive.
-    pub fn watch(&self, alive: BTreeSet<HostKey>) {
+    pub fn set_alive(&self, alive: BTreeSet<HostKey>) {
         if let Way::Shared(shared) = &self.way {
-            shared.watch(alive);
+            shared.set_alive(alive);
         }
     }
 
--- a/components/transport/src/dispatch/shared.rs
+++ b/components/transport/src/dispatch/shared.rs
@@ -13,7 +13,10 @@
 use tokio::runtime::Handle;
 use tokio::sync::{Notify, oneshot};
 
-use super::{Call, Ending, EndpointStanding, Placed, Refusal, SendMessage, Setup, counters, probe};
+use super::{
+    Call, DispatcherOptions, Ending, EndpointStanding, Placed, Refusal, SendMessage, counters,
+    probe,
+};
 use crate::clock;
 
 /// The slot machine with what it needs to act.
@@ -50,7 +53,7 @@
 
 impl Shared {
     /// Returns the machine, with its timer running.
-    pub fn run(setup: &Setup, send: SendMessage) -> Arc<Shared> {
+    pub fn run(setup: &DispatcherOptions, send: SendMessage) -> Arc<Shared> {
         let now = clock::now();
         let me = Identity {
             host: setup.host,
@@ -86,7 +89,7 @@
     }
 
     /// Takes over who is alive.
-    pub fn watch(self: &Arc<Self>, alive: BTreeSet<HostKey>) {
+    pub fn set_alive(self: &Arc<Self>, alive: BTreeSet<HostKey>) {
         self.act(|core, now| {
             if core.alive == alive {
                 return;
--- a/components/transport/src/edge/body.rs
+++ b/components/transport/src/edge/body.rs
@@ -15,7 +15,7 @@
 ///
 /// A body up to this size is read whole before a slot is asked for, so that a
 /// slow caller holds no slot.
-pub const REPLAY_LIMIT: usize = 64 * 1024;
+pub const MAX_REPLAY_BODY: usize = 64 * 1024;
 
 /// The largest body of a call with an idempotency key.
 ///
@@ -56,7 +56,7 @@
 }
 
 /// The beginning of a body, read before the call is placed.
-pub struct Gathered {
+pub struct BodyPrefix {
     /// What was read.
     pub start: Bytes,
     /// What is still to come, none where `start` is the whole body.
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// Says why the body can't be read; nothing was passed on yet.
-    pub async fn gather(mut self, most: usize) -> Result<Gathered, BodyError> {
+    pub async fn read_prefix(mut self, most: usize) -> Result<BodyPrefix, BodyError> {
         let mut start = Bytes::new();
         let mut more = BytesMut::new();
         while start.len() + more.len() <= most {
@@ -96,7 +96,7 @@
                 .transpose()?
             {
                 None => {
-                    return Ok(Gathered {
+                    return Ok(BodyPrefix {
                         start: joined(start, &more),
                         rest: None,
                     });
@@ -105,13 +105,13 @@
                 Some(piece) => more.extend_from_slice(&piece),
             }
             if self.is_end() {
-                return Ok(Gathered {
+                return Ok(BodyPrefix {
                     start: joined(start, &more),
                     rest: None,
                 });
             }
         }
-        Ok(Gathered {
+        Ok(BodyPrefix {
             start: joined(start, &more),
             rest: Some(self),
         })
@@ -140,7 +140,7 @@
     }
 
     /// Returns how many bytes are still to come, where the head says so.
-    pub fn left(&self) -> Option<u64> {
+    pub fn remaining(&self) -> Option<u64> {
         self.incoming.size_hint().exact()
     }
 
@@ -195,8 +195,8 @@
     }
 
     /// Returns how many bytes are still to come, where the head says so.
-    pub fn left(&self) -> Option<u64> {
-        self.with(|body| body.left())
+    pub fn remaining(&self) -> Option<u64> {
+        self.with(|body| body.remaining())
     }
 
     /// Reads the rest and forgets it, as long as the caller keeps sending.
@@ -205,7 +205,7 @@
             while let Some(Ok(_)) = std::future::poll_fn(|cx| self.poll_data(cx)).await {}
         };
         if timeout(LINGER_LIMIT, rest).await.is_err() {
-            log::debug!("E0130 body-left-unread left={:?}", self.left());
+            log::debug!("E0130 body-left-unread left={:?}", self.remaining());
         }
     }
 
--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -16,12 +16,12 @@
 
 use super::Edge;
 use super::answer::{AnswerBody, Escort, Relay};
-use super::body::{CallerBody, Gathered, KEYED_LIMIT, REPLAY_LIMIT, SharedBody};
+use super::body::{BodyPrefix, CallerBody, KEYED_LIMIT, MAX_REPLAY_BODY, SharedBody};
 use super::fault::Fault;
 use super::keyed::{Claim, Claimed, Keeper};
 use super::outcome::{OUTCOME, Outcome};
 use super::service::ServiceState;
-use super::{fields, keyed, route};
+use super::{headers, keyed, route};
 use crate::claims::ClaimRequest;
 use crate::clock;
 use crate::dispatch::{Call, Ending, Grant, Refusal};
@@ -127,7 +127,7 @@
     match &plan.key {
         Some(key) => keyed_call(edge, plan, body, key.clone()).await,
         None => {
-            let body = gather(body, REPLAY_LIMIT, plan.deadline).await?;
+            let body = gather(body, MAX_REPLAY_BODY, plan.deadline).await?;
             attempts(edge, plan, body, None).await
         }
     }
@@ -161,15 +161,15 @@
 }
 
 /// Reads the beginning of the body, or all of it, before the call is placed.
-async fn gather(body: CallerBody, most: usize, deadline: Moment) -> Result<Gathered, Fault> {
+async fn gather(body: CallerBody, most: usize, deadline: Moment) -> Result<BodyPrefix, Fault> {
     if body.is_end() {
-        return Ok(Gathered {
+        return Ok(BodyPrefix {
             start: Bytes::new(),
             rest: None,
         });
     }
     let left = clock::now().until(deadline);
-    match tokio::time::timeout(left, body.gather(most)).await {
+    match tokio::time::timeout(left, body.read_prefix(most)).await {
         Ok(gathered) => Ok(gathered?),
         Err(_) => Err(Fault::Refused(Refusal::Expired)),
     }
@@ -179,7 +179,7 @@
 async fn attempts(
     edge: &Arc<Edge>,
     plan: &Plan,
-    body: Gathered,
+    body: BodyPrefix,
     mut claim: Option<Claim>,
 ) -> Result<Response<AnswerBody>, Fault> {
     let mut bodies = Bodies::new(body);
@@ -302,7 +302,7 @@
             failure: Failure::MayHaveRun,
         });
     }
-    fields::give_back(&mut parts.headers);
+    headers::give_back(&mut parts.headers);
     parts.headers.insert(OUTCOME, Outcome::Complete.value());
     let keeper = claim.take().map(|claim| Keeper::new(claim, &parts));
     let escort = Escort {
@@ -329,7 +329,7 @@
 }
 
 impl Bodies {
-    fn new(body: Gathered) -> Bodies {
+    fn new(body: BodyPrefix) -> Bodies {
         Bodies {
             start: body.start,
             replayable: body.rest.is_none(),
@@ -356,8 +356,8 @@
         if is_empty && [Method::POST, Method::PUT, Method::PATCH].contains(&self.method) {
             fields.insert(CONTENT_LENGTH, HeaderValue::from(0));
         }
-        fields::forward(&mut fields, self.caller, server);
-        fields::set_deadline(&mut fields, clock::now().until(self.deadline));
+        headers::forward(&mut fields, self.caller, server);
+        headers::set_deadline(&mut fields, clock::now().until(self.deadline));
         let hop = self.trace.onward("backend", &mut fields);
         if self.trace.is_on() {
             hop.note("server.address", server.to_string());
--- a/components/transport/src/edge/mod.rs
+++ b/components/transport/src/edge/mod.rs
@@ -6,7 +6,7 @@
 pub mod caller;
 mod connection;
 pub mod fault;
-pub mod fields;
+pub mod headers;
 pub mod keyed;
 pub mod outcome;
 mod reject;
@@ -86,11 +86,11 @@
         dispatcher: Arc<Dispatcher>,
         config: watch::Receiver<Arc<Config>>,
     ) -> Arc<Edge> {
-        Edge::traced(limits, dispatcher, config, Tracing::off())
+        Edge::with_tracing(limits, dispatcher, config, Tracing::disabled())
     }
 
     /// Returns an edge whose calls are traced by `tracing`.
-    pub fn traced(
+    pub fn with_tracing(
         limits: Limits,
         dispatcher: Arc<Dispatcher>,
         config: watch::Receiver<Arc<Config>>,
@@ -112,7 +112,7 @@
     /// Has keys claimed by `claims`; until then calls with a key are refused, not run.
     ///
     /// Only the first word counts.
-    pub fn claim_by(&self, claims: Arc<dyn KeyClaims>) {
+    pub fn set_claims(&self, claims: Arc<dyn KeyClaims>) {
         if self.claims.set(claims).is_err() {
             log::warn!("E0102 claims-set-twice");
         }
@@ -160,7 +160,7 @@
     }
 
     /// Returns how many idle connections to backend servers are kept.
-    pub fn kept_connections(&self) -> usize {
+    pub fn idle_connections(&self) -> usize {
         self.pool.idle_count()
     }
 
@@ -196,7 +196,7 @@
         let count = async {
             loop {
                 gauge!("cardamomvale_callers").set(self.callers() as f64);
-                gauge!("cardamomvale_kept_connections").set(self.kept_connections() as f64);
+                gauge!("cardamomvale_kept_connections").set(self.idle_connections() as f64);
                 tokio::time::sleep(GAUGE_EVERY).await;
             }
         };
--- a/components/transport/src/entry/mod.rs
+++ b/components/transport/src/entry/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::admin::{Admin, AdminError};
 use crate::claims::{Claims, ClaimsOptions, WorkerOptions};
-use crate::dispatch::{Dispatcher, Setup};
+use crate::dispatch::{Dispatcher, DispatcherOptions};
 use crate::edge::{Edge, Limits};
 use crate::log::{Follower, FollowerOptions, LogClient, PATIENCE, Submission};
 use crate::peers::{Identity, Links, LiveView, Members, MembersOptions};
@@ -62,7 +62,7 @@
 const HAND_BACK: Duration = Duration::from_millis(200);
 
 /// A running entry host.
-pub struct Entry {
+pub struct EntryHost {
     ports: Ports,
     drain: Duration,
     host: Arc<Host>,
@@ -111,13 +111,13 @@
     edge: Arc<Edge>,
 }
 
-impl Entry {
+impl EntryHost {
     /// Opens the ports and starts to serve, on the current runtime.
     ///
     /// # Errors
     ///
     /// Fails where a port can't be had.
-    pub async fn start(settings: Settings) -> Result<Entry, StartError> {
+    pub async fn start(settings: Settings) -> Result<EntryHost, StartError> {
         let callers = listen(settings.callers).await?;
         let peers = listen(settings.peers).await?;
         let admin = StdListener::bind(settings.admin).map_err(|source| StartError::Listen {
@@ -144,7 +144,7 @@
             ports.peers,
             ports.admin
         );
-        Ok(Entry {
+        Ok(EntryHost {
             ports,
             drain: settings.drain,
             host,
@@ -207,7 +207,7 @@
             links: Arc::clone(&links),
             worker: WorkerOptions::default(),
         });
-        let setup = Setup {
+        let setup = DispatcherOptions {
             host: links.me(),
             incarnation: identity.incarnation,
             data_centre: settings.data_centre.clone(),
@@ -218,8 +218,8 @@
         let exporter = opentelemetry_stdout::SpanExporter::default();
         let tracing = Tracing::new(settings.trace_every, &settings.name, exporter);
         let limits = Limits::default();
-        let edge = Edge::traced(limits, Arc::clone(&dispatcher), follower.config(), tracing);
-        edge.claim_by(Arc::clone(&claims) as _);
+        let edge = Edge::with_tracing(limits, Arc::clone(&dispatcher), follower.config(), tracing);
+        edge.set_claims(Arc::clone(&claims) as _);
         tokio::spawn(configure(follower.config(), Arc::clone(&dispatcher)));
         tokio::spawn(watch_members(links.view(), Arc::clone(&dispatcher)));
         tokio::spawn(confirm(Arc::downgrade(&members), Arc::clone(&dispatcher)));
@@ -312,7 +312,7 @@
 async fn watch_members(mut view: watch::Receiver<Arc<LiveView>>, dispatcher: Arc<Dispatcher>) {
     loop {
         let alive = view.borrow_and_update().alive().collect();
-        dispatcher.watch(alive);
+        dispatcher.set_alive(alive);
         if view.changed().await.is_err() {
             return;
         }
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -16,7 +16,7 @@
 
 use super::Gateway;
 use crate::clock;
-use crate::edge::fields::remove_hop_by_hop;
+use crate::edge::headers::remove_hop_by_hop;
 use crate::upstream::connection::RequestError;
 use crate::upstream::{Connection, RequestBody};
 
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -25,7 +25,7 @@
 use super::denial::Denial;
 use super::{Gateway, Stage};
 use crate::clock;
-use crate::edge::body::{CallerBody, REPLAY_LIMIT, SharedBody};
+use crate::edge::body::{CallerBody, MAX_REPLAY_BODY, SharedBody};
 use crate::upstream::RequestBody;
 
 /// Attempts of one request that may fail without reaching an endpoint.
@@ -122,7 +122,10 @@
     let (route, limit) = route(gateway, parts)?;
     let announced = incoming.size_hint().exact();
     let body = CallerBody::new(incoming, limit).map_err(Denial::Body)?;
-    let body = body.gather(REPLAY_LIMIT).await.map_err(Denial::Body)?;
+    let body = body
+        .read_prefix(MAX_REPLAY_BODY)
+        .await
+        .map_err(Denial::Body)?;
     let length = match body.rest {
         None => u64::try_from(body.start.len()).ok(),
         Some(_) => announced,
@@ -165,7 +168,7 @@
         method: parts.method.as_str(),
         host: host(parts).unwrap_or_default(),
         path: parts.uri.path_and_query().map_or("", |p| p.as_str()),
-        body: &start[..start.len().min(REPLAY_LIMIT)],
+        body: &start[..start.len().min(MAX_REPLAY_BODY)],
         length,
     }
 }
--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -25,7 +25,7 @@
         };
         let mut registry = self.registry.borrow_mut();
         let cached = registry.limits().contains(key);
-        let advice = registry.observe_limit(key, rate, source);
+        let update = registry.observe_limit(key, rate, source);
         if cached != registry.limits().contains(key) {
             let instance = registry.get(key).map(|s| s.endpoint.instance.as_str());
             log::info!(
@@ -36,11 +36,11 @@
         drop(registry);
         let granted =
             |_: &RateLimitUpdate| self.limit_reports.borrow_mut().grant(1, clock::now()) == 1;
-        if let Some(advice) = advice.filter(granted) {
+        if let Some(update) = update.filter(granted) {
             self.broadcast_all_centres(|cross_centre| {
                 NeighbourMessage::LimitReport(LimitReport {
                     cross_centre,
-                    advice: vec![advice],
+                    updates: vec![update],
                 })
             });
         }
@@ -49,8 +49,8 @@
     /// Handles rate limits that another host has received from endpoints.
     pub(super) fn handle_limit_report(&self, limits: LimitReport) {
         let mut registry = self.registry.borrow_mut();
-        for advice in &limits.advice {
-            registry.apply_limit_update(advice);
+        for update in &limits.updates {
+            registry.apply_limit_update(update);
         }
         drop(registry);
         if limits.cross_centre {
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -68,9 +68,9 @@
         match admission {
             Decision::Pass => Ok(()),
             Decision::Reject(left) => Err(left),
-            Decision::Trial(findings) => {
+            Decision::Trial(updates) => {
                 log::info!("E0142 quarantine-trial content={:016x}", request.content.0);
-                self.report_crashes(&[], &findings);
+                self.report_crashes(&[], &updates);
                 Ok(())
             }
         }
@@ -149,20 +149,20 @@
     fn record_crashes(&self, runs: &[Crash]) {
         let now = clock::now();
         let mut crash_tracker = self.crash_tracker.borrow_mut();
-        let mut findings = Vec::new();
+        let mut updates = Vec::new();
         for run in runs {
-            findings.extend(crash_tracker.quarantine.note_crash(run, Reporter::ThisHost));
+            updates.extend(crash_tracker.quarantine.note_crash(run, Reporter::ThisHost));
         }
         let granted = crash_tracker.reports.grant(runs.len(), now);
         drop(crash_tracker);
-        findings.iter().for_each(log_finding);
+        updates.iter().for_each(log_quarantine_update);
         let crashed = runs.iter().take(granted).map(|run| CrashedRun {
             request: run.request,
             ran: run.at.since(run.sent),
             age: now.since(run.at),
         });
         let crashed: Vec<CrashedRun> = crashed.collect();
-        self.report_crashes(&crashed, &findings);
+        self.report_crashes(&crashed, &updates);
     }
 
     /// Handles another host's report of crashes and quarantined requests.
@@ -176,14 +176,14 @@
                 sent: at - crashed.ran,
                 at,
             };
-            let findings = crash_tracker
+            let updates = crash_tracker
                 .quarantine
                 .note_crash(&crash, Reporter::OtherHost);
-            findings.iter().for_each(log_finding);
+            updates.iter().for_each(log_quarantine_update);
         }
-        for finding in &crashes.findings {
-            if crash_tracker.quarantine.apply(finding, now) {
-                log_finding(finding);
+        for update in &crashes.updates {
+            if crash_tracker.quarantine.apply(update, now) {
+                log_quarantine_update(update);
             }
         }
         drop(crash_tracker);
@@ -198,8 +198,8 @@
     /// Returns a message with all quarantined requests, `None` if there are none.
     pub(super) fn quarantine_message(&self) -> Option<NeighbourMessage> {
         let crash_tracker = self.crash_tracker.borrow();
-        let findings = crash_tracker.quarantine.updates(clock::now());
-        (!findings.is_empty()).then(|| message(false, Vec::new(), findings))
+        let updates = crash_tracker.quarantine.updates(clock::now());
+        (!updates.is_empty()).then(|| message(false, Vec::new(), updates))
     }
 
     /// Periodically sends the quarantine to other hosts; never returns.
@@ -224,10 +224,10 @@
     }
 
     /// Reports runs that ended with a crash, and the resulting findings, to all hosts.
-    fn report_crashes(&self, crashed: &[CrashedRun], findings: &[QuarantineUpdate]) {
-        if !crashed.is_empty() || !findings.is_empty() {
+    fn report_crashes(&self, crashed: &[CrashedRun], updates: &[QuarantineUpdate]) {
+        if !crashed.is_empty() || !updates.is_empty() {
             self.broadcast_all_centres(|cross_centre| {
-                message(cross_centre, crashed.to_vec(), findings.to_vec())
+                message(cross_centre, crashed.to_vec(), updates.to_vec())
             });
         }
     }
@@ -236,20 +236,20 @@
 fn message(
     cross_centre: bool,
     runs: Vec<CrashedRun>,
-    findings: Vec<QuarantineUpdate>,
+    updates: Vec<QuarantineUpdate>,
 ) -> NeighbourMessage {
     NeighbourMessage::CrashReport(CrashReport {
         cross_centre,
         runs,
-        findings,
+        updates,
     })
 }
 
-fn log_finding(finding: &QuarantineUpdate) {
+fn log_quarantine_update(update: &QuarantineUpdate) {
     log::info!(
         "E0141 request-quarantined fingerprint={:016x} crashes={} left_ms={}",
-        finding.request.0,
-        finding.crashes,
-        finding.remaining.as_millis()
+        update.request.0,
+        update.crashes,
+        update.remaining.as_millis()
     );
 }
--- a/components/transport/src/trace.rs
+++ b/components/transport/src/trace.rs
@@ -54,7 +54,7 @@
 
 impl Tracing {
     /// Returns tracing that traces nothing.
-    pub fn off() -> Tracing {
+    pub fn disabled() -> Tracing {
         Tracing {
             every: 0,
             count: AtomicU64::new(0),
@@ -66,7 +66,7 @@
     /// Traces one call in `every`, none where 0, and writes the spans by `exporter`.
     pub fn new(every: u64, host: &str, exporter: impl SpanExporter + 'static) -> Tracing {
         if every == 0 {
-            return Tracing::off();
+            return Tracing::disabled();
         }
         let resource = Resource::builder()
             .with_service_name("cardamomvale")
--- a/components/transport/src/upstream/body.rs
+++ b/components/transport/src/upstream/body.rs
@@ -48,7 +48,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             RequestBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            RequestBody::Streamed(start, rest) => match rest.left() {
+            RequestBody::Streamed(start, rest) => match rest.remaining() {
                 Some(left) => SizeHint::with_exact(start.len() as u64 + left),
                 None => SizeHint::default(),
             },
--- a/components/transport/tests/keyed_calls.rs
+++ b/components/transport/tests/keyed_calls.rs
@@ -86,7 +86,7 @@
 async fn site(server: &Server) -> (Site, Arc<Table>) {
     let site = Site::start(&[server]).await;
     let table = Arc::new(Table::default());
-    site.edge.claim_by(Arc::clone(&table) as _);
+    site.edge.set_claims(Arc::clone(&table) as _);
     (site, table)
 }
 
@@ -232,7 +232,7 @@
     let server = Server::always(Reply::Keep(ok("taken"))).await;
     let site = Site::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
     let table = Arc::new(Table::default());
-    site.edge.claim_by(Arc::clone(&table) as _);
+    site.edge.set_claims(Arc::clone(&table) as _);
     let mut stream = site.connect().await;
     let request = deposit("k1", &"a".repeat(1_100_000));
     stream.write_all(request.as_bytes()).await.expect("sent");
--- a/components/transport/tests/load_reports.rs
+++ b/components/transport/tests/load_reports.rs
@@ -13,7 +13,7 @@
 use state::{Config, HostKey};
 use tokio::time::{sleep, timeout};
 use transport::clock;
-use transport::dispatch::{Dispatcher, Setup};
+use transport::dispatch::{Dispatcher, DispatcherOptions};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const SLOTS: u32 = 6;
@@ -71,7 +71,7 @@
         })
         .collect();
     let host = HostKey::named("north");
-    let setup = Setup {
+    let setup = DispatcherOptions {
         host,
         incarnation: 1,
         data_centre: "trent".to_owned(),
@@ -79,7 +79,7 @@
     };
     let dispatcher = Dispatcher::new(&setup, Arc::new(|_, _| {}));
     let mut config = config(service(&backends));
-    dispatcher.watch(BTreeSet::from([host]));
+    dispatcher.set_alive(BTreeSet::from([host]));
     dispatcher.configure(&config);
     config.revision = 2;
     let member = Member {
--- a/components/transport/tests/silence.rs
+++ b/components/transport/tests/silence.rs
@@ -22,7 +22,7 @@
         )
         .await;
     let site = Site::start(&[&server]).await;
-    while site.edge.kept_connections() < 2 {
+    while site.edge.idle_connections() < 2 {
         assert_eq!(site.ask(&get("/hallboard/")).await.text(), "well");
     }
     lost.store(server.accepted(), Ordering::SeqCst);
@@ -58,6 +58,6 @@
     let server = Server::always(Reply::Keep(ok("well"))).await;
     let site = Site::start(&[&server]).await;
     site.ask(&get("/hallboard/")).await;
-    assert!(site.edge.kept_connections() > 0);
-    until(|| site.edge.kept_connections() == 0).await;
+    assert!(site.edge.idle_connections() > 0);
+    until(|| site.edge.idle_connections() == 0).await;
 }
--- a/components/transport/tests/slot_dispatch.rs
+++ b/components/transport/tests/slot_dispatch.rs
@@ -10,7 +10,7 @@
 use state::{Config, HostKey, Moment, ServiceKey};
 use tokio::time::timeout;
 use transport::clock;
-use transport::dispatch::{Call, Dispatcher, Ending, Refusal, SendMessage, Setup};
+use transport::dispatch::{Call, Dispatcher, DispatcherOptions, Ending, Refusal, SendMessage};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -94,7 +94,7 @@
                 }
             });
         });
-        let setup = Setup {
+        let setup = DispatcherOptions {
             host,
             incarnation: 100 + n,
             data_centre: "trent".to_owned(),
@@ -123,7 +123,7 @@
     fn configure(&self) {
         let alive: BTreeSet<HostKey> = self.hosts.iter().map(|(k, _)| *k).collect();
         for (_, host) in &self.hosts {
-            host.watch(alive.clone());
+            host.set_alive(alive.clone());
             host.configure(&self.config);
         }
     }
@@ -241,7 +241,7 @@
 // It starts nothing, and its callers hear "not run" in time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_members() {
-    let setup = Setup {
+    let setup = DispatcherOptions {
         host: HostKey(1),
         incarnation: 1,
         data_centre: "trent".to_owned(),
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use transport::dispatch::{Dispatcher, Setup};
+use transport::dispatch::{Dispatcher, DispatcherOptions};
 use transport::edge::{Edge, Limits};
 use transport::trace::Tracing;
 
@@ -231,7 +231,7 @@
 
     /// Starts an edge whose service and limits are changed first.
     pub async fn with(servers: &[&Server], change: impl Fn(&mut Service), limits: Limits) -> Site {
-        Site::build(servers, change, limits, Tracing::off()).await
+        Site::build(servers, change, limits, Tracing::disabled()).await
     }
 
     async fn build(
@@ -247,7 +247,7 @@
         let dispatcher = Dispatcher::new(&alone(), Arc::new(|_, _| {}));
         dispatcher.configure(&config);
         let (sender, receiver) = watch::channel(config);
-        let edge = Edge::traced(limits, dispatcher, receiver, tracing);
+        let edge = Edge::with_tracing(limits, dispatcher, receiver, tracing);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let task = tokio::spawn(Arc::clone(&edge).serve(listener));
@@ -362,8 +362,8 @@
 }
 
 /// Returns the setup of the only entry host: all slots are its own, and no more.
-fn alone() -> Setup {
-    Setup {
+fn alone() -> DispatcherOptions {
+    DispatcherOptions {
         host: HostKey::named("alone"),
         incarnation: 1,
         data_centre: "trent".into(),
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -5,7 +5,7 @@
 use eyre::WrapErr;
 use tokio::runtime;
 use tokio::signal::unix::{SignalKind, signal};
-use transport::entry::Entry;
+use transport::entry::EntryHost;
 
 use crate::settings::EntrySettings;
 use crate::{cli, logs, settings};
@@ -36,7 +36,7 @@
     runtime.block_on(async {
         let mut term = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
-        let entry = Entry::start(checked.host)
+        let entry = EntryHost::start(checked.host)
             .await
             .wrap_err("the entry host can't start")?;
         println!("{}", serde_json::to_string(&entry.ports())?);
