--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -20,7 +20,7 @@
 use stand_ins::backend::{Backend, Options};
 use stand_ins::history::History;
 use stand_ins::store::{Behaviour, StoreStandIn};
-use transport::log::{CommandRequest, Outcome, submit_by_log};
+use transport::log::{CommandRequest, Outcome, submit_to_store};
 
 const WINDOW: Duration = Duration::from_secs(10);
 const READY: Duration = Duration::from_secs(60);
@@ -285,7 +285,7 @@
         decided_on: None,
         change,
     };
-    match submit_by_log(log, &request, Duration::from_secs(10)) {
+    match submit_to_store(log, &request, Duration::from_secs(10)) {
         Outcome::Accepted { .. } => Ok(()),
         other => Err(eyre!("the log did not take the preset: {other:?}")),
     }
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -19,7 +19,7 @@
 use protocol::claim::encode_batch;
 use state::Moment;
 use transport::claims::{Claims, Verdict, WorkerOptions};
-use transport::log::LogClient;
+use transport::log::BlockingStoreClient;
 
 const HOSTS: usize = 4;
 const RATES: [u64; 5] = [50, 200, 1_000, 4_000, 12_000];
@@ -74,7 +74,7 @@
         let claims = Arc::clone(&hosts[n as usize % HOSTS]);
         async move {
             let request = request(&format!("key-{n}"), 0, PATIENCE);
-            matches!(claims.claim(request).await, Verdict::Go(_))
+            matches!(claims.claim(request).await, Verdict::Granted(_))
         }
     })
     .await;
@@ -108,7 +108,7 @@
 }
 
 /// Claims a key as a host without a home would: its own append, then a read.
-fn append_alone(client: &LogClient, n: u64) -> bool {
+fn append_alone(client: &BlockingStoreClient, n: u64) -> bool {
     let key = ClaimKey(u128::from(n) << 64);
     let record: Bytes = encode_batch(&Batch {
         entries: vec![claim(n, key)],
--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -15,7 +15,8 @@
 use protocol::config_record::{decode_record, encode_command, encode_snapshot};
 use stand_ins::store::{Behaviour, Outage, StoreStandIn};
 use transport::log::{
-    CommandRequest, Follower, FollowerOptions, LogClient, Outcome, PATIENCE, Submission,
+    BlockingStoreClient, CommandRequest, Follower, FollowerOptions, Outcome, STORE_TIMEOUT,
+    Submission,
 };
 
 const ORDINARY: &str = include_str!("../examples/hr-central.toml");
@@ -51,7 +52,7 @@
     fn start(hosts: usize) -> Site {
         let log = StoreStandIn::on_loopback(Behaviour::default()).expect("the log starts");
         let address = log.address();
-        let client = || LogClient::new(address, PATIENCE);
+        let client = || BlockingStoreClient::new(address, STORE_TIMEOUT);
         let follow = || Arc::new(Follower::start(client(), FollowerOptions::default()));
         let hosts: Vec<Arc<Follower>> = (0..hosts).map(|_| follow()).collect();
         let operator = Submission::new(client(), follow(), Duration::from_secs(20));
@@ -328,7 +329,7 @@
                 wait: Duration::from_millis(wait_ms),
                 ..FollowerOptions::default()
             };
-            let client = LogClient::new(relay, PATIENCE);
+            let client = BlockingStoreClient::new(relay, STORE_TIMEOUT);
             let host = Follower::start(client, options);
             host.wait_folded(2, Duration::from_secs(5));
             let before = [0, 1].map(|n| bytes[n].load(Ordering::Relaxed));
--- a/components/stand_ins/src/config_run/faults.rs
+++ b/components/stand_ins/src/config_run/faults.rs
@@ -74,7 +74,7 @@
                 old_words.extend(hosts.word(host));
                 let to = draw.random_range(0..hosts.count());
                 if let Some(word) = pick(&old_words, &mut draw) {
-                    hosts.follower(to).take_record(word);
+                    hosts.follower(to).install_record(word);
                 }
             }
             11 => {
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -10,7 +10,7 @@
 use state::Config;
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
-use transport::log::{Follower, FollowerOptions, LogClient, Submission};
+use transport::log::{BlockingStoreClient, Follower, FollowerOptions, Submission};
 
 use super::lock;
 use crate::proxy::{Fault, Proxy};
@@ -100,7 +100,9 @@
 
     /// Returns what a host would hand to a peer.
     pub(super) fn word(&self, number: usize) -> Option<Bytes> {
-        self.follower(number).offer().map(|(_, record)| record)
+        self.follower(number)
+            .snapshot_record()
+            .map(|(_, record)| record)
     }
 
     /// Waits until every host has folded the whole log; returns their revisions.
@@ -139,18 +141,18 @@
     }
 }
 
-fn client(proxy: &Proxy) -> LogClient {
-    LogClient::new(proxy.address(), Duration::from_millis(150))
+fn client(proxy: &Proxy) -> BlockingStoreClient {
+    BlockingStoreClient::new(proxy.address(), Duration::from_millis(150))
 }
 
 /// Starts a follower that is as quick to notice and to snapshot as the run is short.
 fn follow(proxy: &Proxy) -> Arc<Follower> {
     let options = FollowerOptions {
         wait: Duration::from_millis(50),
-        pause: Duration::from_millis(5),
-        longest_pause: Duration::from_millis(50),
-        patience: Duration::from_millis(100),
-        kilobytes: Some(1),
+        retry_delay: Duration::from_millis(5),
+        max_retry_delay: Duration::from_millis(50),
+        hedge_delay: Duration::from_millis(100),
+        max_kilobytes: Some(1),
         snapshots: Some(SnapshotPolicy {
             max_age: Duration::from_secs(1),
             max_records: 16,
--- a/components/stand_ins/src/site.rs
+++ b/components/stand_ins/src/site.rs
@@ -8,7 +8,7 @@
 
 use coordination::config::Change;
 use derives::value;
-use transport::log::{CommandRequest, Outcome, submit_by_log};
+use transport::log::{CommandRequest, Outcome, submit_to_store};
 
 use crate::backend::{Backend, Knobs, Options};
 use crate::history::{Event, History, Order};
@@ -247,7 +247,7 @@
             change,
         };
         let submitted =
-            tokio::task::spawn_blocking(move || submit_by_log(address, &request, COMMAND_LIMIT))
+            tokio::task::spawn_blocking(move || submit_to_store(address, &request, COMMAND_LIMIT))
                 .await;
         match submitted.map_err(io::Error::other)? {
             Outcome::Accepted { revision } => Ok(revision),
--- a/components/transport/src/claims/entry.rs
+++ b/components/transport/src/claims/entry.rs
@@ -22,7 +22,7 @@
 use super::{CACHED_ANSWER_LIMIT, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 use crate::edge::KeyClaims;
-use crate::log::LogClient;
+use crate::log::BlockingStoreClient;
 use crate::peers::Links;
 
 /// How long a home may take to say that it has the ask. After it this host acts
@@ -51,7 +51,7 @@
 /// What [`Claims`] works with.
 pub struct ClaimsOptions {
     /// The log.
-    pub client: LogClient,
+    pub client: BlockingStoreClient,
     /// Links to the other homes.
     pub links: Arc<Links>,
     /// How homes on this host work.
@@ -94,7 +94,7 @@
 impl Claims {
     /// Starts on the current runtime.
     pub fn start(options: ClaimsOptions) -> Arc<Claims> {
-        let me = options.links.me();
+        let me = options.links.own_key();
         let view = options.links.view();
         let claims = Arc::new_cyclic(|this| Claims {
             me,
@@ -111,15 +111,15 @@
 
     /// Claims a key for a call. Returns by the request's deadline.
     ///
-    /// After [`Verdict::Go`] the call is to be sent once, and its ending told by
+    /// After [`Verdict::Granted`] the call is to be sent once, and its ending told by
     /// [`Claims::end`]. Dropping the future gives the claim up.
     pub async fn claim(&self, request: ClaimRequest) -> Verdict {
         let started = clock::now();
         let ask = KeyRequest {
             id: ClaimId(rand::rng().random()),
-            key: key_of(&request),
+            key: claim_key(&request),
             digest: narrow(&request.digest),
-            ttl: key_ttl(request.keep, started.until(request.deadline)),
+            ttl: key_ttl(request.ttl, started.until(request.deadline)),
         };
         let until = request.deadline - MARGIN;
         let deadline = Instant::now() + started.until(until);
@@ -316,7 +316,7 @@
         metrics::histogram!("cardamomvale_claims_seconds").record(taken.as_secs_f64());
         let verdict = match answer {
             Some(Answer::Granted) if !may_start(now, until) => Verdict::NotRun(RETRY),
-            Some(Answer::Granted) => Verdict::Go(ClaimTicket {
+            Some(Answer::Granted) => Verdict::Granted(ClaimTicket {
                 id: self.ask.id,
                 key: self.ask.key,
             }),
@@ -329,7 +329,7 @@
             Some(Answer::InProgress) | None => Verdict::NotRun(RETRY),
         };
         self.decided = match verdict {
-            Verdict::Go(_) => true,
+            Verdict::Granted(_) => true,
             // The one home that was asked knows that it does not have the key.
             Verdict::Known(_) | Verdict::Started | Verdict::Mismatch => {
                 self.homes.len() == 1 && !self.waits
@@ -384,7 +384,7 @@
 }
 
 /// Returns what a call claims: a hash of its service and key.
-pub fn key_of(request: &ClaimRequest) -> ClaimKey {
+pub fn claim_key(request: &ClaimRequest) -> ClaimKey {
     let mut hash = Sha256::new();
     hash.update(request.service.0.to_le_bytes());
     hash.update(request.key.as_bytes());
@@ -400,7 +400,7 @@
 
 fn label(verdict: &Verdict) -> &'static str {
     match verdict {
-        Verdict::Go(_) => "go",
+        Verdict::Granted(_) => "go",
         Verdict::Known(_) => "known",
         Verdict::Started => "started",
         Verdict::Mismatch => "mismatch",
--- a/components/transport/src/claims/mod.rs
+++ b/components/transport/src/claims/mod.rs
@@ -15,7 +15,7 @@
 use state::{Moment, ServiceKey};
 
 pub use coordination::claims::{CACHED_ANSWER_LIMIT, CachedAnswer, Ending as ClaimEnding};
-pub use entry::{Claims, ClaimsOptions, key_of};
+pub use entry::{Claims, ClaimsOptions, claim_key};
 pub use steward::home_of;
 pub use worker::WorkerOptions;
 
@@ -29,7 +29,7 @@
     /// The SHA-256 of method, path, query and body.
     pub digest: [u8; 32],
     /// How long the key is remembered: the service's `key-seconds`.
-    pub keep: Duration,
+    pub ttl: Duration,
     /// When a verdict is of no more use to the call.
     pub deadline: Moment,
 }
@@ -38,7 +38,7 @@
 #[value]
 pub enum Verdict {
     /// The key is this call's: send it once.
-    Go(ClaimTicket),
+    Granted(ClaimTicket),
     /// The first call with this key is answered: this is its kept answer.
     Known(CachedAnswer),
     /// The first call with this key was started and its outcome is not known here.
--- a/components/transport/src/claims/steward.rs
+++ b/components/transport/src/claims/steward.rs
@@ -10,7 +10,7 @@
 
 use super::entry::Claims;
 use super::worker::{Order, Worker, WorkerOptions, WorkerSetup};
-use crate::log::LogClient;
+use crate::log::BlockingStoreClient;
 
 /// Returns the home of `stream`: a member that is alive, by rendezvous.
 ///
@@ -22,7 +22,7 @@
 
 /// The workers of this host.
 pub struct Steward {
-    client: LogClient,
+    client: BlockingStoreClient,
     options: WorkerOptions,
     workers: Mutex<BTreeMap<u64, Worker>>,
     /// The streams whose home this host is.
@@ -31,7 +31,7 @@
 
 impl Steward {
     /// Returns one that runs no worker yet.
-    pub fn new(client: LogClient, options: WorkerOptions) -> Steward {
+    pub fn new(client: BlockingStoreClient, options: WorkerOptions) -> Steward {
         Steward {
             client,
             options,
--- a/components/transport/src/claims/worker.rs
+++ b/components/transport/src/claims/worker.rs
@@ -14,7 +14,7 @@
 use state::{HostKey, Moment};
 
 use crate::clock;
-use crate::log::{AppendError, LogClient};
+use crate::log::{AppendError, BlockingStoreClient};
 
 /// How a home works. The defaults are for production; tests shorten them.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 pub struct WorkerSetup {
     /// The log.
-    pub client: LogClient,
+    pub client: BlockingStoreClient,
     /// The stream's number.
     pub stream: u64,
     /// How it works.
--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -148,7 +148,7 @@
         service: plan.service,
         key,
         digest: keyed::digest(plan.service, &plan.method, &plan.uri, &body.start),
-        keep: plan.keep,
+        ttl: plan.keep,
         deadline: plan.deadline,
     };
     let hop = plan.trace.inner("claim");
--- a/components/transport/src/edge/keyed.rs
+++ b/components/transport/src/edge/keyed.rs
@@ -66,7 +66,7 @@
     let waiting = ask(Arc::clone(claims), request);
     let left = clock::now().until(deadline);
     match tokio::time::timeout(left, waiting).await {
-        Ok(Ok(Verdict::Go(ticket))) => Ok(Claimed::Mine(Claim {
+        Ok(Ok(Verdict::Granted(ticket))) => Ok(Claimed::Mine(Claim {
             claims: Arc::clone(claims),
             ticket: Some(ticket),
             sent: false,
@@ -89,7 +89,7 @@
     let (sender, receiver) = oneshot::channel();
     tokio::spawn(async move {
         let verdict = claims.claim(request).await;
-        if let Err(Verdict::Go(ticket)) = sender.send(verdict) {
+        if let Err(Verdict::Granted(ticket)) = sender.send(verdict) {
             claims.end(ticket, ClaimEnding::NotRun);
         }
     });
--- a/components/transport/src/entry/mod.rs
+++ b/components/transport/src/entry/mod.rs
@@ -24,7 +24,7 @@
 use crate::claims::{Claims, ClaimsOptions, WorkerOptions};
 use crate::dispatch::{Dispatcher, DispatcherOptions};
 use crate::edge::{Edge, Limits};
-use crate::log::{Follower, FollowerOptions, LogClient, PATIENCE, Submission};
+use crate::log::{BlockingStoreClient, Follower, FollowerOptions, STORE_TIMEOUT, Submission};
 use crate::peers::{Identity, Links, LiveView, Members, MembersOptions};
 use crate::trace::Tracing;
 use router::Router;
@@ -180,7 +180,7 @@
 
 impl Host {
     fn start(settings: &Settings, peers: TcpListener, peers_at: SocketAddr) -> Host {
-        let client = LogClient::new(settings.log, PATIENCE);
+        let client = BlockingStoreClient::new(settings.log, STORE_TIMEOUT);
         let follower = Arc::new(Follower::start(client.clone(), FollowerOptions::default()));
         let submission = Submission::new(client.clone(), Arc::clone(&follower), COMMAND_LIMIT);
         let identity = Identity {
@@ -208,7 +208,7 @@
             worker: WorkerOptions::default(),
         });
         let setup = DispatcherOptions {
-            host: links.me(),
+            host: links.own_key(),
             incarnation: identity.incarnation,
             data_centre: settings.data_centre.clone(),
             policy: settings.policy,
@@ -249,7 +249,7 @@
             return true;
         }
         let others = self.links.view().borrow().alive().count().saturating_sub(1);
-        let settled = self.links.linked() * 2 >= others;
+        let settled = self.links.link_count() * 2 >= others;
         self.settled.store(settled, Ordering::SeqCst);
         settled
     }
@@ -259,7 +259,10 @@
     fn unready(&self) -> Option<String> {
         let progress = self.follower.progress();
         let progress = progress.borrow();
-        match (self.follower.config().borrow().preset(), &progress.trouble) {
+        match (
+            self.follower.config().borrow().preset(),
+            &progress.stale_reason,
+        ) {
             _ if self.stopping.load(Ordering::SeqCst) => Some("shutting down".to_owned()),
             (None, Some(trouble)) => Some(format!("no configuration yet: {trouble}")),
             (None, None) => Some("no preset has been chosen: use `preset choose`".to_owned()),
@@ -324,7 +327,7 @@
     let mut ticks = interval(CONFIRM_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while let Some(members) = members.upgrade() {
-        dispatcher.renew_incarnation(members.me().incarnation);
+        dispatcher.renew_incarnation(members.own_id().incarnation);
         if let Some(shown) = members.current_at() {
             dispatcher.confirm(shown);
         }
--- a/components/transport/src/entry/router.rs
+++ b/components/transport/src/entry/router.rs
@@ -7,7 +7,7 @@
 
 use crate::claims::Claims;
 use crate::dispatch::Dispatcher;
-use crate::peers::Receive;
+use crate::peers::MessageHandler;
 
 /// The parts that take messages, set once each as they start.
 #[derive(Default)]
@@ -24,8 +24,8 @@
     }
 }
 
-impl Receive for Router {
-    fn receive(&self, from: HostKey, message: PeerMessage) {
+impl MessageHandler for Router {
+    fn handle(&self, from: HostKey, message: PeerMessage) {
         match (message, self.dispatcher.get(), self.claims.get()) {
             (PeerMessage::Slots(message), Some(dispatcher), _) => dispatcher.receive(from, message),
             (PeerMessage::Claim(message), _, Some(claims)) => claims.receive(from, message),
--- a/components/transport/src/entry/status.rs
+++ b/components/transport/src/entry/status.rs
@@ -21,7 +21,7 @@
         "offset": config.offset,
         "preset": config.chosen,
         "log_age_ms": progress.end_seen.map(|seen| now.since(seen).as_millis()),
-        "trouble": progress.trouble,
+        "trouble": progress.stale_reason,
         "callers": host.edge.callers(),
         "owner": host.members.may_act(),
         "member": host.members.is_member(),
@@ -50,7 +50,7 @@
     let view = host.links.view().borrow().clone();
     let alive: Vec<_> = view.alive().collect();
     let row = |(key, member): (&state::HostKey, &state::config::Member)| {
-        let here = *key == host.links.me();
+        let here = *key == host.links.own_key();
         json!({
             "host": member.name,
             "data_centre": member.data_centre,
--- a/components/transport/src/log/client.rs
+++ b/components/transport/src/log/client.rs
@@ -19,7 +19,7 @@
 /// How long an append's answer, or a read's beyond its own wait, may take by default.
 ///
 /// An operator's command rather waits for a slow store than ends as "unknown".
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an append got no offset.
 #[value]
@@ -50,7 +50,7 @@
     Read {
         topic: String,
         from: u64,
-        kilobytes: Option<u32>,
+        max_kilobytes: Option<u32>,
         wait: Duration,
         limit: Duration,
         answer: SyncSender<Result<ReadAnswer, StoreError>>,
@@ -62,31 +62,31 @@
 /// A thread of its own runs [`StoreClient`], the one client of the store, so that it
 /// needs no runtime where it is used. The thread ends with the last clone.
 #[derive(Clone, Debug)]
-pub struct LogClient {
+pub struct BlockingStoreClient {
     calls: UnboundedSender<Call>,
     limit: Duration,
 }
 
-impl LogClient {
+impl BlockingStoreClient {
     /// Returns a client of the log at `address`; `limit` bounds how long an answer takes.
     ///
     /// # Panics
     ///
     /// Panics where the system gives no thread.
-    pub fn new(address: SocketAddr, limit: Duration) -> LogClient {
+    pub fn new(address: SocketAddr, limit: Duration) -> BlockingStoreClient {
         let (sender, calls) = unbounded_channel();
         std::thread::Builder::new()
             .name("log-client".to_owned())
             .spawn(move || run(address, calls))
             .expect("a thread can be started");
-        LogClient {
+        BlockingStoreClient {
             calls: sender,
             limit,
         }
     }
 
     /// Returns the same client with another time-out for answers.
-    pub fn waiting(&self, limit: Duration) -> LogClient {
+    pub fn waiting(&self, limit: Duration) -> BlockingStoreClient {
         let mut client = self.clone();
         client.limit = limit;
         client
@@ -122,7 +122,7 @@
 
     /// Reads records from offset `from`, or from the oldest where that one is gone.
     ///
-    /// Waits up to `wait` for the first where there is none yet; `kilobytes`
+    /// Waits up to `wait` for the first where there is none yet; `max_kilobytes`
     /// bounds the answer. Blocks.
     ///
     /// # Errors
@@ -132,14 +132,14 @@
         &self,
         topic: &str,
         from: u64,
-        kilobytes: Option<u32>,
+        max_kilobytes: Option<u32>,
         wait: Duration,
     ) -> Result<ReadAnswer, ReadError> {
         let (answer, answered) = sync_channel(1);
         let call = Call::Read {
             topic: topic.to_owned(),
             from,
-            kilobytes,
+            max_kilobytes,
             wait,
             limit: self.limit,
             answer,
@@ -199,15 +199,15 @@
         Call::Read {
             topic,
             from,
-            kilobytes,
+            max_kilobytes,
             wait,
             limit,
             answer,
         } => {
             store.set_timeout(limit);
-            let mut result = store.read(&topic, from, wait, kilobytes).await;
+            let mut result = store.read(&topic, from, wait, max_kilobytes).await;
             if let Err(StoreError::Forgotten(Some(first))) = result {
-                result = store.read(&topic, first, wait, kilobytes).await;
+                result = store.read(&topic, first, wait, max_kilobytes).await;
             }
             let silent = is_silent(&result);
             let _ = answer.send(result);
--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -11,7 +11,7 @@
 use state::{Config, Moment};
 use tokio::sync::{broadcast, watch};
 
-use super::client::LogClient;
+use super::client::BlockingStoreClient;
 use super::reader::{Event, Reader};
 
 /// How a follower reads.
@@ -21,14 +21,14 @@
     /// [`Progress::end_seen`] gets while all is well: twice this.
     pub wait: Duration,
     /// The first pause after a read that failed.
-    pub pause: Duration,
+    pub retry_delay: Duration,
     /// The longest pause. It bounds how late a host learns that an outage is over.
-    pub longest_pause: Duration,
+    pub max_retry_delay: Duration,
     /// How long a read may take beyond its wait before another is sent beside
     /// it. It bounds how late a host learns that a link has gone silent.
-    pub patience: Duration,
+    pub hedge_delay: Duration,
     /// Kilobytes of records asked for at once, none for as many as the log gives.
-    pub kilobytes: Option<u32>,
+    pub max_kilobytes: Option<u32>,
     /// When snapshots are due, or none where this follower appends none.
     pub snapshots: Option<SnapshotPolicy>,
 }
@@ -37,10 +37,10 @@
     fn default() -> FollowerOptions {
         FollowerOptions {
             wait: Duration::from_millis(500),
-            pause: Duration::from_millis(50),
-            longest_pause: Duration::from_secs(1),
-            patience: Duration::from_secs(1),
-            kilobytes: None,
+            retry_delay: Duration::from_millis(50),
+            max_retry_delay: Duration::from_secs(1),
+            hedge_delay: Duration::from_secs(1),
+            max_kilobytes: None,
             snapshots: Some(SnapshotPolicy::default()),
         }
     }
@@ -50,20 +50,20 @@
 #[value]
 pub struct Progress {
     /// What has been folded.
-    pub mark: Position,
+    pub position: Position,
     /// When the read was sent whose answer showed that nothing more stood on
     /// the log, or none yet. What came later may not be known here.
     pub end_seen: Option<Moment>,
     /// Why this host has no configuration, or an old one; empty where all is well.
-    pub trouble: Option<String>,
+    pub stale_reason: Option<String>,
 }
 
 impl Default for Progress {
     fn default() -> Progress {
         Progress {
-            mark: Position::default(),
+            position: Position::default(),
             end_seen: None,
-            trouble: Some("the log has not been read yet".to_owned()),
+            stale_reason: Some("the log has not been read yet".to_owned()),
         }
     }
 }
@@ -84,7 +84,7 @@
 }
 
 pub(super) struct Shared {
-    pub(super) client: LogClient,
+    pub(super) client: BlockingStoreClient,
     pub(super) options: FollowerOptions,
     pub(super) fold: Mutex<Fold>,
     pub(super) progress: watch::Sender<Progress>,
@@ -102,7 +102,7 @@
     /// # Panics
     ///
     /// Panics where the system gives no thread.
-    pub fn start(client: LogClient, options: FollowerOptions) -> Follower {
+    pub fn start(client: BlockingStoreClient, options: FollowerOptions) -> Follower {
         let (config_sender, config) = watch::channel(Arc::default());
         let (progress_sender, progress) = watch::channel(Progress::default());
         let shared = Arc::new(Shared {
@@ -148,14 +148,14 @@
     pub fn ready(&self) -> Result<(), String> {
         match self.config.borrow().preset() {
             Some(_) => Ok(()),
-            None => Err(self.trouble()),
+            None => Err(self.stale_reason()),
         }
     }
 
     /// Returns why the configuration is missing or may be old.
-    pub fn trouble(&self) -> String {
-        let trouble = self.progress.borrow().trouble.clone();
-        trouble.unwrap_or_else(|| "the log's records have not all been read yet".to_owned())
+    pub fn stale_reason(&self) -> String {
+        let stale_reason = self.progress.borrow().stale_reason.clone();
+        stale_reason.unwrap_or_else(|| "the log's records have not all been read yet".to_owned())
     }
 
     /// Returns how far the follower has folded.
@@ -214,7 +214,7 @@
     }
 
     /// Takes a snapshot's record as a peer hands it on. Returns whether it was newer.
-    pub fn take_record(&self, record: &Bytes) -> bool {
+    pub fn install_record(&self, record: &Bytes) -> bool {
         match decode_record(record) {
             Ok(Record::Snapshot(snapshot)) => self.take(*snapshot),
             Ok(Record::Command(_) | Record::Begin(_)) => false,
@@ -226,7 +226,7 @@
     }
 
     /// Returns the snapshot's record to hand to a peer, with its mark.
-    pub fn offer(&self) -> Option<(Position, Bytes)> {
+    pub fn snapshot_record(&self) -> Option<(Position, Bytes)> {
         let snapshot = self.snapshot()?;
         Some((snapshot.position(), encode_snapshot(&snapshot)))
     }
--- a/components/transport/src/log/mod.rs
+++ b/components/transport/src/log/mod.rs
@@ -6,11 +6,12 @@
 mod remote;
 mod submit;
 
-pub use client::{AppendError, LogClient, PATIENCE, ReadError};
+pub use client::{AppendError, BlockingStoreClient, ReadError, STORE_TIMEOUT};
 pub use follower::{Follower, FollowerOptions, Progress};
-pub use remote::{read_by_entry, submit_by_entry};
+pub use remote::{read_from_host, submit_to_host};
 pub use submit::{
-    CommandRequest, Outcome, Submission, begin_by_log, read_by_log, reader_options, submit_by_log,
+    CommandRequest, Outcome, Submission, begin_in_store, read_from_store, reader_options,
+    submit_to_store,
 };
 
 /// The stream that operators' commands and members' joins stand on.
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -49,7 +49,7 @@
     shared: Arc<Shared>,
     events: Sender<Event>,
     timer: Option<SnapshotTimer>,
-    pause: Duration,
+    retry_delay: Duration,
     failures: u32,
     in_flight: usize,
     next_read: Moment,
@@ -63,7 +63,7 @@
         let now = clock::now();
         let reader = Reader {
             timer: shared.options.snapshots.map(|s| SnapshotTimer::new(s, now)),
-            pause: shared.options.pause,
+            retry_delay: shared.options.retry_delay,
             shared,
             events: sender.clone(),
             failures: 0,
@@ -99,19 +99,19 @@
 
     fn send_read(&mut self, now: Moment) {
         if self.in_flight > 0 {
-            self.trouble("the log is late with its answer");
+            self.stale_reason("the log is late with its answer");
         }
         self.in_flight += 1;
         let options = &self.shared.options;
-        self.next_read = now + options.wait + options.patience;
+        self.next_read = now + options.wait + options.hedge_delay;
         let from = lock(&self.shared.fold).read_offset();
-        let (wait, kilobytes) = (options.wait, options.kilobytes);
+        let (wait, max_kilobytes) = (options.wait, options.max_kilobytes);
         let client = self.shared.client.waiting(READ_LIMIT);
         let events = self.events.clone();
         std::thread::Builder::new()
             .name("config-read".to_owned())
             .spawn(move || {
-                let page = client.read(CONFIG_STREAM, from, kilobytes, wait);
+                let page = client.read(CONFIG_STREAM, from, max_kilobytes, wait);
                 let sent = now;
                 // The follower may be gone by now.
                 let _ = events.send(Event::Read(ReadEnd { from, sent, page }));
@@ -150,19 +150,19 @@
                 self.shared.announce(&fold);
             }
         }
-        let mark = fold.position();
-        let at_end = !fold.is_behind() && mark.next >= page.end;
-        let trouble = trouble(&fold, page);
+        let position = fold.position();
+        let at_end = !fold.is_behind() && position.next >= page.end;
+        let stale_reason = stale_reason(&fold, page);
         self.shared.publish(&fold);
         drop(fold);
         self.shared.progress.send_modify(|p| {
-            p.mark = mark;
-            p.trouble = trouble;
+            p.position = position;
+            p.stale_reason = stale_reason;
             if at_end {
                 p.end_seen = p.end_seen.max(Some(sent));
             }
         });
-        metrics::gauge!("cardamomvale_config_revision").set(mark.revision as f64);
+        metrics::gauge!("cardamomvale_config_revision").set(position.revision as f64);
         if at_end {
             self.append_snapshot(page);
         }
@@ -212,7 +212,7 @@
             log::info!("E0310 log-readable-again failures={failures}");
         }
         self.failures = 0;
-        self.pause = self.shared.options.pause;
+        self.retry_delay = self.shared.options.retry_delay;
         self.last_page = self.last_page.max(Some(sent));
         if self.in_flight == 0 {
             self.next_read = clock::now();
@@ -232,17 +232,17 @@
             log::warn!("E0301 log-unreadable error=\"{error}\"");
         }
         self.failures += 1;
-        self.trouble(error);
+        self.stale_reason(error);
         let jitter = rand::rng().random_range(0.5..1.0);
-        self.next_read = clock::now() + self.pause.mul_f64(jitter);
-        self.pause = (self.pause * 2).min(self.shared.options.longest_pause);
+        self.next_read = clock::now() + self.retry_delay.mul_f64(jitter);
+        self.retry_delay = (self.retry_delay * 2).min(self.shared.options.max_retry_delay);
     }
 
-    fn trouble(&self, error: &str) {
-        let trouble = format!("the log can't be followed: {error}");
+    fn stale_reason(&self, error: &str) {
+        let stale_reason = format!("the log can't be followed: {error}");
         self.shared
             .progress
-            .send_modify(|p| p.trouble = Some(trouble));
+            .send_modify(|p| p.stale_reason = Some(stale_reason));
     }
 }
 
@@ -257,7 +257,7 @@
 }
 
 /// Says why the configuration is missing or old, for readiness and status.
-fn trouble(fold: &Fold, page: &ReadAnswer) -> Option<String> {
+fn stale_reason(fold: &Fold, page: &ReadAnswer) -> Option<String> {
     match fold.skipped_newer() {
         _ if fold.is_behind() => Some(format!(
             "the log's records before {} are gone and no snapshot has come yet",
@@ -283,11 +283,11 @@
             log::error!("E0304 record-skipped offset={offset} reason=\"{unreadable}\"");
             metrics::counter!("cardamomvale_config_records_skipped_total").increment(1);
         }
-        Applied::Replaced(mark) => {
+        Applied::Replaced(position) => {
             log::info!(
                 "E0308 snapshot-taken next={} revision={}",
-                mark.next,
-                mark.revision
+                position.next,
+                position.revision
             );
         }
         Applied::Repeated(..) | Applied::Ignored => {}
--- a/components/transport/src/log/remote.rs
+++ b/components/transport/src/log/remote.rs
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// Says why there is none.
-pub fn read_by_entry(address: &str, limit: Duration) -> Result<Config, String> {
+pub fn read_from_host(address: &str, limit: Duration) -> Result<Config, String> {
     let mut response = agent(limit)
         .get(format!("http://{address}/config"))
         .call()
@@ -37,8 +37,8 @@
 /// The id is drawn here and not at the entry host: were its answer lost, the
 /// operator could not ask again. The revision is left to the host, which first
 /// reads the log to its end: one that has just started shows an old one here.
-pub fn submit_by_entry(address: &str, request: &CommandRequest, limit: Duration) -> Outcome {
-    let config = match (request.id, read_by_entry(address, limit)) {
+pub fn submit_to_host(address: &str, request: &CommandRequest, limit: Duration) -> Outcome {
+    let config = match (request.id, read_from_host(address, limit)) {
         (_, Ok(config)) => config,
         (Some(id), Err(_)) => return Outcome::Unknown { id },
         (None, Err(reason)) => return Outcome::Unreachable { reason },
--- a/components/transport/src/log/submit.rs
+++ b/components/transport/src/log/submit.rs
@@ -13,7 +13,7 @@
 use state::Config;
 
 use super::CONFIG_STREAM;
-use super::client::{AppendError, LogClient, PATIENCE};
+use super::client::{AppendError, BlockingStoreClient, STORE_TIMEOUT};
 use super::follower::{Follower, FollowerOptions};
 
 /// How long to wait for an append whose answer was lost to show itself.
@@ -70,14 +70,18 @@
 /// Hands commands to the log, in an entry host or an operator's command.
 #[derive(Clone)]
 pub struct Submission {
-    client: LogClient,
+    client: BlockingStoreClient,
     follower: Arc<Follower>,
     limit: Duration,
 }
 
 impl Submission {
     /// Returns one that gives up waiting after `limit`.
-    pub fn new(client: LogClient, follower: Arc<Follower>, limit: Duration) -> Submission {
+    pub fn new(
+        client: BlockingStoreClient,
+        follower: Arc<Follower>,
+        limit: Duration,
+    ) -> Submission {
         Submission {
             client,
             follower,
@@ -95,12 +99,12 @@
             };
         }
         let fold = self.follower.fold();
-        let mark = fold.position();
+        let position = fold.position();
         let command = Command {
             id: request
                 .id
-                .unwrap_or_else(|| CommandId::new(mark.next, rand::rng().random())),
-            decided_on: request.decided_on.unwrap_or(mark.revision),
+                .unwrap_or_else(|| CommandId::new(position.next, rand::rng().random())),
+            decided_on: request.decided_on.unwrap_or(position.revision),
             change: request.change.clone(),
         };
         match fold.answer(command.id) {
@@ -151,7 +155,7 @@
             }
             match end {
                 Ok(page) if self.follower.wait_folded(page.end, left) => return Ok(()),
-                Ok(_) => reason = self.follower.trouble(),
+                Ok(_) => reason = self.follower.stale_reason(),
                 Err(error) => reason = error.to_string(),
             }
             if Instant::now() >= deadline {
@@ -190,8 +194,8 @@
 }
 
 /// Hands a command straight to the log at `address`. Blocks.
-pub fn submit_by_log(address: SocketAddr, request: &CommandRequest, limit: Duration) -> Outcome {
-    let client = LogClient::new(address, PATIENCE);
+pub fn submit_to_store(address: SocketAddr, request: &CommandRequest, limit: Duration) -> Outcome {
+    let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     let follower = Follower::start(client.clone(), reader_options());
     Submission::new(client, Arc::new(follower), limit).submit(request)
 }
@@ -202,8 +206,13 @@
 /// A host that has the configuration appends a snapshot within seconds; so the
 /// log is watched for `quiet` first. The record is appended once and never
 /// again, since each one begins anew.
-pub fn begin_by_log(address: SocketAddr, text: &str, quiet: Duration, limit: Duration) -> Outcome {
-    let client = LogClient::new(address, PATIENCE);
+pub fn begin_in_store(
+    address: SocketAddr,
+    text: &str,
+    quiet: Duration,
+    limit: Duration,
+) -> Outcome {
+    let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     let follower = Follower::start(client.clone(), reader_options());
     let start = Instant::now();
     loop {
@@ -238,8 +247,8 @@
 /// # Errors
 ///
 /// Says why there is none.
-pub fn read_by_log(address: SocketAddr, limit: Duration) -> Result<Arc<Config>, String> {
-    let client = LogClient::new(address, PATIENCE);
+pub fn read_from_store(address: SocketAddr, limit: Duration) -> Result<Arc<Config>, String> {
+    let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     let follower = Arc::new(Follower::start(client.clone(), reader_options()));
     let submission = Submission::new(client, Arc::clone(&follower), limit);
     submission.catch_up(Instant::now() + limit)?;
--- a/components/transport/src/peers/handshake.rs
+++ b/components/transport/src/peers/handshake.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::{FramedRead, LengthDelimitedCodec};
 
-use super::links::Receive;
+use super::links::MessageHandler;
 use super::outbox::frame;
 use super::{HELLO_TIMEOUT, counters};
 
@@ -117,7 +117,7 @@
     stream: TcpStream,
     mut hello: Hello,
     config: impl Fn() -> Arc<Config>,
-    receive: &Arc<dyn Receive>,
+    receive: &Arc<dyn MessageHandler>,
 ) -> Result<Met, MeetError> {
     let (reader, mut writer) = stream.into_split();
     let mut reader = limited(reader);
@@ -150,7 +150,7 @@
 /// Hands the configuration to a host that starts while the log is down.
 async fn hand_over(
     writer: &mut OwnedWriteHalf,
-    receive: &Arc<dyn Receive>,
+    receive: &Arc<dyn MessageHandler>,
 ) -> Result<(), MeetError> {
     let receive = Arc::clone(receive);
     let offer = tokio::task::spawn_blocking(move || receive.offer()).await;
--- a/components/transport/src/peers/links.rs
+++ b/components/transport/src/peers/links.rs
@@ -22,7 +22,7 @@
 use super::counters::{self, Throttle};
 use super::handshake::{self, MeetError, Met, Reader};
 use super::table::{Opened, Table};
-use super::{FULL_SET, IDLE_LIMIT, STRANGERS, socket};
+use super::{FULL_MESH_LIMIT, IDLE_LIMIT, STRANGERS, socket};
 use crate::clock;
 
 /// How long a dial may take.
@@ -35,9 +35,9 @@
 const DRAIN: Duration = Duration::from_secs(2);
 
 /// Takes the messages that peers send.
-pub trait Receive: Send + Sync {
+pub trait MessageHandler: Send + Sync {
     /// Takes one message. Runs on the link's reader: it must not block.
-    fn receive(&self, from: HostKey, message: PeerMessage);
+    fn handle(&self, from: HostKey, message: PeerMessage);
 
     /// Returns the configuration to hand to a host that asks for it. May take long.
     fn offer(&self) -> Option<ConfigOffer> {
@@ -94,7 +94,7 @@
     }
 
     /// Starts accepting and dialling on the current runtime.
-    pub fn run(self: &Arc<Self>, listener: TcpListener, receive: Arc<dyn Receive>) {
+    pub fn run(self: &Arc<Self>, listener: TcpListener, receive: Arc<dyn MessageHandler>) {
         tokio::spawn(Arc::clone(self).accept(listener, Arc::clone(&receive)));
         tokio::spawn(Arc::clone(self).keep_up(receive));
     }
@@ -106,7 +106,7 @@
     }
 
     /// Returns this host's key.
-    pub fn me(&self) -> HostKey {
+    pub fn own_key(&self) -> HostKey {
         self.me
     }
 
@@ -143,15 +143,15 @@
     }
 
     /// Returns how many links there are.
-    pub fn linked(&self) -> usize {
-        self.table().linked()
+    pub fn link_count(&self) -> usize {
+        self.table().link_count()
     }
 
     /// Ends the link to `host`, so that a new one is dialled.
     ///
     /// A link can go silent for good while new ones work.
-    pub fn hang_up(&self, host: HostKey) {
-        self.table().hang_up(host);
+    pub fn close_link(&self, host: HostKey) {
+        self.table().close_link(host);
     }
 
     /// Sends a message without waiting; false where it was dropped.
@@ -174,7 +174,7 @@
         queued
     }
 
-    async fn accept(self: Arc<Self>, listener: TcpListener, receive: Arc<dyn Receive>) {
+    async fn accept(self: Arc<Self>, listener: TcpListener, receive: Arc<dyn MessageHandler>) {
         loop {
             // A permit first: past the limit, newcomers wait in the kernel's queue.
             let Ok(permit) = Arc::clone(&self.strangers).acquire_owned().await else {
@@ -209,14 +209,18 @@
         }
     }
 
-    async fn admit(&self, stream: TcpStream, receive: &Arc<dyn Receive>) -> Result<Met, MeetError> {
+    async fn admit(
+        &self,
+        stream: TcpStream,
+        receive: &Arc<dyn MessageHandler>,
+    ) -> Result<Met, MeetError> {
         socket::prepare(&stream)?;
         let hello = self.hello(String::new());
         handshake::answer(stream, hello, || self.config(), receive).await
     }
 
     /// Dials what is missing and hangs up what is no longer wanted.
-    async fn keep_up(self: Arc<Self>, receive: Arc<dyn Receive>) {
+    async fn keep_up(self: Arc<Self>, receive: Arc<dyn MessageHandler>) {
         let mut config = self.config.clone();
         let mut tick = interval(UPKEEP);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -231,7 +235,7 @@
         }
     }
 
-    fn upkeep(self: &Arc<Self>, receive: &Arc<dyn Receive>) {
+    fn upkeep(self: &Arc<Self>, receive: &Arc<dyn MessageHandler>) {
         let config = self.config();
         let now = clock::now();
         let mut table = self.table();
@@ -239,17 +243,17 @@
             let member = config.members.get(&host);
             member.is_some_and(|m| incarnation.is_none_or(|i| i == m.incarnation))
         });
-        metrics::gauge!("cardamomvale_peer_links").set(table.linked() as f64);
+        metrics::gauge!("cardamomvale_peer_links").set(table.link_count() as f64);
         if !config.members.contains_key(&self.me) {
             return;
         }
         let mut wanted = table.wanted();
-        if config.members.len() <= FULL_SET {
+        if config.members.len() <= FULL_MESH_LIMIT {
             // The smaller key dials, so that a pair makes one link, not two.
             wanted.extend(config.members.range(self.me..).skip(1).map(|(h, _)| *h));
         } else {
             for host in table.idle(now - IDLE_LIMIT) {
-                table.hang_up(host);
+                table.close_link(host);
             }
         }
         wanted.retain(|host| table.start_dial(*host, now));
@@ -259,7 +263,12 @@
         }
     }
 
-    fn spawn_dial(self: &Arc<Self>, config: &Config, host: HostKey, receive: &Arc<dyn Receive>) {
+    fn spawn_dial(
+        self: &Arc<Self>,
+        config: &Config,
+        host: HostKey,
+        receive: &Arc<dyn MessageHandler>,
+    ) {
         let Some(member) = config.members.get(&host).cloned() else {
             self.table().fail_dial(host, clock::now(), 0.0);
             return;
@@ -269,7 +278,12 @@
         tokio::spawn(async move { links.dial(host, member, receive).await });
     }
 
-    async fn dial(self: Arc<Self>, host: HostKey, member: Member, receive: Arc<dyn Receive>) {
+    async fn dial(
+        self: Arc<Self>,
+        host: HostKey,
+        member: Member,
+        receive: Arc<dyn MessageHandler>,
+    ) {
         let error = match self.meet(&member).await {
             Ok(met) => return self.serve(met, self.me, receive).await,
             Err(error) => error,
@@ -278,7 +292,7 @@
         self.table().fail_dial(host, clock::now(), jitter);
         self.report(&member.name, &error);
         if let MeetError::RefusedBy(refused) = error {
-            receive.receive(host, PeerMessage::Refused(refused));
+            receive.handle(host, PeerMessage::Refused(refused));
         }
     }
 
@@ -292,7 +306,7 @@
     }
 
     /// Runs one link until it ends.
-    async fn serve(&self, met: Met, dialer: HostKey, receive: Arc<dyn Receive>) {
+    async fn serve(&self, met: Met, dialer: HostKey, receive: Arc<dyn MessageHandler>) {
         let Met {
             peer,
             hello,
@@ -310,7 +324,7 @@
             hello.name,
             hello.incarnation
         );
-        receive.receive(peer, PeerMessage::Hello(hello.clone()));
+        receive.handle(peer, PeerMessage::Hello(hello.clone()));
         let stop = opened.stop.clone();
         let error = tokio::select! {
             error = self.read_all(peer, reader, &receive) => error,
@@ -327,7 +341,7 @@
         &self,
         peer: HostKey,
         mut reader: Reader,
-        receive: &Arc<dyn Receive>,
+        receive: &Arc<dyn MessageHandler>,
     ) -> Option<String> {
         while let Some(frame) = reader.next().await {
             let frame = match frame {
@@ -340,7 +354,7 @@
             };
             counters::received(frame.len() + super::outbox::LENGTH_FIELD);
             match PeerMessage::decode(frame) {
-                Ok(message) => receive.receive(peer, message),
+                Ok(message) => receive.handle(peer, message),
                 Err(e) => {
                     let error = MeetError::Protocol(e);
                     self.report("", &error);
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::host_list::{self, HostEntry, HostState};
-use super::links::{Identity, Links, Receive};
+use super::links::{Identity, Links, MessageHandler};
 use crate::clock;
 use crate::log::{CommandRequest, Follower, Outcome, Submission};
 
@@ -51,7 +51,7 @@
     detector: Mutex<Detector>,
     joining: Mutex<Membership>,
     options: MembersOptions,
-    receive: Arc<dyn Receive>,
+    receive: Arc<dyn MessageHandler>,
     stop: CancellationToken,
 }
 
@@ -61,7 +61,7 @@
         options: MembersOptions,
         listener: TcpListener,
         links: Arc<Links>,
-        receive: Arc<dyn Receive>,
+        receive: Arc<dyn MessageHandler>,
     ) -> Arc<Members> {
         let now = clock::now();
         let id = member_id(&links.identity());
@@ -77,7 +77,7 @@
         members.configure(&members.config());
         members
             .links
-            .run(listener, Arc::clone(&members) as Arc<dyn Receive>);
+            .run(listener, Arc::clone(&members) as Arc<dyn MessageHandler>);
         tokio::spawn(Arc::clone(&members).follow(changes));
         tokio::spawn(Arc::clone(&members).tick_on());
         tokio::spawn(Arc::clone(&members).read_list());
@@ -105,18 +105,18 @@
     }
 
     /// Returns this process as a member.
-    pub fn me(&self) -> MemberId {
+    pub fn own_id(&self) -> MemberId {
         member_id(&self.links.identity())
     }
 
     /// Returns whether the configuration names this process as a member.
     pub fn is_member(&self) -> bool {
-        is_member(&self.config(), self.me())
+        is_member(&self.config(), self.own_id())
     }
 
     /// Has this host's roles handed on; false where that was not in force within `limit`.
     pub async fn drain(&self, limit: Duration) -> bool {
-        let me = self.me();
+        let me = self.own_id();
         let mut config = self.options.follower.config();
         self.submit(Change::Drain {
             host: me.host,
@@ -215,7 +215,7 @@
         let incarnation = rand::rng().random();
         log::warn!("E0414 removed-by-others new-incarnation={incarnation}");
         self.links.renew(incarnation);
-        *self.detector() = Detector::new(self.me(), clock::now());
+        *self.detector() = Detector::new(self.own_id(), clock::now());
         self.configure(&self.config());
     }
 
@@ -269,7 +269,7 @@
     }
 
     fn configure(&self, config: &Config) {
-        if is_member(config, self.me()) {
+        if is_member(config, self.own_id()) {
             lock(&self.joining).joined(clock::now());
         }
         self.with_detector(|d| d.configure(config, clock::now()));
@@ -300,7 +300,7 @@
             Action::Send(to, message) => {
                 self.links.send(to, &PeerMessage::Member(message));
             }
-            Action::Redial(host) => self.links.hang_up(host),
+            Action::Redial(host) => self.links.close_link(host),
             Action::AskConfig(host) => {
                 self.options.follower.resume();
                 self.links.send(host, &PeerMessage::AskConfig);
@@ -346,8 +346,8 @@
     }
 }
 
-impl Receive for Members {
-    fn receive(&self, from: HostKey, message: PeerMessage) {
+impl MessageHandler for Members {
+    fn handle(&self, from: HostKey, message: PeerMessage) {
         let now = clock::now();
         match message {
             PeerMessage::Hello(h) => {
@@ -358,9 +358,9 @@
             PeerMessage::Refused(_) => self.options.follower.resume(),
             PeerMessage::AskConfig => self.hand_over(from),
             PeerMessage::Config(offer) => {
-                self.options.follower.take_record(&offer.body);
+                self.options.follower.install_record(&offer.body);
             }
-            other => self.receive.receive(from, other),
+            other => self.receive.handle(from, other),
         }
     }
 
--- a/components/transport/src/peers/mod.rs
+++ b/components/transport/src/peers/mod.rs
@@ -1,6 +1,6 @@
 //! Links between entry hosts.
 //!
-//! One TCP link a pair of members, made on demand. Up to [`FULL_SET`] members
+//! One TCP link a pair of members, made on demand. Up to [`FULL_MESH_LIMIT`] members
 //! each host keeps a link to each, so that no message waits for a dial; above
 //! that a link lives while it is used: to watchers, owners and brokers.
 
@@ -15,7 +15,7 @@
 
 pub use coordination::members::LiveView;
 pub use handshake::{MeetError, fetch_config};
-pub use links::{Identity, Links, Receive};
+pub use links::{Identity, Links, MessageHandler};
 pub use members::{Members, MembersOptions};
 
 use std::time::Duration;
@@ -24,9 +24,9 @@
 ///
 /// An idle link costs two TCP keep-alive probes each [`KEEPALIVE_IDLE`]: at 33
 /// links about 0.7 KB/s. At 300 it would be a quarter of the whole budget.
-pub const FULL_SET: usize = 34;
+pub const FULL_MESH_LIMIT: usize = 34;
 
-/// How long a link may be unused before it is closed, above [`FULL_SET`] members.
+/// How long a link may be unused before it is closed, above [`FULL_MESH_LIMIT`] members.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
 /// How long an idle link is trusted before the kernel probes it.
--- a/components/transport/src/peers/table.rs
+++ b/components/transport/src/peers/table.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns how many links there are.
-    pub fn linked(&self) -> usize {
+    pub fn link_count(&self) -> usize {
         self.peers.values().filter(|p| p.active.is_some()).count()
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Gives up the link to `host`, if there is one. It delivers what is under way.
-    pub fn hang_up(&mut self, host: HostKey) {
+    pub fn close_link(&mut self, host: HostKey) {
         let active = self.peers.get_mut(&host).and_then(|p| p.active.take());
         if let Some(active) = active {
             active.stop.cancel();
--- a/components/transport/tests/answers.rs
+++ b/components/transport/tests/answers.rs
@@ -2,18 +2,18 @@
 
 mod support;
 
-use support::{Answer, Reply, Server, Site, field, get, ok, post};
+use support::{Answer, EdgeServer, Reply, ScriptedServer, field, get, ok, post};
 use tokio::io::AsyncWriteExt;
 
 #[tokio::test]
 async fn whole_answer() {
-    let server = Server::always(Reply::Keep(ok("free on Friday"))).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get("/hallboard/halls/7?day=friday")).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("free on Friday"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get("/hallboard/halls/7?day=friday")).await;
     assert_eq!(answer.status(), 200, "{answer:?}");
     assert_eq!(answer.outcome(), "complete");
     assert_eq!(answer.text(), "free on Friday");
-    let seen = server.seen();
+    let seen = server.requests();
     assert!(
         seen[0]
             .head
@@ -23,11 +23,11 @@
 
 #[tokio::test]
 async fn body_passed_on() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
     assert_eq!(answer.outcome(), "complete", "{answer:?}");
-    assert_eq!(server.seen()[0].body, b"12 pounds");
+    assert_eq!(server.requests()[0].body, b"12 pounds");
 }
 
 /// A backend server dies in the middle of a counted answer. The caller's
@@ -35,9 +35,9 @@
 #[tokio::test]
 async fn cut_with_length() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nonly this much";
-    let server = Server::always(Reply::Close(head.into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get("/hallboard/halls")).await;
+    let server = ScriptedServer::always(Reply::Close(head.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get("/hallboard/halls")).await;
     assert!(answer.reset || answer.body.len() < 100, "{answer:?}");
 }
 
@@ -46,9 +46,9 @@
 #[tokio::test]
 async fn cut_in_chunks() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhalls\r\n";
-    let server = Server::always(Reply::Close(head.into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get("/hallboard/halls")).await;
+    let server = ScriptedServer::always(Reply::Close(head.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get("/hallboard/halls")).await;
     assert!(!answer.text().ends_with("0\r\n\r\n"), "{answer:?}");
 }
 
@@ -57,9 +57,9 @@
 #[tokio::test]
 async fn cut_for_old_caller() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhalls\r\n";
-    let server = Server::always(Reply::Close(head.into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask("GET /hallboard/halls HTTP/1.0\r\n\r\n").await;
+    let server = ScriptedServer::always(Reply::Close(head.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call("GET /hallboard/halls HTTP/1.0\r\n\r\n").await;
     assert!(answer.reset, "{answer:?}");
 }
 
@@ -67,9 +67,10 @@
 /// passed on, and the work may have run.
 #[tokio::test]
 async fn endless_answer() {
-    let server = Server::always(Reply::Close("HTTP/1.1 200 OK\r\n\r\nhalf a li".into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get("/hallboard/halls")).await;
+    let server =
+        ScriptedServer::always(Reply::Close("HTTP/1.1 200 OK\r\n\r\nhalf a li".into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get("/hallboard/halls")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (502, "unknown")
@@ -81,10 +82,10 @@
 #[tokio::test]
 async fn fields_of_one_hop() {
     let reply = "HTTP/1.1 200 OK\r\nkeep-alive: timeout=5\r\nconnection: x-inner\r\nx-inner: 1\r\nx-kept: 2\r\ncontent-length: 0\r\n\r\n";
-    let server = Server::always(Reply::Keep(reply.into())).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
     let request = "GET /hallboard/ HTTP/1.1\r\nhost: entry\r\nconnection: close, x-secret\r\nx-secret: 1\r\nte: trailers\r\nx-own: 3\r\nvia: 1.0 old\r\n\r\n";
-    let answer = site.ask(request).await;
+    let answer = site.call(request).await;
     assert_eq!(field(&answer.head, "keep-alive"), None);
     assert_eq!(field(&answer.head, "x-inner"), None);
     assert_eq!(field(&answer.head, "x-kept").as_deref(), Some("2"));
@@ -92,7 +93,7 @@
         field(&answer.head, "via").as_deref(),
         Some("1.1 cardamomvale")
     );
-    let head = &server.seen()[0].head;
+    let head = &server.requests()[0].head;
     assert_eq!(field(head, "x-secret"), None);
     assert_eq!(field(head, "te"), None);
     assert_eq!(field(head, "x-own").as_deref(), Some("3"));
@@ -104,22 +105,22 @@
 #[tokio::test]
 async fn redirect_not_followed() {
     let reply = "HTTP/1.1 302 Found\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n";
-    let server = Server::always(Reply::Keep(reply.into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get("/hallboard/old")).await;
+    let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get("/hallboard/old")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (302, "complete")
     );
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test]
 async fn packed_stays_packed() {
     let reply = "HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\ncontent-length: 4\r\n\r\nabcd";
-    let server = Server::always(Reply::Keep(reply.into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get("/hallboard/old")).await;
+    let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get("/hallboard/old")).await;
     assert_eq!(
         field(&answer.head, "content-encoding").as_deref(),
         Some("gzip")
@@ -129,13 +130,13 @@
 
 #[tokio::test]
 async fn connections_reused() {
-    let server = Server::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
+    let site = EdgeServer::start(&[&server]).await;
     for n in 0..5 {
-        let answer = site.ask(&get("/hallboard/")).await;
+        let answer = site.call(&get("/hallboard/")).await;
         assert_eq!(answer.text(), format!("answer {n}"));
     }
-    let mut used: Vec<_> = server.seen().iter().map(|s| s.connection).collect();
+    let mut used: Vec<_> = server.requests().iter().map(|s| s.connection).collect();
     used.dedup();
     assert!(used.len() < 5, "no connection served twice: {used:?}");
 }
@@ -143,8 +144,8 @@
 /// Two calls follow each other on one connection of the caller's.
 #[tokio::test]
 async fn kept_caller() {
-    let server = Server::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut stream = site.connect().await;
     let first = "GET /hallboard/1 HTTP/1.1\r\nhost: entry\r\n\r\n";
     let both = format!("{first}{}", get("/hallboard/2"));
--- a/components/transport/tests/bad_input.rs
+++ b/components/transport/tests/bad_input.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use support::{Answer, Reply, Server, Site, get, ok};
+use support::{Answer, EdgeServer, Reply, ScriptedServer, get, ok};
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
@@ -65,26 +65,27 @@
 )]
 #[tokio::test]
 async fn refused(#[case] request: String, #[case] status: u16, #[case] line: &str) {
-    let server = Server::always(Reply::Keep(ok("reached"))).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&request).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&request).await;
     assert_eq!(answer.status(), status, "{answer:?}");
     assert_eq!(answer.outcome(), "not-run", "{answer:?}");
     assert!(answer.text().contains(line), "{answer:?}");
     assert_eq!(answer.text().lines().count(), 1, "{answer:?}");
-    assert_eq!(server.seen(), [], "the backend server saw something");
+    assert_eq!(server.requests(), [], "the backend server saw something");
 }
 
 /// A good call comes first, and the bytes after it on the same connection are
 /// none. The good call's answer must be untouched by the refusal.
 #[tokio::test]
 async fn garbage_after_call() {
-    let server = Server::always(Reply::Keep(ok("HTTP/1.1 400 is what the page is about"))).await;
-    let site = Site::start(&[&server]).await;
+    let server =
+        ScriptedServer::always(Reply::Keep(ok("HTTP/1.1 400 is what the page is about"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut stream = site.connect().await;
     let call = "GET /hallboard/ HTTP/1.1\r\nhost: entry\r\n\r\n";
     stream.write_all(call.as_bytes()).await.expect("sent");
-    support::until(|| server.seen().len() == 1).await;
+    support::until(|| server.requests().len() == 1).await;
     stream
         .write_all(b"and now for nonsense\r\n\r\n")
         .await
@@ -103,16 +104,16 @@
 /// would run as a second call, in the name of another caller.
 #[tokio::test]
 async fn smuggled_call() {
-    let server = Server::always(Reply::Keep(ok("first"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("first"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let hidden = "GET /hallboard/hidden HTTP/1.1\r\nhost: e\r\n\r\n";
     let length = hidden.len() + 5;
     let request = format!(
         "POST /hallboard/a HTTP/1.1\r\nhost: e\r\ncontent-length: {length}\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"
     );
-    let answer = site.ask(&request).await;
+    let answer = site.call(&request).await;
     assert_eq!(answer.text(), "first", "{answer:?}");
-    let seen = server.seen();
+    let seen = server.requests();
     assert_eq!(seen.len(), 1, "{seen:?}");
     assert_eq!(
         support::field(&seen[0].head, "content-length").as_deref(),
@@ -124,19 +125,19 @@
 /// A thousand of these must not keep another caller from its answer.
 #[tokio::test]
 async fn slow_heads() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
         head_time: Duration::from_millis(500),
         ..Limits::default()
     };
-    let site = Site::with(&[&server], |_| {}, limits).await;
+    let site = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut slow = Vec::new();
     for _ in 0..1_000 {
         let mut stream = site.connect().await;
         stream.write_all(b"GET /hallboard/ HT").await.expect("sent");
         slow.push(stream);
     }
-    assert_eq!(site.ask(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
     for stream in &mut slow {
         let answer = Answer::read(stream).await;
         assert_eq!(
@@ -151,8 +152,8 @@
 /// slot meanwhile: the body is read before the call is placed.
 #[tokio::test]
 async fn slow_bodies_hold_no_slot() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut slow = Vec::new();
     for _ in 0..200 {
         let mut stream = site.connect().await;
@@ -160,26 +161,26 @@
         stream.write_all(start.as_bytes()).await.expect("sent");
         slow.push(stream);
     }
-    assert_eq!(site.ask(&get("/hallboard/")).await.text(), "prompt");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// More callers connect than the host takes. Each beyond the limit is told so
 /// at once, and that nothing ran.
 #[tokio::test]
 async fn too_many_callers() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
         callers: 3,
         ..Limits::default()
     };
-    let site = Site::with(&[&server], |_| {}, limits).await;
+    let site = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut held = Vec::new();
     for _ in 0..3 {
         held.push(site.connect().await);
     }
     support::until(|| site.edge.callers() == 3).await;
-    let answer = site.ask(&get("/hallboard/")).await;
+    let answer = site.call(&get("/hallboard/")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
@@ -192,8 +193,8 @@
 /// The backend server never saw its end, but may have begun: "unknown" is true.
 #[tokio::test]
 async fn chunked_over_limit() {
-    let server = Server::always(Reply::Keep(ok("reached"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let chunk = format!("10000\r\n{}\r\n", "a".repeat(0x10000));
     let head = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\n";
     let mut stream = site.connect().await;
@@ -215,19 +216,19 @@
     let (_, answer) = tokio::join!(send, receive);
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
     assert!(answer.contains("cardamomvale-outcome: unknown"), "{answer}");
-    assert_eq!(server.seen(), [], "no whole request arrived");
+    assert_eq!(server.requests(), [], "no whole request arrived");
 }
 
 /// Bytes of all kinds arrive at the callers' port. Each connection gets an
 /// answer with an outcome or is closed, and the host serves on.
 #[tokio::test]
 async fn random_bytes() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
         head_time: Duration::from_millis(200),
         ..Limits::default()
     };
-    let site = Site::with(&[&server], |_| {}, limits).await;
+    let site = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut random = SmallRng::seed_from_u64(24);
     for round in 0..300 {
         let request = mutated(&mut random);
@@ -242,7 +243,7 @@
             request.escape_ascii().to_string()
         );
     }
-    assert_eq!(site.ask(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
 }
 
 /// Returns a good request with some of its bytes changed, lost or doubled.
--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -37,7 +37,7 @@
 
 fn ticket(verdict: &Verdict) -> ClaimTicket {
     match verdict {
-        Verdict::Go(ticket) => *ticket,
+        Verdict::Granted(ticket) => *ticket,
         other => panic!("no go: {other:?}"),
     }
 }
@@ -63,7 +63,7 @@
         verdict = claim(host, key).await;
     }
     match verdict {
-        Verdict::Go(ticket) => {
+        Verdict::Granted(ticket) => {
             tokio::time::sleep(Duration::from_millis(5)).await;
             host.claims.end(ticket, ClaimEnding::Answered(answer()));
             true
@@ -152,7 +152,7 @@
 
 fn home(site: &Site, key: &str) -> state::HostKey {
     let view = site.hosts[0].links.view().borrow().clone();
-    let key: ClaimKey = transport::claims::key_of(&request(key, 0, PATIENCE));
+    let key: ClaimKey = transport::claims::claim_key(&request(key, 0, PATIENCE));
     transport::claims::home_of(key.stream(), &view).unwrap()
 }
 
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -10,22 +10,22 @@
 use stand_ins::store::{Behaviour, Loss, Outage, StoreStandIn};
 use state::Config;
 use transport::log::{
-    AppendError, CONFIG_STREAM, CommandRequest, Follower, FollowerOptions, LogClient, Outcome,
-    PATIENCE, Submission,
+    AppendError, BlockingStoreClient, CONFIG_STREAM, CommandRequest, Follower, FollowerOptions,
+    Outcome, STORE_TIMEOUT, Submission,
 };
 
 const ORDINARY: &str = include_str!("../../../examples/midlands.toml");
 const PEAK: &str = include_str!("../../../examples/midlands-peak.toml");
 const LIMIT: Duration = Duration::from_secs(20);
 
-fn client(log: &StoreStandIn) -> LogClient {
-    LogClient::new(log.address(), Duration::from_millis(400))
+fn client(log: &StoreStandIn) -> BlockingStoreClient {
+    BlockingStoreClient::new(log.address(), Duration::from_millis(400))
 }
 
 fn operator(log: &StoreStandIn) -> Submission {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
-        longest_pause: Duration::from_millis(100),
+        max_retry_delay: Duration::from_millis(100),
         ..FollowerOptions::default()
     };
     let follower = Arc::new(Follower::start(client(log), options));
@@ -63,7 +63,7 @@
 fn host_at(address: std::net::SocketAddr) -> Follower {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
-        patience: Duration::from_millis(100),
+        hedge_delay: Duration::from_millis(100),
         snapshots: Some(SnapshotPolicy {
             max_age: Duration::from_secs(60),
             max_records: 8,
@@ -71,7 +71,7 @@
         }),
         ..FollowerOptions::default()
     };
-    let client = LogClient::new(address, PATIENCE);
+    let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     Follower::start(client, options)
 }
 
@@ -215,11 +215,11 @@
     let peer = host_at(log.address());
     open(&operator);
     wait_config(&peer, |c| c.revision == 2);
-    let (old_mark, old_word) = peer.offer().unwrap();
+    let (old_mark, old_word) = peer.snapshot_record().unwrap();
     accepted(&operator.submit(&put(PEAK)));
     accepted(&operator.submit(&choose("peak")));
     wait_config(&peer, |c| c.revision == 4);
-    let (mark, word) = peer.offer().unwrap();
+    let (mark, word) = peer.snapshot_record().unwrap();
     assert!((old_mark.revision, mark.revision) == (2, 4));
     log.change(|b| b.outage = Some(Outage::Refusing));
     let new = host_at(log.address());
@@ -227,9 +227,9 @@
         new.ready()
             .is_err_and(|reason| reason.contains("status 503"))
     });
-    assert!(new.take_record(&word));
-    assert!(!new.take_record(&old_word));
-    assert!(!new.take_record(&Bytes::from_static(b"noise")));
+    assert!(new.install_record(&word));
+    assert!(!new.install_record(&old_word));
+    assert!(!new.install_record(&Bytes::from_static(b"noise")));
     assert_eq!(new.ready(), Ok(()));
     assert_eq!(new.config().borrow().chosen.as_deref(), Some("peak"));
     log.change(|b| b.outage = None);
--- a/components/transport/tests/deadlines.rs
+++ b/components/transport/tests/deadlines.rs
@@ -2,30 +2,30 @@
 
 mod support;
 
-use support::{Answer, Reply, Server, Site, field, get_within, ok, until};
+use support::{Answer, EdgeServer, Reply, ScriptedServer, field, get_within, ok, until};
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
-fn time_told(server: &Server) -> u64 {
-    let head = &server.seen()[0].head;
+fn time_told(server: &ScriptedServer) -> u64 {
+    let head = &server.requests()[0].head;
     let time = field(head, "cardamomvale-deadline-ms").expect("a deadline");
     time.parse().expect("a number")
 }
 
 #[tokio::test]
 async fn remaining_time_travels() {
-    let server = Server::always(Reply::Keep(ok("done"))).await;
-    let site = Site::start(&[&server]).await;
-    site.ask(&get_within("/hallboard/", 15_000)).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    site.call(&get_within("/hallboard/", 15_000)).await;
     let told = time_told(&server);
     assert!((1..=15_000).contains(&told), "told {told}");
 }
 
 #[tokio::test]
 async fn capped_by_service() {
-    let server = Server::always(Reply::Keep(ok("done"))).await;
-    let site = Site::with(&[&server], |s| s.deadline_ms = 3_000, Limits::default()).await;
-    site.ask(&get_within("/hallboard/", 3_600_000)).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
+    let site = EdgeServer::with(&[&server], |s| s.deadline_ms = 3_000, Limits::default()).await;
+    site.call(&get_within("/hallboard/", 3_600_000)).await;
     let told = time_told(&server);
     assert!((1..=3_000).contains(&told), "told {told}");
 }
@@ -34,24 +34,24 @@
 /// server work whose answer nobody awaits.
 #[tokio::test]
 async fn none_left() {
-    let server = Server::always(Reply::Keep(ok("done"))).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get_within("/hallboard/", 0)).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get_within("/hallboard/", 0)).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
         "{answer:?}"
     );
-    assert_eq!(server.seen(), []);
+    assert_eq!(server.requests(), []);
 }
 
 /// A backend server takes the request and stays silent. The caller learns at
 /// its deadline that the work may have run, and the work is cancelled.
 #[tokio::test]
 async fn silent_server() {
-    let server = Server::always(Reply::Hang(String::new())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get_within("/hallboard/", 200)).await;
+    let server = ScriptedServer::always(Reply::Hang(String::new())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get_within("/hallboard/", 200)).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (504, "unknown"),
@@ -65,9 +65,9 @@
 #[tokio::test]
 async fn stalled_answer() {
     let begun = "HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nthe beginning";
-    let server = Server::always(Reply::Hang(begun.into())).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&get_within("/hallboard/", 200)).await;
+    let server = ScriptedServer::always(Reply::Hang(begun.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
+    let answer = site.call(&get_within("/hallboard/", 200)).await;
     assert!(answer.reset || answer.body.len() < 1000, "{answer:?}");
     until(|| server.cancelled() == 1).await;
 }
@@ -76,8 +76,8 @@
 /// answer asks the caller to connect elsewhere, and only then the host ends.
 #[tokio::test]
 async fn drain_waits() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut held = site.connect().await;
     let start = "POST /hallboard/slow HTTP/1.1\r\nhost: e\r\ncontent-length: 4\r\n\r\nab";
     held.write_all(start.as_bytes()).await.expect("sent");
--- a/components/transport/tests/entry_hosts/mod.rs
+++ b/components/transport/tests/entry_hosts/mod.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpListener;
 use transport::claims::{ClaimRequest, Claims, ClaimsOptions, WorkerOptions};
 use transport::clock;
-use transport::log::{Follower, FollowerOptions, LogClient, Submission};
-use transport::peers::{FULL_SET, Identity, Links, Members, MembersOptions, Receive};
+use transport::log::{BlockingStoreClient, Follower, FollowerOptions, Submission};
+use transport::peers::{FULL_MESH_LIMIT, Identity, Links, Members, MembersOptions, MessageHandler};
 
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 
@@ -34,8 +34,8 @@
 #[derive(Default)]
 struct Router(OnceLock<Arc<Claims>>);
 
-impl Receive for Router {
-    fn receive(&self, from: HostKey, message: PeerMessage) {
+impl MessageHandler for Router {
+    fn handle(&self, from: HostKey, message: PeerMessage) {
         if let (PeerMessage::Claim(message), Some(claims)) = (message, self.0.get()) {
             claims.receive(from, message);
         }
@@ -60,7 +60,7 @@
                 .await;
             site.hosts.push(host);
         }
-        let wanted = match count <= FULL_SET {
+        let wanted = match count <= FULL_MESH_LIMIT {
             true => count - 1,
             false => WATCHERS,
         };
@@ -68,7 +68,7 @@
             until(|| {
                 let view = host.links.view();
                 let view = view.borrow();
-                let linked = host.links.linked();
+                let linked = host.links.link_count();
                 view.peers.len() == count && linked >= wanted
             })
             .await;
@@ -80,7 +80,7 @@
         let client = self.client();
         let options = FollowerOptions {
             wait: Duration::from_millis(200),
-            longest_pause: Duration::from_millis(200),
+            max_retry_delay: Duration::from_millis(200),
             ..FollowerOptions::default()
         };
         let follower = Arc::new(Follower::start(client.clone(), options));
@@ -103,7 +103,7 @@
                 Duration::from_secs(5),
             ),
         };
-        let receive = Arc::clone(&router) as Arc<dyn Receive>;
+        let receive = Arc::clone(&router) as Arc<dyn MessageHandler>;
         let members = Members::start(options, listener, Arc::clone(&links), receive);
         let claims = Claims::start(ClaimsOptions {
             client,
@@ -111,7 +111,7 @@
             worker,
         });
         let _ = router.0.set(Arc::clone(&claims));
-        let key = links.me();
+        let key = links.own_key();
         Host {
             links,
             members,
@@ -121,8 +121,8 @@
         }
     }
 
-    pub fn client(&self) -> LogClient {
-        LogClient::new(self.log.address(), Duration::from_millis(700))
+    pub fn client(&self) -> BlockingStoreClient {
+        BlockingStoreClient::new(self.log.address(), Duration::from_millis(700))
     }
 
     /// Stops a host without a word, as its process's death would.
@@ -152,7 +152,7 @@
         service: ServiceKey::named("ledgerhouse"),
         key: key.to_owned(),
         digest: [digest; 32],
-        keep: Duration::from_secs(7_200),
+        ttl: Duration::from_secs(7_200),
         deadline: deadline(patience),
     }
 }
--- a/components/transport/tests/hang_up.rs
+++ b/components/transport/tests/hang_up.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::{Reply, Server, Site, get, get_within, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, get, get_within, ok, until};
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
@@ -10,14 +10,14 @@
 /// work must be cancelled at once, by the closing of its connection.
 #[tokio::test]
 async fn cancels_work() {
-    let server = Server::always(Reply::Hang(String::new())).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Hang(String::new())).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut stream = site.connect().await;
     stream
         .write_all(get("/hallboard/").as_bytes())
         .await
         .expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     assert_eq!(server.cancelled(), 0);
     drop(stream);
     until(|| server.cancelled() == 1).await;
@@ -27,14 +27,14 @@
 #[tokio::test]
 async fn cancels_answer() {
     let begun = "HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\nthe beginning";
-    let server = Server::always(Reply::Hang(begun.into())).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Hang(begun.into())).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut stream = site.connect().await;
     stream
         .write_all(get("/hallboard/").as_bytes())
         .await
         .expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     drop(stream);
     until(|| server.cancelled() == 1).await;
 }
@@ -42,8 +42,8 @@
 /// The caller goes away while it still sends its own long body.
 #[tokio::test]
 async fn cancels_upload() {
-    let server = Server::always(Reply::Keep(ok("never"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("never"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut stream = site.connect().await;
     let head = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ncontent-length: 1000000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("sent");
@@ -51,29 +51,29 @@
     until(|| server.accepted() >= 1).await;
     drop(stream);
     until(|| site.edge.callers() == 0).await;
-    assert_eq!(server.seen(), [], "a cut body was taken for whole");
+    assert_eq!(server.requests(), [], "a cut body was taken for whole");
 }
 
 /// A call given up may still be answered later. Its connection is never used
 /// again, so that the late answer reaches nobody else.
 #[tokio::test]
 async fn late_answer_reaches_nobody() {
-    let server = Server::start(|n, _| match n {
+    let server = ScriptedServer::start(|n, _| match n {
         0 => Reply::Hang("HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nfor the first".into()),
         _ => Reply::Keep(ok("for the second")),
     })
     .await;
-    let site = Site::start(&[&server]).await;
+    let site = EdgeServer::start(&[&server]).await;
     let mut first = site.connect().await;
     first
         .write_all(get("/hallboard/1").as_bytes())
         .await
         .expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     drop(first);
-    let second = site.ask(&get("/hallboard/2")).await;
+    let second = site.call(&get("/hallboard/2")).await;
     assert_eq!(second.text(), "for the second");
-    let seen = server.seen();
+    let seen = server.requests();
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
@@ -81,31 +81,31 @@
 /// not go to the next call meanwhile: it would hold more than it can bear.
 #[tokio::test]
 async fn slot_held_to_the_end() {
-    let server = Server::start(|n, _| match n {
-        0 => Reply::Deaf,
+    let server = ScriptedServer::start(|n, _| match n {
+        0 => Reply::Ignore,
         _ => Reply::Keep(ok("free")),
     })
     .await;
     let one_slot = |service: &mut state::preset::Service| service.slots = 1;
-    let site = Site::with(&[&server], one_slot, Limits::default()).await;
+    let site = EdgeServer::with(&[&server], one_slot, Limits::default()).await;
     let mut first = site.connect().await;
     let request = get_within("/hallboard/1", 5_000);
     first.write_all(request.as_bytes()).await.expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     drop(first);
     until(|| site.edge.callers() == 0).await;
-    let second = site.ask(&get_within("/hallboard/2", 200)).await;
+    let second = site.call(&get_within("/hallboard/2", 200)).await;
     assert_eq!(
         (second.status(), second.outcome().as_str()),
         (503, "not-run"),
         "{second:?}"
     );
     assert_eq!(
-        server.seen().len(),
+        server.requests().len(),
         1,
         "two calls at a server with one slot"
     );
-    let third = site.ask(&get("/hallboard/3")).await;
+    let third = site.call(&get("/hallboard/3")).await;
     assert_eq!(third.text(), "free", "{third:?}");
 }
 
@@ -113,7 +113,7 @@
 /// long before the first one's deadline.
 #[tokio::test]
 async fn slot_free_once_cancelled() {
-    let server = Server::start(|n, _| match n {
+    let server = ScriptedServer::start(|n, _| match n {
         0 => Reply::Hang(String::new()),
         _ => Reply::Keep(ok("free")),
     })
@@ -122,14 +122,14 @@
         service.slots = 1;
         service.deadline_ms = 600_000;
     };
-    let site = Site::with(&[&server], one_slot, Limits::default()).await;
+    let site = EdgeServer::with(&[&server], one_slot, Limits::default()).await;
     let mut first = site.connect().await;
     first
         .write_all(get("/hallboard/1").as_bytes())
         .await
         .expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     drop(first);
-    let second = site.ask(&get("/hallboard/2")).await;
+    let second = site.call(&get("/hallboard/2")).await;
     assert_eq!(second.text(), "free", "{second:?}");
 }
--- a/components/transport/tests/keyed_calls.rs
+++ b/components/transport/tests/keyed_calls.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use coordination::claims::{ClaimId, ClaimKey};
-use support::{Reply, Server, Site, field, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, field, ok, until};
 use tokio::io::AsyncWriteExt;
 use transport::claims::{ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use transport::edge::KeyClaims;
@@ -60,7 +60,7 @@
                         ending: None,
                     },
                 );
-                Verdict::Go(ClaimTicket {
+                Verdict::Granted(ClaimTicket {
                     id,
                     key: ClaimKey(0),
                 })
@@ -83,8 +83,8 @@
     }
 }
 
-async fn site(server: &Server) -> (Site, Arc<Table>) {
-    let site = Site::start(&[server]).await;
+async fn site(server: &ScriptedServer) -> (EdgeServer, Arc<Table>) {
+    let site = EdgeServer::start(&[server]).await;
     let table = Arc::new(Table::default());
     site.edge.set_claims(Arc::clone(&table) as _);
     (site, table)
@@ -102,10 +102,10 @@
 #[tokio::test]
 async fn repeat_gets_first_answer() {
     let reply = "HTTP/1.1 201 Created\r\nx-receipt: 17\r\ncontent-length: 5\r\n\r\ntaken";
-    let server = Server::always(Reply::Keep(reply.into())).await;
+    let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
     let (site, _table) = site(&server).await;
     for _ in 0..3 {
-        let answer = site.ask(&deposit("k1", "12 pounds")).await;
+        let answer = site.call(&deposit("k1", "12 pounds")).await;
         assert_eq!(
             (answer.status(), answer.outcome().as_str()),
             (201, "complete"),
@@ -114,40 +114,40 @@
         assert_eq!(field(&answer.head, "x-receipt").as_deref(), Some("17"));
         assert_eq!(answer.text(), "taken");
     }
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// One key is used for two different deposits by mistake. The second must be
 /// neither taken nor answered as if it were the first.
 #[tokio::test]
 async fn other_body_refused() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
     let (site, _table) = site(&server).await;
-    site.ask(&deposit("k1", "12 pounds")).await;
-    let answer = site.ask(&deposit("k1", "13 pounds")).await;
+    site.call(&deposit("k1", "12 pounds")).await;
+    let answer = site.call(&deposit("k1", "13 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (422, "not-run"),
         "{answer:?}"
     );
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// The connection breaks after the deposit was sent. A repeat must not send it
 /// again: it may have been taken.
 #[tokio::test]
 async fn broken_then_unknown() {
-    let server = Server::always(Reply::Close(String::new())).await;
+    let server = ScriptedServer::always(Reply::Close(String::new())).await;
     let (site, _table) = site(&server).await;
     for status in [502, 504] {
-        let answer = site.ask(&deposit("k1", "12 pounds")).await;
+        let answer = site.call(&deposit("k1", "12 pounds")).await;
         assert_eq!(
             (answer.status(), answer.outcome().as_str()),
             (status, "unknown"),
             "{answer:?}"
         );
     }
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// The backend server refuses the deposit and says that it did not run. The
@@ -155,19 +155,19 @@
 #[tokio::test]
 async fn shed_frees_key() {
     let shed = "HTTP/1.1 503 Busy\r\ncardamomvale-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let server = Server::start(move |n, _| match n {
+    let server = ScriptedServer::start(move |n, _| match n {
         0 => Reply::Keep(shed.into()),
         _ => Reply::Keep(ok("taken")),
     })
     .await;
     let (site, _table) = site(&server).await;
-    let first = site.ask(&deposit("k1", "12 pounds")).await;
+    let first = site.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (first.status(), first.outcome().as_str()),
         (503, "not-run"),
         "{first:?}"
     );
-    let second = site.ask(&deposit("k1", "12 pounds")).await;
+    let second = site.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (second.text().as_str(), second.outcome().as_str()),
         ("taken", "complete")
@@ -178,59 +178,59 @@
 /// a repeat must be told so.
 #[tokio::test]
 async fn hang_up_is_unknown() {
-    let server = Server::always(Reply::Hang(String::new())).await;
+    let server = ScriptedServer::always(Reply::Hang(String::new())).await;
     let (site, table) = site(&server).await;
     let mut stream = site.connect().await;
     stream
         .write_all(deposit("k1", "12 pounds").as_bytes())
         .await
         .expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     drop(stream);
     until(|| table.ending("k1") == Some(ClaimEnding::Unknown)).await;
-    let answer = site.ask(&deposit("k1", "12 pounds")).await;
+    let answer = site.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (504, "unknown")
     );
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// The log is down: no claim can be agreed, and nothing may be sent.
 #[tokio::test]
 async fn claims_down() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
     let (site, table) = site(&server).await;
     *table.down.lock().expect("down") = true;
-    let answer = site.ask(&deposit("k1", "12 pounds")).await;
+    let answer = site.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
         "{answer:?}"
     );
     assert_eq!(field(&answer.head, "retry-after").as_deref(), Some("3"));
-    assert_eq!(server.seen(), []);
+    assert_eq!(server.requests(), []);
 }
 
 /// An answer too large to keep is still passed on whole, and not sent for twice.
 #[tokio::test]
 async fn large_answer_not_kept() {
     let large = "a".repeat(200_000);
-    let server = Server::always(Reply::Keep(ok(&large))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok(&large))).await;
     let (site, table) = site(&server).await;
-    let answer = site.ask(&deposit("k1", "12 pounds")).await;
+    let answer = site.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(answer.body.len(), 200_000);
     until(|| table.ending("k1") == Some(ClaimEnding::AnsweredLarge)).await;
-    let again = site.ask(&deposit("k1", "12 pounds")).await;
+    let again = site.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(again.outcome(), "unknown");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// A body beyond what is compared can't be claimed: nothing is sent.
 #[tokio::test]
 async fn large_body_refused() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
-    let site = Site::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let site = EdgeServer::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
     let table = Arc::new(Table::default());
     site.edge.set_claims(Arc::clone(&table) as _);
     let mut stream = site.connect().await;
@@ -243,15 +243,15 @@
         "{answer:?}"
     );
     assert!(!table.knows("k1"));
-    assert_eq!(server.seen(), []);
+    assert_eq!(server.requests(), []);
 }
 
 /// A lookup needs no claim, with a key or without.
 #[tokio::test]
 async fn lookup_needs_none() {
-    let server = Server::always(Reply::Keep(ok("free"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
     let (site, table) = site(&server).await;
     let request = "GET /hallboard/halls HTTP/1.1\r\nhost: e\r\nidempotency-key: k1\r\nconnection: close\r\n\r\n";
-    assert_eq!(site.ask(request).await.text(), "free");
+    assert_eq!(site.call(request).await.text(), "free");
     assert!(!table.knows("k1"));
 }
--- a/components/transport/tests/members_run.rs
+++ b/components/transport/tests/members_run.rs
@@ -74,7 +74,7 @@
 
     let site = Site::start(3, WorkerOptions::default()).await;
     let host = &site.hosts[0];
-    let old = host.members.me();
+    let old = host.members.own_id();
     let follower = std::sync::Arc::clone(&site.hosts[1].follower);
     let submission = Submission::new(site.client(), follower, Duration::from_secs(10));
     let request = CommandRequest {
@@ -89,7 +89,7 @@
         .await
         .unwrap();
     assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
-    until(|| host.members.me() != old && host.members.is_member()).await;
+    until(|| host.members.own_id() != old && host.members.is_member()).await;
     for other in &site.hosts[1..] {
         until(|| other.links.is_linked(host.key) && other.links.view().borrow().is_alive(host.key))
             .await;
@@ -109,7 +109,7 @@
         .start_host("entry-9", 9, WorkerOptions::default())
         .await;
     let offer = fetch_config(address).await.unwrap();
-    assert!(late.follower.take_record(&offer.body));
+    assert!(late.follower.install_record(&offer.body));
     until(|| late.follower.config().borrow().revision == config.revision).await;
     assert_eq!(late.follower.config().borrow().members, config.members);
 }
--- a/components/transport/tests/peer_links.rs
+++ b/components/transport/tests/peer_links.rs
@@ -15,13 +15,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use transport::peers::{FULL_SET, Identity, Links, Receive};
+use transport::peers::{FULL_MESH_LIMIT, Identity, Links, MessageHandler};
 
 #[derive(Default)]
 struct Inbox(Mutex<Vec<(HostKey, PeerMessage)>>);
 
-impl Receive for Inbox {
-    fn receive(&self, from: HostKey, message: PeerMessage) {
+impl MessageHandler for Inbox {
+    fn handle(&self, from: HostKey, message: PeerMessage) {
         self.0.lock().unwrap().push((from, message));
     }
 }
@@ -96,7 +96,7 @@
     let (sender, receiver) = watch::channel(Arc::new(config));
     let links = Links::new(identity, receiver);
     let inbox = Arc::new(Inbox::default());
-    links.run(listener, Arc::clone(&inbox) as Arc<dyn Receive>);
+    links.run(listener, Arc::clone(&inbox) as Arc<dyn MessageHandler>);
     Host {
         links,
         inbox,
@@ -144,9 +144,9 @@
 async fn full_set() {
     let hosts = hosts(4, 0).await;
     for host in &hosts {
-        until(|| host.links.linked() == 3).await;
+        until(|| host.links.link_count() == 3).await;
     }
-    assert!(hosts[0].links.send(hosts[3].links.me(), &heartbeat(5)));
+    assert!(hosts[0].links.send(hosts[3].links.own_key(), &heartbeat(5)));
     hosts[3].has(|m| *m == heartbeat(5)).await;
 }
 
@@ -155,18 +155,18 @@
 // its own and dropped the other's, all messages would be lost for good.
 #[tokio::test]
 async fn double_dial() {
-    let hosts = hosts(2, FULL_SET).await;
+    let hosts = hosts(2, FULL_MESH_LIMIT).await;
     let (a, b) = (&hosts[0], &hosts[1]);
-    assert_eq!(a.links.linked(), 0);
+    assert_eq!(a.links.link_count(), 0);
     for sequence in 0..50 {
-        a.links.send(b.links.me(), &heartbeat(sequence));
-        b.links.send(a.links.me(), &heartbeat(sequence));
+        a.links.send(b.links.own_key(), &heartbeat(sequence));
+        b.links.send(a.links.own_key(), &heartbeat(sequence));
         tokio::task::yield_now().await;
     }
-    until(|| a.links.is_linked(b.links.me()) && b.links.is_linked(a.links.me())).await;
+    until(|| a.links.is_linked(b.links.own_key()) && b.links.is_linked(a.links.own_key())).await;
     until(|| {
-        a.links.send(b.links.me(), &heartbeat(99));
-        b.links.send(a.links.me(), &heartbeat(99));
+        a.links.send(b.links.own_key(), &heartbeat(99));
+        b.links.send(a.links.own_key(), &heartbeat(99));
         [a, b].iter().all(|h| {
             h.inbox
                 .0
@@ -213,8 +213,8 @@
     stream.write_all(&bytes).await.unwrap();
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest).await;
-    until(|| hosts[0].links.linked() == 1).await;
-    assert!(hosts[1].links.send(hosts[0].links.me(), &heartbeat(7)));
+    until(|| hosts[0].links.link_count() == 1).await;
+    assert!(hosts[1].links.send(hosts[0].links.own_key(), &heartbeat(7)));
     hosts[0].has(|m| *m == heartbeat(7)).await;
 }
 
@@ -236,10 +236,10 @@
         read(&mut stream).await,
         Some(PeerMessage::Hello(_))
     ));
-    until(|| hosts[0].links.linked() == 1).await;
+    until(|| hosts[0].links.link_count() == 1).await;
     stream.write_all(&bytes).await.unwrap();
     stream.shutdown().await.unwrap();
-    until(|| hosts[0].links.linked() == 0).await;
+    until(|| hosts[0].links.link_count() == 0).await;
 }
 
 // A peer stops reading: its process hangs, or its host is overloaded. What is
@@ -297,16 +297,16 @@
     let mut hosts: Vec<Host> = started
         .map(|(index, listener)| start(&name(index), 1, listener, config.clone()))
         .collect();
-    hosts.sort_by_key(|h| h.links.me());
+    hosts.sort_by_key(|h| h.links.own_key());
     let (one, other) = (&hosts[noticing], &hosts[1 - noticing]);
-    until(|| one.links.linked() == 1 && other.links.linked() == 1).await;
+    until(|| one.links.link_count() == 1 && other.links.link_count() == 1).await;
     for proxy in &proxies {
         proxy.silence();
     }
-    one.links.hang_up(other.links.me());
+    one.links.close_link(other.links.own_key());
     until(|| {
-        one.links.send(other.links.me(), &heartbeat(42));
-        other.links.send(one.links.me(), &heartbeat(42));
+        one.links.send(other.links.own_key(), &heartbeat(42));
+        other.links.send(one.links.own_key(), &heartbeat(42));
         [one, other].iter().all(|h| {
             let inbox = h.inbox.0.lock().unwrap();
             inbox.iter().any(|(_, m)| *m == heartbeat(42))
--- a/components/transport/tests/retries.rs
+++ b/components/transport/tests/retries.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use support::{Answer, Reply, Server, Site, field, get, ok, post};
+use support::{Answer, EdgeServer, Reply, ScriptedServer, field, get, ok, post};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use transport::edge::Limits;
@@ -21,43 +21,43 @@
 /// safe, and kinder to the caller, to ask another one.
 #[tokio::test]
 async fn shed_goes_elsewhere() {
-    let full = Server::always(Reply::Keep(SHED.into())).await;
-    let free = Server::always(Reply::Keep(ok("taken"))).await;
-    let site = Site::start(&[&full, &free]).await;
+    let full = ScriptedServer::always(Reply::Keep(SHED.into())).await;
+    let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let site = EdgeServer::start(&[&full, &free]).await;
     for _ in 0..4 {
-        let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+        let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
         assert_eq!(
             (answer.text().as_str(), answer.outcome().as_str()),
             ("taken", "complete")
         );
     }
-    assert_eq!(free.seen().len(), 4);
+    assert_eq!(free.requests().len(), 4);
 }
 
 /// All refuse: the caller learns that nothing ran, and when to come back.
 #[tokio::test]
 async fn all_shed() {
     let servers = [
-        Server::always(Reply::Keep(SHED.into())).await,
-        Server::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
-    let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
         "{answer:?}"
     );
     assert_eq!(field(&answer.head, "retry-after").as_deref(), Some("7"));
-    assert_eq!(servers[0].seen().len() + servers[1].seen().len(), 2);
+    assert_eq!(servers[0].requests().len() + servers[1].requests().len(), 2);
 }
 
 /// A backend server is down: nothing was sent, so even a deposit may go elsewhere.
 #[tokio::test]
 async fn unreachable_goes_elsewhere() {
-    let free = Server::always(Reply::Keep(ok("taken"))).await;
+    let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
     let down = closed_port().await;
-    let site = Site::with(
+    let site = EdgeServer::with(
         &[&free],
         |service| {
             let mut endpoint = service.endpoints[0].clone();
@@ -68,7 +68,7 @@
     )
     .await;
     for _ in 0..4 {
-        let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+        let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
         assert_eq!(answer.text(), "taken", "{answer:?}");
     }
 }
@@ -78,27 +78,27 @@
 #[tokio::test]
 async fn deposit_sent_once() {
     let servers = [
-        Server::always(Reply::Close(String::new())).await,
-        Server::always(Reply::Close(String::new())).await,
+        ScriptedServer::always(Reply::Close(String::new())).await,
+        ScriptedServer::always(Reply::Close(String::new())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
-    let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (502, "unknown"),
         "{answer:?}"
     );
-    assert_eq!(servers[0].seen().len() + servers[1].seen().len(), 1);
+    assert_eq!(servers[0].requests().len() + servers[1].requests().len(), 1);
 }
 
 /// The same break with a lookup: asking again does no harm.
 #[tokio::test]
 async fn lookup_sent_again() {
-    let broken = Server::always(Reply::Close(String::new())).await;
-    let well = Server::always(Reply::Keep(ok("free on Friday"))).await;
-    let site = Site::start(&[&broken, &well]).await;
+    let broken = ScriptedServer::always(Reply::Close(String::new())).await;
+    let well = ScriptedServer::always(Reply::Keep(ok("free on Friday"))).await;
+    let site = EdgeServer::start(&[&broken, &well]).await;
     for _ in 0..4 {
-        let answer = site.ask(&get("/hallboard/halls")).await;
+        let answer = site.call(&get("/hallboard/halls")).await;
         assert_eq!(answer.text(), "free on Friday", "{answer:?}");
     }
 }
@@ -107,14 +107,14 @@
 /// rest. "Not run" would be untrue of it.
 #[tokio::test]
 async fn unknown_stays_unknown() {
-    let broken = Server::always(Reply::Close(String::new())).await;
-    let full = Server::start(|_, _| Reply::Keep(SHED.into())).await;
-    let site = Site::start(&[&broken, &full]).await;
+    let broken = ScriptedServer::always(Reply::Close(String::new())).await;
+    let full = ScriptedServer::start(|_, _| Reply::Keep(SHED.into())).await;
+    let site = EdgeServer::start(&[&broken, &full]).await;
     let mut outcomes = Vec::new();
     for _ in 0..4 {
-        let before = broken.seen().len();
-        let answer = site.ask(&get("/hallboard/halls")).await;
-        let reached = broken.seen().len() > before;
+        let before = broken.requests().len();
+        let answer = site.call(&get("/hallboard/halls")).await;
+        let reached = broken.requests().len() > before;
         outcomes.push((reached, answer.outcome()));
     }
     assert!(outcomes.contains(&(true, "unknown".into())), "{outcomes:?}");
@@ -129,14 +129,14 @@
 #[tokio::test]
 async fn budget_holds() {
     let servers = [
-        Server::always(Reply::Keep(SHED.into())).await,
-        Server::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
+    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
     for _ in 0..200 {
-        site.ask(&get("/hallboard/halls")).await;
+        site.call(&get("/hallboard/halls")).await;
     }
-    let sent = servers[0].seen().len() + servers[1].seen().len();
+    let sent = servers[0].requests().len() + servers[1].requests().len();
     assert!(sent <= 200 + 20 + 20, "200 calls became {sent}");
 }
 
@@ -144,10 +144,10 @@
 #[tokio::test]
 async fn long_body_sent_once() {
     let servers = [
-        Server::always(Reply::Keep(SHED.into())).await,
-        Server::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
+    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
     let mut stream = site.connect().await;
     let request = post("/hallboard/scores", &"a".repeat(300_000));
     stream.write_all(request.as_bytes()).await.expect("sent");
@@ -157,7 +157,7 @@
         (503, "not-run"),
         "{answer:?}"
     );
-    let seen = [servers[0].seen(), servers[1].seen()].concat();
+    let seen = [servers[0].requests(), servers[1].requests()].concat();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].body.len(), 300_000);
 }
--- a/components/transport/tests/silence.rs
+++ b/components/transport/tests/silence.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use support::{Reply, Server, Site, get, get_within, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, get, get_within, ok, until};
 
 /// Something between the two ends loses track of all open connections. The
 /// first call on a kept one is lost; those after it must not try the others.
@@ -13,27 +13,26 @@
 async fn kept_connections_doubted() {
     let lost = Arc::new(AtomicUsize::new(0));
     let lost_below = Arc::clone(&lost);
-    let server =
-        Server::start(
-            move |_, seen| match seen.connection < lost_below.load(Ordering::SeqCst) {
-                true => Reply::Hang(String::new()),
-                false => Reply::Keep(ok("well")),
-            },
-        )
-        .await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::start(move |_, seen| {
+        match seen.connection < lost_below.load(Ordering::SeqCst) {
+            true => Reply::Hang(String::new()),
+            false => Reply::Keep(ok("well")),
+        }
+    })
+    .await;
+    let site = EdgeServer::start(&[&server]).await;
     while site.edge.idle_connections() < 2 {
-        assert_eq!(site.ask(&get("/hallboard/")).await.text(), "well");
+        assert_eq!(site.call(&get("/hallboard/")).await.text(), "well");
     }
     lost.store(server.accepted(), Ordering::SeqCst);
-    let first = site.ask(&get_within("/hallboard/", 1_000)).await;
+    let first = site.call(&get_within("/hallboard/", 1_000)).await;
     assert_eq!(
         (first.status(), first.outcome().as_str()),
         (504, "unknown"),
         "{first:?}"
     );
     for _ in 0..5 {
-        let next = site.ask(&get("/hallboard/")).await;
+        let next = site.call(&get("/hallboard/")).await;
         assert_eq!(next.text(), "well", "{next:?}");
     }
 }
@@ -42,22 +41,22 @@
 /// closed one, where it would be lost between the two ends.
 #[tokio::test]
 async fn closed_while_idle() {
-    let server = Server::always(Reply::Close(ok("well"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Close(ok("well"))).await;
+    let site = EdgeServer::start(&[&server]).await;
     for n in 0..20 {
         let request = support::post("/hallboard/deposits", "12 pounds");
-        let answer = site.ask(&request).await;
+        let answer = site.call(&request).await;
         assert_eq!(answer.outcome(), "complete", "call {n}: {answer:?}");
     }
-    assert_eq!(server.seen().len(), 20);
+    assert_eq!(server.requests().len(), 20);
 }
 
 /// Idle connections are given up before the backend server would close them.
 #[tokio::test]
 async fn idle_aged_out() {
-    let server = Server::always(Reply::Keep(ok("well"))).await;
-    let site = Site::start(&[&server]).await;
-    site.ask(&get("/hallboard/")).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("well"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    site.call(&get("/hallboard/")).await;
     assert!(site.edge.idle_connections() > 0);
     until(|| site.edge.idle_connections() == 0).await;
 }
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -31,12 +31,12 @@
     /// Writes these bytes and then nothing, until the other end closes.
     Hang(String),
     /// Writes nothing and keeps its end open, whatever the other end does.
-    Deaf,
+    Ignore,
 }
 
 /// A request as a scripted backend server saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct RecordedRequest {
     /// Its head, as it came.
     pub head: String,
     /// Its body.
@@ -47,9 +47,9 @@
 
 /// What happened at a scripted backend server.
 #[derive(Default)]
-pub struct Journal {
+pub struct ServerRecord {
     /// Whole requests.
-    pub seen: Vec<Seen>,
+    pub requests: Vec<RecordedRequest>,
     /// Connections that the other end closed while a reply hung.
     pub cancelled: usize,
     /// Connections accepted.
@@ -57,19 +57,21 @@
 }
 
 /// A scripted backend server.
-pub struct Server {
+pub struct ScriptedServer {
     /// Where it listens.
     pub address: SocketAddr,
-    journal: Arc<Mutex<Journal>>,
+    journal: Arc<Mutex<ServerRecord>>,
     task: JoinHandle<()>,
 }
 
-impl Server {
+impl ScriptedServer {
     /// Starts one that answers its n-th request as `script` says.
-    pub async fn start(script: impl Fn(usize, &Seen) -> Reply + Send + Sync + 'static) -> Server {
+    pub async fn start(
+        script: impl Fn(usize, &RecordedRequest) -> Reply + Send + Sync + 'static,
+    ) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let journal = Arc::new(Mutex::new(Journal::default()));
+        let journal = Arc::new(Mutex::new(ServerRecord::default()));
         let shared = Arc::clone(&journal);
         let script = Arc::new(script);
         let task = tokio::spawn(async move {
@@ -87,7 +89,7 @@
                 ));
             }
         });
-        Server {
+        ScriptedServer {
             address,
             journal,
             task,
@@ -95,13 +97,13 @@
     }
 
     /// Starts one that always answers the same.
-    pub async fn always(reply: Reply) -> Server {
-        Server::start(move |_, _| reply.clone()).await
+    pub async fn always(reply: Reply) -> ScriptedServer {
+        ScriptedServer::start(move |_, _| reply.clone()).await
     }
 
     /// Returns the requests seen so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.journal.lock().expect("the journal").seen.clone()
+    pub fn requests(&self) -> Vec<RecordedRequest> {
+        self.journal.lock().expect("the journal").requests.clone()
     }
 
     /// Returns how many hanging replies were cancelled.
@@ -115,7 +117,7 @@
     }
 }
 
-impl Drop for Server {
+impl Drop for ScriptedServer {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -124,17 +126,17 @@
 async fn converse(
     mut stream: TcpStream,
     connection: usize,
-    journal: Arc<Mutex<Journal>>,
-    script: Arc<impl Fn(usize, &Seen) -> Reply + Send + Sync + 'static>,
+    journal: Arc<Mutex<ServerRecord>>,
+    script: Arc<impl Fn(usize, &RecordedRequest) -> Reply + Send + Sync + 'static>,
 ) {
-    while let Some(seen) = read_request(&mut stream, connection).await {
+    while let Some(request) = read_request(&mut stream, connection).await {
         let number = {
             let mut journal = journal.lock().expect("the journal");
-            journal.seen.push(seen.clone());
-            journal.seen.len() - 1
+            journal.requests.push(request.clone());
+            journal.requests.len() - 1
         };
-        let (text, more) = match script(number, &seen) {
-            Reply::Deaf => return std::future::pending().await,
+        let (text, more) = match script(number, &request) {
+            Reply::Ignore => return std::future::pending().await,
             Reply::Keep(text) => (text, None),
             Reply::Close(text) => (text, Some(false)),
             Reply::Hang(text) => (text, Some(true)),
@@ -155,7 +157,7 @@
     }
 }
 
-async fn read_request(stream: &mut TcpStream, connection: usize) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, connection: usize) -> Option<RecordedRequest> {
     let mut bytes = Vec::new();
     let head = loop {
         match bytes.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -177,7 +179,7 @@
     while bytes.len() < whole {
         read_some(stream, &mut bytes).await?;
     }
-    Some(Seen {
+    Some(RecordedRequest {
         head: text,
         body: bytes.split_off(head),
         connection,
@@ -209,7 +211,7 @@
 }
 
 /// An edge with one service, `hallboard`.
-pub struct Site {
+pub struct EdgeServer {
     /// Where callers connect.
     pub address: SocketAddr,
     /// The edge itself.
@@ -218,28 +220,32 @@
     task: JoinHandle<()>,
 }
 
-impl Site {
+impl EdgeServer {
     /// Starts an edge before `servers`.
-    pub async fn start(servers: &[&Server]) -> Site {
-        Site::with(servers, |_| {}, Limits::default()).await
+    pub async fn start(servers: &[&ScriptedServer]) -> EdgeServer {
+        EdgeServer::with(servers, |_| {}, Limits::default()).await
     }
 
     /// Starts an edge whose calls are traced.
-    pub async fn traced(servers: &[&Server], tracing: Tracing) -> Site {
-        Site::build(servers, |_| {}, Limits::default(), tracing).await
+    pub async fn traced(servers: &[&ScriptedServer], tracing: Tracing) -> EdgeServer {
+        EdgeServer::build(servers, |_| {}, Limits::default(), tracing).await
     }
 
     /// Starts an edge whose service and limits are changed first.
-    pub async fn with(servers: &[&Server], change: impl Fn(&mut Service), limits: Limits) -> Site {
-        Site::build(servers, change, limits, Tracing::disabled()).await
+    pub async fn with(
+        servers: &[&ScriptedServer],
+        change: impl Fn(&mut Service),
+        limits: Limits,
+    ) -> EdgeServer {
+        EdgeServer::build(servers, change, limits, Tracing::disabled()).await
     }
 
     async fn build(
-        servers: &[&Server],
+        servers: &[&ScriptedServer],
         change: impl Fn(&mut Service),
         limits: Limits,
         tracing: Tracing,
-    ) -> Site {
+    ) -> EdgeServer {
         let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
         let mut service = hallboard(&addresses);
         change(&mut service);
@@ -251,7 +257,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let task = tokio::spawn(Arc::clone(&edge).serve(listener));
-        Site {
+        EdgeServer {
             address,
             edge,
             _config: sender,
@@ -267,7 +273,7 @@
     }
 
     /// Sends `request` on a connection of its own and returns all that comes back.
-    pub async fn ask(&self, request: &str) -> Answer {
+    pub async fn call(&self, request: &str) -> Answer {
         let mut stream = self.connect().await;
         stream
             .write_all(request.as_bytes())
@@ -277,7 +283,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for EdgeServer {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/components/transport/tests/traces.rs
+++ b/components/transport/tests/traces.rs
@@ -6,7 +6,7 @@
 
 use opentelemetry_sdk::error::OTelSdkResult;
 use opentelemetry_sdk::trace::{SpanData, SpanExporter};
-use support::{Reply, Server, Site, field, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, field, ok, until};
 use transport::trace::Tracing;
 
 const CALLERS: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
@@ -43,9 +43,9 @@
 #[tokio::test]
 async fn span_each_hop() {
     let kept = Kept::default();
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let site = Site::traced(&[&server], Tracing::new(1, "entry-1", kept.clone())).await;
-    assert_eq!(site.ask(&get_traced(CALLERS)).await.text(), "free");
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let site = EdgeServer::traced(&[&server], Tracing::new(1, "entry-1", kept.clone())).await;
+    assert_eq!(site.call(&get_traced(CALLERS)).await.text(), "free");
     until(|| kept.spans().len() == 3).await;
     let call = kept.named("call");
     let trace = "0af7651916cd43dd8448eb211c80319c";
@@ -56,7 +56,7 @@
         assert_eq!(span.span_context.trace_id().to_string(), trace);
         assert_eq!(span.parent_span_id, call.span_context.span_id());
     }
-    let told = field(&server.seen()[0].head, "traceparent").expect("a traceparent");
+    let told = field(&server.requests()[0].head, "traceparent").expect("a traceparent");
     assert_eq!(
         told,
         format!("00-{trace}-{}-01", backend.span_context.span_id())
@@ -66,12 +66,12 @@
 /// Without a span of this host's the caller's trace must not be torn.
 #[tokio::test]
 async fn untraced_passes_on() {
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let site = Site::start(&[&server]).await;
-    site.ask(&get_traced(CALLERS)).await;
-    site.ask(&get_traced("00-nonsense")).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let site = EdgeServer::start(&[&server]).await;
+    site.call(&get_traced(CALLERS)).await;
+    site.call(&get_traced("00-nonsense")).await;
     let told: Vec<_> = server
-        .seen()
+        .requests()
         .iter()
         .map(|s| field(&s.head, "traceparent"))
         .collect();
@@ -82,12 +82,12 @@
 #[tokio::test]
 async fn sampled_by_share() {
     let kept = Kept::default();
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let site = Site::traced(&[&server], Tracing::new(3, "entry-1", kept.clone())).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let site = EdgeServer::traced(&[&server], Tracing::new(3, "entry-1", kept.clone())).await;
     let declined = CALLERS.replace("-01", "-00");
     for _ in 0..6 {
-        site.ask(&get_traced(&declined)).await;
-        site.ask(&get_traced(CALLERS)).await;
+        site.call(&get_traced(&declined)).await;
+        site.call(&get_traced(CALLERS)).await;
     }
     until(|| kept.spans().len() >= 6).await;
     let calls = kept.spans().iter().filter(|s| s.name == "call").count();
--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -10,8 +10,8 @@
 use derives::{tag, value};
 use state::Config;
 use transport::log::{
-    CommandRequest, Outcome, begin_by_log, read_by_entry, read_by_log, submit_by_entry,
-    submit_by_log,
+    CommandRequest, Outcome, begin_in_store, read_from_host, read_from_store, submit_to_host,
+    submit_to_store,
 };
 
 /// Exit code of a command that was refused.
@@ -124,8 +124,8 @@
     pub fn read(&self) -> Result<Arc<Config>, ExitCode> {
         let route = self.route().map_err(|e| self.usage(&e))?;
         let read = match &route {
-            Route::Log(address) => read_by_log(*address, REQUEST_TIMEOUT),
-            Route::Entry(address) => read_by_entry(address, REQUEST_TIMEOUT).map(Arc::new),
+            Route::Log(address) => read_from_store(*address, REQUEST_TIMEOUT),
+            Route::Entry(address) => read_from_host(address, REQUEST_TIMEOUT).map(Arc::new),
         };
         read.map_err(|reason| self.finish(&Outcome::Unreachable { reason }, ""))
     }
@@ -146,8 +146,8 @@
             change,
         };
         let outcome = match route {
-            Route::Log(address) => submit_by_log(address, &request, REQUEST_TIMEOUT),
-            Route::Entry(address) => submit_by_entry(&address, &request, REQUEST_TIMEOUT),
+            Route::Log(address) => submit_to_store(address, &request, REQUEST_TIMEOUT),
+            Route::Entry(address) => submit_to_host(&address, &request, REQUEST_TIMEOUT),
         };
         self.finish(&outcome, done)
     }
@@ -159,7 +159,7 @@
             Ok(Route::Entry(_)) => return self.usage("begin needs the store: give --log-address"),
             Err(message) => return self.usage(&message),
         };
-        let outcome = begin_by_log(address, text, SNAPSHOT_WAIT, REQUEST_TIMEOUT);
+        let outcome = begin_in_store(address, text, SNAPSHOT_WAIT, REQUEST_TIMEOUT);
         match outcome {
             Outcome::Unknown { .. } if !self.json => {
                 eprintln!("unknown: it may have been done; see `preset list` before you try again");
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -5,7 +5,7 @@
 
 use eyre::{Result, WrapErr};
 use serde_json::{Value, json};
-use transport::log::read_by_log;
+use transport::log::read_from_store;
 
 use super::operator::resolve;
 
@@ -59,7 +59,7 @@
 
 /// Returns the configuration from the store as JSON, without the status of entry hosts.
 fn fetch_from_log(log: &str) -> Result<String, String> {
-    let config = read_by_log(resolve(log)?, REQUEST_TIMEOUT)?;
+    let config = read_from_store(resolve(log)?, REQUEST_TIMEOUT)?;
     let members: Vec<Value> = config
         .members
         .iter()
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -8,7 +8,7 @@
 use coordination::config::Record;
 use protocol::config_record::decode_record;
 use stand_ins::history::{Order, Outcome};
-use transport::log::{CONFIG_STREAM, LogClient, PATIENCE};
+use transport::log::{BlockingStoreClient, CONFIG_STREAM, STORE_TIMEOUT};
 
 const SITE: &str = include_str!("common/small.toml");
 
@@ -28,7 +28,7 @@
 
 /// Returns whether the log holds a snapshot for those who missed records.
 fn has_snapshot(cluster: &Cluster) -> bool {
-    let client = LogClient::new(cluster.site.store.address(), PATIENCE);
+    let client = BlockingStoreClient::new(cluster.site.store.address(), STORE_TIMEOUT);
     let page = client.read(CONFIG_STREAM, 0, None, Duration::ZERO).unwrap();
     let mut records = page.records.iter().map(decode_record);
     records.any(|r| matches!(r, Ok(Record::Snapshot(_))))
