--- a/components/transport/src/admin.rs
+++ b/components/transport/src/admin.rs
@@ -1,8 +1,8 @@
 //! The admin port: health, readiness, metrics, status and commands, for operators.
 //!
 //! Connections are served on a thread of the port's own, so that neither callers
-//! nor commands that wait for the log hold up `/readyz`, by which the platform's
-//! balancer would take a good host out.
+//! nor commands that wait for the store delay `/readyz`. A delayed answer there
+//! would make the platform's balancer take a healthy host out of service.
 
 use std::convert::Infallible;
 use std::io;
@@ -27,40 +27,40 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-/// Commands that wait for the log at once.
+/// How many commands may wait for the store at once.
 const COMMANDS: usize = 8;
 
-/// Threads for whatever asks the host, beside those of the commands.
+/// How many threads build the other answers, besides those that run commands.
 const ASKING: usize = 4;
 
 /// The largest body an operator's command may have, in bytes.
 const BODY_LIMIT: usize = 4 * 1024 * 1024;
 
-/// How long a connection without a request is kept.
+/// How long a connection may wait for the head of a request.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 
-/// How long to wait when no connection can be accepted.
+/// How long to wait before accepting again after a failure.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the admin port asks of the entry host it stands beside.
+/// The entry host, as the admin port uses it.
 pub trait Host: Send + Sync {
-    /// Returns why the host isn't ready to take calls, nothing where it is.
+    /// Returns why the host isn't ready to take calls, none if it is ready.
     fn unready(&self) -> Option<String>;
 
-    /// Returns what the host knows, as JSON.
+    /// Returns the state of the host, as JSON.
     fn status(&self) -> serde_json::Value;
 
     /// Returns the configuration in force, as JSON.
     fn config(&self) -> String;
 
-    /// Carries an operator's command to the log, and answers a status and JSON.
+    /// Submits an operator's command to the store, and returns an HTTP status and a JSON body.
     fn command(&self, body: &[u8]) -> (u16, String);
 }
 
-/// The admin port, open until it is dropped.
+/// The admin port, open until dropped.
 pub struct Admin {
     address: SocketAddr,
-    /// Ends the port's thread by being dropped.
+    /// Ends the port's thread when dropped.
     _open: oneshot::Sender<()>,
 }
 
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the listener can't be used, or no thread can be had.
+    /// Fails if the listener can't be used, or if no thread can be started.
     pub fn open(
         listener: StdListener,
         host: &Arc<dyn Host>,
@@ -101,13 +101,14 @@
         })
     }
 
-    /// Returns where the port listens.
+    /// Returns the address that the port listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Serves until the port is dropped; commands that wait then are left to themselves.
+/// Serves until the port is dropped. Commands that are running then continue
+/// in their threads, and their answers are lost.
 fn run(runtime: Runtime, listener: StdListener, port: Arc<Port>, closed: oneshot::Receiver<()>) {
     runtime.block_on(async {
         tokio::select! {
@@ -118,7 +119,8 @@
     runtime.shutdown_background();
 }
 
-/// Serves each connection by itself, and returns why it can't.
+/// Accepts connections without end, each served by a task of its own; returns the
+/// error if the listener can't be used.
 async fn accept(listener: StdListener, port: Arc<Port>) -> io::Error {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -153,7 +155,7 @@
 
 type Answer = Response<Full<Bytes>>;
 
-/// What the port answers from.
+/// The state shared by all connections of the admin port.
 struct Port {
     host: Arc<dyn Host>,
     metrics: Option<PrometheusHandle>,
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Carries a command out on a thread of its own, as far as there may be more.
+    /// Runs a command on a thread of its own, unless too many are running.
     async fn command(self: Arc<Port>, request: Request<Incoming>) -> Answer {
         let Ok(_place) = self.commands.try_acquire() else {
             return unreachable("too many commands wait for the log: try again");
@@ -213,7 +215,7 @@
     }
 }
 
-/// Makes an answer on another thread, since what it asks may wait.
+/// Builds an answer on a thread for blocking work, since `make` may block.
 async fn apart(make: impl FnOnce() -> Answer + Send + 'static) -> Answer {
     match spawn_blocking(make).await {
         Ok(answer) => answer,
--- a/components/transport/src/dispatch/counters.rs
+++ b/components/transport/src/dispatch/counters.rs
@@ -1,10 +1,10 @@
-//! What placing counts.
+//! The metrics of the dispatcher.
 
 use std::time::Duration;
 
 use super::Refusal;
 
-/// Counts a refused call.
+/// Counts a refused call by its reason.
 pub fn refused(refusal: &Refusal) {
     let reason = match refusal {
         Refusal::UnknownService => "unknown-service",
@@ -17,12 +17,12 @@
     metrics::counter!("cardamomvale_slot_refusals_total", "reason" => reason).increment(1);
 }
 
-/// Counts a call that was given a slot after waiting.
+/// Records how long a call waited for the slot that it got.
 pub fn waited(wait: Duration) {
     metrics::histogram!("cardamomvale_slot_wait_seconds").record(wait.as_secs_f64());
 }
 
-/// Counts a probe and what it costs the endpoint.
+/// Counts a probe by its outcome, and adds up its cost, the endpoint's time for one probe.
 pub fn probed(cost: Duration, answered: bool) {
     let outcome = if answered { "answered" } else { "unanswered" };
     metrics::counter!("cardamomvale_slot_probes_total", "outcome" => outcome).increment(1);
@@ -30,7 +30,7 @@
         .increment(cost.as_micros() as u64);
 }
 
-/// Shows how the slots stand at this host.
+/// Sets the gauges of waiting calls and of slots in use and idle at this host.
 pub fn standing(waiting: u32, held: u32, idle: u32) {
     metrics::gauge!("cardamomvale_slot_waiting_calls").set(f64::from(waiting));
     metrics::gauge!("cardamomvale_slot_held").set(f64::from(held));
--- a/components/transport/src/dispatch/mod.rs
+++ b/components/transport/src/dispatch/mod.rs
@@ -1,7 +1,8 @@
-//! Finds a slot for a call, or says why there is none.
+//! Acquires a slot of an endpoint for a call, or refuses the call.
 //!
-//! The decisions are made by `coordination::slots`; this module runs them:
-//! a lock, wake-ups of waiting calls, a timer, messages and probes.
+//! The decisions are made by `coordination::slots`. This module adds what that
+//! state machine needs to run: a lock, wake-ups of waiting calls, a timer,
+//! messages and probes.
 
 mod counters;
 mod naive;
@@ -23,66 +24,67 @@
 use naive::Naive;
 use shared::Shared;
 
-/// A call that asks for a slot.
+/// A call that needs a slot.
 #[value]
 pub struct Call {
     /// The service called.
     pub service: ServiceKey,
-    /// When its answer is of no more use.
+    /// When the call's answer is of no more use.
     pub deadline: Moment,
-    /// Endpoints that have already failed it, not to be tried again.
+    /// The endpoints at which earlier attempts of the call failed, not to be used again.
     pub tried: Vec<EndpointKey>,
 }
 
-/// How a started call ended.
+/// How a call that got a slot ended.
 #[tag]
 pub enum Ending {
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered,
-    /// The backend server refused it and said so.
+    /// The backend server rejected the call as not run.
     Shed,
     /// No connection could be opened, so that nothing was sent.
     Unreachable,
-    /// The connection broke or went silent after something was sent.
+    /// The connection broke or went silent after something had been sent.
     Broken,
-    /// The call was given up: the caller hung up or the deadline passed.
+    /// The call was abandoned: the caller hung up or the deadline passed.
     Cancelled,
 }
 
-/// Who this entry host is, and how it places its calls.
+/// The identity of this entry host, and how it chooses endpoints.
 #[value]
 pub struct DispatcherOptions {
     /// The host's key.
     pub host: HostKey,
-    /// Its incarnation, as in the configuration's members.
+    /// The host's incarnation, as in the configuration's members.
     pub incarnation: u64,
-    /// The name of the data centre it stands in.
+    /// The name of the data centre that the host runs in.
     pub data_centre: String,
-    /// How it places calls.
+    /// How endpoints are chosen for calls.
     pub policy: Policy,
 }
 
-/// Sends a message to another entry host; never blocks, may lose it.
+/// Sends a message to another entry host. Never blocks; the message may be lost.
 pub type SendMessage = Arc<dyn Fn(HostKey, SlotMessage) + Send + Sync>;
 
-/// A slot that a call may use, given back by [`Grant::finish`] or by dropping it unused.
+/// A slot that a call may use, released by [`Grant::finish`], or as unused by dropping it.
 pub struct Grant {
-    /// The endpoint the slot belongs to.
+    /// The endpoint that the slot belongs to.
     pub endpoint: EndpointKey,
-    /// Where the endpoint listens.
+    /// The address of the endpoint.
     pub address: SocketAddr,
     lease: Option<LeaseKey>,
     dispatcher: Arc<Dispatcher>,
     ended: bool,
 }
 
-/// Places calls on the endpoints of their services.
+/// Assigns calls to the endpoints of their services, by slots or by a baseline policy.
 #[derive(Default)]
 pub struct Dispatcher {
     way: Way,
 }
 
-/// Ours, or a baseline.
+/// How endpoints are chosen: by leased slots, or by one of the baselines that
+/// leased slots are compared with.
 enum Way {
     Naive(Naive),
     Shared(Arc<Shared>),
@@ -95,14 +97,14 @@
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher that places calls as `setup` says.
+    /// Returns a dispatcher with the identity and policy in `setup`.
     ///
-    /// With [`Policy::Shared`] its timer and probes run on the current runtime
-    /// until it is dropped.
+    /// With [`Policy::Shared`] its timer and probes run on the current tokio
+    /// runtime until it is dropped.
     ///
     /// # Panics
     ///
-    /// Where no tokio runtime is entered.
+    /// Panics with [`Policy::Shared`] outside a tokio runtime.
     pub fn new(setup: &DispatcherOptions, send: SendMessage) -> Arc<Dispatcher> {
         let way = match setup.policy {
             Policy::Shared => Way::Shared(Shared::run(setup, send)),
@@ -111,7 +113,7 @@
         Arc::new(Dispatcher { way })
     }
 
-    /// Takes over the configuration in force.
+    /// Applies the configuration in force.
     pub fn configure(&self, config: &Config) {
         match &self.way {
             Way::Naive(naive) => naive.configure(config),
@@ -119,38 +121,39 @@
         }
     }
 
-    /// Takes over who is alive.
+    /// Sets the members that are alive.
     pub fn set_alive(&self, alive: BTreeSet<HostKey>) {
         if let Way::Shared(shared) = &self.way {
             shared.set_alive(alive);
         }
     }
 
-    /// Takes over this host's incarnation, where it has joined anew.
+    /// Sets this host's incarnation, which changes when the host joins again.
     pub fn renew_incarnation(&self, incarnation: u64) {
         if let Way::Shared(shared) = &self.way {
             shared.renew_incarnation(incarnation);
         }
     }
 
-    /// Notes that the configuration known here was shown to be current at `shown`.
+    /// Records that this host's configuration was proved to be current at the moment `shown`.
     ///
-    /// This host may act as an owner for some time after. To be called each
-    /// 100 ms or so with the failure detector's latest word.
+    /// This host may act as an owner for a limited time after that moment. To
+    /// be called about every 100 ms with the failure detector's latest result.
     pub fn confirm(&self, shown: Moment) {
         if let Way::Shared(shared) = &self.way {
             shared.confirm(shown);
         }
     }
 
-    /// Takes in a message of another entry host.
+    /// Handles a message of another entry host.
     pub fn receive(&self, from: HostKey, message: SlotMessage) {
         if let Way::Shared(shared) = &self.way {
             shared.receive(from, message);
         }
     }
 
-    /// Starts no more calls, refuses those that wait and gives idle slots to other hosts.
+    /// Starts no more calls, refuses those that wait, and returns idle slots for
+    /// other hosts to use.
     pub fn stop(&self) {
         match &self.way {
             Way::Naive(naive) => naive.stop(),
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Returns how a service stands at this host, for `status`.
+    /// Returns the calls and slots of a service at this host, none for an
+    /// unknown service.
     pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
         match &self.way {
             Way::Naive(naive) => naive.standing(service),
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Returns how the endpoints owned by this host stand, for `status`.
+    /// Returns the state of each endpoint that this host owns.
     pub fn owned(&self) -> Vec<EndpointStanding> {
         match &self.way {
             Way::Naive(_) => Vec::new(),
@@ -178,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Says why the call is refused; it has not run then.
+    /// Returns why the call is refused. A refused call has not run.
     pub async fn acquire(self: &Arc<Self>, call: &Call) -> Result<Grant, Refusal> {
         let found = match &self.way {
             Way::Naive(naive) => naive.acquire(call).await,
@@ -200,24 +204,24 @@
     }
 }
 
-/// How one endpoint stands at its owner.
+/// The state of one endpoint, as its owner knows it.
 #[value]
 pub struct EndpointStanding {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Slots that may be out now, over all entry hosts.
+    /// How many slots may be leased now, over all entry hosts.
     pub cap: u32,
-    /// Slots that are out.
+    /// How many slots are leased.
     pub out: u32,
-    /// It is slow or can't be reached, and gets only trials.
+    /// Whether the endpoint is slow or unreachable, and gets only trial calls.
     pub doubted: bool,
-    /// Its leases wait for the earlier owner's to end.
+    /// Whether no slot may be leased until the previous owner's leases have ended.
     pub fenced: bool,
-    /// How long ago it answered a probe.
+    /// The time since the endpoint last answered a probe, none if it never has.
     pub report_age: Option<Duration>,
 }
 
-/// Where a call may go.
+/// The endpoint chosen for a call, with the lease of its slot; a baseline has no leases.
 struct Placed {
     endpoint: EndpointKey,
     address: SocketAddr,
@@ -225,10 +229,10 @@
 }
 
 impl Grant {
-    /// Returns whether the slot may still be used. Ask right before sending.
+    /// Returns whether the slot may still be used. To be checked right before sending.
     ///
-    /// A process that was paused past its lease would otherwise send a call on
-    /// a slot that another host has been given meanwhile.
+    /// A process that was paused until after its lease's end would otherwise
+    /// send a call on a slot that has been leased to another host.
     pub fn may_send(&self) -> bool {
         match (&self.dispatcher.way, self.lease) {
             (Way::Shared(shared), Some(lease)) => shared.may_send(lease),
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Gives the slot back and says how the call ended.
+    /// Releases the slot and records how the call ended.
     pub fn finish(mut self, ending: Ending) {
         self.ended = true;
         self.release(Some(ending));
--- a/components/transport/src/dispatch/naive.rs
+++ b/components/transport/src/dispatch/naive.rs
@@ -1,4 +1,4 @@
-//! The baselines: each entry host alone, without leases.
+//! The baseline policies: each entry host chooses endpoints by itself, without leases.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use super::{Call, Placed, Refusal};
 use crate::clock;
 
-/// Places calls by a baseline.
+/// Chooses endpoints for calls by a baseline policy.
 pub struct Naive {
     policy: Policy,
     me: Option<HostKey>,
@@ -37,7 +37,7 @@
     share: u32,
 }
 
-/// What looking for an endpoint came to.
+/// The result of looking for an endpoint.
 enum Search {
     Found(Placed),
     Busy,
@@ -45,7 +45,7 @@
 }
 
 impl Naive {
-    /// Returns a baseline that knows no configuration yet.
+    /// Returns a dispatcher with no configuration yet; `me` is the key of this host.
     pub fn new(policy: Policy, me: Option<HostKey>) -> Naive {
         Naive {
             policy,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes over the configuration in force.
+    /// Applies the configuration in force.
     pub fn configure(&self, config: &Config) {
         let mut services = BTreeMap::new();
         for service in config.services() {
@@ -76,7 +76,8 @@
         self.freed.notify_waiters();
     }
 
-    /// Finds an endpoint; only a fixed share ever waits.
+    /// Chooses an endpoint. Waits only with [`Policy::FixedShare`], until a slot of
+    /// this host's is free.
     pub async fn acquire(&self, call: &Call) -> Result<Placed, Refusal> {
         loop {
             let freed = self.freed.notified();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes an endpoint back.
+    /// Counts one call less in flight at `endpoint`.
     pub fn release(&self, endpoint: EndpointKey) {
         if let Some(running) = self.board().running.get_mut(&endpoint) {
             *running = running.saturating_sub(1);
@@ -106,7 +107,7 @@
         self.freed.notify_waiters();
     }
 
-    /// Returns how a service stands.
+    /// Returns the calls in flight of a service, none for an unknown service.
     pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
         let board = self.board();
         let targets = board.services.get(&service)?;
@@ -159,7 +160,8 @@
         })
     }
 
-    /// Returns this host's slots of an endpoint: each slot goes to a member by rendezvous.
+    /// Returns how many slots of an endpoint belong to this host: each slot is
+    /// assigned to a member by rendezvous hashing.
     fn share(&self, config: &Config, endpoint: EndpointKey, slots: u32) -> u32 {
         let owner = |slot: u32| {
             let item = endpoint.0 ^ u64::from(slot);
--- a/components/transport/src/dispatch/probe.rs
+++ b/components/transport/src/dispatch/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an endpoint for its load report.
+//! Probes an endpoint for its load report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Where backend servers give their load report.
+/// The path at which backend servers serve their load report.
 const PATH: &str = "/-/load";
-/// The longest report read, in bytes.
+/// The longest report that is read, in bytes.
 const LIMIT: usize = 4_096;
-/// A report that takes longer is of no use.
+/// How long a probe may take; a later report would be out of date.
 const PATIENCE: Duration = Duration::from_secs(1);
 
 #[derive(Deserialize)]
@@ -28,10 +28,10 @@
     running: u32,
 }
 
-/// Returns the load report of the endpoint at `address`, none where there is no sound one.
+/// Returns the load report of the endpoint at `address`, none if it can't be read in time.
 ///
-/// Each probe opens its own connection: an idle one kept for it might have
-/// gone silent, and would then show a living backend server as lost.
+/// Each probe opens a connection of its own: an idle one kept for probes might
+/// have gone silent, and a backend server that is alive would then look lost.
 pub async fn ask(address: SocketAddr) -> Option<LoadReport> {
     timeout(PATIENCE, exchange(address)).await.ok().flatten()
 }
@@ -52,14 +52,14 @@
         let body = Limited::new(response.into_body(), LIMIT);
         Some(body.collect().await.ok()?.to_bytes())
     };
-    // The connection may end in the same instant as the answer. Were its end
-    // taken for a failure, most reports would be lost, and each endpoint would
-    // count as cold until its answers have proven it.
+    // The connection may end at the same moment as the answer. If its end counted
+    // as a failure, most reports would be lost, and each endpoint would be taken
+    // for cold until its answers had shown that it is warm.
     let (body, _) = tokio::join!(answer, connection);
     read(&body?)
 }
 
-/// Reads a report; distrusts all of it.
+/// Parses a report, none if any part of it is invalid.
 fn read(body: &[u8]) -> Option<LoadReport> {
     let report: Report = serde_json::from_slice(body).ok()?;
     let readiness = match report.state.as_str() {
--- a/components/transport/src/dispatch/shared.rs
+++ b/components/transport/src/dispatch/shared.rs
@@ -1,4 +1,4 @@
-//! Runs the slot machine of this host.
+//! Runs the slot manager of this host: the state machine in `coordination::slots`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,7 +19,7 @@
 };
 use crate::clock;
 
-/// The slot machine with what it needs to act.
+/// The slot manager, with its lock, timer and way to send messages.
 pub struct Shared {
     core: Mutex<Core>,
     send: SendMessage,
@@ -37,10 +37,10 @@
     next: u64,
 }
 
-/// What became of a waiting call.
+/// The result of a call's wait for a slot.
 type Verdict = Result<Placed, Refusal>;
 
-/// A call that waits; forgotten by the machine where its caller goes away.
+/// A call that waits for a slot, cancelled in the slot manager when dropped.
 struct Pending<'a> {
     shared: &'a Shared,
     service: ServiceKey,
@@ -52,7 +52,7 @@
 const GAUGES: Duration = Duration::from_millis(1_000);
 
 impl Shared {
-    /// Returns the machine, with its timer running.
+    /// Returns the dispatcher, with its timer and its updates of the gauges running.
     pub fn run(setup: &DispatcherOptions, send: SendMessage) -> Arc<Shared> {
         let now = clock::now();
         let me = Identity {
@@ -80,7 +80,7 @@
         shared
     }
 
-    /// Takes over the configuration in force.
+    /// Applies the configuration in force.
     pub fn configure(self: &Arc<Self>, config: &Config) {
         self.act(|core, now| {
             core.slots.configure(config, &core.alive, now);
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Takes over who is alive.
+    /// Sets the members that are alive.
     pub fn set_alive(self: &Arc<Self>, alive: BTreeSet<HostKey>) {
         self.act(|core, now| {
             if core.alive == alive {
@@ -101,32 +101,32 @@
         });
     }
 
-    /// Takes over this host's incarnation, where it has joined anew.
+    /// Sets this host's incarnation, which changes when the host joins again.
     pub fn renew_incarnation(self: &Arc<Self>, incarnation: u64) {
         self.act(|core, _| core.slots.renew_incarnation(incarnation));
     }
 
-    /// Notes that this host may act as an owner now.
+    /// Records that this host's configuration was proved to be current at the moment `shown`.
     pub fn confirm(self: &Arc<Self>, shown: Moment) {
         self.act(|core, _| core.slots.confirm(shown));
     }
 
-    /// Takes in a message.
+    /// Handles a message of another entry host.
     pub fn receive(self: &Arc<Self>, from: HostKey, message: SlotMessage) {
         self.act(|core, now| core.slots.receive(from, message, now));
     }
 
-    /// Stops taking calls.
+    /// Starts no more calls, refuses those that wait, and returns idle slots.
     pub fn stop(self: &Arc<Self>) {
         self.act(|core, now| core.slots.stop(now));
     }
 
-    /// Returns how a service stands.
+    /// Returns the calls and slots of a service at this host, none for an unknown service.
     pub fn standing(self: &Arc<Self>, service: ServiceKey) -> Option<ServiceStatus> {
         self.act(|core, _| core.slots.status(service))
     }
 
-    /// Returns how the owned endpoints stand.
+    /// Returns the state of each endpoint that this host owns.
     pub fn owned(self: &Arc<Self>) -> Vec<EndpointStanding> {
         self.act(|core, now| {
             let owned = core.slots.owned().iter();
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Waits for a slot.
+    /// Waits until a slot is free for `call`.
     pub async fn acquire(self: &Arc<Self>, call: &Call) -> Verdict {
         let began = clock::now();
         let (sender, verdict) = oneshot::channel();
@@ -175,13 +175,13 @@
         verdict
     }
 
-    /// Returns whether a call may be sent on this lease now.
+    /// Returns whether a call may be sent now on the slot of `lease`.
     pub fn may_send(&self, lease: LeaseKey) -> bool {
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         core.slots.may_send(lease, clock::now())
     }
 
-    /// Ends the use of a lease, none where nothing was sent on it.
+    /// Ends a call's use of a lease; `ending` is none if no call was sent.
     pub fn finish(self: &Arc<Self>, lease: LeaseKey, ending: Option<Ending>) {
         let ending = match ending {
             Some(Ending::Answered) => slots::Ending::Answered,
@@ -194,10 +194,10 @@
         self.act(|core, now| core.slots.finish(lease, ending, now));
     }
 
-    /// Does one step of the machine and carries out what it says.
+    /// Runs one step of the slot manager and carries out the effects that it returns.
     ///
     /// Messages are queued under the lock, so that two threads can't send them
-    /// in another order than they were decided in; sending never blocks.
+    /// in another order than that of the decisions. Sending never blocks.
     fn act<R>(self: &Arc<Self>, step: impl FnOnce(&mut Core, Moment) -> R) -> R {
         let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         let result = step(&mut core, clock::now());
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Frees a slot whose caller went away as it was given.
+    /// Releases a slot whose caller hung up at the moment when the slot was granted.
     fn put_back(self: &Arc<Self>, lease: LeaseKey) {
         let shared = Arc::downgrade(self);
         self.runtime.spawn(async move {
@@ -283,7 +283,7 @@
     }
 }
 
-/// Ticks the machine when it is due, until it is dropped.
+/// Calls the slot manager's `tick` whenever it is due, until the dispatcher is dropped.
 async fn keep_time(shared: Weak<Shared>) {
     while let Some(strong) = shared.upgrade() {
         let due = strong.act(|core, now| {
@@ -300,7 +300,7 @@
     }
 }
 
-/// Updates the gauges, until the machine is dropped.
+/// Updates the gauges periodically, until the dispatcher is dropped.
 async fn show(shared: Weak<Shared>) {
     while let Some(strong) = shared.upgrade() {
         let sum = strong.totals();
--- a/components/transport/src/edge/answer.rs
+++ b/components/transport/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller.
+//! The body of an answer that an entry host sends to a caller.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -19,24 +19,25 @@
 use crate::trace::{CallTrace, Hop};
 use crate::upstream::Exchange;
 
-/// How long an answer that has begun may stand still past its deadline.
+/// How long an answer that has begun may make no progress, once its deadline has passed.
 ///
-/// A long answer that still moves is let through: breaking it off would waste
-/// what has come so far. One that stands still would hold its slot for ever.
+/// A long answer that still makes progress is relayed past its deadline:
+/// aborting it would waste what has been transferred. A stalled one would hold
+/// its slot forever.
 const STALL_LIMIT: Duration = Duration::from_secs(2);
 
-/// Why an answer was broken off.
+/// Why an answer was aborted after its head had been sent.
 #[derive(Debug, Error)]
 pub enum AnswerError {
-    /// The backend server's answer was cut.
-    #[error("the backend server's answer was cut: {0}")]
+    /// The connection to the backend server broke before the end of the answer.
+    #[error("the backend server's answer was truncated: {0}")]
     Cut(hyper::Error),
-    /// The backend server's answer stood still for too long.
-    #[error("the backend server's answer stood still")]
+    /// The backend server's answer made no progress for too long.
+    #[error("the backend server's answer stalled")]
     Stalled,
 }
 
-/// What an entry host sends as an answer's body.
+/// The body of an answer, either made by the entry host or relayed from a backend server.
 pub struct AnswerBody {
     kind: Kind,
     caller: Option<Arc<CallerState>>,
@@ -48,7 +49,7 @@
     Relay(Box<Relay>),
 }
 
-/// A backend server's body, passed on piece by piece.
+/// A backend server's answer body, relayed piece by piece.
 pub struct Relay {
     exchange: Exchange,
     incoming: Incoming,
@@ -58,18 +59,18 @@
     escort: Escort,
 }
 
-/// What goes with an answer to its end.
+/// What is updated while an answer is relayed and when it ends.
 pub struct Escort {
-    /// Keeps it for repeats of its key.
+    /// Records the answer for repeats of its key; none for a call without a key.
     pub keeper: Option<Keeper>,
     /// The span of the call to the backend server.
     pub hop: Hop,
-    /// Where a cut is counted.
+    /// The service whose metrics count a truncated answer.
     pub service: Arc<ServiceState>,
 }
 
 impl Relay {
-    /// Returns the relay of the answer that has begun on `exchange`.
+    /// Returns the body of the answer that has begun on `exchange`.
     pub fn new(exchange: Exchange, incoming: Incoming, deadline: Moment, escort: Escort) -> Relay {
         let now = clock::now();
         let mut relay = Relay {
@@ -107,10 +108,11 @@
         }
     }
 
-    /// Frees slot and connection as soon as the last byte has come.
+    /// Releases slot and connection as soon as the last byte has been read.
     ///
-    /// The HTTP library doesn't ask again after the last byte of a known
-    /// length, and the answer must not look given up then.
+    /// The HTTP library doesn't poll a body of known length again after its
+    /// last byte. Without this check, dropping the body would count as
+    /// abandoning the answer.
     fn settle(&mut self) {
         if self.incoming.is_end_stream() {
             self.complete();
@@ -145,7 +147,7 @@
 }
 
 impl AnswerBody {
-    /// Returns a body of the entry host's own.
+    /// Returns a body that the entry host made itself.
     pub fn line(text: Bytes) -> AnswerBody {
         AnswerBody {
             kind: Kind::Line(text),
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Returns a body passed on from a backend server.
+    /// Returns a body that is relayed from a backend server.
     pub fn relay(relay: Relay) -> AnswerBody {
         AnswerBody {
             kind: Kind::Relay(Box::new(relay)),
@@ -163,12 +165,12 @@
         }
     }
 
-    /// Has the caller's connection told when this body ends or breaks.
+    /// Sets the state of the caller's connection, which is updated when this body ends or breaks.
     pub fn tell(&mut self, caller: Arc<CallerState>) {
         self.caller = Some(caller);
     }
 
-    /// Ends the call's trace with this body.
+    /// Keeps the call's trace open until this body is dropped.
     pub fn keep_trace(&mut self, trace: CallTrace) {
         self.trace = Some(trace);
     }
--- a/components/transport/src/edge/body.rs
+++ b/components/transport/src/edge/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request as the caller sends it, within its limits.
+//! The body of a request as it is read from the caller, with limits on size and time.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,37 +11,38 @@
 use thiserror::Error;
 use tokio::time::{Sleep, timeout};
 
-/// The largest body held in memory so that it can be sent a second time.
+/// The largest body, in bytes, that is buffered so that it can be sent again.
 ///
-/// A body up to this size is read whole before a slot is asked for, so that a
-/// slow caller holds no slot.
+/// A body up to this size is read completely before a slot is acquired, so that
+/// a slow caller occupies no slot.
 pub const MAX_REPLAY_BODY: usize = 64 * 1024;
 
-/// The largest body of a call with an idempotency key.
+/// The largest body of a call with an idempotency key, in bytes.
 ///
-/// Its digest has to be known before the key is claimed, so it is held whole.
+/// The digest of the whole body is needed before the key is claimed, so the
+/// body is buffered completely.
 pub const KEYED_LIMIT: usize = 1024 * 1024;
 
 /// How long the rest of a body is read after its request has been answered.
 ///
-/// Time for a megabyte at 2 Mbit/s; a caller that takes longer is cut off.
+/// Enough for a megabyte at 2 Mbit/s; a caller that takes longer is disconnected.
 const LINGER_LIMIT: Duration = Duration::from_secs(5);
 
-/// Why a request's body can't be read.
+/// Why the body of a request can't be read.
 #[derive(Clone, Debug, Error)]
 pub enum BodyError {
-    /// It is larger than the service takes, in bytes.
+    /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(u64),
-    /// The caller sends it too slowly.
+    /// The caller sends the body too slowly.
     #[error("the body did not arrive in time")]
     TooSlow,
-    /// It is not what its head announced.
+    /// The body breaks HTTP/1.1 framing, or the connection ended before the body did.
     #[error("{0}")]
     Broken(String),
 }
 
-/// A request's body, counted and timed.
+/// The body of a request, with a limit on its size and on how long it may stall.
 pub struct CallerBody {
     incoming: Incoming,
     limit: u64,
@@ -55,11 +56,11 @@
     timer: Pin<Box<Sleep>>,
 }
 
-/// The beginning of a body, read before the call is placed.
+/// The beginning of a body, read before the call is sent to an endpoint.
 pub struct BodyPrefix {
-    /// What was read.
+    /// The bytes read so far.
     pub start: Bytes,
-    /// What is still to come, none where `start` is the whole body.
+    /// The unread remainder; none if `start` is the whole body.
     pub rest: Option<CallerBody>,
 }
 
@@ -68,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// Says so where the head already announces more.
+    /// Fails if the `Content-Length` of the request exceeds the limit.
     pub fn new(incoming: Incoming, limit: u64) -> Result<CallerBody, BodyError> {
         match incoming.size_hint().exact() {
             Some(size) if size > limit => Err(BodyError::TooLarge(limit)),
@@ -82,11 +83,11 @@
         }
     }
 
-    /// Reads until the end, or until more than `most` bytes are held.
+    /// Reads until the end of the body, or until more than `most` bytes are buffered.
     ///
     /// # Errors
     ///
-    /// Says why the body can't be read; nothing was passed on yet.
+    /// Returns why the body can't be read. No part of it has been sent on by then.
     pub async fn read_prefix(mut self, most: usize) -> Result<BodyPrefix, BodyError> {
         let mut start = Bytes::new();
         let mut more = BytesMut::new();
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Returns the next piece.
+    /// Returns the next piece of the body, none at its end.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.incoming).poll_frame(cx) {
@@ -134,12 +135,12 @@
         }
     }
 
-    /// Returns whether all of it has been read.
+    /// Returns whether the whole body has been read.
     pub fn is_end(&self) -> bool {
         self.incoming.is_end_stream()
     }
 
-    /// Returns how many bytes are still to come, where the head says so.
+    /// Returns how many bytes are still to be read, none for a chunked body.
     pub fn remaining(&self) -> Option<u64> {
         self.incoming.size_hint().exact()
     }
@@ -169,37 +170,37 @@
     }
 }
 
-/// A body that its request's attempt and the caller's connection both hold.
+/// A body shared by the attempt that sends it and the caller's connection.
 ///
-/// An endpoint may answer, or a host reject, before a long body has come. Were
-/// the rest left unread, closing the connection would reset it, and the caller,
-/// still sending, would see a reset in place of its answer. So the connection
-/// keeps hold of the body and reads the rest once the answer is out.
+/// An endpoint may answer, or a host reject, before a long body has been
+/// received. If the rest were left unread, closing the connection would reset
+/// it, and the caller, still sending, would get a reset instead of its answer.
+/// So the connection keeps the body and drains it once the answer has been sent.
 #[derive(Clone)]
 pub struct SharedBody(Arc<Mutex<CallerBody>>);
 
 impl SharedBody {
-    /// Returns a body to be shared.
+    /// Returns a shared handle to `body`; clones refer to the same body.
     pub fn new(body: CallerBody) -> SharedBody {
         SharedBody(Arc::new(Mutex::new(body)))
     }
 
-    /// Returns the next piece.
+    /// Returns the next piece of the body, none at its end.
     pub fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         self.with(|body| body.poll_data(cx))
     }
 
-    /// Returns whether all of it has been read.
+    /// Returns whether the whole body has been read.
     pub fn is_end(&self) -> bool {
         self.with(|body| body.is_end())
     }
 
-    /// Returns how many bytes are still to come, where the head says so.
+    /// Returns how many bytes are still to be read, none for a chunked body.
     pub fn remaining(&self) -> Option<u64> {
         self.with(|body| body.remaining())
     }
 
-    /// Reads the rest and forgets it, as long as the caller keeps sending.
+    /// Reads and discards the rest of the body, for a limited time.
     pub async fn drain(self) {
         let rest = async {
             while let Some(Ok(_)) = std::future::poll_fn(|cx| self.poll_data(cx)).await {}
@@ -210,7 +211,8 @@
     }
 
     fn with<R>(&self, act: impl FnOnce(&mut CallerBody) -> R) -> R {
-        // A panic leaves the body as it was before the piece; reading on is safe.
+        // A panic leaves the body as it was before the current piece, so a poisoned
+        // lock is safe to use.
         act(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
@@ -225,7 +227,7 @@
     whole.freeze()
 }
 
-/// Returns the library's reason with the cause beneath it.
+/// Returns the text of an error of the HTTP library, followed by its source's text.
 pub fn reason(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -1,4 +1,4 @@
-//! The path of one call: from its head to its answer.
+//! Handles one call, from the head of its request to the head of its answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,13 +28,14 @@
 use crate::trace::{CallTrace, Hop};
 use crate::upstream::{Connection, Exchange, RequestBody, SendError};
 
-/// The header field by which a backend server says that it did not run a call.
+/// The header field by which a backend server states that it did not run a call.
 const NOT_RUN: HeaderName = HeaderName::from_static("cardamomvale-not-run");
 
-/// The largest body of a refusal that is read so that its connection can be kept.
+/// The largest body of a backend server's rejection, in bytes, that is read so
+/// that the connection can be reused.
 const SHED_LIMIT: usize = 16 * 1024;
 
-/// A call that is ready to be placed.
+/// A call whose head has been parsed and checked, ready to be sent to an endpoint.
 struct Plan {
     service: ServiceKey,
     state: Arc<ServiceState>,
@@ -45,18 +46,18 @@
     deadline: Moment,
     key: Option<String>,
     trace: CallTrace,
-    /// How long the call's key is remembered.
+    /// How long the call's idempotency key is remembered.
     keep: Duration,
 }
 
-/// How one attempt failed.
+/// Why one attempt to send a call failed.
 struct Failed {
     fault: Fault,
     endpoint: Option<EndpointKey>,
     failure: Failure,
 }
 
-/// Answers one call, whatever happens.
+/// Answers one call; every failure becomes an answer too.
 pub async fn answer(
     edge: &Arc<Edge>,
     request: Request<Incoming>,
@@ -82,13 +83,13 @@
     response
 }
 
-/// Counts a fault by its reason and returns the answer that tells it.
+/// Counts a fault by its reason and returns the answer that states the reason.
 fn refuse(fault: Fault) -> Response<AnswerBody> {
     metrics::counter!("cardamomvale_faults_total", "reason" => fault.name()).increment(1);
     fault.into_response()
 }
 
-/// Takes the head of a request apart, and returns the call with its body's limit.
+/// Parses the head of a request, and returns the call and the limit of its body in bytes.
 fn plan(edge: &Edge, parts: Parts, caller: SocketAddr) -> Result<(Plan, u64), Fault> {
     let arrived = clock::now();
     let config = Arc::clone(&edge.config.borrow());
@@ -133,7 +134,7 @@
     }
 }
 
-/// Claims the call's key and sends it if the claim is its own.
+/// Claims the call's idempotency key, and sends the call if the claim was granted.
 async fn keyed_call(
     edge: &Arc<Edge>,
     plan: &Plan,
@@ -160,7 +161,8 @@
     }
 }
 
-/// Reads the beginning of the body, or all of it, before the call is placed.
+/// Reads the body before a slot is acquired, until its end or until more than
+/// `most` bytes are held.
 async fn gather(body: CallerBody, most: usize, deadline: Moment) -> Result<BodyPrefix, Fault> {
     if body.is_end() {
         return Ok(BodyPrefix {
@@ -175,7 +177,7 @@
     }
 }
 
-/// Tries the call until it is answered, or may not be tried again.
+/// Sends the call until an endpoint answers, or until no retry is allowed.
 async fn attempts(
     edge: &Arc<Edge>,
     plan: &Plan,
@@ -215,11 +217,11 @@
     }
 }
 
-/// Returns what the caller is told after one more failure.
+/// Returns the fault that the caller gets after one more failed attempt.
 ///
-/// If an earlier attempt may have run, a later one that surely didn't must not
-/// make the answer "not run". A refusal to place the call again says less than
-/// what the first attempt met.
+/// If an earlier attempt may have run, a later one that did not run must not
+/// turn the answer into "not run". If the retry got no slot, the earlier
+/// attempt's fault says more about the cause.
 fn worse(earlier: Option<Fault>, failed: Failed) -> Fault {
     match earlier {
         Some(earlier) if earlier.outcome() == Outcome::Unknown => earlier,
@@ -228,7 +230,7 @@
     }
 }
 
-/// Sends the call once, to one endpoint.
+/// Sends the call once, to one endpoint, and checks the head of the answer.
 async fn attempt(
     edge: &Arc<Edge>,
     plan: &Plan,
@@ -250,7 +252,7 @@
     }
 }
 
-/// Waits for a slot and a connection, both good at the moment of sending.
+/// Acquires a slot and a connection, both valid at the moment of sending.
 async fn place(edge: &Arc<Edge>, plan: &Plan, call: &Call) -> Result<(Grant, Connection), Failed> {
     loop {
         let hop = plan.trace.inner("queue");
@@ -277,7 +279,7 @@
     }
 }
 
-/// Decides what the head of an answer means.
+/// Decides by the head of an endpoint's answer whether it is relayed to the caller.
 async fn judge(
     exchange: Exchange,
     response: Response<Incoming>,
@@ -314,14 +316,16 @@
     Ok(Response::from_parts(parts, AnswerBody::relay(relay)))
 }
 
-/// Returns whether a cut answer could be told from a whole one.
+/// Returns whether a truncated answer can be detected: the body has a known
+/// length or chunked coding.
 ///
-/// An answer that ends with its connection looks whole wherever it is cut.
+/// An answer that is delimited by the end of its connection looks complete
+/// wherever it is truncated.
 fn is_bounded(fields: &HeaderMap, body: &Incoming) -> bool {
     body.size_hint().exact().is_some() || fields.contains_key(TRANSFER_ENCODING)
 }
 
-/// The body of a call, for each attempt.
+/// Creates the request body of each attempt to send a call.
 struct Bodies {
     start: Bytes,
     rest: Option<CallerBody>,
@@ -352,7 +356,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let mut fields = self.fields.clone();
-        // Some servers take a POST that says nothing of a length for a broken one.
+        // Some servers reject a POST without a Content-Length field.
         if is_empty && [Method::POST, Method::PUT, Method::PATCH].contains(&self.method) {
             fields.insert(CONTENT_LENGTH, HeaderValue::from(0));
         }
--- a/components/transport/src/edge/caller.rs
+++ b/components/transport/src/edge/caller.rs
@@ -1,4 +1,4 @@
-//! The stream of one caller's connection, as the HTTP library sees it.
+//! The byte stream of one caller's connection, as the HTTP library reads and writes it.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// What the calls of one connection and its stream tell each other.
+/// State shared by the calls of one connection and its stream.
 #[derive(Default)]
 pub struct CallerState {
     answering: AtomicBool,
@@ -21,23 +21,23 @@
 }
 
 impl CallerState {
-    /// Notes that a call has begun: what is written now is its answer.
+    /// Records that a call has begun: whatever is written from now on is its answer.
     pub fn begin(&self) {
         self.ended.store(false, Ordering::Relaxed);
         self.answering.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that the answer's body has been handed over whole, or given up.
+    /// Records that the answer's body was dropped, after its end or before.
     pub fn body_ended(&self) {
         self.ended.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that the answer broke after its head had gone out.
+    /// Records that the answer broke after its head had been sent.
     pub fn break_off(&self) {
         self.broken.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the answer broke after its head had gone out.
+    /// Returns whether the answer broke after its head had been sent.
     pub fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Relaxed)
     }
@@ -53,12 +53,12 @@
     }
 }
 
-/// A caller's stream with a limit on how slowly it may read its answers.
+/// A caller's stream, with a limit on how slowly the caller may read its answers.
 ///
-/// The HTTP library answers a head that it can't parse by itself, with an
-/// empty body and without an outcome. Such an answer is the only thing it
-/// writes while no call is under way: it is swallowed here, and the connection
-/// then gives the caller one that says what is wrong.
+/// The HTTP library itself answers a head that it can't parse, with an empty
+/// body and without an outcome. Such an answer is the only thing that it writes
+/// while no call is in progress. The stream discards those bytes, and
+/// the connection then sends an answer that states the fault.
 pub struct CallerStream {
     stream: TcpStream,
     state: Arc<CallerState>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the bare stream.
+    /// Returns the underlying TCP stream.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
--- a/components/transport/src/edge/connection.rs
+++ b/components/transport/src/edge/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection.
+//! Serves one caller's connection: its calls, its limits and its close.
 
 use std::convert::Infallible;
 use std::future::poll_fn;
@@ -17,13 +17,14 @@
 use super::fault::Fault;
 use super::{Edge, Stage, body, call, reject};
 
-/// How long a closed connection is still read from, so that its last answer arrives.
+/// How long a connection is still read from after its write side has been
+/// closed, so that the last answer reaches the caller.
 const LINGER_LIMIT: Duration = Duration::from_secs(2);
 
-/// Header fields that one request may have.
+/// How many header fields one request may have.
 const FIELDS_LIMIT: usize = 100;
 
-/// Counts a caller's connection for as long as it lives.
+/// Takes a caller's connection out of the count of open ones when dropped.
 struct Counted(Arc<Edge>);
 
 impl Drop for Counted {
@@ -32,7 +33,7 @@
     }
 }
 
-/// Serves the calls of one connection, one after the other.
+/// Serves the calls of one connection, one after another, and closes the connection.
 pub async fn serve(edge: Arc<Edge>, stream: TcpStream, caller: SocketAddr) {
     let _counted = Counted(Arc::clone(&edge));
     if stream.set_nodelay(true).is_err() {
@@ -55,7 +56,8 @@
     }
 }
 
-/// Serves calls until the connection ends, and says what was wrong with its end.
+/// Serves calls until the connection ends, and returns its stream and the fault,
+/// if any, that the caller is still to be answered with.
 async fn calls(
     edge: Arc<Edge>,
     stream: TcpStream,
@@ -100,7 +102,8 @@
     (parts.io.into_inner().into_stream(), fault)
 }
 
-/// Returns what the caller did wrong, where it can still be told.
+/// Returns the fault of the caller's that ended the connection, none if an
+/// answer is no longer possible.
 fn fault(error: &hyper::Error, head_begun: bool) -> Option<Fault> {
     match error {
         e if e.is_parse_too_large() => Some(Fault::HeadTooLarge),
@@ -110,16 +113,18 @@
     }
 }
 
-/// Closes a connection so that the caller's end sees that its answer was cut.
+/// Makes the close of a connection a TCP reset, so that the caller detects that
+/// its answer was truncated.
 ///
-/// A caller that speaks HTTP/1.0 takes an orderly close for the answer's end.
+/// An HTTP/1.0 caller would take an orderly close as the end of the answer.
 fn reset(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
-    // Where it fails, the close that follows still cuts a counted or chunked answer.
+    // If this fails, the close that follows still truncates an answer that has a
+    // Content-Length or chunked coding.
     let _ = socket.set_linger(Some(Duration::ZERO));
 }
 
-/// Closes a connection so that what was sent last still arrives.
+/// Closes a connection so that the bytes sent last still reach the caller.
 ///
 /// Closing a socket with unread bytes makes the kernel reset the connection,
 /// and the caller would lose an answer that it has not read yet.
--- a/components/transport/src/edge/fault.rs
+++ b/components/transport/src/edge/fault.rs
@@ -1,4 +1,4 @@
-//! Why a call gets no backend server's answer, as the caller is told.
+//! Why a call gets no answer from a backend server, and the answer that it gets instead.
 
 use std::time::Duration;
 
@@ -12,84 +12,87 @@
 use super::outcome::{OUTCOME, Outcome};
 use crate::dispatch::Refusal;
 
-/// When to come back after a refusal that names no time itself.
+/// The `Retry-After` of a 503 answer whose fault has no time of its own.
 const COME_BACK: Duration = Duration::from_secs(1);
 
-/// One reason why a call was not answered by a backend server.
+/// Why a call was not answered by a backend server.
 ///
-/// Its text is the one line the caller reads: what is wrong and what to mend.
+/// The `Display` text is the one line that the answer's body consists of: what is
+/// wrong, and what the caller can change.
 #[derive(Debug, Error)]
 pub enum Fault {
-    /// The bytes are no HTTP request.
+    /// The bytes received are no HTTP/1.1 request.
     #[error("this is not a valid HTTP/1.1 request: {0}")]
     NotHttp(String),
-    /// The head is longer than allowed, or has too many fields.
+    /// The head of the request exceeds the limit in bytes, or has too many fields.
     #[error("the head of the request is too large")]
     HeadTooLarge,
-    /// The head took too long.
+    /// The head of the request was not received in time.
     #[error("the head of the request did not arrive in time")]
     HeadTooSlow,
-    /// The target is not of the form that is served.
+    /// The request target is not of the form `/SERVICE/PATH`.
     #[error("the path must be /SERVICE/PATH")]
     BadTarget,
-    /// The method can't be passed on.
+    /// The method can't be forwarded.
     #[error("the method {0} is not served")]
     BadMethod(String),
-    /// No service has this name.
+    /// The preset in force has no service of this name.
     #[error("no service is named {0:?}")]
     UnknownService(String),
-    /// No preset is in force yet.
+    /// No preset is in force yet, so that no service is known.
     #[error("no preset is in force yet")]
     NoPreset,
-    /// The deadline header can't be read.
+    /// The deadline field is no whole number.
     #[error("cardamomvale-deadline-ms must be a whole number of milliseconds")]
     BadDeadline,
-    /// The idempotency key can't be used.
+    /// The idempotency key is empty, too long, repeated or has invisible characters.
     #[error("Idempotency-Key must be one value of 1 to {0} visible characters")]
     BadKey(usize),
-    /// The body is larger than the service takes.
+    /// The body is larger than the service's limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     BodyTooLarge(u64),
-    /// The body of a call with a key is larger than is compared.
+    /// The body of a call with an idempotency key is larger than the limit for
+    /// such calls, in bytes.
     #[error("with Idempotency-Key the body may have {0} bytes at most")]
     KeyedTooLarge(usize),
-    /// The body came too slowly.
+    /// The caller sent the body too slowly.
     #[error("the body of the request did not arrive in time")]
     BodyTooSlow,
-    /// The body is not what its head announced.
+    /// The body breaks HTTP/1.1 framing, or the connection ended before the body did.
     #[error("the body of the request is broken: {0}")]
     BodyBroken(String),
-    /// The body turned out broken after some of it was passed on.
+    /// The body failed after some of it had been sent to a backend server.
     #[error("the body of the request broke after some of it was passed on: {0}")]
     BodyCutLate(BodyError),
-    /// The call was refused before it was started.
+    /// The call was refused before it was sent to a backend server.
     #[error("{}", refusal_line(.0))]
     Refused(Refusal),
-    /// No backend server could be reached.
+    /// No connection to a backend server could be opened.
     #[error("no backend server could be reached")]
     Unreachable,
-    /// Backend servers refused it.
+    /// A backend server rejected the call as not run; its `Retry-After`, if any.
     #[error("the backend server refuses new work for now")]
     Shed(Option<HeaderValue>),
-    /// The key belongs to another request.
+    /// The idempotency key was used for a request with another digest.
     #[error("this Idempotency-Key was used for another request")]
     KeyMismatch,
-    /// The key's first call was started and its outcome is not known.
+    /// The first call with this idempotency key was started, and its outcome is not known.
     #[error("the first call with this Idempotency-Key was started; its outcome is not known")]
     KeyStarted,
-    /// The key could not be claimed.
+    /// The idempotency key could not be claimed; to be retried after this time.
     #[error("the Idempotency-Key could not be claimed")]
     KeyUnclaimed(Duration),
-    /// More callers are connected than the entry host takes.
+    /// The entry host has as many callers' connections as its limit allows.
     #[error("too many connections")]
     TooManyCallers,
-    /// The connection to the backend server broke.
+    /// The connection to the backend server broke before the head of the answer.
     #[error("the connection to the backend server broke before its answer")]
     Broken,
-    /// No answer came before the deadline.
+    /// The backend server sent no head of an answer before the deadline.
     #[error("no answer came before the deadline")]
     Silent,
-    /// The answer's end can't be told from a cut.
+    /// The backend server's answer has neither a length nor chunked coding, so
+    /// that a truncated answer would look complete.
     #[error("the backend server's answer has no length, so that its end could not be known")]
     Endless,
 }
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Returns the HTTP status.
+    /// Returns the HTTP status of the answer.
     pub fn status(&self) -> StatusCode {
         match self {
             Fault::NotHttp(_) | Fault::BadTarget | Fault::BadDeadline | Fault::BadKey(_) => {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Returns a short name for metrics and events.
+    /// Returns a short name, the `reason` label of `cardamomvale_faults_total`.
     pub fn name(&self) -> &'static str {
         match self {
             Fault::NotHttp(_) => "not-http",
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Returns the answer that tells the caller.
+    /// Returns the answer to the caller: the fault's status, outcome and text.
     pub fn into_response(self) -> Response<AnswerBody> {
         let status = self.status();
         let retry_after = self.retry_after();
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Returns whether the rest of what the caller sends can't be made sense of.
+    /// Returns whether the connection must be closed, since the bytes that follow
+    /// on it can't be taken as a request.
     fn ends_connection(&self) -> bool {
         matches!(
             self,
@@ -232,7 +236,7 @@
     }
 }
 
-/// Returns whole seconds, rounded up, as `Retry-After` counts them.
+/// Returns a `Retry-After` value: whole seconds, rounded up, at least 1.
 fn seconds(time: Duration) -> HeaderValue {
     HeaderValue::from(time.as_millis().div_ceil(1_000).max(1) as u64)
 }
--- a/components/transport/src/edge/headers.rs
+++ b/components/transport/src/edge/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields as an intermediary has to treat them.
+//! Header fields as an HTTP intermediary has to forward them (RFC 9110).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// How this system names itself to the next hop.
+/// The value that this system adds to the `Via` field.
 const VIA_SELF: &str = "1.1 cardamomvale";
 
-/// Fields that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop fields, which apply to one connection only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -27,7 +27,7 @@
     UPGRADE,
 ];
 
-/// Removes the fields that concern one connection only.
+/// Removes the hop-by-hop fields, including those that `Connection` lists.
 pub fn remove_hop_by_hop(fields: &mut HeaderMap) {
     for name in listed(fields) {
         fields.remove(name);
@@ -37,11 +37,11 @@
     }
 }
 
-/// Makes a caller's fields those of the request to `server`.
+/// Turns the header fields of a caller's request into those of the request to `server`.
 pub fn forward(fields: &mut HeaderMap, caller: SocketAddr, server: SocketAddr) {
     let forwarded = forwarded(fields, caller);
     remove_hop_by_hop(fields);
-    // The entry host itself has answered an expectation by reading the body.
+    // The entry host has already met the expectation (100-continue) by reading the body.
     fields.remove(EXPECT);
     append(fields, FORWARDED, &forwarded);
     append(fields, VIA, VIA_SELF);
@@ -50,13 +50,13 @@
     }
 }
 
-/// Tells the backend server how much time is left.
+/// Sets the deadline field to the time that is left for the call.
 pub fn set_deadline(fields: &mut HeaderMap, left: Duration) {
     let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     fields.insert(DEADLINE, HeaderValue::from(millis));
 }
 
-/// Makes a backend server's fields those of the answer to the caller.
+/// Turns the header fields of a backend server's answer into those of the answer to the caller.
 pub fn give_back(fields: &mut HeaderMap) {
     remove_hop_by_hop(fields);
     append(fields, VIA, VIA_SELF);
@@ -72,7 +72,7 @@
         .collect()
 }
 
-/// Returns the `Forwarded` element of this hop (RFC 7239).
+/// Returns the element that this entry host adds to the `Forwarded` field (RFC 7239).
 fn forwarded(fields: &HeaderMap, caller: SocketAddr) -> String {
     let host = fields.get(HOST).and_then(|h| h.to_str().ok());
     match host.filter(|h| !h.contains(['"', '\\'])) {
--- a/components/transport/src/edge/keyed.rs
+++ b/components/transport/src/edge/keyed.rs
@@ -1,4 +1,5 @@
-//! Calls with an idempotency key: claimed before they are sent, and their answers kept.
+//! Calls with an idempotency key: the key is claimed before the call is sent,
+//! and the answer is cached for repeats of the key.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -19,36 +20,37 @@
 use crate::claims::{CachedAnswer, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 
-/// The largest body of an answer that is kept for repeats of its key.
+/// The largest body of an answer, in bytes, that is cached for repeats of its key.
 const KEEP_LIMIT: usize = 64 * 1024;
 
-/// When to come back where no claims can be agreed at all.
+/// The `Retry-After` of a call whose claim was not decided in time, or that
+/// came before the claims were set.
 const UNCLAIMED_WAIT: Duration = Duration::from_secs(1);
 
-/// Agrees on who may run the call with a key.
+/// Decides, among all entry hosts, which call with an idempotency key may run.
 pub trait KeyClaims: Send + Sync {
-    /// Claims a key for one call.
+    /// Claims the key of `request` for one call.
     fn claim(&self, request: ClaimRequest) -> Pin<Box<dyn Future<Output = Verdict> + Send + '_>>;
 
-    /// Says how a claimed call ended.
+    /// Records how the call that holds the claim `ticket` ended.
     fn end(&self, ticket: ClaimTicket, ending: ClaimEnding);
 }
 
-/// A claim that this call holds, ended when the call ends.
+/// A claim that a call holds, ended when the call ends.
 ///
-/// Dropped without a word, as when the caller hangs up, it counts as unknown
-/// once the call has been sent, and as not run before.
+/// A claim that is dropped without an ending, as when the caller hangs up, ends
+/// as unknown if the call has been sent, and as not run otherwise.
 pub struct Claim {
     claims: Arc<dyn KeyClaims>,
     ticket: Option<ClaimTicket>,
     sent: bool,
 }
 
-/// What the claim of a call's key came to.
+/// The result of claiming a call's key.
 pub enum Claimed {
-    /// The call is to be sent.
+    /// The claim was granted: the call is to be sent.
     Mine(Claim),
-    /// It was answered before, so.
+    /// The first call with this key was answered already: its cached answer.
     Before(Box<Response<AnswerBody>>),
 }
 
@@ -56,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// Says why the call must not be sent.
+/// Returns the fault because of which the call must not be sent.
 pub async fn claim(
     claims: Option<&Arc<dyn KeyClaims>>,
     request: ClaimRequest,
@@ -79,12 +81,12 @@
     }
 }
 
-/// Asks for the claim on a task of its own.
+/// Claims a key in a task of its own, which outlives the call.
 ///
-/// If the caller hung up, or its deadline passed, while the claim is on its way
-/// to the log, the claim may still land. Nobody would run the call then, and
-/// every repeat would be told that it was started. So whoever comes too late
-/// for the caller gives the claim back.
+/// If the caller hangs up or the deadline passes while the claim is being
+/// written to the store, the claim may still be granted. No one would run the
+/// call then, and every repeat would get the answer that it was started. So the
+/// task ends a claim that is granted too late as not run.
 fn ask(claims: Arc<dyn KeyClaims>, request: ClaimRequest) -> oneshot::Receiver<Verdict> {
     let (sender, receiver) = oneshot::channel();
     tokio::spawn(async move {
@@ -96,7 +98,7 @@
     receiver
 }
 
-/// Returns what tells two requests with one key apart.
+/// Returns the SHA-256 of a request, which differs where one key is used for two requests.
 pub fn digest(service: ServiceKey, method: &Method, uri: &Uri, body: &[u8]) -> [u8; 32] {
     let mut hash = Sha256::new();
     hash.update(service.0.to_le_bytes());
@@ -109,12 +111,12 @@
 }
 
 impl Claim {
-    /// Notes that the call is about to be sent.
+    /// Records that the call is about to be sent.
     pub fn sending(&mut self) {
         self.sent = true;
     }
 
-    /// Ends the claim of a call that got no answer.
+    /// Ends the claim of a call that got no answer, by the call's `outcome`.
     pub fn failed(mut self, outcome: Outcome) {
         match outcome {
             Outcome::NotRun => self.end(ClaimEnding::NotRun),
@@ -138,7 +140,7 @@
     }
 }
 
-/// Gathers a claimed call's answer as it passes, for repeats of its key.
+/// Records the answer of a claimed call while it is relayed, for repeats of its key.
 pub struct Keeper {
     claim: Claim,
     status: u16,
@@ -148,7 +150,7 @@
 }
 
 impl Keeper {
-    /// Returns the keeper of the answer with this head.
+    /// Starts to record the answer whose head is `head`.
     pub fn new(claim: Claim, head: &response::Parts) -> Keeper {
         Keeper {
             claim,
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Takes the next piece of the body.
+    /// Records the next piece of the body.
     pub fn add(&mut self, data: &Bytes) {
         self.large |= self.body.len() + data.len() > KEEP_LIMIT;
         if !self.large {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Ends the claim: the answer came whole.
+    /// Ends the claim with the complete answer.
     pub fn finish(mut self) {
         let ending = match self.large {
             true => ClaimEnding::AnsweredLarge,
@@ -189,7 +191,7 @@
         .collect()
 }
 
-/// Returns a kept answer as it was first given.
+/// Returns a cached answer as a response with the same status, header fields and body.
 fn replay(kept: CachedAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::line(kept.body));
     *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
--- a/components/transport/src/edge/mod.rs
+++ b/components/transport/src/edge/mod.rs
@@ -1,4 +1,5 @@
-//! The server side: what callers see of an entry host.
+//! The HTTP/1.1 server of an entry host: accepts callers' connections and
+//! answers their calls.
 
 pub mod answer;
 pub mod body;
@@ -28,18 +29,19 @@
 pub use keyed::KeyClaims;
 use service::Services;
 
-/// How long to wait when no connection can be accepted, such as when no file is left.
+/// How long to wait before accepting again after a failure, such as running out
+/// of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often the gauges are set.
+/// The time between two updates of the gauges.
 const GAUGE_EVERY: Duration = Duration::from_secs(1);
 
-/// Limits that an operator may set.
+/// Limits on callers' connections and on the heads of their requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Callers' connections held at once.
+    /// How many connections of callers may be open at once.
     pub callers: usize,
-    /// How long the head of a request may take.
+    /// How long a caller may take to send the head of a request.
     pub head_time: Duration,
     /// The largest head of a request, in bytes.
     pub head_size: usize,
@@ -55,7 +57,7 @@
     }
 }
 
-/// Serves callers and passes their calls on to backend servers.
+/// Serves callers and forwards their calls to backend servers.
 pub struct Edge {
     limits: Limits,
     dispatcher: Arc<Dispatcher>,
@@ -68,19 +70,19 @@
     stage: watch::Sender<Stage>,
 }
 
-/// How far the shutdown has come.
+/// The progress of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     /// Calls are served.
     Serving,
-    /// Calls are served, and each answer asks the caller to connect elsewhere.
+    /// Calls are served, and each answer has `Connection: close`.
     Leaving,
     /// No connection is accepted, and idle ones are closed.
     Closing,
 }
 
 impl Edge {
-    /// Returns an edge that places its calls by `dispatcher`.
+    /// Returns an edge that gets the slots of its calls from `dispatcher`, without tracing.
     pub fn new(
         limits: Limits,
         dispatcher: Arc<Dispatcher>,
@@ -89,7 +91,8 @@
         Edge::with_tracing(limits, dispatcher, config, Tracing::disabled())
     }
 
-    /// Returns an edge whose calls are traced by `tracing`.
+    /// Returns an edge that gets the slots of its calls from `dispatcher` and
+    /// traces them by `tracing`.
     pub fn with_tracing(
         limits: Limits,
         dispatcher: Arc<Dispatcher>,
@@ -109,16 +112,16 @@
         })
     }
 
-    /// Has keys claimed by `claims`; until then calls with a key are refused, not run.
+    /// Sets what claims idempotency keys. Until then calls with a key are rejected as not run.
     ///
-    /// Only the first word counts.
+    /// Only the first call has an effect; later ones are logged.
     pub fn set_claims(&self, claims: Arc<dyn KeyClaims>) {
         if self.claims.set(claims).is_err() {
             log::warn!("E0102 claims-set-twice");
         }
     }
 
-    /// Accepts callers until the edge is drained.
+    /// Accepts callers' connections until the edge is drained.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let keeper = tokio::spawn(Arc::clone(&self).keep_pools());
         let mut stage = self.stage.subscribe();
@@ -136,12 +139,14 @@
         keeper.abort();
     }
 
-    /// Stops taking calls without breaking one, and ends when the last call has ended.
+    /// Shuts the edge down without breaking a call, and returns when the last
+    /// connection has been closed.
     ///
-    /// For the time `notice` callers are served as before, but asked with each
-    /// answer to connect elsewhere, so that the platform's balancer can take
-    /// this host out first. A connection closed while a request is on its way
-    /// would break that call; one left idle for all of `notice` has none.
+    /// For the time `notice` calls are still served, each answer with
+    /// `Connection: close`, so that the platform's balancer can take this host
+    /// out of service first. Closing a connection while a request is in transit
+    /// would break that call; a connection that was idle during all of `notice`
+    /// has none.
     pub fn drain(self: &Arc<Self>, notice: Duration) -> impl Future<Output = ()> + use<> {
         let edge = Arc::clone(self);
         let mut callers = self.callers.subscribe();
@@ -154,12 +159,12 @@
         }
     }
 
-    /// Returns how many callers are connected.
+    /// Returns how many connections of callers are open.
     pub fn callers(&self) -> usize {
         *self.callers.borrow()
     }
 
-    /// Returns how many idle connections to backend servers are kept.
+    /// Returns how many idle connections to backend servers are in the pool.
     pub fn idle_connections(&self) -> usize {
         self.pool.idle_count()
     }
@@ -180,7 +185,8 @@
         }
     }
 
-    /// Keeps the pools in step with the configuration and free of old connections.
+    /// Applies each new configuration to the connection pool, closes expired
+    /// idle connections and updates the gauges, until aborted.
     async fn keep_pools(self: Arc<Self>) {
         let mut config = self.config.clone();
         let sweep = Arc::clone(&self.pool).sweep();
--- a/components/transport/src/edge/outcome.rs
+++ b/components/transport/src/edge/outcome.rs
@@ -1,15 +1,15 @@
-//! What every answer says about whether the work ran.
+//! The outcome field: whether the work of a call ran, stated in every answer.
 
 use derives::tag;
 use hyper::header::{HeaderName, HeaderValue};
 
-/// The header field that carries the outcome.
+/// The header field of an answer that carries the outcome.
 pub const OUTCOME: HeaderName = HeaderName::from_static("cardamomvale-outcome");
 
 /// Whether the work of a call ran.
 #[tag]
 pub enum Outcome {
-    /// This is a backend server's whole answer.
+    /// The answer is a complete one of a backend server's.
     Complete,
     /// The work did not run.
     NotRun,
@@ -18,7 +18,7 @@
 }
 
 impl Outcome {
-    /// Returns its name on the wire.
+    /// Returns the outcome's name, as in the header field, in metrics and in traces.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Complete => "complete",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the header field's value.
+    /// Returns the outcome as a header value.
     pub fn value(self) -> HeaderValue {
         HeaderValue::from_static(self.name())
     }
--- a/components/transport/src/edge/reject.rs
+++ b/components/transport/src/edge/reject.rs
@@ -1,4 +1,4 @@
-//! The answer to bytes that could not be read as a request.
+//! Sends an answer on a connection whose bytes could not be read as a request.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,19 +16,21 @@
 use super::answer::AnswerBody;
 use super::fault::Fault;
 
-/// The request that stands in for the one that could not be read.
+/// A valid request that the HTTP library reads in place of the caller's bytes.
 const STAND_IN: &[u8] = b"GET / HTTP/1.1\r\nhost: none\r\nconnection: close\r\n\r\n";
 
-/// A stream that reads the stand-in request and writes to the caller.
+/// A stream that reads the placeholder request and writes to the caller.
 ///
-/// The HTTP library has no way to answer what it can't parse but its own empty
-/// answer. With this one it writes ours, so that no HTTP is written by hand.
+/// To a request that it can't parse, the HTTP library can send only its own
+/// empty answer. With a placeholder request it writes the fault's answer, so
+/// that this module doesn't have to serialize HTTP itself.
 struct StandIn {
     unread: &'static [u8],
     stream: TcpStream,
 }
 
-/// Answers with `fault` and returns the stream, to be closed.
+/// Sends the answer to `fault` and returns the stream, which the caller of this
+/// function has to close.
 pub async fn send(stream: TcpStream, fault: Fault) -> TcpStream {
     let fault = Mutex::new(Some(fault));
     let service = service_fn(|_request| {
@@ -44,7 +46,7 @@
         stream,
     };
     let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stand_in), service);
-    // Where the caller is gone there is nobody left to tell.
+    // An error means that the caller has disconnected.
     let _ = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)).await;
     connection.into_parts().io.into_inner().stream
 }
@@ -60,7 +62,7 @@
         buffer.put_slice(now);
         self.unread = later;
         match n {
-            // The caller's own bytes are not read: they would not be understood.
+            // The caller's own bytes are not read: they can't be parsed.
             0 => Poll::Pending,
             _ => Poll::Ready(Ok(())),
         }
--- a/components/transport/src/edge/route.rs
+++ b/components/transport/src/edge/route.rs
@@ -1,4 +1,4 @@
-//! What a request asks for: the service, the path there, the deadline, the key.
+//! Reads service, path, deadline and idempotency key from the head of a request.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 
 use super::fault::Fault;
 
-/// The header field that carries the remaining time in milliseconds.
+/// The header field that carries the remaining time of a call, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("cardamomvale-deadline-ms");
 
-/// The header field that makes a non-idempotent call safe to repeat.
+/// The header field that makes it safe to repeat a non-idempotent call.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The longest idempotency key, in characters.
+/// The longest idempotency key, in ASCII characters.
 pub const KEY_LIMIT: usize = 255;
 
-/// A request's target, taken apart.
+/// The parsed target of a request.
 pub struct Target<'a> {
-    /// The service named.
+    /// The service that the first path segment names.
     pub service: &'a Service,
-    /// What the backend server is asked for.
+    /// The path and query of the request to the backend server.
     pub uri: Uri,
 }
 
-/// Finds the service that `parts` names, in the preset in force.
+/// Finds the service that the head `parts` names, in the preset in force.
 ///
 /// # Errors
 ///
-/// Says what is wrong with the target.
+/// Returns the fault with the method or target of the request.
 pub fn target<'a>(parts: &Parts, config: &'a Config) -> Result<Target<'a>, Fault> {
     if parts.method == Method::CONNECT {
         return Err(Fault::BadMethod(parts.method.to_string()));
@@ -56,11 +56,12 @@
     })
 }
 
-/// Returns how long the call may take: the caller's wish, capped by the service's limit.
+/// Returns how long the call may take: the time in the deadline field, capped by
+/// the service's deadline.
 ///
 /// # Errors
 ///
-/// Says so where the caller's wish can't be read.
+/// Fails if the deadline field is no whole number of milliseconds.
 pub fn time_allowed(fields: &HeaderMap, service: &Service) -> Result<Duration, Fault> {
     let Some(value) = fields.get(DEADLINE) else {
         return Ok(service.deadline());
@@ -70,11 +71,11 @@
     Ok(Duration::from_millis(wish).min(service.deadline()))
 }
 
-/// Returns the idempotency key where the call has one and needs it.
+/// Returns the idempotency key, none for an idempotent method or without the field.
 ///
 /// # Errors
 ///
-/// Says so where the key can't be used.
+/// Fails if the key is empty, too long, repeated or has invisible characters.
 pub fn key(parts: &Parts) -> Result<Option<String>, Fault> {
     if parts.method.is_idempotent() {
         return Ok(None);
--- a/components/transport/src/edge/service.rs
+++ b/components/transport/src/edge/service.rs
@@ -1,4 +1,4 @@
-//! What the edge keeps of each service: its retry budget and its metrics.
+//! The edge's state of each service: its retry budget and its metrics.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,13 +10,13 @@
 
 use super::outcome::Outcome;
 
-/// The services that have been called so far.
+/// The state of each service that has been called so far.
 #[derive(Default)]
 pub struct Services {
     all: Mutex<BTreeMap<ServiceKey, Arc<ServiceState>>>,
 }
 
-/// One service's retry budget and metrics.
+/// The retry budget and the metrics of one service.
 pub struct ServiceState {
     budget: Mutex<RetryBudget>,
     complete: Counter,
@@ -28,9 +28,9 @@
 }
 
 impl Services {
-    /// Returns what is kept of a service of the preset in force.
+    /// Returns the state of a service of the preset in force, created on first use.
     ///
-    /// Only names from a preset come here, so that callers can't make it grow.
+    /// Callers can't make the map grow, since only names from a preset are looked up.
     pub fn of(&self, key: ServiceKey, name: &str) -> Arc<ServiceState> {
         let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
         let state = all
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Counts a call that was answered or refused, and its time to the answer's head.
+    /// Counts a call by its outcome, and records the time to the head of its answer.
     pub fn answered(&self, outcome: Outcome, time: Duration) {
         match outcome {
             Outcome::Complete => self.complete.increment(1),
@@ -64,17 +64,17 @@
         self.seconds.record(time.as_secs_f64());
     }
 
-    /// Counts an answer that broke off after its head had gone out.
+    /// Counts an answer that was truncated after its head had been sent.
     pub fn cut(&self) {
         self.cut.increment(1);
     }
 
-    /// Earns the share of a retry that one call adds.
+    /// Adds `percent` hundredths of a retry to the budget, for one new call.
     pub fn earn_retry(&self, percent: u32) {
         self.budget().earn(percent);
     }
 
-    /// Decides whether a call may be tried again.
+    /// Decides whether a call may be retried, and counts the retry if so.
     pub fn allow_retry(&self, attempt: Attempt) -> bool {
         let allowed = self.budget().allow(attempt);
         if allowed {
--- a/components/transport/src/entry/mod.rs
+++ b/components/transport/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! One entry host: its ports, what runs behind them, and its shutdown.
+//! Starts an entry host, runs its background tasks and shuts it down.
 
 mod router;
 mod sender;
@@ -31,34 +31,36 @@
 
 pub use settings::Settings;
 
-/// How long an operator's command may wait for the log.
+/// How long an operator's command may wait for the store.
 const COMMAND_LIMIT: Duration = Duration::from_secs(5);
 
-/// How long callers are asked to connect elsewhere before idle connections close.
+/// How long answers carry `Connection: close` before idle connections are closed.
 ///
-/// The platform's balancer sees the readiness fail within this time, so that
-/// no request is on its way to a connection that is being closed.
+/// The platform's balancer notices the failing readiness check within this
+/// time, so that no request is in transit to a connection that is being closed.
 const NOTICE: Duration = Duration::from_millis(500);
 
-/// Why a host that no one knows takes no calls.
+/// Why a host is not ready while the configuration doesn't list it as a member.
 const NO_MEMBER: &str = "not a member, so no slots: is the log up? see E0412 and E0414";
 
-/// How often observed times are sorted into the metrics.
+/// The time between two runs of the metrics recorder's upkeep, which moves
+/// recorded values into the histograms.
 const UPKEEP_EVERY: Duration = Duration::from_secs(5);
 
-/// How often a host that may act as an owner says so to its slots.
+/// The time between two confirmations to the dispatcher that this host's
+/// configuration is current, so that the host may act as an owner.
 ///
-/// Well below the time for which that word holds, so that one late tick
-/// doesn't stop an owner.
+/// Well below the time for which such a confirmation holds, so that one late
+/// tick doesn't stop an owner.
 const CONFIRM_EVERY: Duration = Duration::from_millis(100);
 
-/// How long a shutdown waits for the host's roles to be handed on.
+/// How long a shutdown waits until other hosts have taken over this host's roles.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
-/// How long a leaving host waits for its removal to come into force.
+/// How long a shutdown waits until the host's removal from the members is in force.
 const LEAVE_LIMIT: Duration = Duration::from_secs(5);
 
-/// How long idle slots may take to reach other hosts before the links end.
+/// The time given to the messages that return idle slots before the links are closed.
 const HAND_BACK: Duration = Duration::from_millis(200);
 
 /// A running entry host.
@@ -69,34 +71,34 @@
     _admin: Admin,
 }
 
-/// Where an entry host listens.
+/// The addresses that an entry host listens on.
 #[derive(Clone, Debug, Serialize)]
 pub struct Ports {
-    /// For callers.
+    /// The port for callers.
     pub callers: SocketAddr,
-    /// For its peers.
+    /// The port for other entry hosts.
     pub peers: SocketAddr,
-    /// For operators.
+    /// The admin port, for operators.
     pub admin: SocketAddr,
 }
 
 /// Why an entry host can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A port can't be had.
+    /// A port can't be opened.
     #[error("can't listen on {address}: {source}; is another process there?")]
     Listen {
-        /// The address asked for.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The admin port can't be used.
+    /// The admin port can't be opened.
     #[error(transparent)]
     Admin(#[from] AdminError),
 }
 
-/// The parts of a running host, as its admin port sees them too.
+/// The components of a running entry host, which the admin port reads too.
 struct Host {
     name: String,
     data_centre: String,
@@ -112,11 +114,11 @@
 }
 
 impl EntryHost {
-    /// Opens the ports and starts to serve, on the current runtime.
+    /// Opens the ports and starts to serve, on the current tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails where a port can't be had.
+    /// Fails if a port can't be opened.
     pub async fn start(settings: Settings) -> Result<EntryHost, StartError> {
         let callers = listen(settings.callers).await?;
         let peers = listen(settings.peers).await?;
@@ -152,16 +154,17 @@
         })
     }
 
-    /// Returns where the host listens.
+    /// Returns the addresses that the host listens on.
     pub fn ports(&self) -> &Ports {
         &self.ports
     }
 
-    /// Takes no new call, lets every call end that came before, and stops.
+    /// Shuts the host down: finishes the calls that have arrived and takes no new ones.
     ///
-    /// What this host owns goes to others first, while it still serves, so
-    /// that no slot is out of use. Slots it holds go only after the last call has ended: one that
-    /// still waits here came before the shutdown, and is served.
+    /// The host's roles as owner go to other hosts first, while it still
+    /// serves, so that no slot is out of use. The slots that it holds are
+    /// returned only after the last call has ended: a call that still waits for
+    /// one arrived before the shutdown, and is served.
     pub async fn drain(self) {
         let host = &self.host;
         log::info!("E0503 host-draining name={}", host.name);
@@ -240,10 +243,12 @@
 }
 
 impl Host {
-    /// Returns whether this host has once had links to most living members.
+    /// Returns whether this host has ever had links to at least half of the
+    /// other members that are alive.
     ///
-    /// A host that took calls before could get no slots for them. Asked only
-    /// once: later on a cut link must not take all hosts out at a time.
+    /// A host that took calls before that could get no slots for them. Once
+    /// true, the result stays true: otherwise cut links could make all hosts
+    /// unready at the same time.
     fn is_settled(&self) -> bool {
         if self.settled.load(Ordering::SeqCst) {
             return true;
@@ -286,7 +291,7 @@
     }
 }
 
-/// Hands each configuration on to the dispatcher as it comes into force.
+/// Applies each configuration to the dispatcher as it comes into force.
 async fn configure(mut config: watch::Receiver<Arc<Config>>, dispatcher: Arc<Dispatcher>) {
     loop {
         let current = Arc::clone(&config.borrow_and_update());
@@ -297,10 +302,11 @@
     }
 }
 
-/// Has the metrics' recorder sort in what was observed, for ever.
+/// Runs the metrics recorder's upkeep periodically, without end.
 ///
-/// It does so when the metrics page is read. Where nobody reads that page,
-/// each call's time would stay in memory for good.
+/// The recorder otherwise moves recorded values into its histograms only when
+/// the metrics page is read. If no one reads that page, each call's time would
+/// stay in memory for good.
 async fn upkeep(recorder: Option<&'static PrometheusHandle>) {
     let Some(recorder) = recorder else {
         return;
@@ -311,7 +317,7 @@
     }
 }
 
-/// Hands on who is alive.
+/// Passes each change of the set of members that are alive to the dispatcher.
 async fn watch_members(mut view: watch::Receiver<Arc<LiveView>>, dispatcher: Arc<Dispatcher>) {
     loop {
         let alive = view.borrow_and_update().alive().collect();
@@ -322,7 +328,8 @@
     }
 }
 
-/// Tells the slots while this host may act as an owner, and which life it leads.
+/// Passes this host's incarnation to the dispatcher, and the moment at which its
+/// configuration was last proved to be current, until the members are dropped.
 async fn confirm(members: Weak<Members>, dispatcher: Arc<Dispatcher>) {
     let mut ticks = interval(CONFIRM_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -348,7 +355,7 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-/// Returns the process's metrics page, installed once.
+/// Returns the process's metrics recorder, which is installed on the first call.
 fn recorder() -> Option<&'static PrometheusHandle> {
     static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
     HANDLE
--- a/components/transport/src/entry/router.rs
+++ b/components/transport/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! Hands each message of a peer to the part it is for.
+//! Routes each message received from another entry host to the component it is for.
 
 use std::sync::{Arc, OnceLock};
 
@@ -9,7 +9,7 @@
 use crate::dispatch::Dispatcher;
 use crate::peers::MessageHandler;
 
-/// The parts that take messages, set once each as they start.
+/// The components that receive messages, each set once when it has been started.
 #[derive(Default)]
 pub struct Router {
     dispatcher: OnceLock<Arc<Dispatcher>>,
@@ -17,7 +17,8 @@
 }
 
 impl Router {
-    /// Sets where messages go; what came before is lost, as on a link that is not yet up.
+    /// Sets the receivers. Messages received before are dropped, as if the link had
+    /// not been up yet.
     pub fn set(&self, dispatcher: Arc<Dispatcher>, claims: Arc<Claims>) {
         let _ = self.dispatcher.set(dispatcher);
         let _ = self.claims.set(claims);
--- a/components/transport/src/entry/sender.rs
+++ b/components/transport/src/entry/sender.rs
@@ -1,4 +1,4 @@
-//! Sends the slots' messages over the links.
+//! Sends the dispatcher's slot messages over the links to other entry hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,19 +12,25 @@
 use crate::dispatch::SendMessage;
 use crate::peers::Links;
 
-/// The pause before a message is sent again.
+/// The time before a message that could not be sent is sent again.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// How often it is sent again: for as long as a new link may take to be made.
+/// How many times a message is sent again: in total for as long as a new link
+/// may take to be established.
 const REPEATS: usize = 100;
 
-/// Returns what the slots send by. To be called within the runtime.
+/// Returns the function by which the dispatcher sends its messages.
 ///
-/// What an earlier owner leaves to the next is sent again where there is no
-/// link yet, as between two hosts that have just joined. Lost, it would keep an
-/// endpoint's free slots out of use for longer than a lease's term, and callers
-/// would be refused. Sent late it does no harm: leases named in it end sooner
-/// than it says. All other messages are repeated by the slots themselves.
+/// An owner's handoff of an endpoint to the next owner is sent again while
+/// there is no link, as between two hosts that have just joined. If it were
+/// lost, the endpoint's free slots would be out of use for longer than a
+/// lease's term, and callers would be refused. A late handoff does no harm: its
+/// leases end sooner than it states. All other messages are repeated by
+/// `coordination::slots`.
+///
+/// # Panics
+///
+/// Panics outside a tokio runtime.
 pub fn start(links: Arc<Links>) -> SendMessage {
     let runtime = Handle::current();
     Arc::new(move |to, message| {
--- a/components/transport/src/entry/settings.rs
+++ b/components/transport/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! What an entry host is told when it starts.
+//! The settings of an entry host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,25 +6,25 @@
 use derives::value;
 use state::policy::Policy;
 
-/// An entry host's settings, already checked.
+/// The settings of an entry host, already checked.
 #[value]
 pub struct Settings {
-    /// Its name, unlike every other entry host's.
+    /// The host's name, unique among all entry hosts.
     pub name: String,
-    /// The data centre it stands in.
+    /// The name of the data centre that the host runs in.
     pub data_centre: String,
-    /// Where callers reach it.
+    /// The address to listen on for callers.
     pub callers: SocketAddr,
-    /// Where its peers reach it.
+    /// The address to listen on for other entry hosts.
     pub peers: SocketAddr,
-    /// Where operators reach it.
+    /// The address to listen on for operators.
     pub admin: SocketAddr,
-    /// Where the platform's log listens.
+    /// The address of the platform's store.
     pub log: SocketAddr,
-    /// How calls are placed.
+    /// How endpoints are chosen for calls.
     pub policy: Policy,
     /// How long calls in flight may take to end on shutdown.
     pub drain: Duration,
-    /// One call in this many is traced, none where 0.
+    /// One call in this many is traced, none if 0.
     pub trace_every: u64,
 }
--- a/components/transport/src/entry/status.rs
+++ b/components/transport/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! The status page: what a host knows, as JSON.
+//! The status page of the admin port: the state of an entry host as JSON.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::clock;
 use crate::dispatch::EndpointStanding;
 
-/// Returns what `host` knows.
+/// Returns the state of `host`: its configuration, members, services and endpoints.
 pub fn page(host: &Host) -> Value {
     let config = host.follower.config().borrow().clone();
     let progress = host.follower.progress().borrow().clone();
@@ -75,7 +75,7 @@
     config.services().iter().map(row).collect()
 }
 
-/// Lists all endpoints; what only the owner knows is blank for the others.
+/// Lists all endpoints; values that only the owner knows are null for the others.
 fn endpoints(host: &Host, config: &Config) -> Vec<Value> {
     let owned: BTreeMap<EndpointKey, EndpointStanding> = host
         .dispatcher
--- a/components/transport/src/trace.rs
+++ b/components/transport/src/trace.rs
@@ -1,8 +1,9 @@
-//! Traces of calls: a span for each hop, under the caller's `traceparent`.
+//! Traces of calls: a span for the call and for each step of it, under the
+//! caller's `traceparent`.
 //!
-//! Spans are made and written by the OpenTelemetry library. The call's path
-//! only puts a finished span into a bounded queue; when that is full the span
-//! is dropped and counted.
+//! Spans are made and exported by the OpenTelemetry library. A call only puts
+//! its finished spans into a bounded queue; when the queue is full, a span is
+//! dropped and counted.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -23,19 +24,19 @@
     SdkTracer, SdkTracerProvider, Span, SpanData, SpanExporter, SpanProcessor,
 };
 
-/// The header field that names the trace (W3C Trace Context).
+/// The header field that carries trace id and parent span id (W3C Trace Context).
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// Finished spans that may wait to be written.
+/// How many finished spans may wait to be exported.
 const QUEUE_LIMIT: usize = 4_096;
 
-/// Spans written at once.
+/// How many spans are exported at once.
 const BATCH_LIMIT: usize = 512;
 
-/// How long a finished span waits for others.
+/// How long a batch that is not full waits for another span.
 const BATCH_TIME: Duration = Duration::from_millis(500);
 
-/// Decides which calls are traced, and makes their spans.
+/// Decides which calls are traced, and creates their spans.
 pub struct Tracing {
     every: u64,
     count: AtomicU64,
@@ -43,17 +44,17 @@
     tracer: Option<SdkTracer>,
 }
 
-/// One call's trace, where it has one.
+/// The trace of one call; without effect for a call that isn't traced.
 pub struct CallTrace {
     tracer: Option<SdkTracer>,
     root: Hop,
 }
 
-/// One span of a call's trace, which ends when it is dropped.
+/// One span of a call's trace, which ends when dropped; none if the call isn't traced.
 pub struct Hop(Option<Context>);
 
 impl Tracing {
-    /// Returns tracing that traces nothing.
+    /// Returns a tracing that samples no call.
     pub fn disabled() -> Tracing {
         Tracing {
             every: 0,
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Traces one call in `every`, none where 0, and writes the spans by `exporter`.
+    /// Returns a tracing that samples one call in `every`, none if 0, and exports
+    /// the spans by `exporter` with the attribute `host.name`.
     pub fn new(every: u64, host: &str, exporter: impl SpanExporter + 'static) -> Tracing {
         if every == 0 {
             return Tracing::disabled();
@@ -84,10 +86,11 @@
         }
     }
 
-    /// Begins the trace of a call with these header fields, if it is one to be traced.
+    /// Begins the trace of a call with the header fields `fields`, if the call is sampled.
     ///
-    /// A caller that asks not to be sampled is not. One that asks for it still
-    /// gets its share only: callers must not decide what tracing costs here.
+    /// A call whose caller declines sampling is not sampled. One whose caller
+    /// requests it is still sampled at the configured rate only: callers must
+    /// not decide what tracing costs this host.
     pub fn begin(&self, fields: &HeaderMap) -> CallTrace {
         let parent = fields.get(TRACEPARENT).and_then(parse);
         let declined = parent.as_ref().is_some_and(|p| !p.is_sampled());
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Writes what still waits.
+    /// Exports the spans that are still queued.
     pub fn flush(&self) {
         if let Some(provider) = &self.provider {
             let _ = provider.force_flush();
@@ -130,9 +133,10 @@
         self.child(name, SpanKind::Internal)
     }
 
-    /// Begins a span for the call to a backend server, and passes the trace on to it.
+    /// Begins a span for the call to a backend server, and sets `traceparent` to that span.
     ///
-    /// Without a span of ours the caller's own field travels on unchanged.
+    /// For a call that isn't traced, a valid `traceparent` of the caller's is
+    /// forwarded unchanged, and a malformed one is removed.
     pub fn onward(&self, name: &'static str, fields: &mut HeaderMap) -> Hop {
         let hop = self.child(name, SpanKind::Client);
         match hop.header() {
@@ -145,12 +149,13 @@
         hop
     }
 
-    /// Returns whether this call is traced, so that a note is worth making.
+    /// Returns whether this call is traced, so that computing an attribute's value is
+    /// worthwhile.
     pub fn is_on(&self) -> bool {
         self.tracer.is_some()
     }
 
-    /// Notes something about the whole call.
+    /// Sets an attribute of the span of the whole call.
     pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         self.root.note(key, value);
     }
@@ -164,7 +169,7 @@
 }
 
 impl Hop {
-    /// Notes something about this hop.
+    /// Sets an attribute of the span.
     pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         if let Some(context) = &self.0 {
             context.span().set_attribute(KeyValue::new(key, value));
@@ -184,7 +189,7 @@
     Hop(Some(parent.with_span(span)))
 }
 
-/// Reads a `traceparent` field, nothing where it is malformed.
+/// Parses a `traceparent` field, none if it is malformed.
 fn parse(value: &HeaderValue) -> Option<SpanContext> {
     let mut parts = value.to_str().ok()?.split('-');
     let version = parts.next()?;
@@ -201,7 +206,7 @@
     }
 }
 
-/// Finished spans on their way to a thread that writes them.
+/// The queue of finished spans for the thread that exports them.
 #[derive(Debug)]
 struct Queue {
     sender: SyncSender<Item>,
@@ -247,7 +252,7 @@
     }
 }
 
-/// Writes spans in batches until nobody makes any more.
+/// Exports spans in batches, until the queue's sending end is dropped.
 fn write(receiver: &Receiver<Item>, exporter: &impl SpanExporter) {
     let mut batch = Vec::new();
     loop {
@@ -264,14 +269,15 @@
             Err(RecvTimeoutError::Disconnected) => return,
         };
         if !batch.is_empty() {
-            // An exporter that has to wait would hold up the rest: its batch is given up.
+            // The batch is dropped if the exporter can't finish at once: waiting for
+            // it would delay the spans that follow.
             let written = exporter.export(std::mem::take(&mut batch)).now_or_never();
             if !matches!(written, Some(Ok(()))) {
                 Queue::dropped().increment(1);
             }
         }
         if let Some(done) = flushed {
-            // Whoever asked may have given up waiting.
+            // The receiver may have timed out.
             let _ = done.send(());
         }
     }
--- a/components/transport/tests/admin_port.rs
+++ b/components/transport/tests/admin_port.rs
@@ -1,4 +1,4 @@
-//! The admin port under commands that wait.
+//! The admin port while commands block.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -7,7 +7,7 @@
 
 use transport::admin::{Admin, Host};
 
-/// A host whose commands wait until they are let go.
+/// A host whose commands block until the test releases them.
 struct Slow {
     begun: Mutex<Sender<()>>,
     go_on: Mutex<Receiver<()>>,
@@ -44,12 +44,13 @@
     })
 }
 
-/// The log hangs, and operators' commands wait for it. The port had two workers,
-/// so that two commands held up `/readyz`, and the platform's balancer took a
-/// good host out. With commands on threads of their own it still hung in one run of
-/// twenty: the library counted a thread that it had just woken as idle, so that a
-/// new connection was given to nobody until another one closed. Its port serves
-/// connections by itself now.
+/// The store hangs, and the maximum number of commands wait for it. `/readyz`
+/// must still be answered, or the platform's balancer takes a healthy host out
+/// of service. With two worker threads for all requests, two commands blocked
+/// it. With commands on threads of their own, one run in twenty still hung: the
+/// HTTP server library then in use counted a thread it had just woken as idle, so
+/// that a new connection was not served until another one closed. The port now
+/// accepts and serves connections itself.
 #[test]
 fn commands_wait_apart() {
     let (begun, begins) = channel();
--- a/components/transport/tests/answers.rs
+++ b/components/transport/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Whole answers, cut answers, and what they say of themselves.
+//! Complete and truncated answers of backend servers, and the header fields on
+//! the way in both directions.
 
 mod support;
 
@@ -30,8 +31,9 @@
     assert_eq!(server.requests()[0].body, b"12 pounds");
 }
 
-/// A backend server dies in the middle of a counted answer. The caller's
-/// connection must end before the count is reached, and never look whole.
+/// A backend server crashes in the middle of an answer with a Content-Length.
+/// The caller must not get an answer that looks complete: its connection must
+/// end before that length is reached.
 #[tokio::test]
 async fn cut_with_length() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nonly this much";
@@ -41,8 +43,8 @@
     assert!(answer.reset || answer.body.len() < 100, "{answer:?}");
 }
 
-/// A backend server dies between two chunks. The last chunk, by which a
-/// caller knows the answer for whole, must not be made up.
+/// A backend server crashes between two chunks. The entry host must not send
+/// the final chunk, by which a caller takes the answer for complete.
 #[tokio::test]
 async fn cut_in_chunks() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhalls\r\n";
@@ -52,8 +54,8 @@
     assert!(!answer.text().ends_with("0\r\n\r\n"), "{answer:?}");
 }
 
-/// A caller that speaks HTTP/1.0 takes the end of its connection for the end
-/// of a chunked answer. It sees a cut only if the connection is reset.
+/// An HTTP/1.0 caller takes the end of its connection as the end of the answer.
+/// It detects the truncation only if the connection is reset.
 #[tokio::test]
 async fn cut_for_old_caller() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhalls\r\n";
@@ -63,8 +65,8 @@
     assert!(answer.reset, "{answer:?}");
 }
 
-/// An answer without any length looks whole wherever it is cut, so it is not
-/// passed on, and the work may have run.
+/// An answer with neither Content-Length nor chunked coding looks complete
+/// wherever it is truncated, so it must not be relayed. The work may have run.
 #[tokio::test]
 async fn endless_answer() {
     let server =
@@ -77,8 +79,8 @@
     );
 }
 
-/// Fields that concern one connection must not cross to the next: a caller's
-/// `Connection: x-secret` would otherwise be obeyed by nobody or by all.
+/// Hop-by-hop fields and those that `Connection` lists must not be forwarded:
+/// they apply to one connection only.
 #[tokio::test]
 async fn fields_of_one_hop() {
     let reply = "HTTP/1.1 200 OK\r\nkeep-alive: timeout=5\r\nconnection: x-inner\r\nx-inner: 1\r\nx-kept: 2\r\ncontent-length: 0\r\n\r\n";
@@ -141,7 +143,7 @@
     assert!(used.len() < 5, "no connection served twice: {used:?}");
 }
 
-/// Two calls follow each other on one connection of the caller's.
+/// Two pipelined calls on one connection of the caller's get their answers in order.
 #[tokio::test]
 async fn kept_caller() {
     let server = ScriptedServer::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
--- a/components/transport/tests/bad_input.rs
+++ b/components/transport/tests/bad_input.rs
@@ -1,7 +1,7 @@
-//! Requests that are broken, too large, too slow or not HTTP at all.
+//! Requests that are malformed, too large, too slow or not HTTP at all.
 //!
-//! Each gets an answer of the 4xx kind that says "not run" and, in one line,
-//! what is wrong; the backend server sees none of it.
+//! Most get a 4xx answer with the outcome "not-run" and one line that states
+//! what is wrong, and no backend server receives them.
 
 mod support;
 
@@ -19,8 +19,8 @@
     format!("GET /hallboard/ HTTP/1.1\r\nhost: entry\r\n{fields}")
 }
 
-/// A caller's program is faulty, or somebody tries what the host bears. The
-/// caller has to learn what is wrong, and that nothing ran.
+/// A faulty or hostile caller sends an invalid request. The answer must state
+/// what is wrong, and that nothing ran.
 #[rstest]
 #[case::not_http("\u{1}\u{2}\u{3} hello\r\n\r\n".into(), 400, "valid HTTP/1.1")]
 #[case::http_2("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".into(), 400, "valid HTTP/1.1")]
@@ -75,8 +75,8 @@
     assert_eq!(server.requests(), [], "the backend server saw something");
 }
 
-/// A good call comes first, and the bytes after it on the same connection are
-/// none. The good call's answer must be untouched by the refusal.
+/// A valid call is followed by bytes that are no request, on the same
+/// connection. The call must still get its own answer.
 #[tokio::test]
 async fn garbage_after_call() {
     let server =
@@ -99,9 +99,10 @@
     );
 }
 
-/// A request has a length and chunked coding, and the two disagree. A balancer
-/// in front that goes by the length takes the rest for part of the body; here it
-/// would run as a second call, in the name of another caller.
+/// Request smuggling: a request has both a Content-Length and chunked coding,
+/// and the two disagree. A balancer in front that uses the length takes the rest
+/// as part of the body. The entry host must not run that rest as a second call,
+/// which would count as another caller's.
 #[tokio::test]
 async fn smuggled_call() {
     let server = ScriptedServer::always(Reply::Keep(ok("first"))).await;
@@ -121,8 +122,8 @@
     );
 }
 
-/// A caller's connection is so slow, or so hostile, that a head never ends.
-/// A thousand of these must not keep another caller from its answer.
+/// A thousand slow or hostile callers never finish the head of their request.
+/// Another caller must still be answered, and each of the thousand times out.
 #[tokio::test]
 async fn slow_heads() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
@@ -148,8 +149,8 @@
     }
 }
 
-/// A caller announces a body and sends only its beginning. It must hold no
-/// slot meanwhile: the body is read before the call is placed.
+/// Callers announce a body and send only its beginning. They must occupy no
+/// slots: a body this small is read before a slot is acquired.
 #[tokio::test]
 async fn slow_bodies_hold_no_slot() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
@@ -165,8 +166,8 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// More callers connect than the host takes. Each beyond the limit is told so
-/// at once, and that nothing ran.
+/// More callers connect than the limit allows. Each one beyond the limit must get
+/// a 503 with the outcome "not-run" at once.
 #[tokio::test]
 async fn too_many_callers() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
@@ -189,8 +190,8 @@
     assert!(support::field(&answer.head, "retry-after").is_some());
 }
 
-/// A chunked body goes past the limit after its beginning has been passed on.
-/// The backend server never saw its end, but may have begun: "unknown" is true.
+/// A chunked body exceeds the limit after its beginning has been forwarded. The
+/// backend server never gets its end, but may have started: the outcome is "unknown".
 #[tokio::test]
 async fn chunked_over_limit() {
     let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
@@ -219,8 +220,8 @@
     assert_eq!(server.requests(), [], "no whole request arrived");
 }
 
-/// Bytes of all kinds arrive at the callers' port. Each connection gets an
-/// answer with an outcome or is closed, and the host serves on.
+/// Randomly mutated requests arrive. Each must get an answer with an outcome or
+/// have its connection closed, and the host must go on serving.
 #[tokio::test]
 async fn random_bytes() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
@@ -246,7 +247,7 @@
     assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
 }
 
-/// Returns a good request with some of its bytes changed, lost or doubled.
+/// Returns a valid request with some of its bytes changed, removed or duplicated.
 fn mutated(random: &mut SmallRng) -> Vec<u8> {
     let whole = "POST /hallboard/x HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut bytes = whole.as_bytes().to_vec();
--- a/components/transport/tests/deadlines.rs
+++ b/components/transport/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: capped, passed on, and kept.
+//! Deadlines of calls: how they are capped, forwarded and enforced.
 
 mod support;
 
@@ -30,8 +30,8 @@
     assert!((1..=3_000).contains(&told), "told {told}");
 }
 
-/// A call arrives with no time left. Starting it would only cost the backend
-/// server work whose answer nobody awaits.
+/// A call arrives with no time left. It must not be sent: the backend server
+/// would do work whose answer no one waits for.
 #[tokio::test]
 async fn none_left() {
     let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
@@ -45,8 +45,8 @@
     assert_eq!(server.requests(), []);
 }
 
-/// A backend server takes the request and stays silent. The caller learns at
-/// its deadline that the work may have run, and the work is cancelled.
+/// A backend server accepts the request and never answers. At the deadline the
+/// caller must get the outcome "unknown", and the work must be cancelled.
 #[tokio::test]
 async fn silent_server() {
     let server = ScriptedServer::always(Reply::Hang(String::new())).await;
@@ -60,8 +60,8 @@
     until(|| server.cancelled() == 1).await;
 }
 
-/// An answer begins and then stands still past the deadline. Its head has gone
-/// out, so the caller's connection is broken off.
+/// An answer begins and then stalls past the deadline. Its head has been sent,
+/// so the caller's connection must be closed before the answer looks complete.
 #[tokio::test]
 async fn stalled_answer() {
     let begun = "HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nthe beginning";
@@ -72,8 +72,8 @@
     until(|| server.cancelled() == 1).await;
 }
 
-/// A host that is replaced has a call in flight. The call ends whole, its
-/// answer asks the caller to connect elsewhere, and only then the host ends.
+/// A host shuts down with a call in flight. The call must complete, with
+/// `Connection: close` in its answer, before the drain ends.
 #[tokio::test]
 async fn drain_waits() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
--- a/components/transport/tests/entry_hosts/mod.rs
+++ b/components/transport/tests/entry_hosts/mod.rs
@@ -1,4 +1,5 @@
-//! Entry hosts without a caller port: links, members and claims, with a log stand-in.
+//! Entry hosts without a port for callers: links, members and claims, with a
+//! stand-in for the store.
 #![allow(dead_code)]
 
 use std::sync::{Arc, OnceLock};
@@ -16,7 +17,7 @@
 
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 
-/// One entry host.
+/// The components of one entry host.
 pub struct Host {
     pub links: Arc<Links>,
     pub members: Arc<Members>,
@@ -25,7 +26,7 @@
     pub key: HostKey,
 }
 
-/// The log and its entry hosts.
+/// A store and the entry hosts that use it.
 pub struct Site {
     pub log: StoreStandIn,
     pub hosts: Vec<Host>,
@@ -43,7 +44,7 @@
 }
 
 impl Site {
-    /// Starts a log and `count` hosts, and waits until they are members together.
+    /// Starts a store and `count` hosts, and waits until all are members with their links up.
     pub async fn start(count: usize, worker: WorkerOptions) -> Site {
         let behaviour = Behaviour {
             appends_second: 10_000,
@@ -125,7 +126,7 @@
         BlockingStoreClient::new(self.log.address(), Duration::from_millis(700))
     }
 
-    /// Stops a host without a word, as its process's death would.
+    /// Stops a host without notice, as a crash of its process would.
     pub fn kill(&mut self, index: usize) -> HostKey {
         let host = self.hosts.remove(index);
         host.members.stop();
@@ -134,19 +135,19 @@
     }
 }
 
-/// Waits until `holds`, generously.
+/// Waits until `holds` returns true, and panics after 30 seconds.
 pub async fn until(holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(
             start.elapsed() < Duration::from_secs(30),
-            "the condition did not come to hold"
+            "the condition did not hold within 30 seconds"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Returns a call with a key.
+/// Returns the claim of `key` by a call whose deadline is in `patience`.
 pub fn request(key: &str, digest: u8, patience: Duration) -> ClaimRequest {
     ClaimRequest {
         service: ServiceKey::named("ledgerhouse"),
--- a/components/transport/tests/hang_up.rs
+++ b/components/transport/tests/hang_up.rs
@@ -1,4 +1,4 @@
-//! Callers that go away before their answer.
+//! Callers that disconnect before the end of their answer.
 
 mod support;
 
@@ -6,8 +6,8 @@
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
-/// A secretary closes the page while the hall board still works on it. The
-/// work must be cancelled at once, by the closing of its connection.
+/// A caller disconnects while the backend server works on the call. The work
+/// must be cancelled at once, by closing the connection to the backend server.
 #[tokio::test]
 async fn cancels_work() {
     let server = ScriptedServer::always(Reply::Hang(String::new())).await;
@@ -23,7 +23,7 @@
     until(|| server.cancelled() == 1).await;
 }
 
-/// The caller goes away in the middle of a long answer.
+/// The caller disconnects in the middle of a long answer.
 #[tokio::test]
 async fn cancels_answer() {
     let begun = "HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\nthe beginning";
@@ -39,7 +39,7 @@
     until(|| server.cancelled() == 1).await;
 }
 
-/// The caller goes away while it still sends its own long body.
+/// The caller disconnects while it still sends a long body.
 #[tokio::test]
 async fn cancels_upload() {
     let server = ScriptedServer::always(Reply::Keep(ok("never"))).await;
@@ -51,11 +51,15 @@
     until(|| server.accepted() >= 1).await;
     drop(stream);
     until(|| site.edge.callers() == 0).await;
-    assert_eq!(server.requests(), [], "a cut body was taken for whole");
+    assert_eq!(
+        server.requests(),
+        [],
+        "a truncated body was taken for complete"
+    );
 }
 
-/// A call given up may still be answered later. Its connection is never used
-/// again, so that the late answer reaches nobody else.
+/// An abandoned call may still be answered late. Its connection must not be
+/// reused, or the late answer would reach another caller.
 #[tokio::test]
 async fn late_answer_reaches_nobody() {
     let server = ScriptedServer::start(|n, _| match n {
@@ -77,8 +81,9 @@
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
-/// A backend server takes no notice of the hang-up and works on. Its slot must
-/// not go to the next call meanwhile: it would hold more than it can bear.
+/// A backend server ignores the cancellation and goes on working. Its slot must
+/// not go to another call until the deadline, or the server would get more calls
+/// than it has slots.
 #[tokio::test]
 async fn slot_held_to_the_end() {
     let server = ScriptedServer::start(|n, _| match n {
@@ -109,8 +114,8 @@
     assert_eq!(third.text(), "free", "{third:?}");
 }
 
-/// The backend server accepts the cancellation. Its slot serves the next call
-/// long before the first one's deadline.
+/// The backend server honours the cancellation. Its slot must serve the next
+/// call long before the deadline of the first.
 #[tokio::test]
 async fn slot_free_once_cancelled() {
     let server = ScriptedServer::start(|n, _| match n {
--- a/components/transport/tests/keyed_calls.rs
+++ b/components/transport/tests/keyed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls with an idempotency key, on the path of one call.
+//! Calls with an idempotency key at the edge, with claims kept in memory.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use transport::claims::{ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use transport::edge::KeyClaims;
 
-/// Claims agreed by one table in memory.
+/// Claims of keys, held in memory.
 #[derive(Default)]
 struct Table {
     rows: Mutex<BTreeMap<String, Row>>,
@@ -97,8 +97,8 @@
     )
 }
 
-/// A secretary's answer is lost on its way, and the deposit is sent again with
-/// its key. It must be taken once, and the second answer be the first one.
+/// A caller loses the answer to its call and repeats the call with the same key.
+/// The call must run once, and each repeat must get the first answer.
 #[tokio::test]
 async fn repeat_gets_first_answer() {
     let reply = "HTTP/1.1 201 Created\r\nx-receipt: 17\r\ncontent-length: 5\r\n\r\ntaken";
@@ -117,8 +117,8 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// One key is used for two different deposits by mistake. The second must be
-/// neither taken nor answered as if it were the first.
+/// One key is used for two different requests by mistake. The second must
+/// neither run nor get the answer of the first.
 #[tokio::test]
 async fn other_body_refused() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
@@ -133,8 +133,8 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// The connection breaks after the deposit was sent. A repeat must not send it
-/// again: it may have been taken.
+/// The connection breaks after the call has been sent. A repeat of its key must
+/// not send it again: it may have run.
 #[tokio::test]
 async fn broken_then_unknown() {
     let server = ScriptedServer::always(Reply::Close(String::new())).await;
@@ -150,8 +150,8 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// The backend server refuses the deposit and says that it did not run. The
-/// key is free again, so that a repeat may succeed.
+/// The backend server rejects the call as not run. The key must be released, so
+/// that a repeat can succeed.
 #[tokio::test]
 async fn shed_frees_key() {
     let shed = "HTTP/1.1 503 Busy\r\ncardamomvale-not-run: 1\r\ncontent-length: 0\r\n\r\n";
@@ -174,8 +174,8 @@
     );
 }
 
-/// The caller hangs up in the middle. Whether the deposit ran is not known, and
-/// a repeat must be told so.
+/// The caller disconnects while the call is running. Whether it ran is not
+/// known, and a repeat must get the outcome "unknown".
 #[tokio::test]
 async fn hang_up_is_unknown() {
     let server = ScriptedServer::always(Reply::Hang(String::new())).await;
@@ -196,7 +196,7 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// The log is down: no claim can be agreed, and nothing may be sent.
+/// The store is down, so that no claim can be granted: the call must not be sent.
 #[tokio::test]
 async fn claims_down() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
@@ -212,7 +212,8 @@
     assert_eq!(server.requests(), []);
 }
 
-/// An answer too large to keep is still passed on whole, and not sent for twice.
+/// An answer too large to be cached must still be relayed completely, and a
+/// repeat must not run the call again.
 #[tokio::test]
 async fn large_answer_not_kept() {
     let large = "a".repeat(200_000);
@@ -226,7 +227,8 @@
     assert_eq!(server.requests().len(), 1);
 }
 
-/// A body beyond what is compared can't be claimed: nothing is sent.
+/// A body larger than the limit for calls with a key: the key must not be
+/// claimed, and the call not be sent.
 #[tokio::test]
 async fn large_body_refused() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
@@ -246,7 +248,7 @@
     assert_eq!(server.requests(), []);
 }
 
-/// A lookup needs no claim, with a key or without.
+/// An idempotent method needs no claim, even with a key.
 #[tokio::test]
 async fn lookup_needs_none() {
     let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
--- a/components/transport/tests/load_reports.rs
+++ b/components/transport/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What an owner learns from the load reports of its endpoints.
+//! How an owner reads the load reports of its endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -57,10 +57,10 @@
     }
 }
 
-/// A site starts, and the first calls come. The backend servers are warm and
-/// say so, but each closes its connection together with its report, and most
-/// reports were lost to that. Callers were refused for a second and more while
-/// five of six slots stood idle.
+/// The system starts with backend servers that report to be warm. Each closes
+/// its connection together with its report, and most reports were lost because
+/// of that close. Callers were then refused for more than a second while five of
+/// six slots were idle.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn warm_at_once() {
     let history = History::default();
--- a/components/transport/tests/retries.rs
+++ b/components/transport/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What is tried again, and what never is.
+//! Which failed calls are retried, and which must not be.
 
 mod support;
 
@@ -17,8 +17,8 @@
     listener.local_addr().expect("an address")
 }
 
-/// A backend server refuses a deposit and says that it did not run. It is
-/// safe, and kinder to the caller, to ask another one.
+/// A backend server rejects a non-idempotent call as not run. It is safe to
+/// retry the call at another one, and the caller gets its answer.
 #[tokio::test]
 async fn shed_goes_elsewhere() {
     let full = ScriptedServer::always(Reply::Keep(SHED.into())).await;
@@ -34,7 +34,8 @@
     assert_eq!(free.requests().len(), 4);
 }
 
-/// All refuse: the caller learns that nothing ran, and when to come back.
+/// All backend servers reject the call: the answer must be "not-run" with the
+/// `Retry-After` of the backend server.
 #[tokio::test]
 async fn all_shed() {
     let servers = [
@@ -52,7 +53,8 @@
     assert_eq!(servers[0].requests().len() + servers[1].requests().len(), 2);
 }
 
-/// A backend server is down: nothing was sent, so even a deposit may go elsewhere.
+/// A backend server is down: nothing was sent, so that even a non-idempotent
+/// call must be retried at another one.
 #[tokio::test]
 async fn unreachable_goes_elsewhere() {
     let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
@@ -73,8 +75,8 @@
     }
 }
 
-/// A backend server takes a deposit and its connection breaks before the
-/// answer. The deposit may be taken: sending it again might take it twice.
+/// The connection breaks after a non-idempotent call has been sent. The call may
+/// have run, so a retry could run it twice.
 #[tokio::test]
 async fn deposit_sent_once() {
     let servers = [
@@ -91,7 +93,7 @@
     assert_eq!(servers[0].requests().len() + servers[1].requests().len(), 1);
 }
 
-/// The same break with a lookup: asking again does no harm.
+/// The connection breaks after an idempotent call has been sent: a retry is safe.
 #[tokio::test]
 async fn lookup_sent_again() {
     let broken = ScriptedServer::always(Reply::Close(String::new())).await;
@@ -103,8 +105,8 @@
     }
 }
 
-/// A lookup may have run at one backend server and is then refused by the
-/// rest. "Not run" would be untrue of it.
+/// An idempotent call may have run at one backend server, and the others then
+/// reject its retry. The outcome must not be "not-run".
 #[tokio::test]
 async fn unknown_stays_unknown() {
     let broken = ScriptedServer::always(Reply::Close(String::new())).await;
@@ -124,8 +126,8 @@
     );
 }
 
-/// Everything fails for a while. Without a budget each call would become two,
-/// and the backend servers would be kept down by the retries.
+/// All calls fail for a while. Without a retry budget each call would be sent
+/// twice, and the retries would keep the backend servers overloaded.
 #[tokio::test]
 async fn budget_holds() {
     let servers = [
@@ -140,7 +142,8 @@
     assert!(sent <= 200 + 20 + 20, "200 calls became {sent}");
 }
 
-/// A body too long to keep is sent once: its beginning is gone by then.
+/// A body too long to be buffered must be sent only once: its beginning can't be
+/// sent again.
 #[tokio::test]
 async fn long_body_sent_once() {
     let servers = [
--- a/components/transport/tests/silence.rs
+++ b/components/transport/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers that go silent, and kept ones that are closed.
+//! Connections to backend servers that go silent, and idle ones that are closed.
 
 mod support;
 
@@ -7,8 +7,8 @@
 
 use support::{EdgeServer, Reply, ScriptedServer, get, get_within, ok, until};
 
-/// Something between the two ends loses track of all open connections. The
-/// first call on a kept one is lost; those after it must not try the others.
+/// A middlebox loses track of all open connections. The first call on a reused
+/// connection is lost; later ones must not use the other old connections.
 #[tokio::test]
 async fn kept_connections_doubted() {
     let lost = Arc::new(AtomicUsize::new(0));
@@ -38,7 +38,7 @@
 }
 
 /// A backend server closes its idle connections. A call must not be sent on a
-/// closed one, where it would be lost between the two ends.
+/// closed one, where it would be lost.
 #[tokio::test]
 async fn closed_while_idle() {
     let server = ScriptedServer::always(Reply::Close(ok("well"))).await;
@@ -51,7 +51,7 @@
     assert_eq!(server.requests().len(), 20);
 }
 
-/// Idle connections are given up before the backend server would close them.
+/// Idle connections must be closed before the backend server would close them.
 #[tokio::test]
 async fn idle_aged_out() {
     let server = ScriptedServer::always(Reply::Keep(ok("well"))).await;
--- a/components/transport/tests/slot_dispatch.rs
+++ b/components/transport/tests/slot_dispatch.rs
@@ -1,4 +1,5 @@
-//! Entry hosts that share the slots of backend servers, with their own clocks and timers.
+//! Dispatchers of several entry hosts that share the slots of backend servers, in
+//! real time and without network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, OnceLock, Weak};
@@ -14,7 +15,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Some entry hosts whose messages go straight to each other.
+/// The dispatchers of some entry hosts, whose messages are delivered directly.
 struct Site {
     config: Config,
     hosts: Vec<(HostKey, Arc<Dispatcher>)>,
@@ -24,8 +25,7 @@
 
 /// Returns a configuration of one service with `endpoints` and no members.
 ///
-/// Nothing listens at the endpoints: what is tested ends where a call is given
-/// its slot.
+/// Nothing listens at the endpoints: the tests end where a call gets its slot.
 fn config(endpoints: u16) -> Config {
     let service = Service {
         name: "hallboard".to_owned(),
@@ -64,7 +64,7 @@
 }
 
 impl Site {
-    /// Starts `count` hosts that join one after the other.
+    /// Starts `count` hosts that join one after another.
     fn start(count: u64, endpoints: u16) -> Site {
         let peers: Peers = Arc::default();
         let mut site = Site {
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Keeps every host's authority fresh until the site is dropped.
+    /// Confirms every 100 ms that each host's configuration is current, until
+    /// the site is dropped.
     fn confirm(&self) {
         for (_, host) in &self.hosts {
             let host = Arc::downgrade(host);
@@ -176,8 +177,8 @@
     second.finish(Ending::Answered);
 }
 
-// All callers come to one entry host, then to another. The slots must follow
-// them; with a fixed share the second host's callers would wait for ever.
+// All calls arrive at one entry host, then at another. The slots must move to
+// it; with a fixed share the second host's calls would wait forever.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn slots_follow_callers() {
     let site = Site::start(3, 2);
@@ -191,15 +192,15 @@
             .iter()
             .filter(|g| g.endpoint == grants[0].endpoint)
             .count();
-        assert_eq!(most, 2, "more than a cold endpoint bears");
+        assert_eq!(most, 2, "more calls than the slots of a cold endpoint");
         for grant in grants {
             grant.finish(Ending::Answered);
         }
     }
 }
 
-// A caller hangs up while its call waits. The slot that comes free must go to
-// the next call, not to the one that is gone.
+// A caller hangs up while its call waits. The next free slot must go to another
+// call, not to the cancelled one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn hung_up_caller() {
     let site = Site::start(1, 1);
@@ -237,8 +238,8 @@
     assert!(held.iter().all(|g| g.may_send()));
 }
 
-// An entry host that has heard of no member can't know who else leases slots.
-// It starts nothing, and its callers hear "not run" in time.
+// An entry host that knows no members can't know which other hosts lease slots.
+// It must start no call, and refuse each one by its deadline.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_members() {
     let setup = DispatcherOptions {
--- a/components/transport/tests/traces.rs
+++ b/components/transport/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop, under the caller's own.
+//! Traces of calls: their spans, the caller's `traceparent`, and sampling.
 
 mod support;
 
@@ -39,7 +39,8 @@
     )
 }
 
-/// Somebody on call follows one slow lookup through all its hops.
+/// A traced call gets a span for itself, for its wait for a slot and for the
+/// backend server, all in the caller's trace.
 #[tokio::test]
 async fn span_each_hop() {
     let kept = Kept::default();
@@ -63,7 +64,8 @@
     );
 }
 
-/// Without a span of this host's the caller's trace must not be torn.
+/// A call that isn't traced must forward a valid `traceparent` unchanged, and drop
+/// a malformed one.
 #[tokio::test]
 async fn untraced_passes_on() {
     let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
@@ -78,7 +80,7 @@
     assert_eq!(told, [Some(CALLERS.to_owned()), None]);
 }
 
-/// A caller that asks not to be sampled is not, and the rest by their share.
+/// A call whose caller declines sampling isn't sampled; of the others one in three is.
 #[tokio::test]
 async fn sampled_by_share() {
     let kept = Kept::default();
