--- a/components/transport/src/admin.rs
+++ b/components/transport/src/admin.rs
@@ -28,24 +28,24 @@
 use tokio::time::sleep;
 
 /// How many commands may wait for the store at once.
-const COMMANDS: usize = 8;
+const MAX_COMMANDS: usize = 8;
 
 /// How many threads build the other answers, besides those that run commands.
-const ASKING: usize = 4;
+const PAGE_THREADS: usize = 4;
 
 /// The largest body an operator's command may have, in bytes.
-const BODY_LIMIT: usize = 4 * 1024 * 1024;
+const MAX_BODY_SIZE: usize = 4 * 1024 * 1024;
 
 /// How long a connection may wait for the head of a request.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long to wait before accepting again after a failure.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The entry host, as the admin port uses it.
 pub trait Host: Send + Sync {
     /// Returns why the host isn't ready to take calls, none if it is ready.
-    fn unready(&self) -> Option<String>;
+    fn unready_reason(&self) -> Option<String>;
 
     /// Returns the state of the host, as JSON.
     fn status(&self) -> serde_json::Value;
@@ -84,12 +84,12 @@
         listener.set_nonblocking(true)?;
         let runtime = Builder::new_current_thread()
             .enable_all()
-            .max_blocking_threads(COMMANDS + ASKING)
+            .max_blocking_threads(MAX_COMMANDS + PAGE_THREADS)
             .build()?;
         let port = Arc::new(Port {
             host: Arc::clone(host),
             metrics: metrics.cloned(),
-            commands: Semaphore::new(COMMANDS),
+            commands: Semaphore::new(MAX_COMMANDS),
         });
         let (open, closed) = oneshot::channel();
         thread::Builder::new()
@@ -133,7 +133,7 @@
             }
             Err(error) => {
                 log::warn!("E0512 admin-accept-failed error={error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -146,7 +146,7 @@
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE_LIMIT)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = serving.await {
         log::debug!("E0501 admin-answer-lost error={error}");
@@ -168,29 +168,29 @@
             (&Method::POST, "/commands") => self.command(request).await,
             (&Method::GET, path) => {
                 let path = path.to_owned();
-                apart(move || self.page(&path)).await
+                run_blocking(move || self.page(&path)).await
             }
-            _ => unknown(),
+            _ => not_found(),
         }
     }
 
     /// Runs a command on a thread of its own, unless too many are running.
     async fn command(self: Arc<Port>, request: Request<Incoming>) -> Answer {
-        let Ok(_place) = self.commands.try_acquire() else {
-            return unreachable("too many commands wait for the log: try again");
+        let Ok(_permit) = self.commands.try_acquire() else {
+            return unavailable("too many commands wait for the log: try again");
         };
-        let body = match Limited::new(request.into_body(), BODY_LIMIT)
+        let body = match Limited::new(request.into_body(), MAX_BODY_SIZE)
             .collect()
             .await
         {
             Ok(body) => body.to_bytes(),
             Err(error) if error.is::<LengthLimitError>() => {
-                return unreachable("the command is larger than four megabytes");
+                return unavailable("the command is larger than four megabytes");
             }
-            Err(error) => return unreachable(&format!("the command broke off: {error}")),
+            Err(error) => return unavailable(&format!("the command broke off: {error}")),
         };
         let host = Arc::clone(&self.host);
-        apart(move || {
+        run_blocking(move || {
             let (status, answer) = host.command(&body);
             json(status, answer)
         })
@@ -200,7 +200,7 @@
     fn page(&self, path: &str) -> Answer {
         match path {
             "/healthz" => text(200, "ok\n"),
-            "/readyz" => match self.host.unready() {
+            "/readyz" => match self.host.unready_reason() {
                 None => text(200, "ready\n"),
                 Some(reason) => text(503, format!("not ready: {reason}\n")),
             },
@@ -210,13 +210,13 @@
             }
             "/status" => json(200, self.host.status().to_string()),
             "/config" => json(200, self.host.config()),
-            _ => unknown(),
+            _ => not_found(),
         }
     }
 }
 
 /// Builds an answer on a thread for blocking work, since `make` may block.
-async fn apart(make: impl FnOnce() -> Answer + Send + 'static) -> Answer {
+async fn run_blocking(make: impl FnOnce() -> Answer + Send + 'static) -> Answer {
     match spawn_blocking(make).await {
         Ok(answer) => answer,
         Err(error) => {
@@ -226,14 +226,14 @@
     }
 }
 
-fn unknown() -> Answer {
+fn not_found() -> Answer {
     text(
         404,
         "see /healthz, /readyz, /metrics, /status, /config, POST /commands\n",
     )
 }
 
-fn unreachable(reason: &str) -> Answer {
+fn unavailable(reason: &str) -> Answer {
     let answer = serde_json::json!({ "outcome": "unreachable", "reason": reason });
     json(503, answer.to_string())
 }
--- a/components/transport/src/dispatch/naive.rs
+++ b/components/transport/src/dispatch/baseline.rs
@@ -11,23 +11,23 @@
 use state::{Config, EndpointKey, HostKey, ServiceKey};
 use tokio::sync::Notify;
 
-use super::{Call, Placed, Refusal};
+use super::{Call, Placement, Refusal};
 use crate::clock;
 
 /// Chooses endpoints for calls by a baseline policy.
-pub struct Naive {
+pub struct BaselineDispatcher {
     policy: Policy,
     me: Option<HostKey>,
-    board: Mutex<Board>,
+    state: Mutex<State>,
     freed: Notify,
     stopping: AtomicBool,
 }
 
 #[derive(Default)]
-struct Board {
+struct State {
     services: BTreeMap<ServiceKey, Vec<Target>>,
     running: BTreeMap<EndpointKey, u32>,
-    turn: u64,
+    calls: u64,
 }
 
 #[derive(Clone, Copy)]
@@ -39,18 +39,18 @@
 
 /// The result of looking for an endpoint.
 enum Search {
-    Found(Placed),
+    Found(Placement),
     Busy,
     Refused(Refusal),
 }
 
-impl Naive {
+impl BaselineDispatcher {
     /// Returns a dispatcher with no configuration yet; `me` is the key of this host.
-    pub fn new(policy: Policy, me: Option<HostKey>) -> Naive {
-        Naive {
+    pub fn new(policy: Policy, me: Option<HostKey>) -> BaselineDispatcher {
+        BaselineDispatcher {
             policy,
             me,
-            board: Mutex::default(),
+            state: Mutex::default(),
             freed: Notify::new(),
             stopping: AtomicBool::new(false),
         }
@@ -72,17 +72,17 @@
                 .collect();
             services.insert(service.key(), targets);
         }
-        self.board().services = services;
+        self.state().services = services;
         self.freed.notify_waiters();
     }
 
     /// Chooses an endpoint. Waits only with [`Policy::FixedShare`], until a slot of
     /// this host's is free.
-    pub async fn acquire(&self, call: &Call) -> Result<Placed, Refusal> {
+    pub async fn acquire(&self, call: &Call) -> Result<Placement, Refusal> {
         loop {
             let freed = self.freed.notified();
-            match self.search(call) {
-                Search::Found(placed) => return Ok(placed),
+            match self.choose_endpoint(call) {
+                Search::Found(placement) => return Ok(placement),
                 Search::Refused(refusal) => return Err(refusal),
                 Search::Busy => {}
             }
@@ -95,7 +95,7 @@
 
     /// Counts one call less in flight at `endpoint`.
     pub fn release(&self, endpoint: EndpointKey) {
-        if let Some(running) = self.board().running.get_mut(&endpoint) {
+        if let Some(running) = self.state().running.get_mut(&endpoint) {
             *running = running.saturating_sub(1);
         }
         self.freed.notify_one();
@@ -108,12 +108,12 @@
     }
 
     /// Returns the calls in flight of a service, none for an unknown service.
-    pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
-        let board = self.board();
-        let targets = board.services.get(&service)?;
+    pub fn service_status(&self, service: ServiceKey) -> Option<ServiceStatus> {
+        let state = self.state();
+        let targets = state.services.get(&service)?;
         let running = targets
             .iter()
-            .filter_map(|t| board.running.get(&t.endpoint))
+            .filter_map(|t| state.running.get(&t.endpoint))
             .sum();
         Some(ServiceStatus {
             waiting: 0,
@@ -122,24 +122,24 @@
         })
     }
 
-    fn search(&self, call: &Call) -> Search {
+    fn choose_endpoint(&self, call: &Call) -> Search {
         if self.stopping.load(Ordering::Relaxed) {
             return Search::Refused(Refusal::Stopping);
         }
-        let mut board = self.board();
-        let Some(targets) = board.services.get(&call.service) else {
+        let mut state = self.state();
+        let Some(targets) = state.services.get(&call.service) else {
             return Search::Refused(Refusal::UnknownService);
         };
-        let open: Vec<Target> = targets
+        let untried: Vec<Target> = targets
             .iter()
             .filter(|t| !call.tried.contains(&t.endpoint))
             .copied()
             .collect();
-        if open.is_empty() {
+        if untried.is_empty() {
             return Search::Refused(Refusal::NoBackend);
         }
-        let running = |t: &Target| board.running.get(&t.endpoint).copied().unwrap_or(0);
-        let choices: Vec<Choice> = open
+        let running = |t: &Target| state.running.get(&t.endpoint).copied().unwrap_or(0);
+        let choices: Vec<Choice> = untried
             .iter()
             .filter(|t| self.policy != Policy::FixedShare || running(t) < t.share)
             .map(|t| Choice {
@@ -147,13 +147,13 @@
                 running: running(t),
             })
             .collect();
-        let chosen = self.policy.choose(&choices, board.turn, rand::random());
-        board.turn += 1;
-        let Some(target) = open.iter().find(|t| Some(t.endpoint) == chosen) else {
+        let chosen = self.policy.choose(&choices, state.calls, rand::random());
+        state.calls += 1;
+        let Some(target) = untried.iter().find(|t| Some(t.endpoint) == chosen) else {
             return Search::Busy;
         };
-        *board.running.entry(target.endpoint).or_default() += 1;
-        Search::Found(Placed {
+        *state.running.entry(target.endpoint).or_default() += 1;
+        Search::Found(Placement {
             endpoint: target.endpoint,
             address: target.address,
             lease: None,
@@ -175,7 +175,7 @@
         (0..slots).filter(own).count() as u32
     }
 
-    fn board(&self) -> MutexGuard<'_, Board> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/components/transport/src/dispatch/mod.rs
+++ b/components/transport/src/dispatch/mod.rs
@@ -4,10 +4,10 @@
 //! state machine needs to run: a lock, wake-ups of waiting calls, a timer,
 //! messages and probes.
 
+mod baseline;
 mod counters;
-mod naive;
 mod probe;
-mod shared;
+mod slot_dispatcher;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 use state::policy::Policy;
 use state::{Config, EndpointKey, HostKey, Moment, ServiceKey};
 
-use naive::Naive;
-use shared::Shared;
+use baseline::BaselineDispatcher;
+use slot_dispatcher::SlotDispatcher;
 
 /// A call that needs a slot.
 #[value]
@@ -80,24 +80,24 @@
 /// Assigns calls to the endpoints of their services, by slots or by a baseline policy.
 #[derive(Default)]
 pub struct Dispatcher {
-    way: Way,
+    strategy: Strategy,
 }
 
 /// How endpoints are chosen: by leased slots, or by one of the baselines that
 /// leased slots are compared with.
-enum Way {
-    Naive(Naive),
-    Shared(Arc<Shared>),
+enum Strategy {
+    Baseline(BaselineDispatcher),
+    Slots(Arc<SlotDispatcher>),
 }
 
-impl Default for Way {
-    fn default() -> Way {
-        Way::Naive(Naive::new(Policy::LeastInFlight, None))
+impl Default for Strategy {
+    fn default() -> Strategy {
+        Strategy::Baseline(BaselineDispatcher::new(Policy::LeastInFlight, None))
     }
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher with the identity and policy in `setup`.
+    /// Returns a dispatcher with the identity and policy in `options`.
     ///
     /// With [`Policy::Shared`] its timer and probes run on the current tokio
     /// runtime until it is dropped.
@@ -105,76 +105,76 @@
     /// # Panics
     ///
     /// Panics with [`Policy::Shared`] outside a tokio runtime.
-    pub fn new(setup: &DispatcherOptions, send: SendMessage) -> Arc<Dispatcher> {
-        let way = match setup.policy {
-            Policy::Shared => Way::Shared(Shared::run(setup, send)),
-            policy => Way::Naive(Naive::new(policy, Some(setup.host))),
+    pub fn new(options: &DispatcherOptions, send: SendMessage) -> Arc<Dispatcher> {
+        let strategy = match options.policy {
+            Policy::Shared => Strategy::Slots(SlotDispatcher::start(options, send)),
+            policy => Strategy::Baseline(BaselineDispatcher::new(policy, Some(options.host))),
         };
-        Arc::new(Dispatcher { way })
+        Arc::new(Dispatcher { strategy })
     }
 
     /// Applies the configuration in force.
     pub fn configure(&self, config: &Config) {
-        match &self.way {
-            Way::Naive(naive) => naive.configure(config),
-            Way::Shared(shared) => shared.configure(config),
+        match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.configure(config),
+            Strategy::Slots(slots) => slots.configure(config),
         }
     }
 
     /// Sets the members that are alive.
     pub fn set_alive(&self, alive: BTreeSet<HostKey>) {
-        if let Way::Shared(shared) = &self.way {
-            shared.set_alive(alive);
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.set_alive(alive);
         }
     }
 
     /// Sets this host's incarnation, which changes when the host joins again.
     pub fn renew_incarnation(&self, incarnation: u64) {
-        if let Way::Shared(shared) = &self.way {
-            shared.renew_incarnation(incarnation);
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.renew_incarnation(incarnation);
         }
     }
 
-    /// Records that this host's configuration was proved to be current at the moment `shown`.
+    /// Records that this host's configuration was proved to be current at the moment `proved_at`.
     ///
     /// This host may act as an owner for a limited time after that moment. To
     /// be called about every 100 ms with the failure detector's latest result.
-    pub fn confirm(&self, shown: Moment) {
-        if let Way::Shared(shared) = &self.way {
-            shared.confirm(shown);
+    pub fn confirm(&self, proved_at: Moment) {
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.confirm(proved_at);
         }
     }
 
     /// Handles a message of another entry host.
     pub fn receive(&self, from: HostKey, message: SlotMessage) {
-        if let Way::Shared(shared) = &self.way {
-            shared.receive(from, message);
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.receive(from, message);
         }
     }
 
     /// Starts no more calls, refuses those that wait, and returns idle slots for
     /// other hosts to use.
     pub fn stop(&self) {
-        match &self.way {
-            Way::Naive(naive) => naive.stop(),
-            Way::Shared(shared) => shared.stop(),
+        match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.stop(),
+            Strategy::Slots(slots) => slots.stop(),
         }
     }
 
     /// Returns the calls and slots of a service at this host, none for an
     /// unknown service.
-    pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
-        match &self.way {
-            Way::Naive(naive) => naive.standing(service),
-            Way::Shared(shared) => shared.standing(service),
+    pub fn service_status(&self, service: ServiceKey) -> Option<ServiceStatus> {
+        match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.service_status(service),
+            Strategy::Slots(slots) => slots.service_status(service),
         }
     }
 
     /// Returns the state of each endpoint that this host owns.
-    pub fn owned(&self) -> Vec<EndpointStanding> {
-        match &self.way {
-            Way::Naive(_) => Vec::new(),
-            Way::Shared(shared) => shared.owned(),
+    pub fn owned_endpoints(&self) -> Vec<EndpointStatus> {
+        match &self.strategy {
+            Strategy::Baseline(_) => Vec::new(),
+            Strategy::Slots(slots) => slots.owned_endpoints(),
         }
     }
 
@@ -184,20 +184,20 @@
     ///
     /// Returns why the call is refused. A refused call has not run.
     pub async fn acquire(self: &Arc<Self>, call: &Call) -> Result<Grant, Refusal> {
-        let found = match &self.way {
-            Way::Naive(naive) => naive.acquire(call).await,
-            Way::Shared(shared) => shared.acquire(call).await,
+        let found = match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.acquire(call).await,
+            Strategy::Slots(slots) => slots.acquire(call).await,
         };
         match found {
-            Ok(placed) => Ok(Grant {
-                endpoint: placed.endpoint,
-                address: placed.address,
-                lease: placed.lease,
+            Ok(placement) => Ok(Grant {
+                endpoint: placement.endpoint,
+                address: placement.address,
+                lease: placement.lease,
                 dispatcher: Arc::clone(self),
                 ended: false,
             }),
             Err(refusal) => {
-                counters::refused(&refusal);
+                counters::count_refusal(&refusal);
                 Err(refusal)
             }
         }
@@ -206,23 +206,23 @@
 
 /// The state of one endpoint, as its owner knows it.
 #[value]
-pub struct EndpointStanding {
+pub struct EndpointStatus {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// How many slots may be leased now, over all entry hosts.
     pub cap: u32,
     /// How many slots are leased.
-    pub out: u32,
+    pub leased: u32,
     /// Whether the endpoint is slow or unreachable, and gets only trial calls.
-    pub doubted: bool,
+    pub is_degraded: bool,
     /// Whether no slot may be leased until the previous owner's leases have ended.
-    pub fenced: bool,
+    pub is_fenced: bool,
     /// The time since the endpoint last answered a probe, none if it never has.
     pub report_age: Option<Duration>,
 }
 
 /// The endpoint chosen for a call, with the lease of its slot; a baseline has no leases.
-struct Placed {
+struct Placement {
     endpoint: EndpointKey,
     address: SocketAddr,
     lease: Option<LeaseKey>,
@@ -234,8 +234,8 @@
     /// A process that was paused until after its lease's end would otherwise
     /// send a call on a slot that has been leased to another host.
     pub fn may_send(&self) -> bool {
-        match (&self.dispatcher.way, self.lease) {
-            (Way::Shared(shared), Some(lease)) => shared.may_send(lease),
+        match (&self.dispatcher.strategy, self.lease) {
+            (Strategy::Slots(slots), Some(lease)) => slots.may_send(lease),
             _ => true,
         }
     }
@@ -247,9 +247,9 @@
     }
 
     fn release(&self, ending: Option<Ending>) {
-        match (&self.dispatcher.way, self.lease) {
-            (Way::Shared(shared), Some(lease)) => shared.finish(lease, ending),
-            (Way::Naive(naive), _) => naive.release(self.endpoint),
+        match (&self.dispatcher.strategy, self.lease) {
+            (Strategy::Slots(slots), Some(lease)) => slots.finish(lease, ending),
+            (Strategy::Baseline(baseline), _) => baseline.release(self.endpoint),
             _ => {}
         }
     }
--- a/components/transport/src/dispatch/probe.rs
+++ b/components/transport/src/dispatch/probe.rs
@@ -15,11 +15,11 @@
 use tokio::time::timeout;
 
 /// The path at which backend servers serve their load report.
-const PATH: &str = "/-/load";
+const REPORT_PATH: &str = "/-/load";
 /// The longest report that is read, in bytes.
-const LIMIT: usize = 4_096;
+const MAX_REPORT_SIZE: usize = 4_096;
 /// How long a probe may take; a later report would be out of date.
-const PATIENCE: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Deserialize)]
 struct Report {
@@ -32,14 +32,17 @@
 ///
 /// Each probe opens a connection of its own: an idle one kept for probes might
 /// have gone silent, and a backend server that is alive would then look lost.
-pub async fn ask(address: SocketAddr) -> Option<LoadReport> {
-    timeout(PATIENCE, exchange(address)).await.ok().flatten()
+pub async fn fetch_report(address: SocketAddr) -> Option<LoadReport> {
+    timeout(PROBE_TIMEOUT, exchange(address))
+        .await
+        .ok()
+        .flatten()
 }
 
 async fn exchange(address: SocketAddr) -> Option<LoadReport> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    let request = Request::get(PATH)
+    let request = Request::get(REPORT_PATH)
         .header(HOST, address.to_string())
         .header(CONNECTION, "close")
         .body(Empty::<Bytes>::new())
@@ -49,18 +52,18 @@
         if !response.status().is_success() {
             return None;
         }
-        let body = Limited::new(response.into_body(), LIMIT);
+        let body = Limited::new(response.into_body(), MAX_REPORT_SIZE);
         Some(body.collect().await.ok()?.to_bytes())
     };
     // The connection may end at the same moment as the answer. If its end counted
     // as a failure, most reports would be lost, and each endpoint would be taken
     // for cold until its answers had shown that it is warm.
     let (body, _) = tokio::join!(answer, connection);
-    read(&body?)
+    parse_report(&body?)
 }
 
 /// Parses a report, none if any part of it is invalid.
-fn read(body: &[u8]) -> Option<LoadReport> {
+fn parse_report(body: &[u8]) -> Option<LoadReport> {
     let report: Report = serde_json::from_slice(body).ok()?;
     let readiness = match report.state.as_str() {
         "cold" => Readiness::Cold,
--- a/components/transport/src/dispatch/shared.rs
+++ b/components/transport/src/dispatch/slot_dispatcher.rs
@@ -14,53 +14,53 @@
 use tokio::sync::{Notify, oneshot};
 
 use super::{
-    Call, DispatcherOptions, Ending, EndpointStanding, Placed, Refusal, SendMessage, counters,
+    Call, DispatcherOptions, Ending, EndpointStatus, Placement, Refusal, SendMessage, counters,
     probe,
 };
 use crate::clock;
 
 /// The slot manager, with its lock, timer and way to send messages.
-pub struct Shared {
-    core: Mutex<Core>,
+pub struct SlotDispatcher {
+    state: Mutex<State>,
     send: SendMessage,
     runtime: Handle,
-    due: AtomicU64,
-    earlier: Notify,
+    next_tick: AtomicU64,
+    rescheduled: Notify,
 }
 
-struct Core {
+struct State {
     slots: SlotManager,
     config: Option<Config>,
     alive: BTreeSet<HostKey>,
-    waiting: BTreeMap<CallKey, oneshot::Sender<Verdict>>,
+    waiting: BTreeMap<CallKey, oneshot::Sender<Acquired>>,
     reports: BTreeMap<EndpointKey, Moment>,
     next: u64,
 }
 
 /// The result of a call's wait for a slot.
-type Verdict = Result<Placed, Refusal>;
+type Acquired = Result<Placement, Refusal>;
 
 /// A call that waits for a slot, cancelled in the slot manager when dropped.
-struct Pending<'a> {
-    shared: &'a Shared,
+struct WaitingCall<'a> {
+    shared: &'a SlotDispatcher,
     service: ServiceKey,
     call: CallKey,
-    verdict: oneshot::Receiver<Verdict>,
+    acquired: oneshot::Receiver<Acquired>,
 }
 
 /// The time between two updates of the gauges.
-const GAUGES: Duration = Duration::from_millis(1_000);
+const GAUGE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-impl Shared {
+impl SlotDispatcher {
     /// Returns the dispatcher, with its timer and its updates of the gauges running.
-    pub fn run(setup: &DispatcherOptions, send: SendMessage) -> Arc<Shared> {
+    pub fn start(options: &DispatcherOptions, send: SendMessage) -> Arc<SlotDispatcher> {
         let now = clock::now();
         let me = Identity {
-            host: setup.host,
-            incarnation: setup.incarnation,
-            centre: DataCentreKey::named(&setup.data_centre),
+            host: options.host,
+            incarnation: options.incarnation,
+            centre: DataCentreKey::named(&options.data_centre),
         };
-        let core = Core {
+        let state = State {
             slots: SlotManager::new(me, now),
             config: None,
             alive: BTreeSet::new(),
@@ -68,117 +68,117 @@
             reports: BTreeMap::new(),
             next: 0,
         };
-        let shared = Arc::new(Shared {
-            core: Mutex::new(core),
+        let shared = Arc::new(SlotDispatcher {
+            state: Mutex::new(state),
             send,
             runtime: Handle::current(),
-            due: AtomicU64::new(now.0),
-            earlier: Notify::new(),
+            next_tick: AtomicU64::new(now.0),
+            rescheduled: Notify::new(),
         });
-        shared.runtime.spawn(keep_time(Arc::downgrade(&shared)));
-        shared.runtime.spawn(show(Arc::downgrade(&shared)));
+        shared.runtime.spawn(run_timer(Arc::downgrade(&shared)));
+        shared.runtime.spawn(update_gauges(Arc::downgrade(&shared)));
         shared
     }
 
     /// Applies the configuration in force.
     pub fn configure(self: &Arc<Self>, config: &Config) {
-        self.act(|core, now| {
-            core.slots.configure(config, &core.alive, now);
-            core.config = Some(config.clone());
+        self.run_step(|state, now| {
+            state.slots.configure(config, &state.alive, now);
+            state.config = Some(config.clone());
         });
     }
 
     /// Sets the members that are alive.
     pub fn set_alive(self: &Arc<Self>, alive: BTreeSet<HostKey>) {
-        self.act(|core, now| {
-            if core.alive == alive {
+        self.run_step(|state, now| {
+            if state.alive == alive {
                 return;
             }
-            core.alive = alive;
-            if let Some(config) = &core.config {
-                core.slots.configure(config, &core.alive, now);
+            state.alive = alive;
+            if let Some(config) = &state.config {
+                state.slots.configure(config, &state.alive, now);
             }
         });
     }
 
     /// Sets this host's incarnation, which changes when the host joins again.
     pub fn renew_incarnation(self: &Arc<Self>, incarnation: u64) {
-        self.act(|core, _| core.slots.renew_incarnation(incarnation));
+        self.run_step(|state, _| state.slots.renew_incarnation(incarnation));
     }
 
-    /// Records that this host's configuration was proved to be current at the moment `shown`.
-    pub fn confirm(self: &Arc<Self>, shown: Moment) {
-        self.act(|core, _| core.slots.confirm(shown));
+    /// Records that this host's configuration was proved to be current at the moment `proved_at`.
+    pub fn confirm(self: &Arc<Self>, proved_at: Moment) {
+        self.run_step(|state, _| state.slots.confirm(proved_at));
     }
 
     /// Handles a message of another entry host.
     pub fn receive(self: &Arc<Self>, from: HostKey, message: SlotMessage) {
-        self.act(|core, now| core.slots.receive(from, message, now));
+        self.run_step(|state, now| state.slots.receive(from, message, now));
     }
 
     /// Starts no more calls, refuses those that wait, and returns idle slots.
     pub fn stop(self: &Arc<Self>) {
-        self.act(|core, now| core.slots.stop(now));
+        self.run_step(|state, now| state.slots.stop(now));
     }
 
     /// Returns the calls and slots of a service at this host, none for an unknown service.
-    pub fn standing(self: &Arc<Self>, service: ServiceKey) -> Option<ServiceStatus> {
-        self.act(|core, _| core.slots.status(service))
+    pub fn service_status(self: &Arc<Self>, service: ServiceKey) -> Option<ServiceStatus> {
+        self.run_step(|state, _| state.slots.status(service))
     }
 
     /// Returns the state of each endpoint that this host owns.
-    pub fn owned(self: &Arc<Self>) -> Vec<EndpointStanding> {
-        self.act(|core, now| {
-            let owned = core.slots.owned().iter();
+    pub fn owned_endpoints(self: &Arc<Self>) -> Vec<EndpointStatus> {
+        self.run_step(|state, now| {
+            let owned = state.slots.owned().iter();
             owned
-                .map(|(endpoint, owned)| EndpointStanding {
+                .map(|(endpoint, owned)| EndpointStatus {
                     endpoint: *endpoint,
                     cap: owned.capacity.cap(),
-                    out: owned.lease_table.leased(),
-                    doubted: owned.capacity.degradation().is_some(),
-                    fenced: !owned.lease_table.is_open(now),
-                    report_age: core.reports.get(endpoint).map(|at| now.since(*at)),
+                    leased: owned.lease_table.leased(),
+                    is_degraded: owned.capacity.degradation().is_some(),
+                    is_fenced: !owned.lease_table.is_open(now),
+                    report_age: state.reports.get(endpoint).map(|at| now.since(*at)),
                 })
                 .collect()
         })
     }
 
     /// Waits until a slot is free for `call`.
-    pub async fn acquire(self: &Arc<Self>, call: &Call) -> Verdict {
+    pub async fn acquire(self: &Arc<Self>, call: &Call) -> Acquired {
         let began = clock::now();
-        let (sender, verdict) = oneshot::channel();
-        let key = self.act(|core, now| {
-            let key = CallKey(core.next);
-            core.next += 1;
-            core.waiting.insert(key, sender);
+        let (sender, acquired) = oneshot::channel();
+        let key = self.run_step(|state, now| {
+            let key = CallKey(state.next);
+            state.next += 1;
+            state.waiting.insert(key, sender);
             let arrival = Arrival {
                 call: key,
                 service: call.service,
                 deadline: call.deadline,
                 tried: call.tried.clone(),
             };
-            core.slots.arrive(&arrival, now);
+            state.slots.arrive(&arrival, now);
             key
         });
-        let mut pending = Pending {
+        let mut waiting_call = WaitingCall {
             shared: self,
             service: call.service,
             call: key,
-            verdict,
+            acquired,
         };
-        let verdict = (&mut pending.verdict)
+        let acquired = (&mut waiting_call.acquired)
             .await
             .unwrap_or(Err(Refusal::Stopping));
-        if verdict.is_ok() {
-            counters::waited(clock::now().since(began));
+        if acquired.is_ok() {
+            counters::record_wait(clock::now().since(began));
         }
-        verdict
+        acquired
     }
 
     /// Returns whether a call may be sent now on the slot of `lease`.
     pub fn may_send(&self, lease: LeaseKey) -> bool {
-        let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        core.slots.may_send(lease, clock::now())
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.slots.may_send(lease, clock::now())
     }
 
     /// Ends a call's use of a lease; `ending` is none if no call was sent.
@@ -191,26 +191,26 @@
             Some(Ending::Cancelled) => slots::Ending::Cancelled,
             None => slots::Ending::Unused,
         };
-        self.act(|core, now| core.slots.finish(lease, ending, now));
+        self.run_step(|state, now| state.slots.finish(lease, ending, now));
     }
 
     /// Runs one step of the slot manager and carries out the effects that it returns.
     ///
     /// Messages are queued under the lock, so that two threads can't send them
     /// in another order than that of the decisions. Sending never blocks.
-    fn act<R>(self: &Arc<Self>, step: impl FnOnce(&mut Core, Moment) -> R) -> R {
-        let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        let result = step(&mut core, clock::now());
-        for effect in core.slots.take_effects() {
-            self.carry_out(&mut core, effect);
+    fn run_step<R>(self: &Arc<Self>, step: impl FnOnce(&mut State, Moment) -> R) -> R {
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let result = step(&mut state, clock::now());
+        for effect in state.slots.take_effects() {
+            self.carry_out(&mut state, effect);
         }
-        if core.slots.next_wake().0 < self.due.load(Ordering::Relaxed) {
-            self.earlier.notify_one();
+        if state.slots.next_wake().0 < self.next_tick.load(Ordering::Relaxed) {
+            self.rescheduled.notify_one();
         }
         result
     }
 
-    fn carry_out(self: &Arc<Self>, core: &mut Core, effect: Effect) {
+    fn carry_out(self: &Arc<Self>, state: &mut State, effect: Effect) {
         match effect {
             Effect::Send(to, message) => (self.send)(to, message),
             Effect::Start {
@@ -218,32 +218,32 @@
                 lease,
                 address,
             } => {
-                let placed = Placed {
+                let placement = Placement {
                     endpoint: lease.slot.endpoint,
                     address,
                     lease: Some(lease),
                 };
-                let taken = match core.waiting.remove(&call) {
-                    Some(sender) => sender.send(Ok(placed)).is_ok(),
+                let taken = match state.waiting.remove(&call) {
+                    Some(sender) => sender.send(Ok(placement)).is_ok(),
                     None => false,
                 };
                 if !taken {
-                    self.put_back(lease);
+                    self.release_unused(lease);
                 }
             }
             Effect::Refuse(call, refusal) => {
-                if let Some(sender) = core.waiting.remove(&call) {
+                if let Some(sender) = state.waiting.remove(&call) {
                     sender.send(Err(refusal)).ok();
                 }
             }
             Effect::Probe(endpoint, address) => {
                 let shared = Arc::downgrade(self);
-                let site = core.slots.roles().endpoints.get(&endpoint);
-                let plan = site.and_then(|s| core.slots.roles().services.get(&s.service));
-                let cost = plan.map_or(Duration::ZERO, |p| p.probe_cost);
+                let roles = state.slots.roles().endpoints.get(&endpoint);
+                let service = roles.and_then(|s| state.slots.roles().services.get(&s.service));
+                let cost = service.map_or(Duration::ZERO, |p| p.probe_cost);
                 self.runtime.spawn(async move {
-                    let report = probe::ask(address).await;
-                    counters::probed(cost, report.is_some());
+                    let report = probe::fetch_report(address).await;
+                    counters::count_probe(cost, report.is_some());
                     if let Some(shared) = shared.upgrade() {
                         shared.probed(endpoint, report.as_ref());
                     }
@@ -253,7 +253,7 @@
     }
 
     /// Releases a slot whose caller hung up at the moment when the slot was granted.
-    fn put_back(self: &Arc<Self>, lease: LeaseKey) {
+    fn release_unused(self: &Arc<Self>, lease: LeaseKey) {
         let shared = Arc::downgrade(self);
         self.runtime.spawn(async move {
             if let Some(shared) = shared.upgrade() {
@@ -263,19 +263,19 @@
     }
 
     fn probed(self: &Arc<Self>, endpoint: EndpointKey, report: Option<&LoadReport>) {
-        self.act(|core, now| {
+        self.run_step(|state, now| {
             if report.is_some() {
-                core.reports.insert(endpoint, now);
+                state.reports.insert(endpoint, now);
             }
-            core.slots.probed(endpoint, report, now);
+            state.slots.probed(endpoint, report, now);
         });
     }
 
     fn totals(&self) -> ServiceStatus {
-        let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        let services = core.slots.roles().services.keys();
-        let standings = services.filter_map(|s| core.slots.status(*s));
-        standings.fold(ServiceStatus::default(), |sum, s| ServiceStatus {
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let services = state.slots.roles().services.keys();
+        let statuses = services.filter_map(|s| state.slots.status(*s));
+        statuses.fold(ServiceStatus::default(), |sum, s| ServiceStatus {
             waiting: sum.waiting + s.waiting,
             held: sum.held + s.held,
             idle: sum.idle + s.idle,
@@ -284,51 +284,52 @@
 }
 
 /// Calls the slot manager's `tick` whenever it is due, until the dispatcher is dropped.
-async fn keep_time(shared: Weak<Shared>) {
+async fn run_timer(shared: Weak<SlotDispatcher>) {
     while let Some(strong) = shared.upgrade() {
-        let due = strong.act(|core, now| {
-            core.slots.tick(now);
-            let due = core.slots.next_wake();
-            strong.due.store(due.0, Ordering::Relaxed);
-            due
+        let next_tick = strong.run_step(|state, now| {
+            state.slots.tick(now);
+            let next_tick = state.slots.next_wake();
+            strong.next_tick.store(next_tick.0, Ordering::Relaxed);
+            next_tick
         });
-        let pause = tokio::time::sleep(clock::now().until(due));
+        let pause = tokio::time::sleep(clock::now().until(next_tick));
         tokio::select! {
             () = pause => {}
-            () = strong.earlier.notified() => {}
+            () = strong.rescheduled.notified() => {}
         }
     }
 }
 
 /// Updates the gauges periodically, until the dispatcher is dropped.
-async fn show(shared: Weak<Shared>) {
+async fn update_gauges(shared: Weak<SlotDispatcher>) {
     while let Some(strong) = shared.upgrade() {
         let sum = strong.totals();
         drop(strong);
-        counters::standing(sum.waiting, sum.held, sum.idle);
-        tokio::time::sleep(GAUGES).await;
+        counters::set_gauges(sum.waiting, sum.held, sum.idle);
+        tokio::time::sleep(GAUGE_INTERVAL).await;
     }
 }
 
-impl Drop for Pending<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
-        self.verdict.close();
-        let mut core = self
+        self.acquired.close();
+        let mut state = self
             .shared
-            .core
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let waits = core.waiting.remove(&self.call).is_some();
+        let waits = state.waiting.remove(&self.call).is_some();
         if waits {
-            core.slots.cancel(self.service, self.call, clock::now());
-        } else if let Ok(Ok(Placed {
+            state.slots.cancel(self.service, self.call, clock::now());
+        } else if let Ok(Ok(Placement {
             lease: Some(lease), ..
-        })) = self.verdict.try_recv()
+        })) = self.acquired.try_recv()
         {
-            core.slots
+            state
+                .slots
                 .finish(lease, slots::Ending::Unused, clock::now());
         }
-        drop(core);
-        self.shared.earlier.notify_one();
+        drop(state);
+        self.shared.rescheduled.notify_one();
     }
 }
--- a/components/transport/src/edge/answer.rs
+++ b/components/transport/src/edge/answer.rs
@@ -12,11 +12,11 @@
 use tokio::time::Sleep;
 
 use super::caller::CallerState;
-use super::keyed::Keeper;
+use super::keyed::AnswerRecorder;
 use super::service::ServiceState;
 use crate::clock;
 use crate::dispatch::Ending;
-use crate::trace::{CallTrace, Hop};
+use crate::trace::{CallSpan, CallTrace};
 use crate::upstream::Exchange;
 
 /// How long an answer that has begun may make no progress, once its deadline has passed.
@@ -24,7 +24,7 @@
 /// A long answer that still makes progress is relayed past its deadline:
 /// aborting it would waste what has been transferred. A stalled one would hold
 /// its slot forever.
-const STALL_LIMIT: Duration = Duration::from_secs(2);
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an answer was aborted after its head had been sent.
 #[derive(Debug, Error)]
@@ -45,43 +45,48 @@
 }
 
 enum Kind {
-    Line(Bytes),
-    Relay(Box<Relay>),
+    Buffered(Bytes),
+    Relayed(Box<RelayedBody>),
 }
 
 /// A backend server's answer body, relayed piece by piece.
-pub struct Relay {
+pub struct RelayedBody {
     exchange: Exchange,
     incoming: Incoming,
     deadline: Moment,
     progress: Moment,
     timer: Pin<Box<Sleep>>,
-    escort: Escort,
+    context: AnswerContext,
 }
 
 /// What is updated while an answer is relayed and when it ends.
-pub struct Escort {
+pub struct AnswerContext {
     /// Records the answer for repeats of its key; none for a call without a key.
-    pub keeper: Option<Keeper>,
+    pub recorder: Option<AnswerRecorder>,
     /// The span of the call to the backend server.
-    pub hop: Hop,
+    pub span: CallSpan,
     /// The service whose metrics count a truncated answer.
     pub service: Arc<ServiceState>,
 }
 
-impl Relay {
+impl RelayedBody {
     /// Returns the body of the answer that has begun on `exchange`.
-    pub fn new(exchange: Exchange, incoming: Incoming, deadline: Moment, escort: Escort) -> Relay {
+    pub fn new(
+        exchange: Exchange,
+        incoming: Incoming,
+        deadline: Moment,
+        context: AnswerContext,
+    ) -> RelayedBody {
         let now = clock::now();
-        let mut relay = Relay {
+        let mut relay = RelayedBody {
             exchange,
             incoming,
             deadline,
             progress: now,
             timer: Box::pin(tokio::time::sleep(now.until(deadline))),
-            escort,
+            context,
         };
-        relay.settle();
+        relay.release_at_end();
         relay
     }
 
@@ -89,22 +94,22 @@
         match self.exchange.poll_data(&mut self.incoming, cx) {
             Poll::Ready(Some(Ok(data))) => {
                 self.progress = clock::now();
-                if let Some(keeper) = &mut self.escort.keeper {
-                    keeper.add(&data);
+                if let Some(recorder) = &mut self.context.recorder {
+                    recorder.add(&data);
                 }
-                self.settle();
+                self.release_at_end();
                 Poll::Ready(Some(Ok(data)))
             }
             Poll::Ready(Some(Err(e))) => {
                 self.exchange.end(Ending::Broken);
-                self.cut();
+                self.note_cut();
                 Poll::Ready(Some(Err(AnswerError::Cut(e))))
             }
             Poll::Ready(None) => {
                 self.complete();
                 Poll::Ready(None)
             }
-            Poll::Pending => self.poll_patience(cx),
+            Poll::Pending => self.poll_stall(cx),
         }
     }
 
@@ -113,30 +118,30 @@
     /// The HTTP library doesn't poll a body of known length again after its
     /// last byte. Without this check, dropping the body would count as
     /// abandoning the answer.
-    fn settle(&mut self) {
+    fn release_at_end(&mut self) {
         if self.incoming.is_end_stream() {
             self.complete();
         }
     }
 
-    fn cut(&self) {
-        self.escort.service.cut();
-        self.escort.hop.note("cardamomvale.cut", true);
+    fn note_cut(&self) {
+        self.context.service.count_cut();
+        self.context.span.set_attribute("cardamomvale.cut", true);
     }
 
     fn complete(&mut self) {
         self.exchange.complete();
-        if let Some(keeper) = self.escort.keeper.take() {
-            keeper.finish();
+        if let Some(recorder) = self.context.recorder.take() {
+            recorder.finish();
         }
     }
 
-    fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, AnswerError>>> {
+    fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, AnswerError>>> {
         while self.timer.as_mut().poll(cx).is_ready() {
-            let limit = self.deadline.max(self.progress + STALL_LIMIT);
+            let limit = self.deadline.max(self.progress + STALL_TIMEOUT);
             let now = clock::now();
             if now >= limit {
-                self.cut();
+                self.note_cut();
                 return Poll::Ready(Some(Err(AnswerError::Stalled)));
             }
             let at = tokio::time::Instant::now() + now.until(limit);
@@ -148,30 +153,30 @@
 
 impl AnswerBody {
     /// Returns a body that the entry host made itself.
-    pub fn line(text: Bytes) -> AnswerBody {
+    pub fn buffered(bytes: Bytes) -> AnswerBody {
         AnswerBody {
-            kind: Kind::Line(text),
+            kind: Kind::Buffered(bytes),
             caller: None,
             trace: None,
         }
     }
 
     /// Returns a body that is relayed from a backend server.
-    pub fn relay(relay: Relay) -> AnswerBody {
+    pub fn relayed(relay: RelayedBody) -> AnswerBody {
         AnswerBody {
-            kind: Kind::Relay(Box::new(relay)),
+            kind: Kind::Relayed(Box::new(relay)),
             caller: None,
             trace: None,
         }
     }
 
     /// Sets the state of the caller's connection, which is updated when this body ends or breaks.
-    pub fn tell(&mut self, caller: Arc<CallerState>) {
+    pub fn set_caller(&mut self, caller: Arc<CallerState>) {
         self.caller = Some(caller);
     }
 
     /// Keeps the call's trace open until this body is dropped.
-    pub fn keep_trace(&mut self, trace: CallTrace) {
+    pub fn set_trace(&mut self, trace: CallTrace) {
         self.trace = Some(trace);
     }
 }
@@ -186,27 +191,27 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
         let this = self.get_mut();
         let next = match &mut this.kind {
-            Kind::Line(text) if text.is_empty() => Poll::Ready(None),
-            Kind::Line(text) => Poll::Ready(Some(Ok(std::mem::take(text)))),
-            Kind::Relay(relay) => relay.poll_data(cx),
+            Kind::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Kind::Buffered(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
+            Kind::Relayed(relay) => relay.poll_data(cx),
         };
         if let (Poll::Ready(Some(Err(_))), Some(caller)) = (&next, &this.caller) {
-            caller.break_off();
+            caller.mark_broken();
         }
         next.map(|piece| piece.map(|result| result.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.kind {
-            Kind::Line(text) => text.is_empty(),
-            Kind::Relay(relay) => relay.incoming.is_end_stream(),
+            Kind::Buffered(bytes) => bytes.is_empty(),
+            Kind::Relayed(relay) => relay.incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Line(text) => SizeHint::with_exact(text.len() as u64),
-            Kind::Relay(relay) => relay.incoming.size_hint(),
+            Kind::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Kind::Relayed(relay) => relay.incoming.size_hint(),
         }
     }
 }
--- a/components/transport/src/edge/body.rs
+++ b/components/transport/src/edge/body.rs
@@ -21,12 +21,12 @@
 ///
 /// The digest of the whole body is needed before the key is claimed, so the
 /// body is buffered completely.
-pub const KEYED_LIMIT: usize = 1024 * 1024;
+pub const MAX_KEYED_BODY: usize = 1024 * 1024;
 
 /// How long the rest of a body is read after its request has been answered.
 ///
 /// Enough for a megabyte at 2 Mbit/s; a caller that takes longer is disconnected.
-const LINGER_LIMIT: Duration = Duration::from_secs(5);
+const BODY_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why the body of a request can't be read.
 #[derive(Clone, Debug, Error)]
@@ -48,10 +48,10 @@
     limit: u64,
     taken: u64,
     stall: StallTimer,
-    waiting: Option<Waiting>,
+    waiting: Option<StallWait>,
 }
 
-struct Waiting {
+struct StallWait {
     since: Instant,
     timer: Pin<Box<Sleep>>,
 }
@@ -122,13 +122,13 @@
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.incoming).poll_frame(cx) {
-                Poll::Pending => return self.poll_patience(cx),
+                Poll::Pending => return self.poll_stall(cx),
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Ready(Some(Err(e))) => {
-                    return Poll::Ready(Some(Err(BodyError::Broken(reason(&e)))));
+                    return Poll::Ready(Some(Err(BodyError::Broken(error_text(&e)))));
                 }
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(data) => return Poll::Ready(Some(self.count(data))),
+                    Ok(data) => return Poll::Ready(Some(self.check_size(data))),
                     Err(_) => continue,
                 },
             }
@@ -145,7 +145,7 @@
         self.incoming.size_hint().exact()
     }
 
-    fn count(&mut self, data: Bytes) -> Result<Bytes, BodyError> {
+    fn check_size(&mut self, data: Bytes) -> Result<Bytes, BodyError> {
         if let Some(waiting) = self.waiting.take() {
             self.stall.note_wait(waiting.since.elapsed());
         }
@@ -157,9 +157,9 @@
         }
     }
 
-    fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+    fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let left = self.stall.remaining();
-        let waiting = self.waiting.get_or_insert_with(|| Waiting {
+        let waiting = self.waiting.get_or_insert_with(|| StallWait {
             since: Instant::now(),
             timer: Box::pin(tokio::time::sleep(left)),
         });
@@ -205,7 +205,7 @@
         let rest = async {
             while let Some(Ok(_)) = std::future::poll_fn(|cx| self.poll_data(cx)).await {}
         };
-        if timeout(LINGER_LIMIT, rest).await.is_err() {
+        if timeout(BODY_DRAIN_TIMEOUT, rest).await.is_err() {
             log::debug!("E0130 body-left-unread left={:?}", self.remaining());
         }
     }
@@ -228,7 +228,7 @@
 }
 
 /// Returns the text of an error of the HTTP library, followed by its source's text.
-pub fn reason(error: &hyper::Error) -> String {
+pub fn error_text(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -15,43 +15,43 @@
 use state::{EndpointKey, Moment, ServiceKey};
 
 use super::Edge;
-use super::answer::{AnswerBody, Escort, Relay};
-use super::body::{BodyPrefix, CallerBody, KEYED_LIMIT, MAX_REPLAY_BODY, SharedBody};
+use super::answer::{AnswerBody, AnswerContext, RelayedBody};
+use super::body::{BodyPrefix, CallerBody, MAX_KEYED_BODY, MAX_REPLAY_BODY, SharedBody};
 use super::fault::Fault;
-use super::keyed::{Claim, Claimed, Keeper};
-use super::outcome::{OUTCOME, Outcome};
+use super::keyed::{AnswerRecorder, Claim, Claimed};
+use super::outcome::{OUTCOME_HEADER, Outcome};
 use super::service::ServiceState;
 use super::{headers, keyed, route};
 use crate::claims::ClaimRequest;
 use crate::clock;
 use crate::dispatch::{Call, Ending, Grant, Refusal};
-use crate::trace::{CallTrace, Hop};
+use crate::trace::{CallSpan, CallTrace};
 use crate::upstream::{Connection, Exchange, RequestBody, SendError};
 
 /// The header field by which a backend server states that it did not run a call.
-const NOT_RUN: HeaderName = HeaderName::from_static("cardamomvale-not-run");
+const NOT_RUN_HEADER: HeaderName = HeaderName::from_static("cardamomvale-not-run");
 
 /// The largest body of a backend server's rejection, in bytes, that is read so
 /// that the connection can be reused.
-const SHED_LIMIT: usize = 16 * 1024;
+const MAX_REJECTION_BODY: usize = 16 * 1024;
 
 /// A call whose head has been parsed and checked, ready to be sent to an endpoint.
-struct Plan {
+struct PlannedCall {
     service: ServiceKey,
     state: Arc<ServiceState>,
     method: Method,
     uri: Uri,
-    fields: HeaderMap,
+    headers: HeaderMap,
     caller: SocketAddr,
     deadline: Moment,
     key: Option<String>,
     trace: CallTrace,
     /// How long the call's idempotency key is remembered.
-    keep: Duration,
+    key_ttl: Duration,
 }
 
 /// Why one attempt to send a call failed.
-struct Failed {
+struct FailedAttempt {
     fault: Fault,
     endpoint: Option<EndpointKey>,
     failure: Failure,
@@ -65,52 +65,54 @@
 ) -> Response<AnswerBody> {
     let started = Instant::now();
     let (parts, incoming) = request.into_parts();
-    let (plan, limit) = match plan(edge, parts, caller) {
+    let (plan, limit) = match plan_call(edge, parts, caller) {
         Ok(planned) => planned,
-        Err(fault) => return refuse(fault),
+        Err(fault) => return fault_response(fault),
     };
     let result = run(edge, &plan, incoming, limit).await;
     let outcome = match &result {
         Ok(_) => Outcome::Complete,
         Err(fault) => fault.outcome(),
     };
-    plan.state.answered(outcome, started.elapsed());
-    plan.trace.note("cardamomvale.outcome", outcome.name());
-    let mut response = result.unwrap_or_else(refuse);
+    plan.state.count_call(outcome, started.elapsed());
+    plan.trace
+        .set_attribute("cardamomvale.outcome", outcome.name());
+    let mut response = result.unwrap_or_else(fault_response);
     let status = i64::from(response.status().as_u16());
-    plan.trace.note("http.response.status_code", status);
-    response.body_mut().keep_trace(plan.trace);
+    plan.trace
+        .set_attribute("http.response.status_code", status);
+    response.body_mut().set_trace(plan.trace);
     response
 }
 
 /// Counts a fault by its reason and returns the answer that states the reason.
-fn refuse(fault: Fault) -> Response<AnswerBody> {
+fn fault_response(fault: Fault) -> Response<AnswerBody> {
     metrics::counter!("cardamomvale_faults_total", "reason" => fault.name()).increment(1);
     fault.into_response()
 }
 
 /// Parses the head of a request, and returns the call and the limit of its body in bytes.
-fn plan(edge: &Edge, parts: Parts, caller: SocketAddr) -> Result<(Plan, u64), Fault> {
+fn plan_call(edge: &Edge, parts: Parts, caller: SocketAddr) -> Result<(PlannedCall, u64), Fault> {
     let arrived = clock::now();
     let config = Arc::clone(&edge.config.borrow());
     let target = route::target(&parts, &config)?;
     let service = target.service;
     let allowed = route::time_allowed(&parts.headers, service)?;
     let key = route::key(&parts)?;
-    let trace = edge.tracing.begin(&parts.headers);
-    if trace.is_on() {
-        trace.note("cardamomvale.service", service.name.clone());
-        trace.note("http.request.method", parts.method.to_string());
+    let trace = edge.tracing.start_call(&parts.headers);
+    if trace.is_sampled() {
+        trace.set_attribute("cardamomvale.service", service.name.clone());
+        trace.set_attribute("http.request.method", parts.method.to_string());
     }
-    let plan = Plan {
+    let plan = PlannedCall {
         service: service.key(),
-        state: edge.services.of(service.key(), &service.name),
+        state: edge.services.get(service.key(), &service.name),
         uri: target.uri,
         caller,
         deadline: arrived + allowed,
-        keep: Duration::from_secs(target.service.key_seconds),
+        key_ttl: Duration::from_secs(target.service.key_seconds),
         method: parts.method,
-        fields: parts.headers,
+        headers: parts.headers,
         key,
         trace,
     };
@@ -120,7 +122,7 @@
 
 async fn run(
     edge: &Arc<Edge>,
-    plan: &Plan,
+    plan: &PlannedCall,
     incoming: Incoming,
     limit: u64,
 ) -> Result<Response<AnswerBody>, Fault> {
@@ -129,7 +131,7 @@
         Some(key) => keyed_call(edge, plan, body, key.clone()).await,
         None => {
             let body = gather(body, MAX_REPLAY_BODY, plan.deadline).await?;
-            attempts(edge, plan, body, None).await
+            send_with_retries(edge, plan, body, None).await
         }
     }
 }
@@ -137,27 +139,27 @@
 /// Claims the call's idempotency key, and sends the call if the claim was granted.
 async fn keyed_call(
     edge: &Arc<Edge>,
-    plan: &Plan,
+    plan: &PlannedCall,
     body: CallerBody,
     key: String,
 ) -> Result<Response<AnswerBody>, Fault> {
-    let body = gather(body, KEYED_LIMIT, plan.deadline).await?;
+    let body = gather(body, MAX_KEYED_BODY, plan.deadline).await?;
     if body.rest.is_some() {
-        return Err(Fault::KeyedTooLarge(KEYED_LIMIT));
+        return Err(Fault::KeyedTooLarge(MAX_KEYED_BODY));
     }
     let request = ClaimRequest {
         service: plan.service,
         key,
         digest: keyed::digest(plan.service, &plan.method, &plan.uri, &body.start),
-        ttl: plan.keep,
+        ttl: plan.key_ttl,
         deadline: plan.deadline,
     };
-    let hop = plan.trace.inner("claim");
+    let span = plan.trace.internal_span("claim");
     let claimed = keyed::claim(edge.claims.get(), request, plan.deadline).await;
-    drop(hop);
+    drop(span);
     match claimed? {
-        Claimed::Mine(claim) => attempts(edge, plan, body, Some(claim)).await,
-        Claimed::Before(response) => Ok(*response),
+        Claimed::Granted(claim) => send_with_retries(edge, plan, body, Some(claim)).await,
+        Claimed::Answered(response) => Ok(*response),
     }
 }
 
@@ -178,13 +180,13 @@
 }
 
 /// Sends the call until an endpoint answers, or until no retry is allowed.
-async fn attempts(
+async fn send_with_retries(
     edge: &Arc<Edge>,
-    plan: &Plan,
+    plan: &PlannedCall,
     body: BodyPrefix,
     mut claim: Option<Claim>,
 ) -> Result<Response<AnswerBody>, Fault> {
-    let mut bodies = Bodies::new(body);
+    let mut bodies = AttemptBodies::new(body);
     let mut call = Call {
         service: plan.service,
         deadline: plan.deadline,
@@ -192,7 +194,7 @@
     };
     let mut earlier = None;
     loop {
-        let failed = match attempt(edge, plan, &call, bodies.next(), &mut claim).await {
+        let failed = match send_once(edge, plan, &call, bodies.next(), &mut claim).await {
             Ok(response) => return Ok(response),
             Err(failed) => failed,
         };
@@ -203,12 +205,12 @@
             expired: clock::now() >= plan.deadline,
         };
         let endpoint = failed.endpoint;
-        let fault = worse(earlier.take(), failed);
+        let fault = reported_fault(earlier.take(), failed);
         match endpoint {
             Some(endpoint) if plan.state.allow_retry(retry) => call.tried.push(endpoint),
             _ => {
                 if let Some(claim) = claim {
-                    claim.failed(fault.outcome());
+                    claim.end_unanswered(fault.outcome());
                 }
                 return Err(fault);
             }
@@ -222,7 +224,7 @@
 /// If an earlier attempt may have run, a later one that did not run must not
 /// turn the answer into "not run". If the retry got no slot, the earlier
 /// attempt's fault says more about the cause.
-fn worse(earlier: Option<Fault>, failed: Failed) -> Fault {
+fn reported_fault(earlier: Option<Fault>, failed: FailedAttempt) -> Fault {
     match earlier {
         Some(earlier) if earlier.outcome() == Outcome::Unknown => earlier,
         Some(earlier) if failed.endpoint.is_none() => earlier,
@@ -231,38 +233,43 @@
 }
 
 /// Sends the call once, to one endpoint, and checks the head of the answer.
-async fn attempt(
+async fn send_once(
     edge: &Arc<Edge>,
-    plan: &Plan,
+    plan: &PlannedCall,
     call: &Call,
     body: RequestBody,
     claim: &mut Option<Claim>,
-) -> Result<Response<AnswerBody>, Failed> {
-    let (grant, connection) = place(edge, plan, call).await?;
+) -> Result<Response<AnswerBody>, FailedAttempt> {
+    let (grant, connection) = acquire_slot(edge, plan, call).await?;
     if let Some(claim) = claim {
-        claim.sending();
+        claim.mark_sent();
     }
     let endpoint = grant.endpoint;
-    let (request, hop) = plan.request(grant.address, body);
+    let (request, span) = plan.request(grant.address, body);
     let pool = Arc::clone(&edge.pool);
     let mut exchange = Exchange::new(pool, connection, grant, plan.deadline);
     match exchange.send(request).await {
-        Ok(response) => judge(exchange, response, plan, claim, hop).await,
-        Err(e) => Err(Failed::sending(e, endpoint)),
+        Ok(response) => handle_head(exchange, response, plan, claim, span).await,
+        Err(e) => Err(FailedAttempt::from_send_error(e, endpoint)),
     }
 }
 
 /// Acquires a slot and a connection, both valid at the moment of sending.
-async fn place(edge: &Arc<Edge>, plan: &Plan, call: &Call) -> Result<(Grant, Connection), Failed> {
+async fn acquire_slot(
+    edge: &Arc<Edge>,
+    plan: &PlannedCall,
+    call: &Call,
+) -> Result<(Grant, Connection), FailedAttempt> {
     loop {
-        let hop = plan.trace.inner("queue");
+        let span = plan.trace.internal_span("queue");
         let granted = edge.dispatcher.acquire(call).await;
-        drop(hop);
-        let grant = granted.map_err(|refusal| Failed::unplaced(Fault::Refused(refusal)))?;
+        drop(span);
+        let grant =
+            granted.map_err(|refusal| FailedAttempt::without_slot(Fault::Refused(refusal)))?;
         let endpoint = grant.endpoint;
         let Ok(connection) = edge.pool.take(endpoint, grant.address).await else {
             grant.finish(Ending::Unreachable);
-            return Err(Failed {
+            return Err(FailedAttempt {
                 fault: Fault::Unreachable,
                 endpoint: Some(endpoint),
                 failure: Failure::NotRun,
@@ -270,7 +277,9 @@
         };
         if clock::now() >= call.deadline {
             edge.pool.put(connection);
-            return Err(Failed::unplaced(Fault::Refused(Refusal::Expired)));
+            return Err(FailedAttempt::without_slot(Fault::Refused(
+                Refusal::Expired,
+            )));
         }
         if grant.may_send() {
             return Ok((grant, connection));
@@ -280,40 +289,45 @@
 }
 
 /// Decides by the head of an endpoint's answer whether it is relayed to the caller.
-async fn judge(
+async fn handle_head(
     exchange: Exchange,
     response: Response<Incoming>,
-    plan: &Plan,
+    plan: &PlannedCall,
     claim: &mut Option<Claim>,
-    hop: Hop,
-) -> Result<Response<AnswerBody>, Failed> {
+    span: CallSpan,
+) -> Result<Response<AnswerBody>, FailedAttempt> {
     let (mut parts, mut incoming) = response.into_parts();
-    if parts.status == StatusCode::SERVICE_UNAVAILABLE && parts.headers.contains_key(NOT_RUN) {
+    if parts.status == StatusCode::SERVICE_UNAVAILABLE && parts.headers.contains_key(NOT_RUN_HEADER)
+    {
         let endpoint = exchange.endpoint();
-        exchange.drain_rejection(&mut incoming, SHED_LIMIT).await;
-        return Err(Failed {
+        exchange
+            .drain_rejection(&mut incoming, MAX_REJECTION_BODY)
+            .await;
+        return Err(FailedAttempt {
             fault: Fault::Shed(parts.headers.remove(RETRY_AFTER)),
             endpoint,
             failure: Failure::NotRun,
         });
     }
-    if !is_bounded(&parts.headers, &incoming) || parts.status.is_informational() {
-        return Err(Failed {
+    if !is_end_detectable(&parts.headers, &incoming) || parts.status.is_informational() {
+        return Err(FailedAttempt {
             fault: Fault::Endless,
             endpoint: None,
             failure: Failure::MayHaveRun,
         });
     }
-    headers::give_back(&mut parts.headers);
-    parts.headers.insert(OUTCOME, Outcome::Complete.value());
-    let keeper = claim.take().map(|claim| Keeper::new(claim, &parts));
-    let escort = Escort {
-        keeper,
-        hop,
+    headers::prepare_answer(&mut parts.headers);
+    parts
+        .headers
+        .insert(OUTCOME_HEADER, Outcome::Complete.value());
+    let recorder = claim.take().map(|claim| AnswerRecorder::new(claim, &parts));
+    let context = AnswerContext {
+        recorder,
+        span,
         service: Arc::clone(&plan.state),
     };
-    let relay = Relay::new(exchange, incoming, plan.deadline, escort);
-    Ok(Response::from_parts(parts, AnswerBody::relay(relay)))
+    let relay = RelayedBody::new(exchange, incoming, plan.deadline, context);
+    Ok(Response::from_parts(parts, AnswerBody::relayed(relay)))
 }
 
 /// Returns whether a truncated answer can be detected: the body has a known
@@ -321,20 +335,20 @@
 ///
 /// An answer that is delimited by the end of its connection looks complete
 /// wherever it is truncated.
-fn is_bounded(fields: &HeaderMap, body: &Incoming) -> bool {
-    body.size_hint().exact().is_some() || fields.contains_key(TRANSFER_ENCODING)
+fn is_end_detectable(headers: &HeaderMap, body: &Incoming) -> bool {
+    body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
 }
 
 /// Creates the request body of each attempt to send a call.
-struct Bodies {
+struct AttemptBodies {
     start: Bytes,
     rest: Option<CallerBody>,
     replayable: bool,
 }
 
-impl Bodies {
-    fn new(body: BodyPrefix) -> Bodies {
-        Bodies {
+impl AttemptBodies {
+    fn new(body: BodyPrefix) -> AttemptBodies {
+        AttemptBodies {
             start: body.start,
             replayable: body.rest.is_none(),
             rest: body.rest,
@@ -349,45 +363,45 @@
     }
 }
 
-impl Plan {
-    fn request(&self, server: SocketAddr, body: RequestBody) -> (Request<RequestBody>, Hop) {
+impl PlannedCall {
+    fn request(&self, server: SocketAddr, body: RequestBody) -> (Request<RequestBody>, CallSpan) {
         let is_empty = body.is_end_stream();
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        let mut fields = self.fields.clone();
+        let mut headers = self.headers.clone();
         // Some servers reject a POST without a Content-Length field.
         if is_empty && [Method::POST, Method::PUT, Method::PATCH].contains(&self.method) {
-            fields.insert(CONTENT_LENGTH, HeaderValue::from(0));
+            headers.insert(CONTENT_LENGTH, HeaderValue::from(0));
         }
-        headers::forward(&mut fields, self.caller, server);
-        headers::set_deadline(&mut fields, clock::now().until(self.deadline));
-        let hop = self.trace.onward("backend", &mut fields);
-        if self.trace.is_on() {
-            hop.note("server.address", server.to_string());
+        headers::prepare_request(&mut headers, self.caller, server);
+        headers::set_deadline(&mut headers, clock::now().until(self.deadline));
+        let span = self.trace.client_span("backend", &mut headers);
+        if self.trace.is_sampled() {
+            span.set_attribute("server.address", server.to_string());
         }
-        *request.headers_mut() = fields;
-        (request, hop)
+        *request.headers_mut() = headers;
+        (request, span)
     }
 }
 
-impl Failed {
-    fn unplaced(fault: Fault) -> Failed {
-        Failed {
+impl FailedAttempt {
+    fn without_slot(fault: Fault) -> FailedAttempt {
+        FailedAttempt {
             fault,
             endpoint: None,
             failure: Failure::NotRun,
         }
     }
 
-    fn sending(error: SendError, endpoint: EndpointKey) -> Failed {
+    fn from_send_error(error: SendError, endpoint: EndpointKey) -> FailedAttempt {
         let (fault, failure) = match error {
             SendError::Unsent => (Fault::Unreachable, Failure::NotRun),
             SendError::Expired => (Fault::Silent, Failure::MayHaveRun),
             SendError::Broken(_) => (Fault::Broken, Failure::MayHaveRun),
             SendError::Body(e) => (Fault::BodyCutLate(e), Failure::MayHaveRun),
         };
-        Failed {
+        FailedAttempt {
             fault,
             endpoint: Some(endpoint),
             failure,
--- a/components/transport/src/edge/caller.rs
+++ b/components/transport/src/edge/caller.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records that the answer broke after its head had been sent.
-    pub fn break_off(&self) {
+    pub fn mark_broken(&self) {
         self.broken.store(true, Ordering::Relaxed);
     }
 
@@ -63,10 +63,10 @@
     stream: TcpStream,
     state: Arc<CallerState>,
     stall: StallTimer,
-    waiting: Option<Waiting>,
+    waiting: Option<StallWait>,
 }
 
-struct Waiting {
+struct StallWait {
     since: Instant,
     timer: Pin<Box<Sleep>>,
 }
@@ -87,7 +87,7 @@
         self.stream
     }
 
-    fn paced(
+    fn track_stall(
         &mut self,
         cx: &mut Context<'_>,
         result: Poll<io::Result<usize>>,
@@ -101,13 +101,13 @@
                 Poll::Ready(Ok(n))
             }
             Poll::Ready(Err(e)) => Poll::Ready(Err(e)),
-            Poll::Pending => self.poll_patience(cx),
+            Poll::Pending => self.poll_stall(cx),
         }
     }
 
-    fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let left = self.stall.remaining();
-        let waiting = self.waiting.get_or_insert_with(|| Waiting {
+        let waiting = self.waiting.get_or_insert_with(|| StallWait {
             since: Instant::now(),
             timer: Box::pin(tokio::time::sleep(left)),
         });
@@ -139,7 +139,7 @@
             return Poll::Ready(Ok(bytes.len()));
         }
         let result = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.paced(cx, result)
+        self.track_stall(cx, result)
     }
 
     fn poll_write_vectored(
@@ -151,7 +151,7 @@
             return Poll::Ready(Ok(slices.iter().map(|s| s.len()).sum()));
         }
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
-        self.paced(cx, result)
+        self.track_stall(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/components/transport/src/edge/connection.rs
+++ b/components/transport/src/edge/connection.rs
@@ -19,15 +19,15 @@
 
 /// How long a connection is still read from after its write side has been
 /// closed, so that the last answer reaches the caller.
-const LINGER_LIMIT: Duration = Duration::from_secs(2);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How many header fields one request may have.
-const FIELDS_LIMIT: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// Takes a caller's connection out of the count of open ones when dropped.
-struct Counted(Arc<Edge>);
+struct ConnectionGuard(Arc<Edge>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.callers.send_modify(|n| *n -= 1);
     }
@@ -35,30 +35,30 @@
 
 /// Serves the calls of one connection, one after another, and closes the connection.
 pub async fn serve(edge: Arc<Edge>, stream: TcpStream, caller: SocketAddr) {
-    let _counted = Counted(Arc::clone(&edge));
+    let _guard = ConnectionGuard(Arc::clone(&edge));
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    if edge.callers() > edge.limits.callers {
+    if edge.callers() > edge.limits.max_callers {
         let stream = reject::send(stream, Fault::TooManyCallers).await;
         linger(stream).await;
         return;
     }
     let state = Arc::new(CallerState::default());
-    let (stream, fault) = calls(edge, stream, caller, &state).await;
+    let (stream, fault) = serve_calls(edge, stream, caller, &state).await;
     let stream = match fault {
         Some(fault) => reject::send(stream, fault).await,
         None => stream,
     };
     match state.is_broken() {
-        true => reset(&stream),
+        true => reset_on_close(&stream),
         false => linger(stream).await,
     }
 }
 
 /// Serves calls until the connection ends, and returns its stream and the fault,
 /// if any, that the caller is still to be answered with.
-async fn calls(
+async fn serve_calls(
     edge: Arc<Edge>,
     stream: TcpStream,
     caller: SocketAddr,
@@ -73,19 +73,19 @@
             state.begin();
             let mut response = call::answer(&edge, request, caller).await;
             if *edge.stage.borrow() >= Stage::Leaving {
-                let fields = response.headers_mut();
-                fields.insert(CONNECTION, HeaderValue::from_static("close"));
+                let headers = response.headers_mut();
+                headers.insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            response.body_mut().tell(state);
+            response.body_mut().set_caller(state);
             Ok::<_, Infallible>(response)
         })
     });
     let io = TokioIo::new(CallerStream::new(stream, Arc::clone(state)));
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time)
-        .max_headers(FIELDS_LIMIT)
-        .max_buf_size(limits.head_size)
+        .header_read_timeout(limits.head_timeout)
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(limits.max_head_size)
         .serve_connection(io, service);
     let closing = async { stage.wait_for(|s| *s >= Stage::Closing).await.is_ok() };
     let result = tokio::select! {
@@ -98,16 +98,16 @@
     let parts = connection.into_parts();
     let fault = result
         .err()
-        .and_then(|e| fault(&e, !parts.read_buf.is_empty()));
+        .and_then(|e| close_fault(&e, !parts.read_buf.is_empty()));
     (parts.io.into_inner().into_stream(), fault)
 }
 
 /// Returns the fault of the caller's that ended the connection, none if an
 /// answer is no longer possible.
-fn fault(error: &hyper::Error, head_begun: bool) -> Option<Fault> {
+fn close_fault(error: &hyper::Error, head_begun: bool) -> Option<Fault> {
     match error {
         e if e.is_parse_too_large() => Some(Fault::HeadTooLarge),
-        e if e.is_parse() => Some(Fault::NotHttp(body::reason(e))),
+        e if e.is_parse() => Some(Fault::NotHttp(body::error_text(e))),
         e if e.is_timeout() && head_begun => Some(Fault::HeadTooSlow),
         _ => None,
     }
@@ -117,7 +117,7 @@
 /// its answer was truncated.
 ///
 /// An HTTP/1.0 caller would take an orderly close as the end of the answer.
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     // If this fails, the close that follows still truncates an answer that has a
     // Content-Length or chunked coding.
@@ -136,5 +136,5 @@
         let mut sink = [0; 4096];
         while let Ok(1..) = stream.read(&mut sink).await {}
     };
-    let _ = tokio::time::timeout(LINGER_LIMIT, drain).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
 }
--- a/components/transport/src/edge/fault.rs
+++ b/components/transport/src/edge/fault.rs
@@ -9,11 +9,11 @@
 
 use super::answer::AnswerBody;
 use super::body::BodyError;
-use super::outcome::{OUTCOME, Outcome};
+use super::outcome::{OUTCOME_HEADER, Outcome};
 use crate::dispatch::Refusal;
 
 /// The `Retry-After` of a 503 answer whose fault has no time of its own.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why a call was not answered by a backend server.
 ///
@@ -180,19 +180,19 @@
         let retry_after = self.retry_after();
         let outcome = self.outcome();
         let line = Bytes::from(format!("{self}\n"));
-        let mut response = Response::new(AnswerBody::line(line));
+        let mut response = Response::new(AnswerBody::buffered(line));
         *response.status_mut() = status;
-        let fields = response.headers_mut();
-        fields.insert(OUTCOME, outcome.value());
-        fields.insert(
+        let headers = response.headers_mut();
+        headers.insert(OUTCOME_HEADER, outcome.value());
+        headers.insert(
             CONTENT_TYPE,
             HeaderValue::from_static("text/plain; charset=utf-8"),
         );
         if let Some(value) = retry_after {
-            fields.insert(RETRY_AFTER, value);
+            headers.insert(RETRY_AFTER, value);
         }
         if self.ends_connection() {
-            fields.insert(CONNECTION, HeaderValue::from_static("close"));
+            headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
@@ -203,7 +203,9 @@
             Fault::Refused(Refusal::TooLate(time)) | Fault::KeyUnclaimed(time) => {
                 Some(seconds(*time))
             }
-            _ if self.status() == StatusCode::SERVICE_UNAVAILABLE => Some(seconds(COME_BACK)),
+            _ if self.status() == StatusCode::SERVICE_UNAVAILABLE => {
+                Some(seconds(DEFAULT_RETRY_AFTER))
+            }
             _ => None,
         }
     }
--- a/components/transport/src/edge/headers.rs
+++ b/components/transport/src/edge/headers.rs
@@ -8,7 +8,7 @@
     TRANSFER_ENCODING, UPGRADE, VIA,
 };
 
-use super::route::DEADLINE;
+use super::route::DEADLINE_HEADER;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
@@ -28,42 +28,42 @@
 ];
 
 /// Removes the hop-by-hop fields, including those that `Connection` lists.
-pub fn remove_hop_by_hop(fields: &mut HeaderMap) {
-    for name in listed(fields) {
-        fields.remove(name);
+pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
+    for name in connection_options(headers) {
+        headers.remove(name);
     }
     for name in &HOP_BY_HOP {
-        fields.remove(name);
+        headers.remove(name);
     }
 }
 
 /// Turns the header fields of a caller's request into those of the request to `server`.
-pub fn forward(fields: &mut HeaderMap, caller: SocketAddr, server: SocketAddr) {
-    let forwarded = forwarded(fields, caller);
-    remove_hop_by_hop(fields);
+pub fn prepare_request(headers: &mut HeaderMap, caller: SocketAddr, server: SocketAddr) {
+    let forwarded = forwarded(headers, caller);
+    remove_hop_by_hop(headers);
     // The entry host has already met the expectation (100-continue) by reading the body.
-    fields.remove(EXPECT);
-    append(fields, FORWARDED, &forwarded);
-    append(fields, VIA, VIA_SELF);
+    headers.remove(EXPECT);
+    append(headers, FORWARDED, &forwarded);
+    append(headers, VIA, VIA_SELF);
     if let Ok(host) = HeaderValue::try_from(server.to_string()) {
-        fields.insert(HOST, host);
+        headers.insert(HOST, host);
     }
 }
 
 /// Sets the deadline field to the time that is left for the call.
-pub fn set_deadline(fields: &mut HeaderMap, left: Duration) {
+pub fn set_deadline(headers: &mut HeaderMap, left: Duration) {
     let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    fields.insert(DEADLINE, HeaderValue::from(millis));
+    headers.insert(DEADLINE_HEADER, HeaderValue::from(millis));
 }
 
 /// Turns the header fields of a backend server's answer into those of the answer to the caller.
-pub fn give_back(fields: &mut HeaderMap) {
-    remove_hop_by_hop(fields);
-    append(fields, VIA, VIA_SELF);
+pub fn prepare_answer(headers: &mut HeaderMap) {
+    remove_hop_by_hop(headers);
+    append(headers, VIA, VIA_SELF);
 }
 
-fn listed(fields: &HeaderMap) -> Vec<HeaderName> {
-    fields
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
+    headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -73,16 +73,16 @@
 }
 
 /// Returns the element that this entry host adds to the `Forwarded` field (RFC 7239).
-fn forwarded(fields: &HeaderMap, caller: SocketAddr) -> String {
-    let host = fields.get(HOST).and_then(|h| h.to_str().ok());
+fn forwarded(headers: &HeaderMap, caller: SocketAddr) -> String {
+    let host = headers.get(HOST).and_then(|h| h.to_str().ok());
     match host.filter(|h| !h.contains(['"', '\\'])) {
         Some(host) => format!("for=\"{caller}\";host=\"{host}\";proto=http"),
         None => format!("for=\"{caller}\";proto=http"),
     }
 }
 
-fn append(fields: &mut HeaderMap, name: HeaderName, value: &str) {
+fn append(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::try_from(value) {
-        fields.append(name, value);
+        headers.append(name, value);
     }
 }
--- a/components/transport/src/edge/keyed.rs
+++ b/components/transport/src/edge/keyed.rs
@@ -16,16 +16,16 @@
 
 use super::answer::AnswerBody;
 use super::fault::Fault;
-use super::outcome::{OUTCOME, Outcome};
+use super::outcome::{OUTCOME_HEADER, Outcome};
 use crate::claims::{CachedAnswer, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 
 /// The largest body of an answer, in bytes, that is cached for repeats of its key.
-const KEEP_LIMIT: usize = 64 * 1024;
+const MAX_CACHED_BODY: usize = 64 * 1024;
 
 /// The `Retry-After` of a call whose claim was not decided in time, or that
 /// came before the claims were set.
-const UNCLAIMED_WAIT: Duration = Duration::from_secs(1);
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Decides, among all entry hosts, which call with an idempotency key may run.
 pub trait KeyClaims: Send + Sync {
@@ -49,9 +49,9 @@
 /// The result of claiming a call's key.
 pub enum Claimed {
     /// The claim was granted: the call is to be sent.
-    Mine(Claim),
+    Granted(Claim),
     /// The first call with this key was answered already: its cached answer.
-    Before(Box<Response<AnswerBody>>),
+    Answered(Box<Response<AnswerBody>>),
 }
 
 /// Claims the key of a call, waiting until `deadline` at most.
@@ -64,20 +64,20 @@
     request: ClaimRequest,
     deadline: Moment,
 ) -> Result<Claimed, Fault> {
-    let claims = claims.ok_or(Fault::KeyUnclaimed(UNCLAIMED_WAIT))?;
-    let waiting = ask(Arc::clone(claims), request);
+    let claims = claims.ok_or(Fault::KeyUnclaimed(CLAIM_RETRY_DELAY))?;
+    let waiting = spawn_claim(Arc::clone(claims), request);
     let left = clock::now().until(deadline);
     match tokio::time::timeout(left, waiting).await {
-        Ok(Ok(Verdict::Granted(ticket))) => Ok(Claimed::Mine(Claim {
+        Ok(Ok(Verdict::Granted(ticket))) => Ok(Claimed::Granted(Claim {
             claims: Arc::clone(claims),
             ticket: Some(ticket),
             sent: false,
         })),
-        Ok(Ok(Verdict::Known(kept))) => Ok(Claimed::Before(Box::new(replay(kept)))),
+        Ok(Ok(Verdict::Known(cached))) => Ok(Claimed::Answered(Box::new(replay(cached)))),
         Ok(Ok(Verdict::Started)) => Err(Fault::KeyStarted),
         Ok(Ok(Verdict::Mismatch)) => Err(Fault::KeyMismatch),
         Ok(Ok(Verdict::NotRun(wait))) => Err(Fault::KeyUnclaimed(wait)),
-        Ok(Err(_)) | Err(_) => Err(Fault::KeyUnclaimed(UNCLAIMED_WAIT)),
+        Ok(Err(_)) | Err(_) => Err(Fault::KeyUnclaimed(CLAIM_RETRY_DELAY)),
     }
 }
 
@@ -87,7 +87,7 @@
 /// written to the store, the claim may still be granted. No one would run the
 /// call then, and every repeat would get the answer that it was started. So the
 /// task ends a claim that is granted too late as not run.
-fn ask(claims: Arc<dyn KeyClaims>, request: ClaimRequest) -> oneshot::Receiver<Verdict> {
+fn spawn_claim(claims: Arc<dyn KeyClaims>, request: ClaimRequest) -> oneshot::Receiver<Verdict> {
     let (sender, receiver) = oneshot::channel();
     tokio::spawn(async move {
         let verdict = claims.claim(request).await;
@@ -112,12 +112,12 @@
 
 impl Claim {
     /// Records that the call is about to be sent.
-    pub fn sending(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
     /// Ends the claim of a call that got no answer, by the call's `outcome`.
-    pub fn failed(mut self, outcome: Outcome) {
+    pub fn end_unanswered(mut self, outcome: Outcome) {
         match outcome {
             Outcome::NotRun => self.end(ClaimEnding::NotRun),
             Outcome::Complete | Outcome::Unknown => self.end(ClaimEnding::Unknown),
@@ -141,37 +141,37 @@
 }
 
 /// Records the answer of a claimed call while it is relayed, for repeats of its key.
-pub struct Keeper {
+pub struct AnswerRecorder {
     claim: Claim,
     status: u16,
     fields: Vec<(String, Bytes)>,
     body: BytesMut,
-    large: bool,
+    is_too_large: bool,
 }
 
-impl Keeper {
+impl AnswerRecorder {
     /// Starts to record the answer whose head is `head`.
-    pub fn new(claim: Claim, head: &response::Parts) -> Keeper {
-        Keeper {
+    pub fn new(claim: Claim, head: &response::Parts) -> AnswerRecorder {
+        AnswerRecorder {
             claim,
             status: head.status.as_u16(),
-            fields: kept_fields(&head.headers),
+            fields: cached_fields(&head.headers),
             body: BytesMut::new(),
-            large: false,
+            is_too_large: false,
         }
     }
 
     /// Records the next piece of the body.
     pub fn add(&mut self, data: &Bytes) {
-        self.large |= self.body.len() + data.len() > KEEP_LIMIT;
-        if !self.large {
+        self.is_too_large |= self.body.len() + data.len() > MAX_CACHED_BODY;
+        if !self.is_too_large {
             self.body.extend_from_slice(data);
         }
     }
 
     /// Ends the claim with the complete answer.
     pub fn finish(mut self) {
-        let ending = match self.large {
+        let ending = match self.is_too_large {
             true => ClaimEnding::AnsweredLarge,
             false => ClaimEnding::Answered(CachedAnswer {
                 status: self.status,
@@ -183,19 +183,19 @@
     }
 }
 
-fn kept_fields(fields: &HeaderMap) -> Vec<(String, Bytes)> {
+fn cached_fields(fields: &HeaderMap) -> Vec<(String, Bytes)> {
     fields
         .iter()
-        .filter(|(name, _)| **name != OUTCOME)
+        .filter(|(name, _)| **name != OUTCOME_HEADER)
         .map(|(name, value)| (name.to_string(), Bytes::copy_from_slice(value.as_bytes())))
         .collect()
 }
 
 /// Returns a cached answer as a response with the same status, header fields and body.
-fn replay(kept: CachedAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::line(kept.body));
-    *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    for (name, value) in kept.fields {
+fn replay(cached: CachedAnswer) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::buffered(cached.body));
+    *response.status_mut() = StatusCode::from_u16(cached.status).unwrap_or(StatusCode::OK);
+    for (name, value) in cached.fields {
         let name = HeaderName::try_from(name);
         let value = HeaderValue::from_maybe_shared(value);
         if let (Ok(name), Ok(value)) = (name, value) {
@@ -204,6 +204,6 @@
     }
     response
         .headers_mut()
-        .insert(OUTCOME, Outcome::Complete.value());
+        .insert(OUTCOME_HEADER, Outcome::Complete.value());
     response
 }
--- a/components/transport/src/edge/mod.rs
+++ b/components/transport/src/edge/mod.rs
@@ -31,28 +31,28 @@
 
 /// How long to wait before accepting again after a failure, such as running out
 /// of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The time between two updates of the gauges.
-const GAUGE_EVERY: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits on callers' connections and on the heads of their requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// How many connections of callers may be open at once.
-    pub callers: usize,
+    pub max_callers: usize,
     /// How long a caller may take to send the head of a request.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// The largest head of a request, in bytes.
-    pub head_size: usize,
+    pub max_head_size: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            callers: 20_000,
-            head_time: Duration::from_secs(10),
-            head_size: 32 * 1024,
+            max_callers: 20_000,
+            head_timeout: Duration::from_secs(10),
+            max_head_size: 32 * 1024,
         }
     }
 }
@@ -123,7 +123,7 @@
 
     /// Accepts callers' connections until the edge is drained.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
-        let keeper = tokio::spawn(Arc::clone(&self).keep_pools());
+        let maintenance = tokio::spawn(Arc::clone(&self).maintain_pool());
         let mut stage = self.stage.subscribe();
         let closing = async move {
             // The sender lives as long as this edge.
@@ -136,7 +136,7 @@
         drop(listener);
         let mut callers = self.callers.subscribe();
         let _ = callers.wait_for(|n| *n == 0).await;
-        keeper.abort();
+        maintenance.abort();
     }
 
     /// Shuts the edge down without breaking a call, and returns when the last
@@ -179,7 +179,7 @@
                 }
                 Err(e) => {
                     log::warn!("E0101 accept-failed error={e:?}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -187,7 +187,7 @@
 
     /// Applies each new configuration to the connection pool, closes expired
     /// idle connections and updates the gauges, until aborted.
-    async fn keep_pools(self: Arc<Self>) {
+    async fn maintain_pool(self: Arc<Self>) {
         let mut config = self.config.clone();
         let sweep = Arc::clone(&self.pool).sweep();
         let follow = async {
@@ -203,7 +203,7 @@
             loop {
                 gauge!("cardamomvale_callers").set(self.callers() as f64);
                 gauge!("cardamomvale_kept_connections").set(self.idle_connections() as f64);
-                tokio::time::sleep(GAUGE_EVERY).await;
+                tokio::time::sleep(GAUGE_INTERVAL).await;
             }
         };
         tokio::join!(sweep, follow, count);
--- a/components/transport/src/edge/outcome.rs
+++ b/components/transport/src/edge/outcome.rs
@@ -4,7 +4,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 
 /// The header field of an answer that carries the outcome.
-pub const OUTCOME: HeaderName = HeaderName::from_static("cardamomvale-outcome");
+pub const OUTCOME_HEADER: HeaderName = HeaderName::from_static("cardamomvale-outcome");
 
 /// Whether the work of a call ran.
 #[tag]
--- a/components/transport/src/edge/reject.rs
+++ b/components/transport/src/edge/reject.rs
@@ -17,14 +17,14 @@
 use super::fault::Fault;
 
 /// A valid request that the HTTP library reads in place of the caller's bytes.
-const STAND_IN: &[u8] = b"GET / HTTP/1.1\r\nhost: none\r\nconnection: close\r\n\r\n";
+const PLACEHOLDER_REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: none\r\nconnection: close\r\n\r\n";
 
 /// A stream that reads the placeholder request and writes to the caller.
 ///
 /// To a request that it can't parse, the HTTP library can send only its own
 /// empty answer. With a placeholder request it writes the fault's answer, so
 /// that this module doesn't have to serialize HTTP itself.
-struct StandIn {
+struct PlaceholderStream {
     unread: &'static [u8],
     stream: TcpStream,
 }
@@ -37,21 +37,21 @@
         let fault = fault.lock().ok().and_then(|mut f| f.take());
         let response = match fault {
             Some(fault) => fault.into_response(),
-            None => Response::new(AnswerBody::line(bytes::Bytes::new())),
+            None => Response::new(AnswerBody::buffered(bytes::Bytes::new())),
         };
         std::future::ready(Ok::<_, Infallible>(response))
     });
-    let stand_in = StandIn {
-        unread: STAND_IN,
+    let placeholder = PlaceholderStream {
+        unread: PLACEHOLDER_REQUEST,
         stream,
     };
-    let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stand_in), service);
+    let mut connection = http1::Builder::new().serve_connection(TokioIo::new(placeholder), service);
     // An error means that the caller has disconnected.
     let _ = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)).await;
     connection.into_parts().io.into_inner().stream
 }
 
-impl AsyncRead for StandIn {
+impl AsyncRead for PlaceholderStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
@@ -69,7 +69,7 @@
     }
 }
 
-impl AsyncWrite for StandIn {
+impl AsyncWrite for PlaceholderStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/components/transport/src/edge/route.rs
+++ b/components/transport/src/edge/route.rs
@@ -12,13 +12,13 @@
 use super::fault::Fault;
 
 /// The header field that carries the remaining time of a call, in milliseconds.
-pub const DEADLINE: HeaderName = HeaderName::from_static("cardamomvale-deadline-ms");
+pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("cardamomvale-deadline-ms");
 
 /// The header field that makes it safe to repeat a non-idempotent call.
-pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub const IDEMPOTENCY_KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The longest idempotency key, in ASCII characters.
-pub const KEY_LIMIT: usize = 255;
+pub const MAX_KEY_LENGTH: usize = 255;
 
 /// The parsed target of a request.
 pub struct Target<'a> {
@@ -62,8 +62,8 @@
 /// # Errors
 ///
 /// Fails if the deadline field is no whole number of milliseconds.
-pub fn time_allowed(fields: &HeaderMap, service: &Service) -> Result<Duration, Fault> {
-    let Some(value) = fields.get(DEADLINE) else {
+pub fn time_allowed(headers: &HeaderMap, service: &Service) -> Result<Duration, Fault> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(service.deadline());
     };
     let text = value.to_str().map_err(|_| Fault::BadDeadline)?;
@@ -80,13 +80,13 @@
     if parts.method.is_idempotent() {
         return Ok(None);
     }
-    let mut values = parts.headers.get_all(IDEMPOTENCY_KEY).iter();
+    let mut values = parts.headers.get_all(IDEMPOTENCY_KEY_HEADER).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    let text = value.to_str().map_err(|_| Fault::BadKey(KEY_LIMIT))?;
+    let text = value.to_str().map_err(|_| Fault::BadKey(MAX_KEY_LENGTH))?;
     match text.len() {
-        1..=KEY_LIMIT if values.next().is_none() => Ok(Some(text.to_owned())),
-        _ => Err(Fault::BadKey(KEY_LIMIT)),
+        1..=MAX_KEY_LENGTH if values.next().is_none() => Ok(Some(text.to_owned())),
+        _ => Err(Fault::BadKey(MAX_KEY_LENGTH)),
     }
 }
--- a/components/transport/src/edge/service.rs
+++ b/components/transport/src/edge/service.rs
@@ -31,7 +31,7 @@
     /// Returns the state of a service of the preset in force, created on first use.
     ///
     /// Callers can't make the map grow, since only names from a preset are looked up.
-    pub fn of(&self, key: ServiceKey, name: &str) -> Arc<ServiceState> {
+    pub fn get(&self, key: ServiceKey, name: &str) -> Arc<ServiceState> {
         let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
         let state = all
             .entry(key)
@@ -55,7 +55,7 @@
     }
 
     /// Counts a call by its outcome, and records the time to the head of its answer.
-    pub fn answered(&self, outcome: Outcome, time: Duration) {
+    pub fn count_call(&self, outcome: Outcome, time: Duration) {
         match outcome {
             Outcome::Complete => self.complete.increment(1),
             Outcome::NotRun => self.not_run.increment(1),
@@ -65,7 +65,7 @@
     }
 
     /// Counts an answer that was truncated after its head had been sent.
-    pub fn cut(&self) {
+    pub fn count_cut(&self) {
         self.cut.increment(1);
     }
 
--- a/components/transport/src/entry/mod.rs
+++ b/components/transport/src/entry/mod.rs
@@ -1,8 +1,8 @@
 //! Starts an entry host, runs its background tasks and shuts it down.
 
 mod router;
-mod sender;
 mod settings;
+mod slot_sender;
 mod status;
 
 use std::io;
@@ -32,36 +32,36 @@
 pub use settings::Settings;
 
 /// How long an operator's command may wait for the store.
-const COMMAND_LIMIT: Duration = Duration::from_secs(5);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long answers carry `Connection: close` before idle connections are closed.
 ///
 /// The platform's balancer notices the failing readiness check within this
 /// time, so that no request is in transit to a connection that is being closed.
-const NOTICE: Duration = Duration::from_millis(500);
+const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
 /// Why a host is not ready while the configuration doesn't list it as a member.
-const NO_MEMBER: &str = "not a member, so no slots: is the log up? see E0412 and E0414";
+const NOT_A_MEMBER: &str = "not a member, so no slots: is the log up? see E0412 and E0414";
 
 /// The time between two runs of the metrics recorder's upkeep, which moves
 /// recorded values into the histograms.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The time between two confirmations to the dispatcher that this host's
 /// configuration is current, so that the host may act as an owner.
 ///
 /// Well below the time for which such a confirmation holds, so that one late
 /// tick doesn't stop an owner.
-const CONFIRM_EVERY: Duration = Duration::from_millis(100);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a shutdown waits until other hosts have taken over this host's roles.
-const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a shutdown waits until the host's removal from the members is in force.
-const LEAVE_LIMIT: Duration = Duration::from_secs(5);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The time given to the messages that return idle slots before the links are closed.
-const HAND_BACK: Duration = Duration::from_millis(200);
+const RETURN_DELAY: Duration = Duration::from_millis(200);
 
 /// A running entry host.
 pub struct EntryHost {
@@ -103,7 +103,7 @@
     name: String,
     data_centre: String,
     stopping: AtomicBool,
-    settled: AtomicBool,
+    has_linked: AtomicBool,
     follower: Arc<Follower>,
     submission: Submission,
     members: Arc<Members>,
@@ -126,17 +126,17 @@
             address: settings.admin,
             source,
         })?;
-        let callers_at = local(&callers, settings.callers)?;
-        let peers_at = local(&peers, settings.peers)?;
-        let host = Arc::new(Host::start(&settings, peers, peers_at));
-        let answers: Arc<dyn crate::admin::Host> = Arc::clone(&host) as _;
-        let recorder = recorder();
-        let admin = Admin::open(admin, &answers, recorder)?;
-        tokio::spawn(upkeep(recorder));
+        let callers_address = local_address(&callers, settings.callers)?;
+        let peers_address = local_address(&peers, settings.peers)?;
+        let host = Arc::new(Host::start(&settings, peers, peers_address));
+        let admin_host: Arc<dyn crate::admin::Host> = Arc::clone(&host) as _;
+        let recorder = metrics_recorder();
+        let admin = Admin::open(admin, &admin_host, recorder)?;
+        tokio::spawn(run_upkeep(recorder));
         tokio::spawn(Arc::clone(&host.edge).serve(callers));
         let ports = Ports {
-            callers: callers_at,
-            peers: peers_at,
+            callers: callers_address,
+            peers: peers_address,
             admin: admin.address(),
         };
         log::info!(
@@ -169,12 +169,14 @@
         let host = &self.host;
         log::info!("E0503 host-draining name={}", host.name);
         host.stopping.store(true, Ordering::SeqCst);
-        host.members.drain(DRAIN_LIMIT).await;
-        let ended = timeout(self.drain, host.edge.drain(NOTICE)).await.is_ok();
+        host.members.drain(HANDOVER_TIMEOUT).await;
+        let ended = timeout(self.drain, host.edge.drain(DRAIN_NOTICE))
+            .await
+            .is_ok();
         let left = if ended { 0 } else { host.edge.callers() };
         host.dispatcher.stop();
-        sleep(HAND_BACK).await;
-        host.members.leave(LEAVE_LIMIT).await;
+        sleep(RETURN_DELAY).await;
+        host.members.leave(LEAVE_TIMEOUT).await;
         host.members.stop();
         host.claims.stop();
         log::info!("E0504 host-stopped name={} left={left}", host.name);
@@ -182,10 +184,10 @@
 }
 
 impl Host {
-    fn start(settings: &Settings, peers: TcpListener, peers_at: SocketAddr) -> Host {
+    fn start(settings: &Settings, peers: TcpListener, peers_address: SocketAddr) -> Host {
         let client = BlockingStoreClient::new(settings.log, STORE_TIMEOUT);
         let follower = Arc::new(Follower::start(client.clone(), FollowerOptions::default()));
-        let submission = Submission::new(client.clone(), Arc::clone(&follower), COMMAND_LIMIT);
+        let submission = Submission::new(client.clone(), Arc::clone(&follower), COMMAND_TIMEOUT);
         let identity = Identity {
             name: settings.name.clone(),
             incarnation: rand::rng().random(),
@@ -196,7 +198,7 @@
         let members = Members::start(
             MembersOptions {
                 identity: identity.clone(),
-                address: peers_at,
+                address: peers_address,
                 follower: Arc::clone(&follower),
                 host_list: settings.log,
                 submission: submission.clone(),
@@ -210,27 +212,30 @@
             links: Arc::clone(&links),
             worker: WorkerOptions::default(),
         });
-        let setup = DispatcherOptions {
+        let options = DispatcherOptions {
             host: links.own_key(),
             incarnation: identity.incarnation,
             data_centre: settings.data_centre.clone(),
             policy: settings.policy,
         };
-        let dispatcher = Dispatcher::new(&setup, sender::start(Arc::clone(&links)));
+        let dispatcher = Dispatcher::new(&options, slot_sender::start(Arc::clone(&links)));
         router.set(Arc::clone(&dispatcher), Arc::clone(&claims));
         let exporter = opentelemetry_stdout::SpanExporter::default();
         let tracing = Tracing::new(settings.trace_every, &settings.name, exporter);
         let limits = Limits::default();
         let edge = Edge::with_tracing(limits, Arc::clone(&dispatcher), follower.config(), tracing);
         edge.set_claims(Arc::clone(&claims) as _);
-        tokio::spawn(configure(follower.config(), Arc::clone(&dispatcher)));
-        tokio::spawn(watch_members(links.view(), Arc::clone(&dispatcher)));
-        tokio::spawn(confirm(Arc::downgrade(&members), Arc::clone(&dispatcher)));
+        tokio::spawn(follow_config(follower.config(), Arc::clone(&dispatcher)));
+        tokio::spawn(follow_alive(links.view(), Arc::clone(&dispatcher)));
+        tokio::spawn(confirm_config(
+            Arc::downgrade(&members),
+            Arc::clone(&dispatcher),
+        ));
         Host {
             name: settings.name.clone(),
             data_centre: settings.data_centre.clone(),
             stopping: AtomicBool::new(false),
-            settled: AtomicBool::new(false),
+            has_linked: AtomicBool::new(false),
             follower,
             submission,
             members,
@@ -249,19 +254,19 @@
     /// A host that took calls before that could get no slots for them. Once
     /// true, the result stays true: otherwise cut links could make all hosts
     /// unready at the same time.
-    fn is_settled(&self) -> bool {
-        if self.settled.load(Ordering::SeqCst) {
+    fn has_been_linked(&self) -> bool {
+        if self.has_linked.load(Ordering::SeqCst) {
             return true;
         }
         let others = self.links.view().borrow().alive().count().saturating_sub(1);
-        let settled = self.links.link_count() * 2 >= others;
-        self.settled.store(settled, Ordering::SeqCst);
-        settled
+        let has_linked = self.links.link_count() * 2 >= others;
+        self.has_linked.store(has_linked, Ordering::SeqCst);
+        has_linked
     }
 }
 
 impl crate::admin::Host for Host {
-    fn unready(&self) -> Option<String> {
+    fn unready_reason(&self) -> Option<String> {
         let progress = self.follower.progress();
         let progress = progress.borrow();
         match (
@@ -271,14 +276,16 @@
             _ if self.stopping.load(Ordering::SeqCst) => Some("shutting down".to_owned()),
             (None, Some(trouble)) => Some(format!("no configuration yet: {trouble}")),
             (None, None) => Some("no preset has been chosen: use `preset choose`".to_owned()),
-            _ if !self.members.is_member() => Some(NO_MEMBER.to_owned()),
-            _ if !self.is_settled() => Some("links to the other hosts are being made".to_owned()),
+            _ if !self.members.is_member() => Some(NOT_A_MEMBER.to_owned()),
+            _ if !self.has_been_linked() => {
+                Some("links to the other hosts are being made".to_owned())
+            }
             _ => None,
         }
     }
 
     fn status(&self) -> serde_json::Value {
-        status::page(self)
+        status::to_json(self)
     }
 
     fn config(&self) -> String {
@@ -292,7 +299,7 @@
 }
 
 /// Applies each configuration to the dispatcher as it comes into force.
-async fn configure(mut config: watch::Receiver<Arc<Config>>, dispatcher: Arc<Dispatcher>) {
+async fn follow_config(mut config: watch::Receiver<Arc<Config>>, dispatcher: Arc<Dispatcher>) {
     loop {
         let current = Arc::clone(&config.borrow_and_update());
         dispatcher.configure(&current);
@@ -307,18 +314,18 @@
 /// The recorder otherwise moves recorded values into its histograms only when
 /// the metrics page is read. If no one reads that page, each call's time would
 /// stay in memory for good.
-async fn upkeep(recorder: Option<&'static PrometheusHandle>) {
+async fn run_upkeep(recorder: Option<&'static PrometheusHandle>) {
     let Some(recorder) = recorder else {
         return;
     };
     loop {
-        tokio::time::sleep(UPKEEP_EVERY).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         recorder.run_upkeep();
     }
 }
 
 /// Passes each change of the set of members that are alive to the dispatcher.
-async fn watch_members(mut view: watch::Receiver<Arc<LiveView>>, dispatcher: Arc<Dispatcher>) {
+async fn follow_alive(mut view: watch::Receiver<Arc<LiveView>>, dispatcher: Arc<Dispatcher>) {
     loop {
         let alive = view.borrow_and_update().alive().collect();
         dispatcher.set_alive(alive);
@@ -330,13 +337,13 @@
 
 /// Passes this host's incarnation to the dispatcher, and the moment at which its
 /// configuration was last proved to be current, until the members are dropped.
-async fn confirm(members: Weak<Members>, dispatcher: Arc<Dispatcher>) {
-    let mut ticks = interval(CONFIRM_EVERY);
+async fn confirm_config(members: Weak<Members>, dispatcher: Arc<Dispatcher>) {
+    let mut ticks = interval(CONFIRM_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while let Some(members) = members.upgrade() {
         dispatcher.renew_incarnation(members.own_id().incarnation);
-        if let Some(shown) = members.current_at() {
-            dispatcher.confirm(shown);
+        if let Some(proved_at) = members.current_at() {
+            dispatcher.confirm(proved_at);
         }
         drop(members);
         ticks.tick().await;
@@ -349,14 +356,14 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
     listener
         .local_addr()
         .map_err(|source| StartError::Listen { address, source })
 }
 
 /// Returns the process's metrics recorder, which is installed on the first call.
-fn recorder() -> Option<&'static PrometheusHandle> {
+fn metrics_recorder() -> Option<&'static PrometheusHandle> {
     static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
     HANDLE
         .get_or_init(|| PrometheusBuilder::new().install_recorder().ok())
--- a/components/transport/src/entry/sender.rs
+++ b/components/transport/src/entry/slot_sender.rs
@@ -13,11 +13,11 @@
 use crate::peers::Links;
 
 /// The time before a message that could not be sent is sent again.
-const PAUSE: Duration = Duration::from_millis(20);
+const RESEND_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How many times a message is sent again: in total for as long as a new link
 /// may take to be established.
-const REPEATS: usize = 100;
+const MAX_RESENDS: usize = 100;
 
 /// Returns the function by which the dispatcher sends its messages.
 ///
@@ -34,17 +34,17 @@
 pub fn start(links: Arc<Links>) -> SendMessage {
     let runtime = Handle::current();
     Arc::new(move |to, message| {
-        let lasting = matches!(message.body, SlotBody::Handoff(_));
+        let is_handoff = matches!(message.body, SlotBody::Handoff(_));
         let message = PeerMessage::Slots(message);
-        if !links.send(to, &message) && lasting {
-            runtime.spawn(repeat(Arc::clone(&links), to, message));
+        if !links.send(to, &message) && is_handoff {
+            runtime.spawn(resend(Arc::clone(&links), to, message));
         }
     })
 }
 
-async fn repeat(links: Arc<Links>, to: HostKey, message: PeerMessage) {
-    for _ in 0..REPEATS {
-        sleep(PAUSE).await;
+async fn resend(links: Arc<Links>, to: HostKey, message: PeerMessage) {
+    for _ in 0..MAX_RESENDS {
+        sleep(RESEND_INTERVAL).await;
         if links.send(to, &message) {
             return;
         }
--- a/components/transport/src/entry/status.rs
+++ b/components/transport/src/entry/status.rs
@@ -7,10 +7,10 @@
 
 use super::Host;
 use crate::clock;
-use crate::dispatch::EndpointStanding;
+use crate::dispatch::EndpointStatus;
 
 /// Returns the state of `host`: its configuration, members, services and endpoints.
-pub fn page(host: &Host) -> Value {
+pub fn to_json(host: &Host) -> Value {
     let config = host.follower.config().borrow().clone();
     let progress = host.follower.progress().borrow().clone();
     let now = clock::now();
@@ -64,12 +64,15 @@
 
 fn services(host: &Host, config: &Config) -> Vec<Value> {
     let row = |service: &state::preset::Service| {
-        let standing = host.dispatcher.standing(service.key()).unwrap_or_default();
+        let status = host
+            .dispatcher
+            .service_status(service.key())
+            .unwrap_or_default();
         json!({
             "service": service.name,
-            "waiting": standing.waiting,
-            "held": standing.held,
-            "idle": standing.idle,
+            "waiting": status.waiting,
+            "held": status.held,
+            "idle": status.idle,
         })
     };
     config.services().iter().map(row).collect()
@@ -77,37 +80,37 @@
 
 /// Lists all endpoints; values that only the owner knows are null for the others.
 fn endpoints(host: &Host, config: &Config) -> Vec<Value> {
-    let owned: BTreeMap<EndpointKey, EndpointStanding> = host
+    let owned: BTreeMap<EndpointKey, EndpointStatus> = host
         .dispatcher
-        .owned()
+        .owned_endpoints()
         .into_iter()
         .map(|s| (s.endpoint, s))
         .collect();
     let mut rows = Vec::new();
     for service in config.services() {
         for endpoint in &service.endpoints {
-            let standing = owned.get(&endpoint.key(service));
+            let status = owned.get(&endpoint.key(service));
             let leaving = config.is_leaving(&endpoint.data_centre, endpoint.address);
             rows.push(json!({
                 "service": service.name,
                 "endpoint": endpoint.address,
                 "data_centre": endpoint.data_centre,
-                "state": state(leaving, service.slots, standing),
-                "slots": standing.map(|s| s.cap),
-                "out": standing.map(|s| s.out),
-                "report_age_ms": standing.and_then(|s| s.report_age).map(|age| age.as_millis()),
+                "state": state(leaving, service.slots, status),
+                "slots": status.map(|s| s.cap),
+                "out": status.map(|s| s.leased),
+                "report_age_ms": status.and_then(|s| s.report_age).map(|age| age.as_millis()),
             }));
         }
     }
     rows
 }
 
-fn state(leaving: bool, slots: u32, standing: Option<&EndpointStanding>) -> &'static str {
-    match standing {
+fn state(leaving: bool, slots: u32, status: Option<&EndpointStatus>) -> &'static str {
+    match status {
         _ if leaving => "leaving",
         None => "owned elsewhere",
-        Some(s) if s.fenced => "fenced",
-        Some(s) if s.doubted => "doubted",
+        Some(s) if s.is_fenced => "fenced",
+        Some(s) if s.is_degraded => "doubted",
         Some(s) if s.cap < slots => "cold",
         Some(_) => "warm",
     }
--- a/components/transport/src/trace.rs
+++ b/components/transport/src/trace.rs
@@ -25,16 +25,16 @@
 };
 
 /// The header field that carries trace id and parent span id (W3C Trace Context).
-const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
+const TRACEPARENT_HEADER: HeaderName = HeaderName::from_static("traceparent");
 
 /// How many finished spans may wait to be exported.
-const QUEUE_LIMIT: usize = 4_096;
+const MAX_QUEUED_SPANS: usize = 4_096;
 
 /// How many spans are exported at once.
-const BATCH_LIMIT: usize = 512;
+const MAX_BATCH_SIZE: usize = 512;
 
 /// How long a batch that is not full waits for another span.
-const BATCH_TIME: Duration = Duration::from_millis(500);
+const BATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Decides which calls are traced, and creates their spans.
 pub struct Tracing {
@@ -47,11 +47,11 @@
 /// The trace of one call; without effect for a call that isn't traced.
 pub struct CallTrace {
     tracer: Option<SdkTracer>,
-    root: Hop,
+    root: CallSpan,
 }
 
 /// One span of a call's trace, which ends when dropped; none if the call isn't traced.
-pub struct Hop(Option<Context>);
+pub struct CallSpan(Option<Context>);
 
 impl Tracing {
     /// Returns a tracing that samples no call.
@@ -76,7 +76,7 @@
             .build();
         let provider = SdkTracerProvider::builder()
             .with_resource(resource)
-            .with_span_processor(Queue::start(exporter))
+            .with_span_processor(SpanQueue::start(exporter))
             .build();
         Tracing {
             every,
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Begins the trace of a call with the header fields `fields`, if the call is sampled.
+    /// Begins the trace of a call with the header fields `headers`, if the call is sampled.
     ///
     /// A call whose caller declines sampling is not sampled. One whose caller
     /// requests it is still sampled at the configured rate only: callers must
     /// not decide what tracing costs this host.
-    pub fn begin(&self, fields: &HeaderMap) -> CallTrace {
-        let parent = fields.get(TRACEPARENT).and_then(parse);
+    pub fn start_call(&self, headers: &HeaderMap) -> CallTrace {
+        let parent = headers.get(TRACEPARENT_HEADER).and_then(parse_traceparent);
         let declined = parent.as_ref().is_some_and(|p| !p.is_sampled());
         match &self.tracer {
             Some(tracer) if !declined && self.is_due() => {
@@ -100,7 +100,7 @@
                     Some(parent) => Context::new().with_remote_span_context(parent),
                     None => Context::new(),
                 };
-                let root = hop(tracer, "call", SpanKind::Server, &context);
+                let root = start_span(tracer, "call", SpanKind::Server, &context);
                 CallTrace {
                     tracer: Some(tracer.clone()),
                     root,
@@ -108,7 +108,7 @@
             }
             _ => CallTrace {
                 tracer: None,
-                root: Hop(None),
+                root: CallSpan(None),
             },
         }
     }
@@ -129,7 +129,7 @@
 
 impl CallTrace {
     /// Begins a span within the entry host.
-    pub fn inner(&self, name: &'static str) -> Hop {
+    pub fn internal_span(&self, name: &'static str) -> CallSpan {
         self.child(name, SpanKind::Internal)
     }
 
@@ -137,40 +137,43 @@
     ///
     /// For a call that isn't traced, a valid `traceparent` of the caller's is
     /// forwarded unchanged, and a malformed one is removed.
-    pub fn onward(&self, name: &'static str, fields: &mut HeaderMap) -> Hop {
-        let hop = self.child(name, SpanKind::Client);
-        match hop.header() {
-            Some(value) => drop(fields.insert(TRACEPARENT, value)),
-            None if fields.get(TRACEPARENT).is_some_and(|v| parse(v).is_none()) => {
-                fields.remove(TRACEPARENT);
+    pub fn client_span(&self, name: &'static str, headers: &mut HeaderMap) -> CallSpan {
+        let span = self.child(name, SpanKind::Client);
+        match span.header() {
+            Some(value) => drop(headers.insert(TRACEPARENT_HEADER, value)),
+            None if headers
+                .get(TRACEPARENT_HEADER)
+                .is_some_and(|v| parse_traceparent(v).is_none()) =>
+            {
+                headers.remove(TRACEPARENT_HEADER);
             }
             None => {}
         }
-        hop
+        span
     }
 
     /// Returns whether this call is traced, so that computing an attribute's value is
     /// worthwhile.
-    pub fn is_on(&self) -> bool {
+    pub fn is_sampled(&self) -> bool {
         self.tracer.is_some()
     }
 
     /// Sets an attribute of the span of the whole call.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
-        self.root.note(key, value);
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+        self.root.set_attribute(key, value);
     }
 
-    fn child(&self, name: &'static str, kind: SpanKind) -> Hop {
+    fn child(&self, name: &'static str, kind: SpanKind) -> CallSpan {
         match (&self.tracer, &self.root.0) {
-            (Some(tracer), Some(context)) => hop(tracer, name, kind, context),
-            _ => Hop(None),
+            (Some(tracer), Some(context)) => start_span(tracer, name, kind, context),
+            _ => CallSpan(None),
         }
     }
 }
 
-impl Hop {
+impl CallSpan {
     /// Sets an attribute of the span.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         if let Some(context) = &self.0 {
             context.span().set_attribute(KeyValue::new(key, value));
         }
@@ -183,14 +186,19 @@
     }
 }
 
-fn hop(tracer: &SdkTracer, name: &'static str, kind: SpanKind, parent: &Context) -> Hop {
+fn start_span(
+    tracer: &SdkTracer,
+    name: &'static str,
+    kind: SpanKind,
+    parent: &Context,
+) -> CallSpan {
     let builder = SpanBuilder::from_name(name).with_kind(kind);
     let span = tracer.build_with_context(builder, parent);
-    Hop(Some(parent.with_span(span)))
+    CallSpan(Some(parent.with_span(span)))
 }
 
 /// Parses a `traceparent` field, none if it is malformed.
-fn parse(value: &HeaderValue) -> Option<SpanContext> {
+fn parse_traceparent(value: &HeaderValue) -> Option<SpanContext> {
     let mut parts = value.to_str().ok()?.split('-');
     let version = parts.next()?;
     let trace = TraceId::from_hex(parts.next().filter(|t| t.len() == 32)?).ok()?;
@@ -208,7 +216,7 @@
 
 /// The queue of finished spans for the thread that exports them.
 #[derive(Debug)]
-struct Queue {
+struct SpanQueue {
     sender: SyncSender<Item>,
 }
 
@@ -217,33 +225,33 @@
     Flush(SyncSender<()>),
 }
 
-impl Queue {
-    fn start(exporter: impl SpanExporter + 'static) -> Queue {
-        let (sender, receiver) = sync_channel(QUEUE_LIMIT);
-        thread::spawn(move || write(&receiver, &exporter));
-        Queue { sender }
+impl SpanQueue {
+    fn start(exporter: impl SpanExporter + 'static) -> SpanQueue {
+        let (sender, receiver) = sync_channel(MAX_QUEUED_SPANS);
+        thread::spawn(move || export_spans(&receiver, &exporter));
+        SpanQueue { sender }
     }
 
-    fn dropped() -> Counter {
+    fn drop_counter() -> Counter {
         counter!("cardamomvale_spans_dropped_total")
     }
 }
 
-impl SpanProcessor for Queue {
+impl SpanProcessor for SpanQueue {
     fn on_start(&self, _span: &mut Span, _context: &Context) {}
 
     fn on_end(&self, span: SpanData) {
         if self.sender.try_send(Item::Span(Box::new(span))).is_err() {
-            Queue::dropped().increment(1);
+            SpanQueue::drop_counter().increment(1);
         }
     }
 
     fn force_flush(&self) -> OTelSdkResult {
         let (done, wait) = sync_channel(1);
         let sent = self.sender.try_send(Item::Flush(done));
-        match sent.map(|()| wait.recv_timeout(BATCH_TIME * 4)) {
+        match sent.map(|()| wait.recv_timeout(BATCH_TIMEOUT * 4)) {
             Ok(Ok(())) => Ok(()),
-            _ => Err(OTelSdkError::Timeout(BATCH_TIME * 4)),
+            _ => Err(OTelSdkError::Timeout(BATCH_TIMEOUT * 4)),
         }
     }
 
@@ -253,13 +261,13 @@
 }
 
 /// Exports spans in batches, until the queue's sending end is dropped.
-fn write(receiver: &Receiver<Item>, exporter: &impl SpanExporter) {
+fn export_spans(receiver: &Receiver<Item>, exporter: &impl SpanExporter) {
     let mut batch = Vec::new();
     loop {
-        let flushed = match receiver.recv_timeout(BATCH_TIME) {
+        let flushed = match receiver.recv_timeout(BATCH_TIMEOUT) {
             Ok(Item::Span(span)) => {
                 batch.push(*span);
-                if batch.len() < BATCH_LIMIT {
+                if batch.len() < MAX_BATCH_SIZE {
                     continue;
                 }
                 None
@@ -273,7 +281,7 @@
             // it would delay the spans that follow.
             let written = exporter.export(std::mem::take(&mut batch)).now_or_never();
             if !matches!(written, Some(Ok(()))) {
-                Queue::dropped().increment(1);
+                SpanQueue::drop_counter().increment(1);
             }
         }
         if let Some(done) = flushed {
--- a/components/transport/tests/admin_port.rs
+++ b/components/transport/tests/admin_port.rs
@@ -8,13 +8,13 @@
 use transport::admin::{Admin, Host};
 
 /// A host whose commands block until the test releases them.
-struct Slow {
-    begun: Mutex<Sender<()>>,
-    go_on: Mutex<Receiver<()>>,
+struct BlockedHost {
+    started_sender: Mutex<Sender<()>>,
+    release: Mutex<Receiver<()>>,
 }
 
-impl Host for Slow {
-    fn unready(&self) -> Option<String> {
+impl Host for BlockedHost {
+    fn unready_reason(&self) -> Option<String> {
         None
     }
 
@@ -27,8 +27,8 @@
     }
 
     fn command(&self, _: &[u8]) -> (u16, String) {
-        self.begun.lock().unwrap().send(()).unwrap();
-        self.go_on.lock().unwrap().recv().unwrap();
+        self.started_sender.lock().unwrap().send(()).unwrap();
+        self.release.lock().unwrap().recv().unwrap();
         (200, "{}".to_owned())
     }
 }
@@ -52,24 +52,24 @@
 /// that a new connection was not served until another one closed. The port now
 /// accepts and serves connections itself.
 #[test]
-fn commands_wait_apart() {
-    let (begun, begins) = channel();
-    let (go_on, waits) = channel();
-    let host: Arc<dyn Host> = Arc::new(Slow {
-        begun: Mutex::new(begun),
-        go_on: Mutex::new(waits),
+fn ready_despite_blocked_commands() {
+    let (started_sender, started) = channel();
+    let (release, released) = channel();
+    let host: Arc<dyn Host> = Arc::new(BlockedHost {
+        started_sender: Mutex::new(started_sender),
+        release: Mutex::new(released),
     });
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let admin = Admin::open(listener, &host, None).unwrap();
     let address = admin.address();
     let waiting: Vec<_> = (0..8).map(|_| post(address)).collect();
-    begins.recv().unwrap();
+    started.recv().unwrap();
     let ready = ureq::get(format!("http://{address}/readyz"))
         .call()
         .unwrap();
     assert_eq!(ready.status().as_u16(), 200);
     for _ in 0..8 {
-        go_on.send(()).unwrap();
+        release.send(()).unwrap();
     }
     for command in waiting {
         assert_eq!(command.join().unwrap(), 200);
--- a/components/transport/tests/answers.rs
+++ b/components/transport/tests/answers.rs
@@ -7,10 +7,12 @@
 use tokio::io::AsyncWriteExt;
 
 #[tokio::test]
-async fn whole_answer() {
+async fn complete_answer() {
     let server = ScriptedServer::always(Reply::Keep(ok("free on Friday"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get("/hallboard/halls/7?day=friday")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server
+        .call(&get("/hallboard/halls/7?day=friday"))
+        .await;
     assert_eq!(answer.status(), 200, "{answer:?}");
     assert_eq!(answer.outcome(), "complete");
     assert_eq!(answer.text(), "free on Friday");
@@ -23,10 +25,12 @@
 }
 
 #[tokio::test]
-async fn body_passed_on() {
+async fn body_forwarded() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server
+        .call(&post("/hallboard/deposits", "12 pounds"))
+        .await;
     assert_eq!(answer.outcome(), "complete", "{answer:?}");
     assert_eq!(server.requests()[0].body, b"12 pounds");
 }
@@ -38,8 +42,8 @@
 async fn cut_with_length() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nonly this much";
     let server = ScriptedServer::always(Reply::Close(head.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get("/hallboard/halls")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get("/hallboard/halls")).await;
     assert!(answer.reset || answer.body.len() < 100, "{answer:?}");
 }
 
@@ -49,30 +53,32 @@
 async fn cut_in_chunks() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhalls\r\n";
     let server = ScriptedServer::always(Reply::Close(head.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get("/hallboard/halls")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get("/hallboard/halls")).await;
     assert!(!answer.text().ends_with("0\r\n\r\n"), "{answer:?}");
 }
 
 /// An HTTP/1.0 caller takes the end of its connection as the end of the answer.
 /// It detects the truncation only if the connection is reset.
 #[tokio::test]
-async fn cut_for_old_caller() {
+async fn cut_for_http_1_0() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhalls\r\n";
     let server = ScriptedServer::always(Reply::Close(head.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call("GET /hallboard/halls HTTP/1.0\r\n\r\n").await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server
+        .call("GET /hallboard/halls HTTP/1.0\r\n\r\n")
+        .await;
     assert!(answer.reset, "{answer:?}");
 }
 
 /// An answer with neither Content-Length nor chunked coding looks complete
 /// wherever it is truncated, so it must not be relayed. The work may have run.
 #[tokio::test]
-async fn endless_answer() {
+async fn answer_without_length() {
     let server =
         ScriptedServer::always(Reply::Close("HTTP/1.1 200 OK\r\n\r\nhalf a li".into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get("/hallboard/halls")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get("/hallboard/halls")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (502, "unknown")
@@ -82,12 +88,12 @@
 /// Hop-by-hop fields and those that `Connection` lists must not be forwarded:
 /// they apply to one connection only.
 #[tokio::test]
-async fn fields_of_one_hop() {
+async fn hop_by_hop_fields() {
     let reply = "HTTP/1.1 200 OK\r\nkeep-alive: timeout=5\r\nconnection: x-inner\r\nx-inner: 1\r\nx-kept: 2\r\ncontent-length: 0\r\n\r\n";
     let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let request = "GET /hallboard/ HTTP/1.1\r\nhost: entry\r\nconnection: close, x-secret\r\nx-secret: 1\r\nte: trailers\r\nx-own: 3\r\nvia: 1.0 old\r\n\r\n";
-    let answer = site.call(request).await;
+    let answer = edge_server.call(request).await;
     assert_eq!(field(&answer.head, "keep-alive"), None);
     assert_eq!(field(&answer.head, "x-inner"), None);
     assert_eq!(field(&answer.head, "x-kept").as_deref(), Some("2"));
@@ -108,8 +114,8 @@
 async fn redirect_not_followed() {
     let reply = "HTTP/1.1 302 Found\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n";
     let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get("/hallboard/old")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get("/hallboard/old")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (302, "complete")
@@ -118,11 +124,11 @@
 }
 
 #[tokio::test]
-async fn packed_stays_packed() {
+async fn compressed_body_unchanged() {
     let reply = "HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\ncontent-length: 4\r\n\r\nabcd";
     let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get("/hallboard/old")).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get("/hallboard/old")).await;
     assert_eq!(
         field(&answer.head, "content-encoding").as_deref(),
         Some("gzip")
@@ -133,9 +139,9 @@
 #[tokio::test]
 async fn connections_reused() {
     let server = ScriptedServer::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
-    let site = EdgeServer::start(&[&server]).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     for n in 0..5 {
-        let answer = site.call(&get("/hallboard/")).await;
+        let answer = edge_server.call(&get("/hallboard/")).await;
         assert_eq!(answer.text(), format!("answer {n}"));
     }
     let mut used: Vec<_> = server.requests().iter().map(|s| s.connection).collect();
@@ -145,10 +151,10 @@
 
 /// Two pipelined calls on one connection of the caller's get their answers in order.
 #[tokio::test]
-async fn kept_caller() {
+async fn pipelined_calls() {
     let server = ScriptedServer::start(|n, _| Reply::Keep(ok(&format!("answer {n}")))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut stream = edge_server.connect().await;
     let first = "GET /hallboard/1 HTTP/1.1\r\nhost: entry\r\n\r\n";
     let both = format!("{first}{}", get("/hallboard/2"));
     stream.write_all(both.as_bytes()).await.expect("sent");
--- a/components/transport/tests/bad_input.rs
+++ b/components/transport/tests/bad_input.rs
@@ -14,7 +14,7 @@
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
-fn endless_fields() -> String {
+fn too_many_fields() -> String {
     let fields: String = (0..5_000).map(|n| format!("x-{n}: filler\r\n")).collect();
     format!("GET /hallboard/ HTTP/1.1\r\nhost: entry\r\n{fields}")
 }
@@ -40,7 +40,7 @@
     "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nabc\r\n".into(),
     400, "body of the request is broken"
 )]
-#[case::endless_fields(endless_fields(), 431, "head of the request is too large")]
+#[case::too_many_fields(too_many_fields(), 431, "head of the request is too large")]
 #[case::long_field(
     format!("GET /hallboard/ HTTP/1.1\r\nx: {}", "a".repeat(100_000)),
     431, "head of the request is too large"
@@ -66,8 +66,8 @@
 #[tokio::test]
 async fn refused(#[case] request: String, #[case] status: u16, #[case] line: &str) {
     let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&request).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&request).await;
     assert_eq!(answer.status(), status, "{answer:?}");
     assert_eq!(answer.outcome(), "not-run", "{answer:?}");
     assert!(answer.text().contains(line), "{answer:?}");
@@ -81,8 +81,8 @@
 async fn garbage_after_call() {
     let server =
         ScriptedServer::always(Reply::Keep(ok("HTTP/1.1 400 is what the page is about"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut stream = edge_server.connect().await;
     let call = "GET /hallboard/ HTTP/1.1\r\nhost: entry\r\n\r\n";
     stream.write_all(call.as_bytes()).await.expect("sent");
     support::until(|| server.requests().len() == 1).await;
@@ -106,13 +106,13 @@
 #[tokio::test]
 async fn smuggled_call() {
     let server = ScriptedServer::always(Reply::Keep(ok("first"))).await;
-    let site = EdgeServer::start(&[&server]).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let hidden = "GET /hallboard/hidden HTTP/1.1\r\nhost: e\r\n\r\n";
     let length = hidden.len() + 5;
     let request = format!(
         "POST /hallboard/a HTTP/1.1\r\nhost: e\r\ncontent-length: {length}\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"
     );
-    let answer = site.call(&request).await;
+    let answer = edge_server.call(&request).await;
     assert_eq!(answer.text(), "first", "{answer:?}");
     let seen = server.requests();
     assert_eq!(seen.len(), 1, "{seen:?}");
@@ -128,17 +128,17 @@
 async fn slow_heads() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
-        head_time: Duration::from_millis(500),
+        head_timeout: Duration::from_millis(500),
         ..Limits::default()
     };
-    let site = EdgeServer::with(&[&server], |_| {}, limits).await;
+    let edge_server = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut slow = Vec::new();
     for _ in 0..1_000 {
-        let mut stream = site.connect().await;
+        let mut stream = edge_server.connect().await;
         stream.write_all(b"GET /hallboard/ HT").await.expect("sent");
         slow.push(stream);
     }
-    assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "prompt");
     for stream in &mut slow {
         let answer = Answer::read(stream).await;
         assert_eq!(
@@ -154,15 +154,15 @@
 #[tokio::test]
 async fn slow_bodies_hold_no_slot() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
-    let site = EdgeServer::start(&[&server]).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let mut slow = Vec::new();
     for _ in 0..200 {
-        let mut stream = site.connect().await;
+        let mut stream = edge_server.connect().await;
         let start = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ncontent-length: 60000\r\n\r\nabc";
         stream.write_all(start.as_bytes()).await.expect("sent");
         slow.push(stream);
     }
-    assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "prompt");
     assert_eq!(server.requests().len(), 1);
 }
 
@@ -172,16 +172,16 @@
 async fn too_many_callers() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
-        callers: 3,
+        max_callers: 3,
         ..Limits::default()
     };
-    let site = EdgeServer::with(&[&server], |_| {}, limits).await;
+    let edge_server = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut held = Vec::new();
     for _ in 0..3 {
-        held.push(site.connect().await);
+        held.push(edge_server.connect().await);
     }
-    support::until(|| site.edge.callers() == 3).await;
-    let answer = site.call(&get("/hallboard/")).await;
+    support::until(|| edge_server.edge.callers() == 3).await;
+    let answer = edge_server.call(&get("/hallboard/")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
@@ -195,10 +195,10 @@
 #[tokio::test]
 async fn chunked_over_limit() {
     let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
-    let site = EdgeServer::start(&[&server]).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let chunk = format!("10000\r\n{}\r\n", "a".repeat(0x10000));
     let head = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\n";
-    let mut stream = site.connect().await;
+    let mut stream = edge_server.connect().await;
     let (mut reading, mut writing) = stream.split();
     let send = async {
         writing.write_all(head.as_bytes()).await?;
@@ -226,25 +226,25 @@
 async fn random_bytes() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
-        head_time: Duration::from_millis(200),
+        head_timeout: Duration::from_millis(200),
         ..Limits::default()
     };
-    let site = EdgeServer::with(&[&server], |_| {}, limits).await;
+    let edge_server = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut random = SmallRng::seed_from_u64(24);
     for round in 0..300 {
         let request = mutated(&mut random);
-        let mut stream = site.connect().await;
+        let mut stream = edge_server.connect().await;
         stream.write_all(&request).await.expect("sent");
         stream.shutdown().await.expect("half closed");
         let answer = Answer::read(&mut stream).await;
-        let told = answer.head.is_empty() || !answer.outcome().is_empty();
+        let answered_or_closed = answer.head.is_empty() || !answer.outcome().is_empty();
         assert!(
-            told,
+            answered_or_closed,
             "round {round}: {answer:?} to {:?}",
             request.escape_ascii().to_string()
         );
     }
-    assert_eq!(site.call(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "prompt");
 }
 
 /// Returns a valid request with some of its bytes changed, removed or duplicated.
--- a/components/transport/tests/deadlines.rs
+++ b/components/transport/tests/deadlines.rs
@@ -6,37 +6,43 @@
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
-fn time_told(server: &ScriptedServer) -> u64 {
+fn forwarded_deadline(server: &ScriptedServer) -> u64 {
     let head = &server.requests()[0].head;
     let time = field(head, "cardamomvale-deadline-ms").expect("a deadline");
     time.parse().expect("a number")
 }
 
 #[tokio::test]
-async fn remaining_time_travels() {
+async fn deadline_forwarded() {
     let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    site.call(&get_within("/hallboard/", 15_000)).await;
-    let told = time_told(&server);
-    assert!((1..=15_000).contains(&told), "told {told}");
+    let edge_server = EdgeServer::start(&[&server]).await;
+    edge_server.call(&get_within("/hallboard/", 15_000)).await;
+    let forwarded = forwarded_deadline(&server);
+    assert!(
+        (1..=15_000).contains(&forwarded),
+        "forwarded {forwarded} ms"
+    );
 }
 
 #[tokio::test]
 async fn capped_by_service() {
     let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
-    let site = EdgeServer::with(&[&server], |s| s.deadline_ms = 3_000, Limits::default()).await;
-    site.call(&get_within("/hallboard/", 3_600_000)).await;
-    let told = time_told(&server);
-    assert!((1..=3_000).contains(&told), "told {told}");
+    let edge_server =
+        EdgeServer::with(&[&server], |s| s.deadline_ms = 3_000, Limits::default()).await;
+    edge_server
+        .call(&get_within("/hallboard/", 3_600_000))
+        .await;
+    let forwarded = forwarded_deadline(&server);
+    assert!((1..=3_000).contains(&forwarded), "forwarded {forwarded} ms");
 }
 
 /// A call arrives with no time left. It must not be sent: the backend server
 /// would do work whose answer no one waits for.
 #[tokio::test]
-async fn none_left() {
+async fn no_time_left() {
     let server = ScriptedServer::always(Reply::Keep(ok("done"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get_within("/hallboard/", 0)).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get_within("/hallboard/", 0)).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
@@ -50,8 +56,8 @@
 #[tokio::test]
 async fn silent_server() {
     let server = ScriptedServer::always(Reply::Hang(String::new())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get_within("/hallboard/", 200)).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get_within("/hallboard/", 200)).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (504, "unknown"),
@@ -66,8 +72,8 @@
 async fn stalled_answer() {
     let begun = "HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nthe beginning";
     let server = ScriptedServer::always(Reply::Hang(begun.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let answer = site.call(&get_within("/hallboard/", 200)).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&get_within("/hallboard/", 200)).await;
     assert!(answer.reset || answer.body.len() < 1000, "{answer:?}");
     until(|| server.cancelled() == 1).await;
 }
@@ -77,12 +83,12 @@
 #[tokio::test]
 async fn drain_waits() {
     let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut held = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut held = edge_server.connect().await;
     let start = "POST /hallboard/slow HTTP/1.1\r\nhost: e\r\ncontent-length: 4\r\n\r\nab";
     held.write_all(start.as_bytes()).await.expect("sent");
-    until(|| site.edge.callers() == 1).await;
-    let drained = tokio::spawn(site.edge.drain(std::time::Duration::ZERO));
+    until(|| edge_server.edge.callers() == 1).await;
+    let drained = tokio::spawn(edge_server.edge.drain(std::time::Duration::ZERO));
     held.write_all(b"cd").await.expect("sent");
     let answer = Answer::read(&mut held).await;
     assert_eq!(answer.text(), "prompt");
@@ -91,6 +97,6 @@
         .await
         .expect("the drain ends")
         .expect("without a panic");
-    let late = tokio::net::TcpStream::connect(site.address).await;
+    let late = tokio::net::TcpStream::connect(edge_server.address).await;
     assert!(late.is_err(), "a drained host accepts nobody");
 }
--- a/components/transport/tests/entry_hosts/mod.rs
+++ b/components/transport/tests/entry_hosts/mod.rs
@@ -147,17 +147,17 @@
     }
 }
 
-/// Returns the claim of `key` by a call whose deadline is in `patience`.
-pub fn request(key: &str, digest: u8, patience: Duration) -> ClaimRequest {
+/// Returns the claim of `key` by a call whose deadline is in `timeout`.
+pub fn request(key: &str, digest: u8, timeout: Duration) -> ClaimRequest {
     ClaimRequest {
         service: ServiceKey::named("ledgerhouse"),
         key: key.to_owned(),
         digest: [digest; 32],
         ttl: Duration::from_secs(7_200),
-        deadline: deadline(patience),
+        deadline: deadline(timeout),
     }
 }
 
-pub fn deadline(patience: Duration) -> Moment {
-    clock::now() + patience
+pub fn deadline(timeout: Duration) -> Moment {
+    clock::now() + timeout
 }
--- a/components/transport/tests/hang_up.rs
+++ b/components/transport/tests/hang_up.rs
@@ -11,8 +11,8 @@
 #[tokio::test]
 async fn cancels_work() {
     let server = ScriptedServer::always(Reply::Hang(String::new())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut stream = edge_server.connect().await;
     stream
         .write_all(get("/hallboard/").as_bytes())
         .await
@@ -28,8 +28,8 @@
 async fn cancels_answer() {
     let begun = "HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\nthe beginning";
     let server = ScriptedServer::always(Reply::Hang(begun.into())).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut stream = edge_server.connect().await;
     stream
         .write_all(get("/hallboard/").as_bytes())
         .await
@@ -43,14 +43,14 @@
 #[tokio::test]
 async fn cancels_upload() {
     let server = ScriptedServer::always(Reply::Keep(ok("never"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut stream = edge_server.connect().await;
     let head = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ncontent-length: 1000000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("sent");
     stream.write_all(&vec![b'a'; 500_000]).await.expect("sent");
     until(|| server.accepted() >= 1).await;
     drop(stream);
-    until(|| site.edge.callers() == 0).await;
+    until(|| edge_server.edge.callers() == 0).await;
     assert_eq!(
         server.requests(),
         [],
@@ -61,21 +61,21 @@
 /// An abandoned call may still be answered late. Its connection must not be
 /// reused, or the late answer would reach another caller.
 #[tokio::test]
-async fn late_answer_reaches_nobody() {
+async fn late_answer_discarded() {
     let server = ScriptedServer::start(|n, _| match n {
         0 => Reply::Hang("HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nfor the first".into()),
         _ => Reply::Keep(ok("for the second")),
     })
     .await;
-    let site = EdgeServer::start(&[&server]).await;
-    let mut first = site.connect().await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut first = edge_server.connect().await;
     first
         .write_all(get("/hallboard/1").as_bytes())
         .await
         .expect("sent");
     until(|| server.requests().len() == 1).await;
     drop(first);
-    let second = site.call(&get("/hallboard/2")).await;
+    let second = edge_server.call(&get("/hallboard/2")).await;
     assert_eq!(second.text(), "for the second");
     let seen = server.requests();
     assert_ne!(seen[0].connection, seen[1].connection);
@@ -85,21 +85,21 @@
 /// not go to another call until the deadline, or the server would get more calls
 /// than it has slots.
 #[tokio::test]
-async fn slot_held_to_the_end() {
+async fn slot_held_until_deadline() {
     let server = ScriptedServer::start(|n, _| match n {
         0 => Reply::Ignore,
         _ => Reply::Keep(ok("free")),
     })
     .await;
     let one_slot = |service: &mut state::preset::Service| service.slots = 1;
-    let site = EdgeServer::with(&[&server], one_slot, Limits::default()).await;
-    let mut first = site.connect().await;
+    let edge_server = EdgeServer::with(&[&server], one_slot, Limits::default()).await;
+    let mut first = edge_server.connect().await;
     let request = get_within("/hallboard/1", 5_000);
     first.write_all(request.as_bytes()).await.expect("sent");
     until(|| server.requests().len() == 1).await;
     drop(first);
-    until(|| site.edge.callers() == 0).await;
-    let second = site.call(&get_within("/hallboard/2", 200)).await;
+    until(|| edge_server.edge.callers() == 0).await;
+    let second = edge_server.call(&get_within("/hallboard/2", 200)).await;
     assert_eq!(
         (second.status(), second.outcome().as_str()),
         (503, "not-run"),
@@ -110,7 +110,7 @@
         1,
         "two calls at a server with one slot"
     );
-    let third = site.call(&get("/hallboard/3")).await;
+    let third = edge_server.call(&get("/hallboard/3")).await;
     assert_eq!(third.text(), "free", "{third:?}");
 }
 
@@ -127,14 +127,14 @@
         service.slots = 1;
         service.deadline_ms = 600_000;
     };
-    let site = EdgeServer::with(&[&server], one_slot, Limits::default()).await;
-    let mut first = site.connect().await;
+    let edge_server = EdgeServer::with(&[&server], one_slot, Limits::default()).await;
+    let mut first = edge_server.connect().await;
     first
         .write_all(get("/hallboard/1").as_bytes())
         .await
         .expect("sent");
     until(|| server.requests().len() == 1).await;
     drop(first);
-    let second = site.call(&get("/hallboard/2")).await;
+    let second = edge_server.call(&get("/hallboard/2")).await;
     assert_eq!(second.text(), "free", "{second:?}");
 }
--- a/components/transport/tests/keyed_calls.rs
+++ b/components/transport/tests/keyed_calls.rs
@@ -16,7 +16,7 @@
 
 /// Claims of keys, held in memory.
 #[derive(Default)]
-struct Table {
+struct ClaimTable {
     rows: Mutex<BTreeMap<String, Row>>,
     down: Mutex<bool>,
 }
@@ -27,7 +27,7 @@
     ending: Option<ClaimEnding>,
 }
 
-impl KeyClaims for Table {
+impl KeyClaims for ClaimTable {
     fn claim(&self, request: ClaimRequest) -> Pin<Box<dyn Future<Output = Verdict> + Send + '_>> {
         Box::pin(async move { self.decide(request) })
     }
@@ -44,7 +44,7 @@
     }
 }
 
-impl Table {
+impl ClaimTable {
     fn decide(&self, request: ClaimRequest) -> Verdict {
         let mut rows = self.rows.lock().expect("rows");
         let id = ClaimId(rows.len() as u128);
@@ -78,16 +78,16 @@
         self.rows.lock().expect("rows").get(key)?.ending.clone()
     }
 
-    fn knows(&self, key: &str) -> bool {
+    fn is_claimed(&self, key: &str) -> bool {
         self.rows.lock().expect("rows").contains_key(key)
     }
 }
 
-async fn site(server: &ScriptedServer) -> (EdgeServer, Arc<Table>) {
-    let site = EdgeServer::start(&[server]).await;
-    let table = Arc::new(Table::default());
-    site.edge.set_claims(Arc::clone(&table) as _);
-    (site, table)
+async fn edge_with_claims(server: &ScriptedServer) -> (EdgeServer, Arc<ClaimTable>) {
+    let edge_server = EdgeServer::start(&[server]).await;
+    let table = Arc::new(ClaimTable::default());
+    edge_server.edge.set_claims(Arc::clone(&table) as _);
+    (edge_server, table)
 }
 
 fn deposit(key: &str, body: &str) -> String {
@@ -103,9 +103,9 @@
 async fn repeat_gets_first_answer() {
     let reply = "HTTP/1.1 201 Created\r\nx-receipt: 17\r\ncontent-length: 5\r\n\r\ntaken";
     let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
-    let (site, _table) = site(&server).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
     for _ in 0..3 {
-        let answer = site.call(&deposit("k1", "12 pounds")).await;
+        let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
         assert_eq!(
             (answer.status(), answer.outcome().as_str()),
             (201, "complete"),
@@ -122,9 +122,9 @@
 #[tokio::test]
 async fn other_body_refused() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
-    let (site, _table) = site(&server).await;
-    site.call(&deposit("k1", "12 pounds")).await;
-    let answer = site.call(&deposit("k1", "13 pounds")).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
+    edge_server.call(&deposit("k1", "12 pounds")).await;
+    let answer = edge_server.call(&deposit("k1", "13 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (422, "not-run"),
@@ -138,9 +138,9 @@
 #[tokio::test]
 async fn broken_then_unknown() {
     let server = ScriptedServer::always(Reply::Close(String::new())).await;
-    let (site, _table) = site(&server).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
     for status in [502, 504] {
-        let answer = site.call(&deposit("k1", "12 pounds")).await;
+        let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
         assert_eq!(
             (answer.status(), answer.outcome().as_str()),
             (status, "unknown"),
@@ -160,14 +160,14 @@
         _ => Reply::Keep(ok("taken")),
     })
     .await;
-    let (site, _table) = site(&server).await;
-    let first = site.call(&deposit("k1", "12 pounds")).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
+    let first = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (first.status(), first.outcome().as_str()),
         (503, "not-run"),
         "{first:?}"
     );
-    let second = site.call(&deposit("k1", "12 pounds")).await;
+    let second = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (second.text().as_str(), second.outcome().as_str()),
         ("taken", "complete")
@@ -179,8 +179,8 @@
 #[tokio::test]
 async fn hang_up_is_unknown() {
     let server = ScriptedServer::always(Reply::Hang(String::new())).await;
-    let (site, table) = site(&server).await;
-    let mut stream = site.connect().await;
+    let (edge_server, table) = edge_with_claims(&server).await;
+    let mut stream = edge_server.connect().await;
     stream
         .write_all(deposit("k1", "12 pounds").as_bytes())
         .await
@@ -188,7 +188,7 @@
     until(|| server.requests().len() == 1).await;
     drop(stream);
     until(|| table.ending("k1") == Some(ClaimEnding::Unknown)).await;
-    let answer = site.call(&deposit("k1", "12 pounds")).await;
+    let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (504, "unknown")
@@ -200,9 +200,9 @@
 #[tokio::test]
 async fn claims_down() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
-    let (site, table) = site(&server).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
     *table.down.lock().expect("down") = true;
-    let answer = site.call(&deposit("k1", "12 pounds")).await;
+    let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
@@ -218,11 +218,11 @@
 async fn large_answer_not_kept() {
     let large = "a".repeat(200_000);
     let server = ScriptedServer::always(Reply::Keep(ok(&large))).await;
-    let (site, table) = site(&server).await;
-    let answer = site.call(&deposit("k1", "12 pounds")).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
+    let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(answer.body.len(), 200_000);
     until(|| table.ending("k1") == Some(ClaimEnding::AnsweredLarge)).await;
-    let again = site.call(&deposit("k1", "12 pounds")).await;
+    let again = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(again.outcome(), "unknown");
     assert_eq!(server.requests().len(), 1);
 }
@@ -232,10 +232,11 @@
 #[tokio::test]
 async fn large_body_refused() {
     let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
-    let site = EdgeServer::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
-    let table = Arc::new(Table::default());
-    site.edge.set_claims(Arc::clone(&table) as _);
-    let mut stream = site.connect().await;
+    let edge_server =
+        EdgeServer::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
+    let table = Arc::new(ClaimTable::default());
+    edge_server.edge.set_claims(Arc::clone(&table) as _);
+    let mut stream = edge_server.connect().await;
     let request = deposit("k1", &"a".repeat(1_100_000));
     stream.write_all(request.as_bytes()).await.expect("sent");
     let answer = support::Answer::read(&mut stream).await;
@@ -244,7 +245,7 @@
         (413, "not-run"),
         "{answer:?}"
     );
-    assert!(!table.knows("k1"));
+    assert!(!table.is_claimed("k1"));
     assert_eq!(server.requests(), []);
 }
 
@@ -252,8 +253,8 @@
 #[tokio::test]
 async fn lookup_needs_none() {
     let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
-    let (site, table) = site(&server).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
     let request = "GET /hallboard/halls HTTP/1.1\r\nhost: e\r\nidempotency-key: k1\r\nconnection: close\r\n\r\n";
-    assert_eq!(site.call(request).await.text(), "free");
-    assert!(!table.knows("k1"));
+    assert_eq!(edge_server.call(request).await.text(), "free");
+    assert!(!table.is_claimed("k1"));
 }
--- a/components/transport/tests/load_reports.rs
+++ b/components/transport/tests/load_reports.rs
@@ -15,7 +15,7 @@
 use transport::clock;
 use transport::dispatch::{Dispatcher, DispatcherOptions};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WARM_TIMEOUT: Duration = Duration::from_secs(20);
 const SLOTS: u32 = 6;
 
 fn service(backends: &[Backend]) -> Service {
@@ -62,7 +62,7 @@
 /// of that close. Callers were then refused for more than a second while five of
 /// six slots were idle.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn warm_at_once() {
+async fn reports_read_despite_close() {
     let history = History::default();
     let backends: Vec<Backend> = (0..8)
         .map(|_| {
@@ -71,13 +71,13 @@
         })
         .collect();
     let host = HostKey::named("north");
-    let setup = DispatcherOptions {
+    let options = DispatcherOptions {
         host,
         incarnation: 1,
         data_centre: "trent".to_owned(),
         policy: Policy::Shared,
     };
-    let dispatcher = Dispatcher::new(&setup, Arc::new(|_, _| {}));
+    let dispatcher = Dispatcher::new(&options, Arc::new(|_, _| {}));
     let mut config = config(service(&backends));
     dispatcher.set_alive(BTreeSet::from([host]));
     dispatcher.configure(&config);
@@ -96,14 +96,14 @@
     let all_warm = async {
         loop {
             dispatcher.confirm(clock::now());
-            let owned = dispatcher.owned();
+            let owned = dispatcher.owned_endpoints();
             if owned.len() == backends.len() && owned.iter().all(|e| e.cap == SLOTS) {
                 return;
             }
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PATIENCE, all_warm)
+    timeout(WARM_TIMEOUT, all_warm)
         .await
         .expect("every endpoint is known to be warm");
 }
--- a/components/transport/tests/retries.rs
+++ b/components/transport/tests/retries.rs
@@ -20,12 +20,14 @@
 /// A backend server rejects a non-idempotent call as not run. It is safe to
 /// retry the call at another one, and the caller gets its answer.
 #[tokio::test]
-async fn shed_goes_elsewhere() {
+async fn rejection_retried() {
     let full = ScriptedServer::always(Reply::Keep(SHED.into())).await;
     let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
-    let site = EdgeServer::start(&[&full, &free]).await;
+    let edge_server = EdgeServer::start(&[&full, &free]).await;
     for _ in 0..4 {
-        let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
+        let answer = edge_server
+            .call(&post("/hallboard/deposits", "12 pounds"))
+            .await;
         assert_eq!(
             (answer.text().as_str(), answer.outcome().as_str()),
             ("taken", "complete")
@@ -37,13 +39,15 @@
 /// All backend servers reject the call: the answer must be "not-run" with the
 /// `Retry-After` of the backend server.
 #[tokio::test]
-async fn all_shed() {
+async fn all_reject() {
     let servers = [
         ScriptedServer::always(Reply::Keep(SHED.into())).await,
         ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
-    let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let answer = edge_server
+        .call(&post("/hallboard/deposits", "12 pounds"))
+        .await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
@@ -56,10 +60,10 @@
 /// A backend server is down: nothing was sent, so that even a non-idempotent
 /// call must be retried at another one.
 #[tokio::test]
-async fn unreachable_goes_elsewhere() {
+async fn unreachable_retried() {
     let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
     let down = closed_port().await;
-    let site = EdgeServer::with(
+    let edge_server = EdgeServer::with(
         &[&free],
         |service| {
             let mut endpoint = service.endpoints[0].clone();
@@ -70,7 +74,9 @@
     )
     .await;
     for _ in 0..4 {
-        let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
+        let answer = edge_server
+            .call(&post("/hallboard/deposits", "12 pounds"))
+            .await;
         assert_eq!(answer.text(), "taken", "{answer:?}");
     }
 }
@@ -78,13 +84,15 @@
 /// The connection breaks after a non-idempotent call has been sent. The call may
 /// have run, so a retry could run it twice.
 #[tokio::test]
-async fn deposit_sent_once() {
+async fn non_idempotent_sent_once() {
     let servers = [
         ScriptedServer::always(Reply::Close(String::new())).await,
         ScriptedServer::always(Reply::Close(String::new())).await,
     ];
-    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
-    let answer = site.call(&post("/hallboard/deposits", "12 pounds")).await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let answer = edge_server
+        .call(&post("/hallboard/deposits", "12 pounds"))
+        .await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (502, "unknown"),
@@ -95,12 +103,12 @@
 
 /// The connection breaks after an idempotent call has been sent: a retry is safe.
 #[tokio::test]
-async fn lookup_sent_again() {
+async fn idempotent_retried() {
     let broken = ScriptedServer::always(Reply::Close(String::new())).await;
-    let well = ScriptedServer::always(Reply::Keep(ok("free on Friday"))).await;
-    let site = EdgeServer::start(&[&broken, &well]).await;
+    let healthy = ScriptedServer::always(Reply::Keep(ok("free on Friday"))).await;
+    let edge_server = EdgeServer::start(&[&broken, &healthy]).await;
     for _ in 0..4 {
-        let answer = site.call(&get("/hallboard/halls")).await;
+        let answer = edge_server.call(&get("/hallboard/halls")).await;
         assert_eq!(answer.text(), "free on Friday", "{answer:?}");
     }
 }
@@ -111,11 +119,11 @@
 async fn unknown_stays_unknown() {
     let broken = ScriptedServer::always(Reply::Close(String::new())).await;
     let full = ScriptedServer::start(|_, _| Reply::Keep(SHED.into())).await;
-    let site = EdgeServer::start(&[&broken, &full]).await;
+    let edge_server = EdgeServer::start(&[&broken, &full]).await;
     let mut outcomes = Vec::new();
     for _ in 0..4 {
         let before = broken.requests().len();
-        let answer = site.call(&get("/hallboard/halls")).await;
+        let answer = edge_server.call(&get("/hallboard/halls")).await;
         let reached = broken.requests().len() > before;
         outcomes.push((reached, answer.outcome()));
     }
@@ -129,14 +137,14 @@
 /// All calls fail for a while. Without a retry budget each call would be sent
 /// twice, and the retries would keep the backend servers overloaded.
 #[tokio::test]
-async fn budget_holds() {
+async fn retry_budget_limits() {
     let servers = [
         ScriptedServer::always(Reply::Keep(SHED.into())).await,
         ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
     for _ in 0..200 {
-        site.call(&get("/hallboard/halls")).await;
+        edge_server.call(&get("/hallboard/halls")).await;
     }
     let sent = servers[0].requests().len() + servers[1].requests().len();
     assert!(sent <= 200 + 20 + 20, "200 calls became {sent}");
@@ -150,8 +158,8 @@
         ScriptedServer::always(Reply::Keep(SHED.into())).await,
         ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = EdgeServer::start(&[&servers[0], &servers[1]]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let mut stream = edge_server.connect().await;
     let request = post("/hallboard/scores", &"a".repeat(300_000));
     stream.write_all(request.as_bytes()).await.expect("sent");
     let answer = Answer::read(&mut stream).await;
--- a/components/transport/tests/silence.rs
+++ b/components/transport/tests/silence.rs
@@ -10,7 +10,7 @@
 /// A middlebox loses track of all open connections. The first call on a reused
 /// connection is lost; later ones must not use the other old connections.
 #[tokio::test]
-async fn kept_connections_doubted() {
+async fn idle_connections_dropped() {
     let lost = Arc::new(AtomicUsize::new(0));
     let lost_below = Arc::clone(&lost);
     let server = ScriptedServer::start(move |_, seen| {
@@ -20,19 +20,19 @@
         }
     })
     .await;
-    let site = EdgeServer::start(&[&server]).await;
-    while site.edge.idle_connections() < 2 {
-        assert_eq!(site.call(&get("/hallboard/")).await.text(), "well");
+    let edge_server = EdgeServer::start(&[&server]).await;
+    while edge_server.edge.idle_connections() < 2 {
+        assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "well");
     }
     lost.store(server.accepted(), Ordering::SeqCst);
-    let first = site.call(&get_within("/hallboard/", 1_000)).await;
+    let first = edge_server.call(&get_within("/hallboard/", 1_000)).await;
     assert_eq!(
         (first.status(), first.outcome().as_str()),
         (504, "unknown"),
         "{first:?}"
     );
     for _ in 0..5 {
-        let next = site.call(&get("/hallboard/")).await;
+        let next = edge_server.call(&get("/hallboard/")).await;
         assert_eq!(next.text(), "well", "{next:?}");
     }
 }
@@ -42,10 +42,10 @@
 #[tokio::test]
 async fn closed_while_idle() {
     let server = ScriptedServer::always(Reply::Close(ok("well"))).await;
-    let site = EdgeServer::start(&[&server]).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     for n in 0..20 {
         let request = support::post("/hallboard/deposits", "12 pounds");
-        let answer = site.call(&request).await;
+        let answer = edge_server.call(&request).await;
         assert_eq!(answer.outcome(), "complete", "call {n}: {answer:?}");
     }
     assert_eq!(server.requests().len(), 20);
@@ -53,10 +53,10 @@
 
 /// Idle connections must be closed before the backend server would close them.
 #[tokio::test]
-async fn idle_aged_out() {
+async fn idle_expired() {
     let server = ScriptedServer::always(Reply::Keep(ok("well"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    site.call(&get("/hallboard/")).await;
-    assert!(site.edge.idle_connections() > 0);
-    until(|| site.edge.idle_connections() == 0).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    edge_server.call(&get("/hallboard/")).await;
+    assert!(edge_server.edge.idle_connections() > 0);
+    until(|| edge_server.edge.idle_connections() == 0).await;
 }
--- a/components/transport/tests/slot_dispatch.rs
+++ b/components/transport/tests/slot_dispatch.rs
@@ -13,7 +13,7 @@
 use transport::clock;
 use transport::dispatch::{Call, Dispatcher, DispatcherOptions, Ending, Refusal, SendMessage};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The dispatchers of some entry hosts, whose messages are delivered directly.
 struct Site {
@@ -94,13 +94,13 @@
                 }
             });
         });
-        let setup = DispatcherOptions {
+        let options = DispatcherOptions {
             host,
             incarnation: 100 + n,
             data_centre: "trent".to_owned(),
             policy: Policy::Shared,
         };
-        self.hosts.push((host, Dispatcher::new(&setup, send)));
+        self.hosts.push((host, Dispatcher::new(&options, send)));
     }
 
     fn join(&mut self, n: u64) {
@@ -166,13 +166,13 @@
 async fn slot_waits_for_release() {
     let site = Site::start(1, 1);
     let host = site.host(0);
-    let first = host.acquire(&call(PATIENCE)).await.ok().unwrap();
-    let second = host.acquire(&call(PATIENCE)).await.ok().unwrap();
+    let first = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
+    let second = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
     assert!(first.may_send());
     let third = host.acquire(&call(Duration::from_millis(30))).await;
     assert_eq!(third.err(), Some(Refusal::Expired));
     first.finish(Ending::Answered);
-    let fourth = host.acquire(&call(PATIENCE)).await.ok().unwrap();
+    let fourth = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
     drop(fourth);
     second.finish(Ending::Answered);
 }
@@ -185,7 +185,7 @@
     for n in [0, 1, 2, 0] {
         let mut grants = Vec::new();
         for _ in 0..4 {
-            let found = site.host(n).acquire(&call(PATIENCE)).await;
+            let found = site.host(n).acquire(&call(ACQUIRE_TIMEOUT)).await;
             grants.push(found.ok().unwrap());
         }
         let most = grants
@@ -202,18 +202,18 @@
 // A caller hangs up while its call waits. The next free slot must go to another
 // call, not to the cancelled one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hung_up_caller() {
+async fn cancelled_call() {
     let site = Site::start(1, 1);
     let host = site.host(0);
-    let first = host.acquire(&call(PATIENCE)).await.ok().unwrap();
-    let second = host.acquire(&call(PATIENCE)).await.ok().unwrap();
-    let asked = call(PATIENCE);
+    let first = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
+    let second = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
+    let asked = call(ACQUIRE_TIMEOUT);
     let gone = host.acquire(&asked);
     assert!(timeout(Duration::from_millis(20), gone).await.is_err());
     let service = ServiceKey::named("hallboard");
-    assert_eq!(host.standing(service).unwrap().waiting, 0);
+    assert_eq!(host.service_status(service).unwrap().waiting, 0);
     first.finish(Ending::Answered);
-    assert!(host.acquire(&call(PATIENCE)).await.is_ok());
+    assert!(host.acquire(&call(ACQUIRE_TIMEOUT)).await.is_ok());
     drop(second);
 }
 
@@ -222,18 +222,18 @@
     let site = Site::start(1, 1);
     let host = Arc::clone(site.host(0));
     let held = [
-        host.acquire(&call(PATIENCE)).await.ok().unwrap(),
-        host.acquire(&call(PATIENCE)).await.ok().unwrap(),
+        host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap(),
+        host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap(),
     ];
     let waiter = Arc::clone(&host);
-    let waiting = tokio::spawn(async move { waiter.acquire(&call(PATIENCE)).await.err() });
+    let waiting = tokio::spawn(async move { waiter.acquire(&call(ACQUIRE_TIMEOUT)).await.err() });
     let service = ServiceKey::named("hallboard");
-    while host.standing(service).unwrap().waiting == 0 {
+    while host.service_status(service).unwrap().waiting == 0 {
         tokio::task::yield_now().await;
     }
     host.stop();
     assert_eq!(waiting.await.unwrap(), Some(Refusal::Stopping));
-    let late = host.acquire(&call(PATIENCE)).await;
+    let late = host.acquire(&call(ACQUIRE_TIMEOUT)).await;
     assert_eq!(late.err(), Some(Refusal::Stopping));
     assert!(held.iter().all(|g| g.may_send()));
 }
@@ -242,13 +242,13 @@
 // It must start no call, and refuse each one by its deadline.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_members() {
-    let setup = DispatcherOptions {
+    let options = DispatcherOptions {
         host: HostKey(1),
         incarnation: 1,
         data_centre: "trent".to_owned(),
         policy: Policy::Shared,
     };
-    let host = Dispatcher::new(&setup, Arc::new(|_, _| {}));
+    let host = Dispatcher::new(&options, Arc::new(|_, _| {}));
     host.configure(&config(1));
     host.confirm(clock::now());
     let found = host.acquire(&call(Duration::from_millis(30))).await;
--- a/components/transport/tests/traces.rs
+++ b/components/transport/tests/traces.rs
@@ -9,19 +9,19 @@
 use support::{EdgeServer, Reply, ScriptedServer, field, ok, until};
 use transport::trace::Tracing;
 
-const CALLERS: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+const CALLER_TRACEPARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 #[derive(Clone, Debug, Default)]
-struct Kept(Arc<Mutex<Vec<SpanData>>>);
+struct CollectedSpans(Arc<Mutex<Vec<SpanData>>>);
 
-impl SpanExporter for Kept {
+impl SpanExporter for CollectedSpans {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         self.0.lock().expect("spans").extend(batch);
         Ok(())
     }
 }
 
-impl Kept {
+impl CollectedSpans {
     fn spans(&self) -> Vec<SpanData> {
         self.0.lock().expect("spans").clone()
     }
@@ -43,23 +43,30 @@
 /// backend server, all in the caller's trace.
 #[tokio::test]
 async fn span_each_hop() {
-    let kept = Kept::default();
+    let collected = CollectedSpans::default();
     let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
-    let site = EdgeServer::traced(&[&server], Tracing::new(1, "entry-1", kept.clone())).await;
-    assert_eq!(site.call(&get_traced(CALLERS)).await.text(), "free");
-    until(|| kept.spans().len() == 3).await;
-    let call = kept.named("call");
+    let edge_server =
+        EdgeServer::traced(&[&server], Tracing::new(1, "entry-1", collected.clone())).await;
+    assert_eq!(
+        edge_server
+            .call(&get_traced(CALLER_TRACEPARENT))
+            .await
+            .text(),
+        "free"
+    );
+    until(|| collected.spans().len() == 3).await;
+    let call = collected.named("call");
     let trace = "0af7651916cd43dd8448eb211c80319c";
     assert_eq!(call.span_context.trace_id().to_string(), trace);
     assert_eq!(call.parent_span_id.to_string(), "b7ad6b7169203331");
-    let backend = kept.named("backend");
-    for span in [&kept.named("queue"), &backend] {
+    let backend = collected.named("backend");
+    for span in [&collected.named("queue"), &backend] {
         assert_eq!(span.span_context.trace_id().to_string(), trace);
         assert_eq!(span.parent_span_id, call.span_context.span_id());
     }
-    let told = field(&server.requests()[0].head, "traceparent").expect("a traceparent");
+    let forwarded = field(&server.requests()[0].head, "traceparent").expect("a traceparent");
     assert_eq!(
-        told,
+        forwarded,
         format!("00-{trace}-{}-01", backend.span_context.span_id())
     );
 }
@@ -67,31 +74,36 @@
 /// A call that isn't traced must forward a valid `traceparent` unchanged, and drop
 /// a malformed one.
 #[tokio::test]
-async fn untraced_passes_on() {
+async fn untraced_forwards() {
     let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
-    let site = EdgeServer::start(&[&server]).await;
-    site.call(&get_traced(CALLERS)).await;
-    site.call(&get_traced("00-nonsense")).await;
-    let told: Vec<_> = server
+    let edge_server = EdgeServer::start(&[&server]).await;
+    edge_server.call(&get_traced(CALLER_TRACEPARENT)).await;
+    edge_server.call(&get_traced("00-nonsense")).await;
+    let forwarded: Vec<_> = server
         .requests()
         .iter()
         .map(|s| field(&s.head, "traceparent"))
         .collect();
-    assert_eq!(told, [Some(CALLERS.to_owned()), None]);
+    assert_eq!(forwarded, [Some(CALLER_TRACEPARENT.to_owned()), None]);
 }
 
 /// A call whose caller declines sampling isn't sampled; of the others one in three is.
 #[tokio::test]
-async fn sampled_by_share() {
-    let kept = Kept::default();
+async fn sampled_at_rate() {
+    let collected = CollectedSpans::default();
     let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
-    let site = EdgeServer::traced(&[&server], Tracing::new(3, "entry-1", kept.clone())).await;
-    let declined = CALLERS.replace("-01", "-00");
+    let edge_server =
+        EdgeServer::traced(&[&server], Tracing::new(3, "entry-1", collected.clone())).await;
+    let declined = CALLER_TRACEPARENT.replace("-01", "-00");
     for _ in 0..6 {
-        site.call(&get_traced(&declined)).await;
-        site.call(&get_traced(CALLERS)).await;
+        edge_server.call(&get_traced(&declined)).await;
+        edge_server.call(&get_traced(CALLER_TRACEPARENT)).await;
     }
-    until(|| kept.spans().len() >= 6).await;
-    let calls = kept.spans().iter().filter(|s| s.name == "call").count();
+    until(|| collected.spans().len() >= 6).await;
+    let calls = collected
+        .spans()
+        .iter()
+        .filter(|s| s.name == "call")
+        .count();
     assert_eq!(calls, 2);
 }
