--- a/components/transport/src/dispatch/baseline.rs
+++ b/components/transport/src/dispatch/baseline.rs
@@ -17,7 +17,7 @@
 /// Chooses endpoints for calls by a baseline policy.
 pub struct BaselineDispatcher {
     policy: Policy,
-    me: Option<HostKey>,
+    own_key: Option<HostKey>,
     state: Mutex<State>,
     freed: Notify,
     stopping: AtomicBool,
@@ -45,11 +45,11 @@
 }
 
 impl BaselineDispatcher {
-    /// Returns a dispatcher with no configuration yet; `me` is the key of this host.
-    pub fn new(policy: Policy, me: Option<HostKey>) -> BaselineDispatcher {
+    /// Returns a dispatcher with no configuration yet; `own_key` is the key of this host.
+    pub fn new(policy: Policy, own_key: Option<HostKey>) -> BaselineDispatcher {
         BaselineDispatcher {
             policy,
-            me,
+            own_key,
             state: Mutex::default(),
             freed: Notify::new(),
             stopping: AtomicBool::new(false),
@@ -171,7 +171,7 @@
                 .max_by_key(|host| rendezvous(host.0, item))
                 .copied()
         };
-        let own = |slot: &u32| owner(*slot).is_none_or(|host| Some(host) == self.me);
+        let own = |slot: &u32| owner(*slot).is_none_or(|host| Some(host) == self.own_key);
         (0..slots).filter(own).count() as u32
     }
 
--- a/components/transport/src/dispatch/slot_dispatcher.rs
+++ b/components/transport/src/dispatch/slot_dispatcher.rs
@@ -42,7 +42,7 @@
 
 /// A call that waits for a slot, cancelled in the slot manager when dropped.
 struct WaitingCall<'a> {
-    shared: &'a SlotDispatcher,
+    dispatcher: &'a SlotDispatcher,
     service: ServiceKey,
     call: CallKey,
     acquired: oneshot::Receiver<Acquired>,
@@ -68,16 +68,20 @@
             reports: BTreeMap::new(),
             next: 0,
         };
-        let shared = Arc::new(SlotDispatcher {
+        let dispatcher = Arc::new(SlotDispatcher {
             state: Mutex::new(state),
             send,
             runtime: Handle::current(),
             next_tick: AtomicU64::new(now.0),
             rescheduled: Notify::new(),
         });
-        shared.runtime.spawn(run_timer(Arc::downgrade(&shared)));
-        shared.runtime.spawn(update_gauges(Arc::downgrade(&shared)));
-        shared
+        dispatcher
+            .runtime
+            .spawn(run_timer(Arc::downgrade(&dispatcher)));
+        dispatcher
+            .runtime
+            .spawn(update_gauges(Arc::downgrade(&dispatcher)));
+        dispatcher
     }
 
     /// Applies the configuration in force.
@@ -161,7 +165,7 @@
             key
         });
         let mut waiting_call = WaitingCall {
-            shared: self,
+            dispatcher: self,
             service: call.service,
             call: key,
             acquired,
@@ -237,15 +241,15 @@
                 }
             }
             Effect::Probe(endpoint, address) => {
-                let shared = Arc::downgrade(self);
+                let dispatcher = Arc::downgrade(self);
                 let roles = state.slots.roles().endpoints.get(&endpoint);
                 let service = roles.and_then(|s| state.slots.roles().services.get(&s.service));
                 let cost = service.map_or(Duration::ZERO, |p| p.probe_cost);
                 self.runtime.spawn(async move {
                     let report = probe::fetch_report(address).await;
                     counters::count_probe(cost, report.is_some());
-                    if let Some(shared) = shared.upgrade() {
-                        shared.probed(endpoint, report.as_ref());
+                    if let Some(dispatcher) = dispatcher.upgrade() {
+                        dispatcher.probed(endpoint, report.as_ref());
                     }
                 });
             }
@@ -254,10 +258,10 @@
 
     /// Releases a slot whose caller hung up at the moment when the slot was granted.
     fn release_unused(self: &Arc<Self>, lease: LeaseKey) {
-        let shared = Arc::downgrade(self);
+        let dispatcher = Arc::downgrade(self);
         self.runtime.spawn(async move {
-            if let Some(shared) = shared.upgrade() {
-                shared.finish(lease, None);
+            if let Some(dispatcher) = dispatcher.upgrade() {
+                dispatcher.finish(lease, None);
             }
         });
     }
@@ -284,8 +288,8 @@
 }
 
 /// Calls the slot manager's `tick` whenever it is due, until the dispatcher is dropped.
-async fn run_timer(shared: Weak<SlotDispatcher>) {
-    while let Some(strong) = shared.upgrade() {
+async fn run_timer(dispatcher: Weak<SlotDispatcher>) {
+    while let Some(strong) = dispatcher.upgrade() {
         let next_tick = strong.run_step(|state, now| {
             state.slots.tick(now);
             let next_tick = state.slots.next_wake();
@@ -301,8 +305,8 @@
 }
 
 /// Updates the gauges periodically, until the dispatcher is dropped.
-async fn update_gauges(shared: Weak<SlotDispatcher>) {
-    while let Some(strong) = shared.upgrade() {
+async fn update_gauges(dispatcher: Weak<SlotDispatcher>) {
+    while let Some(strong) = dispatcher.upgrade() {
         let sum = strong.totals();
         drop(strong);
         counters::set_gauges(sum.waiting, sum.held, sum.idle);
@@ -314,7 +318,7 @@
     fn drop(&mut self) {
         self.acquired.close();
         let mut state = self
-            .shared
+            .dispatcher
             .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
@@ -330,6 +334,6 @@
                 .finish(lease, slots::Ending::Unused, clock::now());
         }
         drop(state);
-        self.shared.rescheduled.notify_one();
+        self.dispatcher.rescheduled.notify_one();
     }
 }
--- a/components/transport/src/edge/answer.rs
+++ b/components/transport/src/edge/answer.rs
@@ -78,7 +78,7 @@
         context: AnswerContext,
     ) -> RelayedBody {
         let now = clock::now();
-        let mut relay = RelayedBody {
+        let mut body = RelayedBody {
             exchange,
             incoming,
             deadline,
@@ -86,8 +86,8 @@
             timer: Box::pin(tokio::time::sleep(now.until(deadline))),
             context,
         };
-        relay.release_at_end();
-        relay
+        body.release_at_end();
+        body
     }
 
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, AnswerError>>> {
@@ -162,9 +162,9 @@
     }
 
     /// Returns a body that is relayed from a backend server.
-    pub fn relayed(relay: RelayedBody) -> AnswerBody {
+    pub fn relayed(body: RelayedBody) -> AnswerBody {
         AnswerBody {
-            kind: Kind::Relayed(Box::new(relay)),
+            kind: Kind::Relayed(Box::new(body)),
             caller: None,
             trace: None,
         }
@@ -193,7 +193,7 @@
         let next = match &mut this.kind {
             Kind::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
             Kind::Buffered(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
-            Kind::Relayed(relay) => relay.poll_data(cx),
+            Kind::Relayed(body) => body.poll_data(cx),
         };
         if let (Poll::Ready(Some(Err(_))), Some(caller)) = (&next, &this.caller) {
             caller.mark_broken();
@@ -204,14 +204,14 @@
     fn is_end_stream(&self) -> bool {
         match &self.kind {
             Kind::Buffered(bytes) => bytes.is_empty(),
-            Kind::Relayed(relay) => relay.incoming.is_end_stream(),
+            Kind::Relayed(body) => body.incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
             Kind::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Kind::Relayed(relay) => relay.incoming.size_hint(),
+            Kind::Relayed(body) => body.incoming.size_hint(),
         }
     }
 }
--- a/components/transport/src/edge/body.rs
+++ b/components/transport/src/edge/body.rs
@@ -98,7 +98,7 @@
             {
                 None => {
                     return Ok(BodyPrefix {
-                        start: joined(start, &more),
+                        start: concatenated(start, &more),
                         rest: None,
                     });
                 }
@@ -107,13 +107,13 @@
             }
             if self.is_end() {
                 return Ok(BodyPrefix {
-                    start: joined(start, &more),
+                    start: concatenated(start, &more),
                     rest: None,
                 });
             }
         }
         Ok(BodyPrefix {
-            start: joined(start, &more),
+            start: concatenated(start, &more),
             rest: Some(self),
         })
     }
@@ -217,7 +217,7 @@
     }
 }
 
-fn joined(start: Bytes, more: &BytesMut) -> Bytes {
+fn concatenated(start: Bytes, more: &BytesMut) -> Bytes {
     if more.is_empty() {
         return start;
     }
--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -130,7 +130,7 @@
     match &plan.key {
         Some(key) => keyed_call(edge, plan, body, key.clone()).await,
         None => {
-            let body = gather(body, MAX_REPLAY_BODY, plan.deadline).await?;
+            let body = read_body(body, MAX_REPLAY_BODY, plan.deadline).await?;
             send_with_retries(edge, plan, body, None).await
         }
     }
@@ -143,7 +143,7 @@
     body: CallerBody,
     key: String,
 ) -> Result<Response<AnswerBody>, Fault> {
-    let body = gather(body, MAX_KEYED_BODY, plan.deadline).await?;
+    let body = read_body(body, MAX_KEYED_BODY, plan.deadline).await?;
     if body.rest.is_some() {
         return Err(Fault::KeyedTooLarge(MAX_KEYED_BODY));
     }
@@ -165,7 +165,7 @@
 
 /// Reads the body before a slot is acquired, until its end or until more than
 /// `most` bytes are held.
-async fn gather(body: CallerBody, most: usize, deadline: Moment) -> Result<BodyPrefix, Fault> {
+async fn read_body(body: CallerBody, most: usize, deadline: Moment) -> Result<BodyPrefix, Fault> {
     if body.is_end() {
         return Ok(BodyPrefix {
             start: Bytes::new(),
@@ -174,7 +174,7 @@
     }
     let left = clock::now().until(deadline);
     match tokio::time::timeout(left, body.read_prefix(most)).await {
-        Ok(gathered) => Ok(gathered?),
+        Ok(prefix) => Ok(prefix?),
         Err(_) => Err(Fault::Refused(Refusal::Expired)),
     }
 }
@@ -326,8 +326,8 @@
         span,
         service: Arc::clone(&plan.state),
     };
-    let relay = RelayedBody::new(exchange, incoming, plan.deadline, context);
-    Ok(Response::from_parts(parts, AnswerBody::relayed(relay)))
+    let body = RelayedBody::new(exchange, incoming, plan.deadline, context);
+    Ok(Response::from_parts(parts, AnswerBody::relayed(body)))
 }
 
 /// Returns whether a truncated answer can be detected: the body has a known
--- a/components/transport/src/edge/mod.rs
+++ b/components/transport/src/edge/mod.rs
@@ -126,7 +126,7 @@
         let maintenance = tokio::spawn(Arc::clone(&self).maintain_pool());
         let mut stage = self.stage.subscribe();
         let closing = async move {
-            // The sender lives as long as this edge.
+            // Never fails: this edge owns the sender.
             let _ = stage.wait_for(|s| *s >= Stage::Closing).await;
         };
         tokio::select! {
--- a/components/transport/src/entry/mod.rs
+++ b/components/transport/src/entry/mod.rs
@@ -274,7 +274,7 @@
             &progress.stale_reason,
         ) {
             _ if self.stopping.load(Ordering::SeqCst) => Some("shutting down".to_owned()),
-            (None, Some(trouble)) => Some(format!("no configuration yet: {trouble}")),
+            (None, Some(reason)) => Some(format!("no configuration yet: {reason}")),
             (None, None) => Some("no preset has been chosen: use `preset choose`".to_owned()),
             _ if !self.members.is_member() => Some(NOT_A_MEMBER.to_owned()),
             _ if !self.has_been_linked() => {
