--- a/benches/added_latency.rs
+++ b/benches/added_latency.rs
@@ -1,8 +1,9 @@
-//! What an entry host adds to a call, and what memory large answers take.
+//! Measures the latency that an entry host adds to a call, and its memory use for large answers.
 //!
-//! Calls go straight to a backend server and through one edge in turn, in one
-//! run, so that a busy machine burdens both alike. The backend server says how
-//! long it worked; the rest of a call's time is what is compared.
+//! Each caller alternates between direct calls to a backend server and calls
+//! through an entry host's edge in the same run, so that other load on the machine
+//! affects both equally. The backend server reports its working time in a header;
+//! the rest of each call's time is compared.
 //!
 //! `cargo bench --bench added_latency`
 
@@ -35,7 +36,7 @@
 use transport::dispatch::{Dispatcher, DispatcherOptions};
 use transport::edge::{Edge, Limits};
 
-/// As many as the brief's deployments have together.
+/// The services of `examples/midlands.toml` and `examples/hr-central.toml` together.
 const SERVICES: [&str; 6] = [
     "hallboard",
     "ledgerhouse",
@@ -45,7 +46,7 @@
     "archive",
 ];
 const HOST: &str = "alone";
-/// Backend servers of each service, with six slots each: 300 calls in flight leave a sixth free.
+/// Backend servers of each service, with six slots each: 300 calls in flight leave one slot in six free.
 const ENDPOINTS: usize = 10;
 const REPORT: &str = r#"{"boot":"bench","state":"warm","running":0,"slots":6}"#;
 const CONFIRM_EVERY: Duration = Duration::from_millis(100);
@@ -55,14 +56,15 @@
 const LARGE: usize = 100 * 1024 * 1024;
 const LARGE_ROUNDS: usize = 5;
 
-/// One step of the measurement.
+/// A number of concurrent callers and the calls of each.
 struct Step {
     in_flight: usize,
+    /// The mean working time of a call at the backend server.
     work: Duration,
     calls: usize,
 }
 
-/// About 3,000 calls a second at each depth, so that depth alone differs.
+/// The steps with work send about 3,000 calls a second each, so that only the concurrency differs.
 const STEPS: [Step; 3] = [
     Step {
         in_flight: 1,
@@ -81,7 +83,7 @@
     },
 ];
 
-/// Times without the backend server's work, in microseconds.
+/// Times of calls without the backend server's work, in microseconds.
 struct Times {
     straight: Histogram<u64>,
     through: Histogram<u64>,
@@ -97,14 +99,16 @@
     let server = endpoints[0];
     let host = hosts.block_on(start_edge(&endpoints))?;
     callers.block_on(until_served(host))?;
-    println!("in flight | straight p50 p99 p99.9 | through p50 p99 p99.9 | added p50 p99 (us)");
+    println!(
+        "in flight | direct p50 p99 p99.9 | through the edge p50 p99 p99.9 | added p50 p99 (us)"
+    );
     for step in STEPS {
         let times = callers.block_on(measure(&step, server, host))?;
         print_step(&step, &times);
     }
     let (before, most) = callers.block_on(large_answers(host))?;
     println!(
-        "{LARGE_ROUNDS} answers of {LARGE} bytes: resident memory {before} KiB before, {most} KiB at most"
+        "{LARGE_ROUNDS} answers of {LARGE} bytes: resident memory {before} KiB before, {most} KiB at its peak"
     );
     Ok(())
 }
@@ -141,7 +145,7 @@
     Ok(all)
 }
 
-/// Calls straight and through in turn, and half of the callers begin with either.
+/// Alternates between direct calls and calls through the edge; half of the callers begin with each.
 async fn caller(
     number: usize,
     calls: usize,
@@ -151,8 +155,8 @@
 ) -> Result<Times> {
     let mut straight = connect(server).await?;
     let mut through = connect(host).await?;
-    // Work of one length would have all callers wait for the same timer tick
-    // and come back at once; what is wanted is calls spread over time.
+    // With a constant working time, all callers would wake on the same timer tick
+    // and send at once. Random times spread the calls.
     let mut random = SmallRng::seed_from_u64(number as u64);
     let work = u64::try_from(work.as_micros())?;
     let service = SERVICES[number % SERVICES.len()];
@@ -181,17 +185,16 @@
     let start = Instant::now();
     sender.ready().await?;
     let answer = sender.send_request(request).await?;
-    let worked = answer
-        .headers()
-        .get(WORKED)
-        .ok_or_else(|| eyre!("no answer of the backend server's: {answer:?}"))?;
+    let worked = answer.headers().get(WORKED).ok_or_else(|| {
+        eyre!("answer without the {WORKED} header, so not from the backend server: {answer:?}")
+    })?;
     let worked: u64 = worked.to_str()?.parse()?;
     answer.into_body().collect().await?;
     let took = u64::try_from(start.elapsed().as_micros())?;
     Ok(took.saturating_sub(worked))
 }
 
-/// Returns the resident memory before and at most, in KiB, over large answers.
+/// Returns this process's resident memory before and at its peak during large answers, in KiB.
 async fn large_answers(host: SocketAddr) -> Result<(u64, u64)> {
     let mut sender = connect(host).await?;
     let before = resident()?;
@@ -210,22 +213,23 @@
                 most = most.max(resident()?);
             }
         }
-        assert_eq!(seen, LARGE, "a cut answer");
+        assert_eq!(seen, LARGE, "the answer was cut off");
     }
     Ok((before, most))
 }
 
+/// Returns the resident memory of this process, in KiB.
 fn resident() -> Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
         .find(|l| l.starts_with("VmRSS:"))
-        .ok_or_else(|| eyre!("no VmRSS"))?;
+        .ok_or_else(|| eyre!("/proc/self/status has no VmRSS line"))?;
     let kib = line
         .split_whitespace()
         .nth(1)
-        .ok_or_else(|| eyre!("no number"))?;
-    kib.parse().wrap_err("VmRSS is a number")
+        .ok_or_else(|| eyre!("the VmRSS line has no value"))?;
+    kib.parse().wrap_err("the value of VmRSS is not a number")
 }
 
 fn times() -> Result<Times> {
@@ -243,7 +247,7 @@
     Ok(sender)
 }
 
-/// Starts the backend servers of one service.
+/// Starts the backend servers of all services.
 async fn start_servers() -> Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for _ in 0..ENDPOINTS * SERVICES.len() {
@@ -317,7 +321,7 @@
     Ok(address)
 }
 
-/// Says again and again that this host may act as an owner.
+/// Confirms at a fixed interval that the configuration is current, so that this host may act as an owner.
 async fn confirm(dispatcher: Arc<Dispatcher>) {
     loop {
         dispatcher.confirm(clock::now());
@@ -325,14 +329,17 @@
     }
 }
 
-/// Waits until the edge has slots to serve calls with.
+/// Waits until the edge serves calls of every service, which it does once it holds slots.
 async fn until_served(host: SocketAddr) -> Result<()> {
     for service in SERVICES {
         let path = format!("/{service}/work");
         let mut tries = 0;
         while timed_call(&mut connect(host).await?, &path).await.is_err() {
             tries += 1;
-            eyre::ensure!(tries < READY_TRIES, "the edge doesn't serve {service}");
+            eyre::ensure!(
+                tries < READY_TRIES,
+                "the edge does not serve {service} after {READY_TRIES} tries"
+            );
             tokio::time::sleep(CONFIRM_EVERY).await;
         }
     }
@@ -361,7 +368,7 @@
     }
 }
 
-/// Returns the only entry host; nobody links to it.
+/// Returns the record of the only entry host; no other host connects to its peer address.
 fn member(address: SocketAddr) -> Member {
     Member {
         name: HOST.into(),
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,8 +1,8 @@
-//! What an entry host costs as a process: by hosts, by endpoints, by calls.
+//! Measures the resource use of an entry host by the number of hosts, endpoints and calls.
 //!
-//! Entry hosts are processes of their own; log and backend servers are
-//! stand-ins in this one. Processor time and memory are those that the system
-//! counts for the entry hosts, bytes those on the peer links.
+//! Entry hosts run as processes of their own; the store and the backend servers
+//! are stand-ins in this process. Processor time and memory are what the operating
+//! system counts for the entry hosts; bytes and messages are those on the peer links.
 //!
 //! `cargo bench --bench capacity`
 
@@ -25,30 +25,34 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const READY: Duration = Duration::from_secs(60);
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
-/// Ticks of processor time a second, as Linux counts them in `/proc`.
+/// Clock ticks a second in the processor times of Linux's `/proc`.
 const TICKS: f64 = 100.0;
-/// Endpoints of one service, about as many as letter 1's services have.
+/// Endpoints of one service, about the average of `examples/midlands.toml` and `examples/hr-central.toml`.
 const EACH: usize = 10;
 
-/// An entry host as a process, ended with its owner.
+/// An entry host as a child process, killed on drop.
 struct Host {
     child: Child,
     callers: SocketAddr,
     admin: SocketAddr,
 }
 
-/// A log, backend servers, and entry hosts.
+/// A store, backend servers and entry hosts.
 struct Site {
     hosts: Vec<Host>,
     _log: StoreStandIn,
     _backends: Vec<Backend>,
 }
 
-/// What hosts have spent, on average.
+/// The resources that hosts use: totals of counters, or the average of a host.
 struct Spent {
+    /// Seconds of processor time; as an average, a second.
     processor: f64,
+    /// Resident memory in KiB.
     memory: u64,
+    /// Bytes sent on peer links; as an average, a second.
     bytes: f64,
+    /// Messages sent on peer links; as an average, a second.
     messages: f64,
 }
 
@@ -65,8 +69,8 @@
     for endpoints in [30, 120, 310, 630] {
         show(&endpoints.to_string(), &Site::start(8, endpoints)?)?;
     }
-    println!("calls of 1 ms (1 host, 30 endpoints)");
-    println!("at once | calls/s | µs of processor a call | resident KiB");
+    println!("calls of 1 ms work (1 host, 30 endpoints)");
+    println!("callers | calls/s | µs of processor a call | resident KiB");
     let site = Site::start(1, 30)?;
     for callers in [1, 4, 8, 16] {
         drive(&site, callers)?;
@@ -86,7 +90,7 @@
     Ok(())
 }
 
-/// Calls in a closed loop from `callers` threads, and prints what a call cost.
+/// Calls in a closed loop from `callers` threads, and prints the cost of a call.
 fn drive(site: &Site, callers: usize) -> Result<()> {
     let host = &site.hosts[0];
     let stop = Arc::new(AtomicBool::new(false));
@@ -116,7 +120,7 @@
     for thread in threads {
         thread
             .join()
-            .map_err(|_| eyre!("a caller's thread panicked"))?;
+            .map_err(|_| eyre!("a caller thread panicked"))?;
     }
     let spent = host.processor()? - before;
     let calls = calls.load(Ordering::Relaxed);
@@ -167,7 +171,7 @@
         Ok(site)
     }
 
-    /// Lets the hosts be for a while and tells what that cost each.
+    /// Returns the resources that an idle host uses on average, over [`WINDOW`].
     fn rest(&self) -> Result<Spent> {
         let before = self.totals()?;
         thread::sleep(WINDOW);
@@ -182,6 +186,7 @@
         })
     }
 
+    /// Returns the sums over all hosts since their start.
     fn totals(&self) -> Result<Spent> {
         let mut sum = Spent {
             processor: 0.0,
@@ -218,7 +223,10 @@
             .args(["--admin-address", "127.0.0.1:0"])
             .stdout(Stdio::piped())
             .spawn()?;
-        let out = child.stdout.take().ok_or_else(|| eyre!("no output"))?;
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| eyre!("the entry host has no standard output"))?;
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line)?;
         let ports: serde_json::Value = serde_json::from_str(&line)?;
@@ -238,29 +246,35 @@
             .call()
             .is_err()
         {
-            ensure!(Instant::now() < end, "an entry host does not get ready");
+            ensure!(
+                Instant::now() < end,
+                "an entry host did not become ready in time"
+            );
             thread::sleep(Duration::from_millis(50));
         }
         Ok(())
     }
 
-    /// Returns the seconds of processor time the process has spent.
+    /// Returns the processor time that the process has used, in seconds.
     fn processor(&self) -> Result<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        let (_, fields) = stat.rsplit_once(')').ok_or_else(|| eyre!("no process"))?;
+        let (_, fields) = stat
+            .rsplit_once(')')
+            .ok_or_else(|| eyre!("unexpected content of /proc/PID/stat"))?;
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let (user, system): (f64, f64) = (fields[11].parse()?, fields[12].parse()?);
         Ok((user + system) / TICKS)
     }
 
-    /// Returns the memory the process holds, in KiB.
+    /// Returns the resident memory of the process, in KiB.
     fn memory(&self) -> Result<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        let text = line.ok_or_else(|| eyre!("no resident size"))?;
+        let text = line.ok_or_else(|| eyre!("/proc/PID/status has no VmRSS line"))?;
         Ok(text.trim().trim_end_matches(" kB").parse()?)
     }
 
+    /// Returns the sum of a metric over its labels.
     fn metric(&self, name: &str) -> Result<f64> {
         let mut answer = ureq::get(format!("http://{}/metrics", self.admin)).call()?;
         let page = answer.body_mut().read_to_string()?;
@@ -287,7 +301,7 @@
     };
     match submit_to_store(log, &request, Duration::from_secs(10)) {
         Outcome::Accepted { .. } => Ok(()),
-        other => Err(eyre!("the log did not take the preset: {other:?}")),
+        other => Err(eyre!("the store did not accept the command: {other:?}")),
     }
 }
 
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -1,10 +1,10 @@
-//! What claiming a key costs: the caller's wait, and appends to the log.
+//! Measures the cost of claiming an idempotency key: the caller's wait, and appends to the store.
 //!
-//! `cargo bench --bench claims` starts four hosts in this process and a log
-//! that takes 500 appends a second and answers each after 5 ms. Claims come at a
-//! fixed rate, whatever became of the earlier ones, for 6 s, evenly over the
-//! hosts. Beside it each host appends alone, without a home: one append and one
-//! read a claim.
+//! `cargo bench --bench claims` starts four hosts in this process and a store
+//! stand-in that takes 500 appends a second and answers each after 5 ms. Claims
+//! arrive for 6 s at a fixed rate (open loop), evenly over the hosts, and go through
+//! the home of their stream, which batches them. For comparison, claims are
+//! also made without a home: one append and one read for each claim.
 
 #[path = "../components/transport/tests/entry_hosts/mod.rs"]
 mod entry_hosts;
@@ -36,12 +36,12 @@
         .build()
         .expect("a runtime can be built");
     println!(
-        "by home: claims/s  agreed  not run  p50 ms  p99 ms  max ms  appends/s  claims an append"
+        "by home: claims/s  granted  not run  p50 ms  p99 ms  max ms  appends/s  claims/append"
     );
     for rate in RATES {
         runtime.block_on(by_home(rate));
     }
-    println!("alone:   claims/s  agreed  not run  p50 ms  p99 ms  max ms  appends/s");
+    println!("no home: claims/s  granted  not run  p50 ms  p99 ms  max ms  appends/s");
     for rate in ALONE {
         runtime.block_on(alone(rate));
     }
@@ -50,7 +50,7 @@
 
 async fn site() -> Site {
     let site = Site::start(HOSTS, WorkerOptions::default()).await;
-    // Homes read their streams first.
+    // A home serves claims only after it has read its stream.
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.log.change(|b| {
         b.slow_ms = LOG_DELAY_MS;
@@ -59,8 +59,9 @@
     site
 }
 
-/// What became of the claims of one run.
+/// The results of the claims of one run.
 struct Outcome {
+    /// Waits in microseconds.
     waits: Histogram<u64>,
     agreed: u64,
     not_run: u64,
@@ -107,7 +108,7 @@
     println!("         {}", line(rate, &outcome, appends));
 }
 
-/// Claims a key as a host without a home would: its own append, then a read.
+/// Claims a key without a home, by an append of its own and a read; returns whether both succeeded.
 fn append_alone(client: &BlockingStoreClient, n: u64) -> bool {
     let key = ClaimKey(u128::from(n) << 64);
     let record: Bytes = encode_batch(&Batch {
@@ -131,6 +132,7 @@
     }
 }
 
+/// Runs `call` at `rate` calls a second in an open loop and returns the results.
 async fn drive<F>(rate: u64, call: impl Fn(u64) -> F) -> Outcome
 where
     F: Future<Output = bool> + Send + 'static,
@@ -144,11 +146,12 @@
             tokio::time::sleep(early).await;
         }
         let called = call(n);
-        // The wait counts from when the call was due, so that a stall shows.
+        // The wait counts from the planned time, so that a stall of this loop is
+        // part of the result (no coordinated omission).
         running.push(tokio::spawn(async move { (called.await, due.elapsed()) }));
     }
     let mut outcome = Outcome {
-        waits: Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds fit"),
+        waits: Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid"),
         agreed: 0,
         not_run: 0,
     };
@@ -176,7 +179,7 @@
     )
 }
 
-/// Memory and time that keys take in a home's table.
+/// Prints the memory and time that a key takes in a home's table of claims.
 fn table_cost() {
     const KEYS: u64 = 200_000;
     let before = resident_bytes();
@@ -195,7 +198,7 @@
     let time = start.elapsed();
     let bytes = resident_bytes().saturating_sub(before);
     println!(
-        "table: {} keys, {:.0} bytes a key, {:.0} ns a claim folded",
+        "table: {} keys, {:.0} bytes a key, {:.0} ns to fold a claim",
         table.len(),
         bytes as f64 / KEYS as f64,
         time.as_nanos() as f64 / KEYS as f64
--- a/benches/config_history.rs
+++ b/benches/config_history.rs
@@ -1,7 +1,8 @@
-//! Runs the configuration under faults for many seeds and checks every history.
+//! Runs hosts and operators under injected faults for many seeds, and checks every run's history.
 //!
-//! `cargo bench --bench config_history -- --seeds 200`; `--from N` starts at
-//! another seed, `--runs-at-once N` runs so many side by side.
+//! `cargo bench --bench config_history -- --seeds 200`; `--from N` sets the first
+//! seed, `--runs-at-once N` the number of concurrent runs. The exit code is 1 if a
+//! run violated a guarantee of the configuration.
 
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -11,6 +12,7 @@
 use stand_ins::config_run::{FaultCounts, History, RunOptions, check, run};
 use transport::log::Outcome;
 
+/// Sums over all runs.
 #[derive(Default)]
 struct Total {
     runs: u64,
@@ -77,7 +79,7 @@
     let total = total.into_inner().expect("no run panicked");
     let faults = total.faults;
     println!(
-        "{} runs in {:.0} s: {} commands, {} accepted, {} refused, {} not handed over, {} asked again",
+        "{} runs in {:.0} s: {} commands, {} accepted, {} refused, {} not submitted, {} retried",
         total.runs,
         start.elapsed().as_secs_f64(),
         total.commands,
@@ -87,14 +89,15 @@
         total.asked_again
     );
     println!(
-        "{} records, {} revisions, {} configurations shown by hosts",
+        "{} records, {} revisions, {} configurations observed at hosts",
         total.records, total.revisions, total.shown
     );
     println!("{faults:?}");
-    println!("promises broken: {}", total.broken);
+    println!("violated guarantees: {}", total.broken);
     ExitCode::from((total.broken > 0) as u8)
 }
 
+/// Runs one seed, prints its violations and adds it to `total`.
 fn one(seed: u64, total: &Mutex<Total>) {
     let options = RunOptions {
         seed,
@@ -103,7 +106,7 @@
         commands: 30,
         faults: 40,
     };
-    let history = run(options).expect("the stand-ins start");
+    let history = run(options).expect("the stand-ins can be started");
     let broken = check(&history);
     for fault in &broken {
         println!("seed {seed}: {fault}");
--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -1,9 +1,9 @@
-//! How soon a change is in force on all hosts, and what following the log costs.
+//! Measures how soon a configuration change is in force on all hosts, and the cost of following the log.
 //!
-//! `cargo bench --bench config_in_force` prints three tables: the time until a
-//! change is in force (`-- in-force` for it alone), the cost of the fold and of
-//! snapshots by size (`-- fold`), and the bytes that one host's reading takes
-//! (`-- reading`).
+//! `cargo bench --bench config_in_force` prints the time until a change is in
+//! force, the cost of the fold and of snapshots by size, and the bytes that one
+//! host's reads take. The arguments `in-force`, `fold` and `reading` after `--`
+//! select among them.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -41,7 +41,7 @@
     }
 }
 
-/// Hosts that follow one log, and an operator beside them.
+/// A store, hosts that follow its log of configuration changes, and an operator.
 struct Site {
     log: StoreStandIn,
     hosts: Vec<Arc<Follower>>,
@@ -50,7 +50,8 @@
 
 impl Site {
     fn start(hosts: usize) -> Site {
-        let log = StoreStandIn::on_loopback(Behaviour::default()).expect("the log starts");
+        let log = StoreStandIn::on_loopback(Behaviour::default())
+            .expect("the store stand-in can be started");
         let address = log.address();
         let client = || BlockingStoreClient::new(address, STORE_TIMEOUT);
         let follow = || Arc::new(Follower::start(client(), FollowerOptions::default()));
@@ -66,6 +67,7 @@
         site
     }
 
+    /// Submits a change and returns the revision that it is in force since.
     fn give(&self, change: Change) -> u64 {
         let request = CommandRequest {
             id: None,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Waits until every host shows `revision`, and returns when the last did.
+    /// Waits until `revision` is in force on every host, and returns when the last host had it.
     fn all_show(&self, revision: u64) -> Instant {
         let shows = |h: &Arc<Follower>| h.config().borrow().revision >= revision;
         while !self.hosts.iter().all(shows) {
@@ -101,7 +103,7 @@
 
 fn in_force() {
     println!("Change in force, milliseconds from the operator's command ({CHANGES} changes)");
-    println!("| hosts | log | told p50 / p99 | last host p50 / p99 / most |");
+    println!("| hosts | store | accepted p50 / p99 | last host p50 / p99 / max |");
     println!("|---|---|---|---|");
     for hosts in [4, 8, 17, 34, 68] {
         for slow_ms in [0, 100] {
@@ -118,7 +120,7 @@
             }
             let log = match slow_ms {
                 0 => "ordinary".to_owned(),
-                _ => format!("{slow_ms} ms late, {count} changes"),
+                _ => format!("{slow_ms} ms delay, {count} changes"),
             };
             row(hosts, &log, told, last);
         }
@@ -126,7 +128,7 @@
     }
 }
 
-/// A command waits while the log is down; the time runs from the outage's end.
+/// Measures commands that wait for the end of a store outage; the time counts from that end.
 fn after_outage(hosts: usize) {
     for kind in [Outage::Refusing, Outage::Silent] {
         let site = Site::start(hosts);
@@ -151,6 +153,7 @@
     }
 }
 
+/// Prints a row: the times until the operator's answer, and until the change was in force on the last host.
 fn row(hosts: usize, log: &str, mut told: Vec<Duration>, mut last: Vec<Duration>) {
     told.sort();
     last.sort();
@@ -168,7 +171,7 @@
     );
 }
 
-/// Returns a preset of `endpoints` endpoints over ten a service, eight data centres.
+/// Returns a preset with `endpoints` endpoints, ten for each service, over eight data centres.
 fn preset(name: &str, endpoints: usize) -> String {
     let mut text = format!("name = \"{name}\"\n");
     for centre in 0..8 {
@@ -211,7 +214,9 @@
 }
 
 fn fold_cost() {
-    println!("\nFold of joins and choices with the last configuration held, decoding included");
+    println!(
+        "\nFold of joins and choices, with decoding, while the previous configuration is still referenced"
+    );
     println!("| endpoints a preset | records | ns a record |");
     println!("|---|---|---|");
     for endpoints in [33, 158, 315, 630] {
@@ -222,9 +227,11 @@
             println!("| {endpoints} | {count} | {each:.0} |");
         }
     }
-    println!("\nPresets and snapshots (3 presets, 300 members, 1,024 kept answers), medians of 20");
     println!(
-        "| endpoints | record of a preset, bytes | checked and folded, µs | snapshot, bytes | written, µs | read, µs |"
+        "\nPresets and snapshots (3 presets, 300 members, 1,024 recent commands), medians of 20"
+    );
+    println!(
+        "| endpoints | preset record, bytes | check and fold, µs | snapshot, bytes | encode, µs | decode, µs |"
     );
     println!("|---|---|---|---|---|---|");
     for endpoints in [33, 158, 315, 630] {
@@ -237,7 +244,7 @@
     Change::ChoosePreset { name }
 }
 
-/// Folds encoded commands, each decided on the newest revision; returns the time.
+/// Folds encoded commands, each based on the newest revision; returns the time that decoding and folding took.
 fn fold_all(fold: &mut Fold, first: u64, count: u64) -> Duration {
     let mut spent = Duration::ZERO;
     for n in 0..count {
@@ -251,6 +258,7 @@
             change,
         };
         let data = encode_command(&command);
+        // A host's readers hold the configuration, so that the fold has to copy it.
         let _shown = Arc::clone(fold.config());
         let start = Instant::now();
         let step = fold.apply(first + n, decode_record(&data));
@@ -260,6 +268,7 @@
     spent
 }
 
+/// Returns a fold with 3 presets and 1,200 joins of 300 hosts, and the next offset.
 fn filled(endpoints: usize) -> (Fold, u64) {
     let mut fold = Fold::default();
     for name in ["p-0", "p-1", "p-2"] {
@@ -272,10 +281,11 @@
     (fold, next)
 }
 
+/// Prints the sizes of a preset's record and of a snapshot, and the times to process them.
 fn sizes(endpoints: usize) {
     let (fold, next) = filled(endpoints);
     let text = preset("p-3", endpoints);
-    parse_preset(&text).expect("the preset is good");
+    parse_preset(&text).expect("the preset is valid");
     let command = Command {
         id: CommandId::new(next, 1),
         decided_on: fold.position().revision,
@@ -288,7 +298,7 @@
         fold.apply(next, decode_record(&record));
         start.elapsed()
     });
-    let snapshot = fold.snapshot().expect("nothing was skipped");
+    let snapshot = fold.snapshot().expect("no record was skipped");
     let written = encode_snapshot(&snapshot);
     let writing = median(|| {
         let start = Instant::now();
@@ -297,7 +307,7 @@
     });
     let reading = median(|| {
         let start = Instant::now();
-        let read = decode_record(&written).expect("the snapshot is whole");
+        let read = decode_record(&written).expect("the snapshot can be decoded");
         std::hint::black_box(read);
         start.elapsed()
     });
@@ -308,17 +318,18 @@
     );
 }
 
+/// Returns the median time of 20 runs, in microseconds.
 fn median(run: impl Fn() -> Duration) -> f64 {
     let mut times: Vec<Duration> = (0..20).map(|_| run()).collect();
     times.sort();
     times[times.len() / 2].as_secs_f64() * 1e6
 }
 
-/// Counts the bytes of one host's reading, idle and with changes.
+/// Prints the bytes that one host's reads of the log take, without and with changes.
 fn reading_cost() {
     const SECONDS: u64 = 10;
-    println!("\nReading of one host through a counting relay, {SECONDS} s each");
-    println!("| wait of a read | changes | bytes a second | of them from the log |");
+    println!("\nReads of one host through a proxy that counts bytes, {SECONDS} s each");
+    println!("| wait of a read | changes | bytes/s | of these from the store |");
     println!("|---|---|---|---|");
     for wait_ms in [500, 2_000, 10_000] {
         for changes in [0, 100] {
@@ -351,16 +362,20 @@
     }
 }
 
+/// Starts a TCP proxy that counts bytes to `target` in `bytes[0]` and from `target` in `bytes[1]`.
 fn relay(target: SocketAddr, bytes: Arc<[AtomicU64; 2]>) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         for near in listener.incoming().map_while(Result::ok) {
-            let far = TcpStream::connect(target).expect("the log listens");
+            let far = TcpStream::connect(target).expect("the store accepts connections");
             let pairs = [(near.try_clone(), far.try_clone()), (Ok(far), Ok(near))];
             for (way, (from, to)) in pairs.into_iter().enumerate() {
                 let bytes = Arc::clone(&bytes);
-                let (from, to) = (from.expect("a socket"), to.expect("a socket"));
+                let (from, to) = (
+                    from.expect("the socket can be cloned"),
+                    to.expect("the socket can be cloned"),
+                );
                 std::thread::spawn(move || pump(from, to, &bytes[way]));
             }
         }
--- a/benches/http_libraries.rs
+++ b/benches/http_libraries.rs
@@ -1,8 +1,8 @@
-//! Whether `tiny_http` bears callers, beside the edge that was chosen instead.
+//! Compares `tiny_http` with the edge, which was chosen instead, under slow callers.
 //!
-//! Three burdens on each: callers that never end their head, callers that
-//! never send the body they announced, and what a prompt caller sees meanwhile.
-//! And whether `ureq` sends anything twice by itself.
+//! Some callers never finish their request head, others never send the body that
+//! they announced; a prompt caller measures how the server answers meanwhile. Also
+//! shows whether `ureq` repeats a request on its own.
 //!
 //! `cargo bench --bench http_libraries`
 
@@ -26,10 +26,10 @@
 const SLOW_BODIES: usize = 200;
 const WORKERS: usize = 64;
 
-/// How long the slow callers are watched, longer than the edge's limit for a head.
+/// How long connections with unfinished heads are kept; longer than the edge's time-out for a head.
 const WATCH: Duration = Duration::from_secs(13);
 
-/// When a prompt caller gives up.
+/// The prompt caller's time-out.
 const PATIENCE: Duration = Duration::from_secs(3);
 
 fn main() -> Result<()> {
@@ -40,11 +40,14 @@
     burden("edge", edge, "/hallboard/")?;
     for method in ["GET", "POST"] {
         let seen = sent_by_ureq(method)?;
-        println!("ureq {method} on a kept connection that is closed on receipt: sent {seen} times");
+        println!(
+            "ureq {method} on a reused connection that the server closes on receipt: sent {seen} times"
+        );
     }
     Ok(())
 }
 
+/// Opens slow requests to a server and prints how a prompt caller is answered meanwhile.
 fn burden(name: &str, address: SocketAddr, path: &str) -> Result<()> {
     let threads = threads()?;
     let mut slow = Vec::new();
@@ -53,13 +56,13 @@
     }
     let prompt = prompt_call(address, path)?;
     println!(
-        "{name}: {SLOW_HEADS} unended heads: {} more threads, prompt caller {prompt}",
+        "{name}: {SLOW_HEADS} unfinished heads: {} more threads, prompt caller {prompt}",
         self::threads()?.saturating_sub(threads)
     );
     thread::sleep(WATCH);
     let held = slow.iter().filter(|s| is_open(s)).count();
     println!(
-        "{name}: after {} s {held} of them are held",
+        "{name}: after {} s {held} of them are still open",
         WATCH.as_secs()
     );
     drop(slow);
@@ -70,7 +73,7 @@
     }
     thread::sleep(Duration::from_millis(500));
     let prompt = prompt_call(address, path)?;
-    println!("{name}: {SLOW_BODIES} bodies that don't come: prompt caller {prompt}");
+    println!("{name}: {SLOW_BODIES} missing bodies: prompt caller {prompt}");
     Ok(())
 }
 
@@ -80,6 +83,7 @@
     Ok(stream)
 }
 
+/// Returns whether the server has left the connection open.
 fn is_open(mut stream: &TcpStream) -> bool {
     let mut sink = [0; 4096];
     if stream.set_nonblocking(true).is_err() {
@@ -94,6 +98,7 @@
     }
 }
 
+/// Sends a whole request and describes how it was answered.
 fn prompt_call(address: SocketAddr, path: &str) -> Result<String> {
     let start = Instant::now();
     let mut stream = begin(
@@ -109,17 +114,24 @@
     }
 }
 
+/// Returns the number of threads of this process.
 fn threads() -> Result<usize> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|l| l.strip_prefix("Threads:"));
-    Ok(line.ok_or_else(|| eyre!("no Threads"))?.trim().parse()?)
+    Ok(line
+        .ok_or_else(|| eyre!("/proc/self/status has no Threads line"))?
+        .trim()
+        .parse()?)
 }
 
-/// Starts a `tiny_http` server whose workers answer at once.
+/// Starts a `tiny_http` server with [`WORKERS`] threads that answer immediately.
 fn start_tiny() -> Result<SocketAddr> {
     let server = tiny_http::Server::http("127.0.0.1:0").map_err(|e| eyre!("{e}"))?;
     let server = Arc::new(server);
-    let address = server.server_addr().to_ip().ok_or_else(|| eyre!("no IP"))?;
+    let address = server
+        .server_addr()
+        .to_ip()
+        .ok_or_else(|| eyre!("the server does not listen on an IP address"))?;
     for _ in 0..WORKERS {
         let server = Arc::clone(&server);
         thread::spawn(move || {
@@ -131,7 +143,9 @@
     Ok(address)
 }
 
-/// Returns how often one call by `ureq` reached a server that closes on receipt.
+/// Returns how often `ureq` sent one request to a server that closes the connection on receipt.
+///
+/// The first call succeeds, so that the second one reuses a connection.
 fn sent_by_ureq(method: &str) -> Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -157,12 +171,14 @@
     call()?;
     let second = call();
     if second.is_ok() {
-        return Err(eyre!("the second call was answered"));
+        return Err(eyre!(
+            "the second call was answered although the server closes the connection"
+        ));
     }
     Ok(seen.load(Ordering::SeqCst) - 1)
 }
 
-/// Answers the first request on the first connection, and closes on every other.
+/// Answers the first request of all, and closes the connection on every later one.
 fn answer_first(mut stream: TcpStream, seen: &AtomicUsize) {
     let mut bytes = [0; 4096];
     while let Ok(1..) = stream.read(&mut bytes) {
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -1,10 +1,10 @@
-//! What watching each other costs a host, and how soon a lost host is seen.
+//! Measures the cost of failure detection to a host, and how soon the loss of a host is detected.
 //!
 //! `cargo bench --bench members` starts 4, 8, 17, 34 and 68 hosts in this
 //! process, on loopback, each with its links and its failure detector. Bytes are
-//! those of the messages with their frames; processor time is that of the whole
-//! process, divided by the hosts, so it holds both ends of each message and the
-//! follower of the configuration as well.
+//! those of the messages with their frames. Processor time is that of the whole
+//! process divided by the number of hosts, so it includes both ends of each message
+//! and the follower of the configuration.
 
 #[path = "../components/transport/tests/entry_hosts/mod.rs"]
 mod entry_hosts;
@@ -38,7 +38,7 @@
         map_cost(size);
     }
     println!(
-        "hosts  messages/s  bytes/s  processor  seen by all after (ms, each kill)  removed after (ms)"
+        "hosts  messages/s  bytes/s  processor  suspected by all after (ms, each kill)  removed after (ms)"
     );
     for size in SIZES {
         runtime.block_on(measure(size, &handle));
@@ -61,7 +61,7 @@
     let mut seen = Vec::new();
     let mut removed = Vec::new();
     for kill in 0..kills {
-        // Another phase of the beats each time.
+        // Each kill falls on another phase of the heartbeats.
         tokio::time::sleep(Duration::from_millis(300 + 67 * kill as u64)).await;
         let (suspected, gone) = lose(&mut site).await;
         seen.push(suspected.as_millis());
@@ -74,7 +74,7 @@
     }
 }
 
-/// Kills a host; returns when all others suspect it, and when all have it removed.
+/// Kills a host; returns how long all others took to suspect it, and to remove it from their view.
 async fn lose(site: &mut Site) -> (Duration, Duration) {
     let start = Instant::now();
     let dead = site.kill(1);
@@ -91,13 +91,13 @@
         }
         assert!(
             start.elapsed() < Duration::from_secs(60),
-            "the host was never removed"
+            "the lost host was not removed within 60 s"
         );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// Prints how long a host takes to work out who watches whom, once a change of members.
+/// Prints how long a host takes to compute the watch map, as it does at each change of members.
 fn map_cost(size: usize) {
     let mut config = Config::default();
     for index in 0..size {
@@ -119,9 +119,11 @@
     println!("watch map of {size} hosts: {each:?}");
 }
 
+/// Counters of this process at one moment.
 struct Sample {
     messages: f64,
     bytes: f64,
+    /// Processor time in seconds.
     processor: f64,
 }
 
@@ -136,13 +138,14 @@
     }
 }
 
+/// Returns the value of the first metric on `page` whose name begins with `name`.
 fn counter(page: &str, name: &str) -> f64 {
     let line = page.lines().find(|l| l.starts_with(name));
     let value = line.and_then(|l| l.split_whitespace().last());
     value.and_then(|v| v.parse().ok()).unwrap_or(0.0)
 }
 
-/// Returns the processor time of this process, in seconds.
+/// Returns the processor time that this process has used, in seconds.
 fn processor_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").expect("/proc can be read");
     let after_name = stat.rsplit(')').next().unwrap_or_default();
--- a/benches/slots/baseline.rs
+++ b/benches/slots/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines and the limit, over the same calls.
+//! The baseline policies and the single-queue bound, simulated over the same calls.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -13,29 +13,30 @@
 use crate::work::{Job, Setting};
 use crate::world::START;
 
-/// A queue with slots behind it: an endpoint, a host's share, or all there is.
+/// A first-in, first-out queue in front of the slots of an endpoint, of a host or of the service.
 struct Station {
     slots: u32,
     busy: u32,
     queue: VecDeque<usize>,
+    /// The factor on a call's working time.
     factor: u64,
 }
 
-/// Calls placed on stations over virtual time.
+/// A simulation of calls at stations in virtual time.
 struct Run<'a> {
     setting: &'a Setting,
     jobs: &'a [Job],
     stations: Vec<Station>,
-    /// Calls in flight by host and endpoint.
+    /// Calls waiting or running, by host and station.
     flight: BTreeMap<(usize, usize), u32>,
     turns: Vec<u64>,
     rng: StdRng,
 }
 
-/// Returns the figures of one queue before all slots, with perfect knowledge.
+/// Returns the results of a single queue for all slots: the bound of what a policy can reach.
 ///
-/// A slow backend server gets nothing here as long as it is slow: its slots
-/// are out of the limit from the start.
+/// The slots of a slow backend server are left out for the whole run, because a
+/// queue with perfect knowledge sends nothing to a slow backend server.
 pub fn limit(setting: &Setting, jobs: &[Job]) -> Outcome {
     let slow = u32::from(setting.slow.is_some()) * setting.slots;
     let mut run = Run::new(setting, jobs);
@@ -43,7 +44,7 @@
     run.drive(|_, _, _| 0)
 }
 
-/// Returns the figures of a baseline.
+/// Returns the results of a baseline policy.
 pub fn baseline(policy: Policy, setting: &Setting, jobs: &[Job]) -> Outcome {
     let mut run = Run::new(setting, jobs);
     if policy == Policy::FixedShare {
@@ -56,7 +57,9 @@
     run.drive(|run, n, _| run.choose(policy, run.jobs[n].host))
 }
 
-/// Deals every slot to one host by rendezvous, each host at least one.
+/// Assigns each slot to one of the hosts with the fewest slots so far, by rendezvous hashing.
+///
+/// Each host gets at least one slot where there are as many slots as hosts.
 fn shares(setting: &Setting) -> Vec<Station> {
     let mut slots = vec![0; setting.hosts];
     for slot in 0..u64::from(setting.capacity()) {
@@ -93,6 +96,7 @@
         }
     }
 
+    /// Runs all calls; `place` returns the station of an arriving call.
     fn drive(mut self, place: impl Fn(&mut Run<'a>, usize, u64) -> usize) -> Outcome {
         let mut meter = Meter::new(self.setting);
         let mut ends: BinaryHeap<Reverse<(u64, usize, usize)>> = BinaryHeap::new();
@@ -135,6 +139,7 @@
         meter.finish(now - START)
     }
 
+    /// Starts queued calls at a station while it has free slots, and refuses those past their deadline.
     fn serve(
         &mut self,
         index: usize,
@@ -164,6 +169,7 @@
         }
     }
 
+    /// Returns the endpoint that `policy` chooses for a call at `host`.
     fn choose(&mut self, policy: Policy, host: usize) -> usize {
         let turn = self.turns[host];
         self.turns[host] += 1;
@@ -178,7 +184,10 @@
         found.map_or(0, |e| e.0 as usize)
     }
 
-    /// Two choices sees the truth, as a probe of no cost and no delay would give it.
+    /// Returns the number of calls at `station` that `policy` knows of at `host`.
+    ///
+    /// Two choices gets the true number, as from probes without cost and delay;
+    /// other policies get the host's own calls in flight.
     fn seen(&self, policy: Policy, host: usize, station: usize) -> u32 {
         match policy {
             Policy::TwoChoices => {
--- a/benches/slots/main.rs
+++ b/benches/slots/main.rs
@@ -1,9 +1,17 @@
-//! Compares placing calls by shared slots with the baselines and with the limit.
+//! Simulates the shared-slots policy, the baseline policies and the single-queue bound, and compares them.
 //!
-//! `cargo bench --bench slots` runs everything and writes the plot;
-//! `cargo bench --bench slots -- 80%` only the loads whose name contains that;
-//! `cargo bench --bench slots -- slope` shows how control traffic grows.
-//! `SLOTS_ONLY=1` leaves the baselines out, `SLOTS_KINDS=1` adds messages by kind.
+//! `cargo bench --bench slots` runs all loads and writes the plot;
+//! `cargo bench --bench slots -- 80%` runs only the loads whose name contains `80%`;
+//! `cargo bench --bench slots -- slope` shows how control traffic grows with hosts
+//! and endpoints. `SLOTS_ONLY=1` leaves out the baselines, `SLOTS_KINDS=1` adds the
+//! number of messages by kind.
+//!
+//! The columns, left to right: wait for a slot at p50, p99 and p99.9 in ms; time
+//! from arrival to answer at p99 and p99.9 in ms; slot time that was idle while a
+//! call waited, in %; refused calls in %; work done of what all slots can do, in %;
+//! time to a refusal at p99 in ms; the most calls at one endpoint; messages and
+//! bytes a second from each host; ns of processor time a step of a host's slot
+//! manager; processor time a host, in % of a core.
 
 mod baseline;
 mod outcome;
@@ -73,9 +81,10 @@
     }
 }
 
-/// Returns the runs that show how control traffic grows, all at 60%.
+/// Returns the runs that show how control traffic grows with hosts and endpoints.
 ///
-/// Calls grow with the endpoints, so that each slot is as busy in every run.
+/// All but the idle run have a load of 60%: calls grow with the endpoints, so that
+/// each slot is equally busy.
 fn slopes() -> Vec<Setting> {
     let base = Setting {
         load: 0.6,
--- a/benches/slots/outcome.rs
+++ b/benches/slots/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run is judged by.
+//! The measured results of a run.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::work::{Job, Setting};
 use crate::world::START;
 
-/// Counts while a run goes on.
+/// Records measurements during a run; times in microseconds.
 pub struct Meter {
     capacity: u32,
     hosts: usize,
@@ -25,45 +25,46 @@
     pub messages: u64,
     /// Messages by kind.
     pub kinds: BTreeMap<&'static str, u64>,
-    /// Their bytes, with the frame's length.
+    /// Bytes of the messages between hosts, with the frames' length prefixes.
     pub bytes: u64,
-    /// Probes sent, from the start of the world.
+    /// Probes sent, since the start of the simulation.
     pub probes: u64,
 }
 
-/// A run's figures; times in milliseconds.
+/// The results of a run; times in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Waits at p50, p99 and p99.9.
     pub wait: [f64; 3],
-    /// Whole times at p50, p99 and p99.9.
+    /// Times from arrival to answer at p50, p99 and p99.9.
     pub total: [f64; 3],
-    /// The share of slot time that was idle while a call waited, in percent.
+    /// Slot time that was idle while a call waited, in percent of all slot time.
     pub idle: f64,
-    /// Calls refused, in percent.
+    /// Refused calls, in percent.
     pub refused: f64,
-    /// Time from arrival to refusal at p99.
+    /// The time from arrival to refusal at p99.
     pub refusal: f64,
-    /// Answers a second over what all slots can give.
+    /// Work of answered calls, in percent of all slot time.
     pub goodput: f64,
     /// The most calls at one endpoint at once.
     pub peak: u32,
-    /// Messages a host a second.
+    /// Messages a second from each host.
     pub messages: f64,
-    /// Messages a host a second by kind.
+    /// Messages a second from each host, by kind.
     pub kinds: BTreeMap<&'static str, f64>,
-    /// Bytes a host a second.
+    /// Bytes of messages a second from each host.
     pub bytes: f64,
-    /// Nanoseconds a decision step.
+    /// Processor time of a step of a host's slot manager, in nanoseconds; 0 for baselines.
     pub decision: f64,
-    /// Share of a core a host.
+    /// Processor time of a host's slot manager a second, as a fraction of a core; 0 for baselines.
     pub cpu: f64,
 }
 
 impl Meter {
-    /// Returns a meter that has counted nothing.
+    /// Returns a meter without measurements.
     pub fn new(setting: &Setting) -> Meter {
-        let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).expect("bounds");
+        let histogram =
+            || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid");
         Meter {
             capacity: setting.capacity(),
             hosts: setting.hosts,
@@ -84,18 +85,18 @@
         }
     }
 
-    /// Passes the time from `from` to `to`.
+    /// Adds the idle slot time between `from` and `to`, in which nothing changes.
     pub fn advance(&mut self, from: u64, to: u64) {
         let idle = self.capacity.saturating_sub(self.running);
         self.idle += u64::from(idle.min(self.waiting)) * (to - from);
     }
 
-    /// Counts an arrival.
+    /// Records an arrival.
     pub fn arrive(&mut self) {
         self.waiting += 1;
     }
 
-    /// Counts a start at an endpoint that now runs `busy` calls.
+    /// Records the start of a call at an endpoint that now runs `busy` calls.
     pub fn start(&mut self, job: &Job, now: u64, busy: u32) {
         self.waiting -= 1;
         self.running += 1;
@@ -103,7 +104,7 @@
         self.waits.saturating_record(now - START - job.at);
     }
 
-    /// Counts an answer.
+    /// Records an answered call.
     pub fn end(&mut self, _call: usize, job: &Job, now: u64) {
         self.running -= 1;
         self.done += job.work;
@@ -111,14 +112,14 @@
         self.totals.saturating_record(now - START - job.at);
     }
 
-    /// Counts a refusal.
+    /// Records a refused call.
     pub fn refuse(&mut self, job: &Job, now: u64) {
         self.waiting -= 1;
         self.refused += 1;
         self.refusals.saturating_record(now - START - job.at);
     }
 
-    /// Returns the figures of a run that took `span` microseconds.
+    /// Returns the results of a run that took `span` microseconds.
     pub fn finish(&self, span: u64) -> Outcome {
         let seconds = span as f64 / 1e6;
         let calls = (self.totals.len() + self.refused).max(1) as f64;
@@ -145,6 +146,7 @@
     }
 }
 
+/// Returns p50, p99 and p99.9 in milliseconds.
 fn quantiles(histogram: &Histogram<u64>) -> [f64; 3] {
     [0.5, 0.99, 0.999].map(|q| histogram.value_at_quantile(q) as f64 / 1e3)
 }
--- a/benches/slots/plot.rs
+++ b/benches/slots/plot.rs
@@ -1,16 +1,16 @@
-//! The plot of waits by load and policy.
+//! Plots the wait for a slot by load and policy.
 
 use plotters::prelude::*;
 
 use crate::outcome::Outcome;
 
-/// One run.
+/// The results of one run.
 pub struct Row {
     /// The load's name.
     pub load: String,
     /// The policy's name.
     pub policy: String,
-    /// Its figures.
+    /// The results.
     pub outcome: Outcome,
 }
 
@@ -25,11 +25,11 @@
     RGBColor(150, 120, 180),
 ];
 
-/// Draws the wait at p99 of every run on a logarithmic scale.
+/// Writes an SVG file with the p99 wait of every run on a logarithmic scale.
 ///
 /// # Errors
 ///
-/// Says why the file could not be written.
+/// Returns an error if the file cannot be written.
 pub fn draw(rows: &[Row], path: &str) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/benches/slots/work.rs
+++ b/benches/slots/work.rs
@@ -1,4 +1,4 @@
-//! The calls of a run: when, where, how long.
+//! The calls of a run: when and where each arrives, and how long it works.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -6,15 +6,15 @@
 /// One call.
 #[derive(Clone, Copy)]
 pub struct Job {
-    /// When it arrives, in microseconds from the first.
+    /// The time of arrival, in microseconds from the start of the load.
     pub at: u64,
-    /// The entry host it comes to.
+    /// The index of the entry host that the call arrives at.
     pub host: usize,
-    /// How long its work takes, in microseconds.
+    /// The working time at a backend server, in microseconds.
     pub work: u64,
 }
 
-/// How long work takes.
+/// The distribution of working times.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Mix {
     /// Exponential with a mean of 20 ms.
@@ -23,55 +23,55 @@
     Bimodal,
 }
 
-/// Where calls arrive.
+/// The entry hosts that calls arrive at.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Spread {
-    /// At any host alike.
+    /// A host drawn uniformly at random for each call.
     Even,
-    /// All at one, which changes every two seconds.
+    /// One host for all calls, another one every two seconds.
     Skew,
 }
 
-/// One backend server becomes slow.
+/// A slowdown of one backend server.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Slow {
-    /// When, in microseconds from the first call.
+    /// When the slowdown begins, in microseconds from the start of the load.
     pub from: u64,
-    /// How many times.
+    /// The factor on working times.
     pub factor: u64,
 }
 
 /// The size and the load of a run.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// What the run is called.
+    /// The name of the run in the table and in the plot.
     pub name: &'static str,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub hosts: usize,
-    /// Endpoints of the service.
+    /// The number of endpoints of the service.
     pub endpoints: usize,
-    /// Slots of an endpoint.
+    /// The number of slots of each endpoint.
     pub slots: u32,
-    /// The share of all slot time that the calls need.
+    /// The fraction of all slot time that the calls need.
     pub load: f64,
-    /// How long work takes.
+    /// The distribution of working times.
     pub mix: Mix,
-    /// Where calls arrive.
+    /// The entry hosts that calls arrive at.
     pub spread: Spread,
-    /// Calls come in bursts of 200 ms each second, at 150%, and else at `load`.
+    /// Whether each second begins with a burst of 200 ms at 150%; the rest is at `load`.
     pub burst: bool,
-    /// One backend server becomes slow.
+    /// A slowdown of the first backend server.
     pub slow: Option<Slow>,
-    /// Calls in the run.
+    /// The number of calls in the run.
     pub calls: usize,
-    /// From one host to another, in microseconds.
+    /// The one-way delay of a message between hosts, in microseconds.
     pub one_way: u64,
-    /// A call's deadline, in microseconds from its arrival.
+    /// The deadline of a call, in microseconds from its arrival.
     pub deadline: u64,
 }
 
 impl Setting {
-    /// Hallboard's size: 11 endpoints of 6 slots, 15 entry hosts.
+    /// The size of `hallboard` in `examples/midlands.toml`: 11 endpoints of 6 slots, with 15 entry hosts.
     pub const HALLBOARD: Setting = Setting {
         name: "80%",
         hosts: 15,
@@ -87,12 +87,12 @@
         deadline: 10_000_000,
     };
 
-    /// Returns all slots of the service.
+    /// Returns the number of slots of the service.
     pub fn capacity(&self) -> u32 {
         self.slots * self.endpoints as u32
     }
 
-    /// Draws the calls of a run.
+    /// Draws the calls of a run at random.
     pub fn jobs(&self, seed: u64) -> Vec<Job> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut at = 0.0;
@@ -108,6 +108,7 @@
             .collect()
     }
 
+    /// Draws the time to the next arrival, exponentially distributed, in microseconds.
     fn gap(&self, at: f64, rng: &mut StdRng) -> f64 {
         let bursting = self.burst && at % 1e6 < 2e5;
         let load = if bursting { 1.5 } else { self.load };
@@ -133,6 +134,7 @@
         }
     }
 
+    /// Returns the mean working time, in microseconds.
     fn mean(&self) -> f64 {
         match self.mix {
             Mix::Exponential => 20_000.0,
--- a/benches/slots/world.rs
+++ b/benches/slots/world.rs
@@ -1,4 +1,4 @@
-//! Several hosts' slot machines over virtual time, with a delayed message queue.
+//! Simulates the slot managers of all hosts in virtual time, with delayed messages between them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -16,13 +16,13 @@
 use crate::outcome::{Meter, Outcome};
 use crate::work::{Job, Setting};
 
-/// When arrivals begin: the fence of new owners is over and slots are spread.
+/// When calls begin to arrive, in microseconds: the fence of new owners is over and slots are spread.
 pub const START: u64 = 8_000_000;
-/// How often hosts are told that their configuration is current.
+/// How often each host's configuration is confirmed as current, in microseconds.
 const CONFIRM: u64 = 500_000;
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 
-/// What happens next.
+/// An event of the simulation; calls and hosts are named by index.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
@@ -45,11 +45,12 @@
     message: SlotMessage,
 }
 
-/// The whole of a run.
+/// A discrete-event simulation of a run; times in microseconds.
 pub struct World<'a> {
     setting: &'a Setting,
     jobs: &'a [Job],
     now: u64,
+    /// Numbers events and messages, so that events of one time keep their order.
     turn: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     hosts: Vec<SlotManager>,
@@ -65,7 +66,7 @@
     steps: u64,
 }
 
-/// Returns the configuration of a service with the hosts as members.
+/// Returns a configuration with one service and all hosts as members.
 pub fn config(setting: &Setting) -> Config {
     let centres = CENTRES.map(|name| DataCentre {
         name: name.to_owned(),
@@ -74,7 +75,7 @@
     let endpoints = (0..setting.endpoints).map(|n| Endpoint {
         address: format!("10.0.{}.{}:80", n / 250, n % 250 + 1)
             .parse()
-            .expect("an address"),
+            .expect("the address is valid"),
         data_centre: CENTRES[n % CENTRES.len()].to_owned(),
     });
     let service = Service {
@@ -102,7 +103,7 @@
             incarnation: incarnation(n),
             peer: format!("10.1.{}.{}:9", n / 250, n % 250 + 1)
                 .parse()
-                .expect("an address"),
+                .expect("the address is valid"),
             data_centre: CENTRES[n % CENTRES.len()].to_owned(),
             joined: 1,
         };
@@ -118,6 +119,7 @@
     }
 }
 
+/// Returns the kind of a message as it is printed.
 fn kind(message: &SlotMessage) -> &'static str {
     match message.body {
         SlotBody::Renew { .. } => "renew",
@@ -132,12 +134,13 @@
     }
 }
 
+/// Returns the incarnation of the host with index `n`, a large number as real ones are.
 fn incarnation(n: usize) -> u64 {
     (n as u64 + 1) << 40
 }
 
 impl<'a> World<'a> {
-    /// Returns the world before its first event.
+    /// Returns a simulation before its first event.
     pub fn new(setting: &'a Setting, jobs: &'a [Job]) -> World<'a> {
         let config = config(setting);
         let keys: Vec<HostKey> = (0..setting.hosts)
@@ -155,7 +158,9 @@
             slots.configure(&config, &alive, Moment(0));
             slots
         });
-        let preset = config.preset().expect("a preset");
+        let preset = config
+            .preset()
+            .expect("the configuration has a chosen preset");
         let service = &preset.services[0];
         let mut world = World {
             setting,
@@ -185,7 +190,7 @@
         world
     }
 
-    /// Runs until the last call has ended.
+    /// Runs until the last call has ended, and returns the results.
     pub fn run(mut self) -> Outcome {
         let mut left = self.jobs.len();
         while let Some(Reverse((at, _, event))) = self.events.pop() {
@@ -203,7 +208,7 @@
         outcome
     }
 
-    /// Handles an event and returns how many calls it has ended.
+    /// Handles an event and returns how many calls it ended.
     fn handle(&mut self, event: &Event) -> usize {
         match *event {
             Event::Arrive(n) => self.arrive(n),
@@ -248,6 +253,7 @@
         }
     }
 
+    /// Has a call arrive at its host and returns how many calls ended.
     fn arrive(&mut self, n: usize) -> usize {
         self.meter.arrive();
         let job = &self.jobs[n];
@@ -260,6 +266,7 @@
         self.step(job.host, |s, now| s.arrive(&arrival, now))
     }
 
+    /// Runs one step of a host's slot manager and its effects, and returns how many calls ended.
     fn step(&mut self, host: usize, act: impl FnOnce(&mut SlotManager, Moment)) -> usize {
         let began = Instant::now();
         act(&mut self.hosts[host], Moment(self.now));
@@ -271,6 +278,7 @@
         ended
     }
 
+    /// Carries out an effect and returns how many calls ended.
     fn apply(&mut self, host: usize, effect: Effect) -> usize {
         match effect {
             Effect::Send(to, message) => self.post(host, to, message),
@@ -299,12 +307,13 @@
         0
     }
 
+    /// Sends a message, which arrives after the one-way delay.
     fn post(&mut self, host: usize, to: HostKey, message: SlotMessage) {
         let from = *self
             .index
             .iter()
             .find(|(_, n)| **n == host)
-            .expect("a host")
+            .expect("every host has a key")
             .0;
         if self.now >= START {
             self.meter.messages += 1;
@@ -316,6 +325,7 @@
         self.push(self.now + self.setting.one_way, Event::Message(id));
     }
 
+    /// Returns the factor on working times at `endpoint`.
     fn slowness(&self, endpoint: EndpointKey) -> u64 {
         match self.setting.slow {
             Some(slow) if self.endpoints[0] == endpoint && self.now >= START + slow.from => {
@@ -325,6 +335,7 @@
         }
     }
 
+    /// Schedules the next wake of a host's slot manager.
     fn follow(&mut self, host: usize) {
         let due = self.hosts[host].next_wake().0.max(self.now + 1);
         if due < self.wakes[host] {
--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -1,8 +1,8 @@
-//! A soak: real entry hosts under load for a long time while one fault follows another.
+//! A soak test: entry host processes under load for a long time with one injected fault after another.
 //!
-//! `SOAK_SECONDS=900 SOAK_SEED=1 cargo bench --bench soak`. Prints what each
-//! entry host's process uses, then every broken promise; ends with 1 where
-//! there was one.
+//! `SOAK_SECONDS=900 SOAK_SEED=1 cargo bench --bench soak`. Prints the resources
+//! that each entry host's process uses, then the number of violated guarantees by
+//! check and the first 20 of them. The exit code is 1 if there is one.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -22,12 +22,12 @@
 const SITE: &str = include_str!("../tests/common/small.toml");
 const SECONDS: u64 = 900;
 const SEED: u64 = 1;
-/// From one fault's end to the next one's start.
+/// The time from the end of a fault to the start of the next one.
 const REST: Duration = Duration::from_secs(3);
-/// How long a fault lasts.
+/// How long a fault lasts that does not end by itself.
 const FAULT: Duration = Duration::from_secs(4);
 
-/// One kind of fault.
+/// A kind of fault; printed by name.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     Killed,
@@ -60,7 +60,7 @@
 ];
 
 fn main() -> ExitCode {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be built");
     runtime.block_on(soak())
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Causes a fault at one of three places and ends it.
+/// Injects a fault at the entry host, endpoint or data centre with index `place`, and ends it unless it ends by itself.
 async fn cause(cluster: &mut Cluster, kind: Kind, place: usize) {
     match kind {
         Kind::Killed => {
@@ -156,22 +156,26 @@
     }
 }
 
+/// Sets faults on a backend server of `hallboard`.
 fn set(cluster: &Cluster, place: usize, change: impl FnOnce(&mut Knobs)) {
     let mut knobs = Knobs::default();
     change(&mut knobs);
     cluster.site.backends("hallboard")[place].set(&knobs);
 }
 
+/// Has the site carry out an operator's action.
 async fn order(cluster: &Cluster, order: Order, name: &str) {
     if let Err(error) = cluster.site.order(order, name).await {
         println!("{order:?} {name}: {error}");
     }
 }
 
+/// Waits until an entry host is ready.
 async fn ready(cluster: &Cluster, place: usize) {
     until("the entry host is ready", || cluster.targets[place].is_up()).await;
 }
 
+/// Prints the resources of every entry host.
 fn print(cluster: &Cluster, start: Instant, what: &str) {
     let uses: Vec<String> = (0..cluster.hosts.len())
         .map(|host| {
@@ -190,6 +194,7 @@
     );
 }
 
+/// Returns the number in an environment variable, or `usual`.
 fn setting(name: &str, usual: u64) -> u64 {
     std::env::var(name)
         .ok()
