--- a/benches/slots/baseline.rs
+++ b/benches/slots/baseline.rs
@@ -10,8 +10,8 @@
 use state::policy::{Choice, Policy};
 
 use crate::outcome::{Meter, Outcome};
-use crate::work::{Job, Setting};
-use crate::world::START;
+use crate::scenario::{Job, Scenario};
+use crate::simulation::LOAD_START;
 
 /// A first-in, first-out queue in front of the slots of an endpoint, of a host or of the service.
 struct Station {
@@ -24,11 +24,11 @@
 
 /// A simulation of calls at stations in virtual time.
 struct Run<'a> {
-    setting: &'a Setting,
+    scenario: &'a Scenario,
     jobs: &'a [Job],
     stations: Vec<Station>,
     /// Calls waiting or running, by host and station.
-    flight: BTreeMap<(usize, usize), u32>,
+    in_flight: BTreeMap<(usize, usize), u32>,
     turns: Vec<u64>,
     rng: StdRng,
 }
@@ -37,44 +37,44 @@
 ///
 /// The slots of a slow backend server are left out for the whole run, because a
 /// queue with perfect knowledge sends nothing to a slow backend server.
-pub fn limit(setting: &Setting, jobs: &[Job]) -> Outcome {
-    let slow = u32::from(setting.slow.is_some()) * setting.slots;
-    let mut run = Run::new(setting, jobs);
-    run.stations = vec![Station::of(setting.capacity() - slow)];
-    run.drive(|_, _, _| 0)
+pub fn single_queue_bound(scenario: &Scenario, jobs: &[Job]) -> Outcome {
+    let slow = u32::from(scenario.slow.is_some()) * scenario.slots;
+    let mut run = Run::new(scenario, jobs);
+    run.stations = vec![Station::new(scenario.capacity() - slow)];
+    run.simulate(|_, _, _| 0)
 }
 
 /// Returns the results of a baseline policy.
-pub fn baseline(policy: Policy, setting: &Setting, jobs: &[Job]) -> Outcome {
-    let mut run = Run::new(setting, jobs);
+pub fn simulate(policy: Policy, scenario: &Scenario, jobs: &[Job]) -> Outcome {
+    let mut run = Run::new(scenario, jobs);
     if policy == Policy::FixedShare {
-        run.stations = shares(setting);
-        return run.drive(|run, n, _| run.jobs[n].host);
+        run.stations = slots_by_host(scenario);
+        return run.simulate(|run, n, _| run.jobs[n].host);
     }
-    run.stations = (0..setting.endpoints)
-        .map(|_| Station::of(setting.slots))
+    run.stations = (0..scenario.endpoints)
+        .map(|_| Station::new(scenario.slots))
         .collect();
-    run.drive(|run, n, _| run.choose(policy, run.jobs[n].host))
+    run.simulate(|run, n, _| run.choose(policy, run.jobs[n].host))
 }
 
 /// Assigns each slot to one of the hosts with the fewest slots so far, by rendezvous hashing.
 ///
 /// Each host gets at least one slot where there are as many slots as hosts.
-fn shares(setting: &Setting) -> Vec<Station> {
-    let mut slots = vec![0; setting.hosts];
-    for slot in 0..u64::from(setting.capacity()) {
+fn slots_by_host(scenario: &Scenario) -> Vec<Station> {
+    let mut slots = vec![0; scenario.hosts];
+    for slot in 0..u64::from(scenario.capacity()) {
         let least = slots.iter().min().copied().unwrap_or(0);
-        let owner = (0..setting.hosts)
+        let owner = (0..scenario.hosts)
             .filter(|h| slots[*h] == least)
             .max_by_key(|h| rendezvous(*h as u64, slot))
             .unwrap_or(0);
         slots[owner] += 1;
     }
-    slots.into_iter().map(Station::of).collect()
+    slots.into_iter().map(Station::new).collect()
 }
 
 impl Station {
-    fn of(slots: u32) -> Station {
+    fn new(slots: u32) -> Station {
         Station {
             slots,
             busy: 0,
@@ -85,24 +85,24 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(setting: &'a Setting, jobs: &'a [Job]) -> Run<'a> {
+    fn new(scenario: &'a Scenario, jobs: &'a [Job]) -> Run<'a> {
         Run {
-            setting,
+            scenario,
             jobs,
             stations: Vec::new(),
-            flight: BTreeMap::new(),
-            turns: vec![0; setting.hosts],
+            in_flight: BTreeMap::new(),
+            turns: vec![0; scenario.hosts],
             rng: StdRng::seed_from_u64(99),
         }
     }
 
     /// Runs all calls; `place` returns the station of an arriving call.
-    fn drive(mut self, place: impl Fn(&mut Run<'a>, usize, u64) -> usize) -> Outcome {
-        let mut meter = Meter::new(self.setting);
+    fn simulate(mut self, place: impl Fn(&mut Run<'a>, usize, u64) -> usize) -> Outcome {
+        let mut meter = Meter::new(self.scenario);
         let mut ends: BinaryHeap<Reverse<(u64, usize, usize)>> = BinaryHeap::new();
-        let (mut next, mut now) = (0, START);
+        let (mut next, mut now) = (0, LOAD_START);
         loop {
-            let arrival = self.jobs.get(next).map(|j| START + j.at);
+            let arrival = self.jobs.get(next).map(|j| LOAD_START + j.at);
             let end = ends.peek().map(|Reverse((at, _, _))| *at);
             let arrives = match (arrival, end) {
                 (None, None) => break,
@@ -116,7 +116,7 @@
                 meter.arrive();
                 let station = place(&mut self, next, now);
                 *self
-                    .flight
+                    .in_flight
                     .entry((self.jobs[next].host, station))
                     .or_default() += 1;
                 self.stations[station].queue.push_back(next);
@@ -128,26 +128,26 @@
                 };
                 meter.end(call, &self.jobs[call], now);
                 *self
-                    .flight
+                    .in_flight
                     .entry((self.jobs[call].host, station))
                     .or_default() -= 1;
                 self.stations[station].busy -= 1;
                 station
             };
-            self.serve(station, now, &mut meter, &mut ends);
+            self.start_queued(station, now, &mut meter, &mut ends);
         }
-        meter.finish(now - START)
+        meter.finish(now - LOAD_START)
     }
 
     /// Starts queued calls at a station while it has free slots, and refuses those past their deadline.
-    fn serve(
+    fn start_queued(
         &mut self,
         index: usize,
         now: u64,
         meter: &mut Meter,
         ends: &mut BinaryHeap<Reverse<(u64, usize, usize)>>,
     ) {
-        let slow = self.setting.slow.filter(|s| now >= START + s.from);
+        let slow = self.scenario.slow.filter(|s| now >= LOAD_START + s.from);
         let many = self.stations.len() > 1;
         let station = &mut self.stations[index];
         if let Some(slow) = slow.filter(|_| many && index == 0) {
@@ -158,9 +158,9 @@
                 return;
             };
             let job = &self.jobs[call];
-            if now > START + job.at + self.setting.deadline {
+            if now > LOAD_START + job.at + self.scenario.deadline {
                 meter.refuse(job, now);
-                *self.flight.entry((job.host, index)).or_default() -= 1;
+                *self.in_flight.entry((job.host, index)).or_default() -= 1;
                 continue;
             }
             station.busy += 1;
@@ -176,7 +176,7 @@
         let choices: Vec<Choice> = (0..self.stations.len())
             .map(|n| Choice {
                 endpoint: EndpointKey(n as u64),
-                running: self.seen(policy, host, n),
+                running: self.known_calls(policy, host, n),
             })
             .collect();
         let draw = self.rng.random();
@@ -188,13 +188,13 @@
     ///
     /// Two choices gets the true number, as from probes without cost and delay;
     /// other policies get the host's own calls in flight.
-    fn seen(&self, policy: Policy, host: usize, station: usize) -> u32 {
+    fn known_calls(&self, policy: Policy, host: usize, station: usize) -> u32 {
         match policy {
             Policy::TwoChoices => {
                 let station = &self.stations[station];
                 station.busy + station.queue.len() as u32
             }
-            _ => self.flight.get(&(host, station)).copied().unwrap_or(0),
+            _ => self.in_flight.get(&(host, station)).copied().unwrap_or(0),
         }
     }
 }
--- a/benches/slots/main.rs
+++ b/benches/slots/main.rs
@@ -16,14 +16,14 @@
 mod baseline;
 mod outcome;
 mod plot;
-mod work;
-mod world;
+mod scenario;
+mod simulation;
 
 use state::policy::Policy;
 
 use outcome::Outcome;
-use work::{Mix, Setting, Slow, Spread};
-use world::World;
+use scenario::{Scenario, Slow, Spread, WorkDistribution};
+use simulation::Simulation;
 
 const SEED: u64 = 7;
 
@@ -32,7 +32,7 @@
         .skip(1)
         .filter(|a| !a.starts_with("--"))
         .collect();
-    let chosen = |s: &Setting| wanted.is_empty() || wanted.iter().any(|w| s.name.contains(w));
+    let chosen = |s: &Scenario| wanted.is_empty() || wanted.iter().any(|w| s.name.contains(w));
     println!(
         "{:<26} {:<16} {:>7} {:>8} {:>8} {:>8} {:>8} {:>6} {:>6} {:>6} {:>8} {:>4} {:>7} {:>7} {:>6} {:>6}",
         "load",
@@ -53,26 +53,30 @@
         "cpu%"
     );
     let mut rows = Vec::new();
-    let slopes = if wanted.is_empty() {
+    let growth_scenarios = if wanted.is_empty() {
         Vec::new()
     } else {
-        slopes()
+        growth_scenarios()
     };
-    for setting in settings().iter().chain(&slopes).filter(|s| chosen(s)) {
-        let jobs = setting.jobs(SEED);
+    for scenario in scenarios()
+        .iter()
+        .chain(&growth_scenarios)
+        .filter(|s| chosen(s))
+    {
+        let jobs = scenario.draw_jobs(SEED);
         let mut add = |policy: &str, outcome: Outcome| {
-            print(setting.name, policy, &outcome);
+            print(scenario.name, policy, &outcome);
             rows.push(plot::Row {
-                load: setting.name.to_owned(),
+                load: scenario.name.to_owned(),
                 policy: policy.to_owned(),
                 outcome,
             });
         };
-        add("one queue", baseline::limit(setting, &jobs));
-        add("shared", World::new(setting, &jobs).run());
+        add("one queue", baseline::single_queue_bound(scenario, &jobs));
+        add("shared", Simulation::new(scenario, &jobs).run());
         for policy in Policy::ALL.into_iter().filter(|p| *p != Policy::Shared) {
             if std::env::var_os("SLOTS_ONLY").is_none() {
-                add(policy.name(), baseline::baseline(policy, setting, &jobs));
+                add(policy.name(), baseline::simulate(policy, scenario, &jobs));
             }
         }
     }
@@ -85,58 +89,58 @@
 ///
 /// All but the idle run have a load of 60%: calls grow with the endpoints, so that
 /// each slot is equally busy.
-fn slopes() -> Vec<Setting> {
-    let base = Setting {
+fn growth_scenarios() -> Vec<Scenario> {
+    let base = Scenario {
         load: 0.6,
         calls: 60_000,
-        ..Setting::HALLBOARD
+        ..Scenario::HALLBOARD
     };
     vec![
-        Setting {
+        Scenario {
             name: "slope 4 hosts",
             hosts: 4,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 8 hosts",
             hosts: 8,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 15 hosts",
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 30 hosts",
             hosts: 30,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 60 hosts",
             hosts: 60,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 6 endpoints",
             endpoints: 6,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 22 endpoints",
             endpoints: 22,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 44 endpoints",
             endpoints: 44,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope 88 endpoints",
             endpoints: 88,
             ..base
         },
-        Setting {
+        Scenario {
             name: "slope idle",
             load: 0.001,
             calls: 100,
@@ -145,55 +149,55 @@
     ]
 }
 
-fn settings() -> Vec<Setting> {
-    let base = Setting::HALLBOARD;
-    let mixed = Setting {
-        mix: Mix::Bimodal,
+fn scenarios() -> Vec<Scenario> {
+    let base = Scenario::HALLBOARD;
+    let bimodal = Scenario {
+        distribution: WorkDistribution::Bimodal,
         ..base
     };
     vec![
-        Setting {
+        Scenario {
             name: "50%",
             load: 0.5,
             ..base
         },
         base,
-        Setting {
+        Scenario {
             name: "95%",
             load: 0.95,
             ..base
         },
-        Setting {
+        Scenario {
             name: "200%",
             load: 2.0,
             ..base
         },
-        Setting {
+        Scenario {
             name: "mix 50%",
             load: 0.5,
-            ..mixed
+            ..bimodal
         },
-        Setting {
+        Scenario {
             name: "mix 80%",
-            ..mixed
+            ..bimodal
         },
-        Setting {
+        Scenario {
             name: "mix 95%",
             load: 0.95,
-            ..mixed
+            ..bimodal
         },
-        Setting {
+        Scenario {
             name: "skew 80%",
             spread: Spread::Skew,
             ..base
         },
-        Setting {
+        Scenario {
             name: "burst to 150% from 30%",
             load: 0.3,
             burst: true,
             ..base
         },
-        Setting {
+        Scenario {
             name: "one slow x20 at 60%",
             load: 0.6,
             slow: Some(Slow {
@@ -216,11 +220,11 @@
         o.idle,
         o.refused,
         o.goodput,
-        o.refusal,
+        o.refusal_p99,
         o.peak,
         o.messages,
         o.bytes,
-        o.decision,
+        o.step_nanos,
         100.0 * o.cpu,
     );
     if std::env::var_os("SLOTS_KINDS").is_some() {
--- a/benches/slots/outcome.rs
+++ b/benches/slots/outcome.rs
@@ -4,8 +4,8 @@
 
 use hdrhistogram::Histogram;
 
-use crate::work::{Job, Setting};
-use crate::world::START;
+use crate::scenario::{Job, Scenario};
+use crate::simulation::LOAD_START;
 
 /// Records measurements during a run; times in microseconds.
 pub struct Meter {
@@ -43,7 +43,7 @@
     /// Refused calls, in percent.
     pub refused: f64,
     /// The time from arrival to refusal at p99.
-    pub refusal: f64,
+    pub refusal_p99: f64,
     /// Work of answered calls, in percent of all slot time.
     pub goodput: f64,
     /// The most calls at one endpoint at once.
@@ -55,19 +55,19 @@
     /// Bytes of messages a second from each host.
     pub bytes: f64,
     /// Processor time of a step of a host's slot manager, in nanoseconds; 0 for baselines.
-    pub decision: f64,
+    pub step_nanos: f64,
     /// Processor time of a host's slot manager a second, as a fraction of a core; 0 for baselines.
     pub cpu: f64,
 }
 
 impl Meter {
     /// Returns a meter without measurements.
-    pub fn new(setting: &Setting) -> Meter {
+    pub fn new(scenario: &Scenario) -> Meter {
         let histogram =
             || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid");
         Meter {
-            capacity: setting.capacity(),
-            hosts: setting.hosts,
+            capacity: scenario.capacity(),
+            hosts: scenario.hosts,
             waiting: 0,
             running: 0,
             peak: 0,
@@ -101,7 +101,7 @@
         self.waiting -= 1;
         self.running += 1;
         self.peak = self.peak.max(busy);
-        self.waits.saturating_record(now - START - job.at);
+        self.waits.saturating_record(now - LOAD_START - job.at);
     }
 
     /// Records an answered call.
@@ -109,14 +109,14 @@
         self.running -= 1;
         self.done += job.work;
         self.last = now;
-        self.totals.saturating_record(now - START - job.at);
+        self.totals.saturating_record(now - LOAD_START - job.at);
     }
 
     /// Records a refused call.
     pub fn refuse(&mut self, job: &Job, now: u64) {
         self.waiting -= 1;
         self.refused += 1;
-        self.refusals.saturating_record(now - START - job.at);
+        self.refusals.saturating_record(now - LOAD_START - job.at);
     }
 
     /// Returns the results of a run that took `span` microseconds.
@@ -130,7 +130,7 @@
             total: quantiles(&self.totals),
             idle: 100.0 * self.idle as f64 / slot_time,
             refused: 100.0 * self.refused as f64 / calls,
-            refusal: self.refusals.value_at_quantile(0.99) as f64 / 1e3,
+            refusal_p99: self.refusals.value_at_quantile(0.99) as f64 / 1e3,
             goodput: 100.0 * self.done as f64 / slot_time,
             peak: self.peak,
             messages: self.messages as f64 / seconds / hosts,
@@ -140,7 +140,7 @@
                 .map(|(kind, n)| (*kind, *n as f64 / seconds / hosts))
                 .collect(),
             bytes: self.bytes as f64 / seconds / hosts,
-            decision: 0.0,
+            step_nanos: 0.0,
             cpu: 0.0,
         }
     }
--- a/benches/slots/work.rs
+++ b/benches/slots/scenario.rs
@@ -16,7 +16,7 @@
 
 /// The distribution of working times.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Mix {
+pub enum WorkDistribution {
     /// Exponential with a mean of 20 ms.
     Exponential,
     /// 99% of 1 ms and 1% of 2 s.
@@ -43,7 +43,7 @@
 
 /// The size and the load of a run.
 #[derive(Clone, Copy, PartialEq)]
-pub struct Setting {
+pub struct Scenario {
     /// The name of the run in the table and in the plot.
     pub name: &'static str,
     /// The number of entry hosts.
@@ -55,7 +55,7 @@
     /// The fraction of all slot time that the calls need.
     pub load: f64,
     /// The distribution of working times.
-    pub mix: Mix,
+    pub distribution: WorkDistribution,
     /// The entry hosts that calls arrive at.
     pub spread: Spread,
     /// Whether each second begins with a burst of 200 ms at 150%; the rest is at `load`.
@@ -70,15 +70,15 @@
     pub deadline: u64,
 }
 
-impl Setting {
+impl Scenario {
     /// The size of `hallboard` in `examples/midlands.toml`: 11 endpoints of 6 slots, with 15 entry hosts.
-    pub const HALLBOARD: Setting = Setting {
+    pub const HALLBOARD: Scenario = Scenario {
         name: "80%",
         hosts: 15,
         endpoints: 11,
         slots: 6,
         load: 0.8,
-        mix: Mix::Exponential,
+        distribution: WorkDistribution::Exponential,
         spread: Spread::Even,
         burst: false,
         slow: None,
@@ -93,7 +93,7 @@
     }
 
     /// Draws the calls of a run at random.
-    pub fn jobs(&self, seed: u64) -> Vec<Job> {
+    pub fn draw_jobs(&self, seed: u64) -> Vec<Job> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut at = 0.0;
         (0..self.calls)
@@ -124,21 +124,21 @@
     }
 
     fn work(&self, rng: &mut StdRng) -> u64 {
-        match self.mix {
-            Mix::Exponential => {
+        match self.distribution {
+            WorkDistribution::Exponential => {
                 let drawn = -rng.random::<f64>().max(1e-12).ln() * self.mean();
                 (drawn as u64).max(1)
             }
-            Mix::Bimodal if rng.random_bool(0.01) => 2_000_000,
-            Mix::Bimodal => 1_000,
+            WorkDistribution::Bimodal if rng.random_bool(0.01) => 2_000_000,
+            WorkDistribution::Bimodal => 1_000,
         }
     }
 
     /// Returns the mean working time, in microseconds.
     fn mean(&self) -> f64 {
-        match self.mix {
-            Mix::Exponential => 20_000.0,
-            Mix::Bimodal => 0.99 * 1_000.0 + 0.01 * 2_000_000.0,
+        match self.distribution {
+            WorkDistribution::Exponential => 20_000.0,
+            WorkDistribution::Bimodal => 0.99 * 1_000.0 + 0.01 * 2_000_000.0,
         }
     }
 }
--- a/benches/slots/world.rs
+++ b/benches/slots/simulation.rs
@@ -14,12 +14,12 @@
 use state::{Config, DataCentreKey, EndpointKey, HostKey, Moment, ServiceKey};
 
 use crate::outcome::{Meter, Outcome};
-use crate::work::{Job, Setting};
+use crate::scenario::{Job, Scenario};
 
 /// When calls begin to arrive, in microseconds: the fence of new owners is over and slots are spread.
-pub const START: u64 = 8_000_000;
+pub const LOAD_START: u64 = 8_000_000;
 /// How often each host's configuration is confirmed as current, in microseconds.
-const CONFIRM: u64 = 500_000;
+const CONFIRM_INTERVAL: u64 = 500_000;
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 
 /// An event of the simulation; calls and hosts are named by index.
@@ -33,31 +33,31 @@
     Message(usize),
 }
 
-struct Running {
+struct RunningCall {
     host: usize,
     lease: LeaseKey,
     work: u64,
 }
 
-struct Mail {
+struct Delivery {
     from: HostKey,
     to: HostKey,
     message: SlotMessage,
 }
 
 /// A discrete-event simulation of a run; times in microseconds.
-pub struct World<'a> {
-    setting: &'a Setting,
+pub struct Simulation<'a> {
+    scenario: &'a Scenario,
     jobs: &'a [Job],
     now: u64,
     /// Numbers events and messages, so that events of one time keep their order.
-    turn: u64,
+    sequence: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     hosts: Vec<SlotManager>,
-    index: BTreeMap<HostKey, usize>,
+    host_indices: BTreeMap<HostKey, usize>,
     wakes: Vec<u64>,
-    mail: BTreeMap<usize, Mail>,
-    running: BTreeMap<usize, Running>,
+    deliveries: BTreeMap<usize, Delivery>,
+    running: BTreeMap<usize, RunningCall>,
     service: ServiceKey,
     endpoints: Vec<EndpointKey>,
     busy: BTreeMap<EndpointKey, u32>,
@@ -67,12 +67,12 @@
 }
 
 /// Returns a configuration with one service and all hosts as members.
-pub fn config(setting: &Setting) -> Config {
+pub fn config(scenario: &Scenario) -> Config {
     let centres = CENTRES.map(|name| DataCentre {
         name: name.to_owned(),
         region: "midlands".to_owned(),
     });
-    let endpoints = (0..setting.endpoints).map(|n| Endpoint {
+    let endpoints = (0..scenario.endpoints).map(|n| Endpoint {
         address: format!("10.0.{}.{}:80", n / 250, n % 250 + 1)
             .parse()
             .expect("the address is valid"),
@@ -81,10 +81,10 @@
     let service = Service {
         name: "hallboard".to_owned(),
         endpoints: endpoints.collect(),
-        slots: setting.slots,
+        slots: scenario.slots,
         cold_slots: 1,
         connections: 200,
-        deadline_ms: setting.deadline / 1_000,
+        deadline_ms: scenario.deadline / 1_000,
         queue: 400,
         body_limit: 0,
         retry_percent: 10,
@@ -96,7 +96,7 @@
         data_centres: centres.to_vec(),
         services: vec![service],
     };
-    let members = (0..setting.hosts).map(|n| {
+    let members = (0..scenario.hosts).map(|n| {
         let name = format!("entry-{n}");
         let member = Member {
             name: name.clone(),
@@ -139,15 +139,15 @@
     (n as u64 + 1) << 40
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Returns a simulation before its first event.
-    pub fn new(setting: &'a Setting, jobs: &'a [Job]) -> World<'a> {
-        let config = config(setting);
-        let keys: Vec<HostKey> = (0..setting.hosts)
+    pub fn new(scenario: &'a Scenario, jobs: &'a [Job]) -> Simulation<'a> {
+        let config = config(scenario);
+        let keys: Vec<HostKey> = (0..scenario.hosts)
             .map(|n| HostKey::named(&format!("entry-{n}")))
             .collect();
         let alive: BTreeSet<HostKey> = keys.iter().copied().collect();
-        let hosts = (0..setting.hosts).map(|n| {
+        let hosts = (0..scenario.hosts).map(|n| {
             let identity = Identity {
                 host: keys[n],
                 incarnation: incarnation(n),
@@ -162,32 +162,32 @@
             .preset()
             .expect("the configuration has a chosen preset");
         let service = &preset.services[0];
-        let mut world = World {
-            setting,
+        let mut simulation = Simulation {
+            scenario,
             jobs,
             now: 0,
-            turn: 0,
+            sequence: 0,
             events: BinaryHeap::new(),
             hosts: hosts.collect(),
-            index: keys.iter().enumerate().map(|(n, k)| (*k, n)).collect(),
-            wakes: vec![u64::MAX; setting.hosts],
-            mail: BTreeMap::new(),
+            host_indices: keys.iter().enumerate().map(|(n, k)| (*k, n)).collect(),
+            wakes: vec![u64::MAX; scenario.hosts],
+            deliveries: BTreeMap::new(),
             running: BTreeMap::new(),
             service: service.key(),
             endpoints: service.endpoints.iter().map(|e| e.key(service)).collect(),
             busy: BTreeMap::new(),
-            meter: Meter::new(setting),
+            meter: Meter::new(scenario),
             spent: Duration::ZERO,
             steps: 0,
         };
-        world.push(CONFIRM, Event::Confirm);
-        for host in 0..setting.hosts {
-            world.follow(host);
+        simulation.push(CONFIRM_INTERVAL, Event::Confirm);
+        for host in 0..scenario.hosts {
+            simulation.schedule_wake(host);
         }
         for (n, job) in jobs.iter().enumerate() {
-            world.push(START + job.at, Event::Arrive(n));
+            simulation.push(LOAD_START + job.at, Event::Arrive(n));
         }
-        world
+        simulation
     }
 
     /// Runs until the last call has ended, and returns the results.
@@ -201,10 +201,10 @@
                 break;
             }
         }
-        let mut outcome = self.meter.finish(self.now - START);
-        outcome.decision = self.spent.as_nanos() as f64 / self.steps.max(1) as f64;
+        let mut outcome = self.meter.finish(self.now - LOAD_START);
+        outcome.step_nanos = self.spent.as_nanos() as f64 / self.steps.max(1) as f64;
         outcome.cpu =
-            self.spent.as_secs_f64() / (self.now as f64 / 1e6) / self.setting.hosts as f64;
+            self.spent.as_secs_f64() / (self.now as f64 / 1e6) / self.scenario.hosts as f64;
         outcome
     }
 
@@ -219,17 +219,17 @@
                 let endpoint = running.lease.slot.endpoint;
                 *self.busy.entry(endpoint).or_default() -= 1;
                 self.meter.end(n, &self.jobs[n], self.now);
-                self.step(host, |s, now| {
+                self.run_step(host, |s, now| {
                     s.finish(running.lease, Ending::Answered, now);
                 }) + 1
             }
             Event::Wake(host) if self.wakes[host] <= self.now => {
                 self.wakes[host] = u64::MAX;
-                self.step(host, |s, now| s.tick(now))
+                self.run_step(host, |s, now| s.tick(now))
             }
             Event::Wake(_) => 0,
             Event::Confirm => {
-                self.push(self.now + CONFIRM, Event::Confirm);
+                self.push(self.now + CONFIRM_INTERVAL, Event::Confirm);
                 for host in &mut self.hosts {
                     host.confirm(Moment(self.now));
                 }
@@ -241,14 +241,14 @@
                     readiness: Readiness::Warm,
                     running: 0,
                 };
-                self.step(host, |s, now| s.probed(endpoint, Some(&report), now))
+                self.run_step(host, |s, now| s.probed(endpoint, Some(&report), now))
             }
             Event::Message(id) => {
-                let Some(mail) = self.mail.remove(&id) else {
+                let Some(sent) = self.deliveries.remove(&id) else {
                     return 0;
                 };
-                let host = self.index[&mail.to];
-                self.step(host, |s, now| s.receive(mail.from, mail.message, now))
+                let host = self.host_indices[&sent.to];
+                self.run_step(host, |s, now| s.receive(sent.from, sent.message, now))
             }
         }
     }
@@ -260,36 +260,36 @@
         let arrival = Arrival {
             call: CallKey(n as u64),
             service: self.service,
-            deadline: Moment(self.now + self.setting.deadline),
+            deadline: Moment(self.now + self.scenario.deadline),
             tried: Vec::new(),
         };
-        self.step(job.host, |s, now| s.arrive(&arrival, now))
+        self.run_step(job.host, |s, now| s.arrive(&arrival, now))
     }
 
     /// Runs one step of a host's slot manager and its effects, and returns how many calls ended.
-    fn step(&mut self, host: usize, act: impl FnOnce(&mut SlotManager, Moment)) -> usize {
+    fn run_step(&mut self, host: usize, act: impl FnOnce(&mut SlotManager, Moment)) -> usize {
         let began = Instant::now();
         act(&mut self.hosts[host], Moment(self.now));
         let effects = self.hosts[host].take_effects();
         self.spent += began.elapsed();
         self.steps += 1;
         let ended = effects.into_iter().map(|e| self.apply(host, e)).sum();
-        self.follow(host);
+        self.schedule_wake(host);
         ended
     }
 
     /// Carries out an effect and returns how many calls ended.
     fn apply(&mut self, host: usize, effect: Effect) -> usize {
         match effect {
-            Effect::Send(to, message) => self.post(host, to, message),
+            Effect::Send(to, message) => self.send(host, to, message),
             Effect::Start { call, lease, .. } => {
                 let n = call.0 as usize;
                 let endpoint = lease.slot.endpoint;
                 let busy = self.busy.entry(endpoint).or_default();
                 *busy += 1;
                 self.meter.start(&self.jobs[n], self.now, *busy);
-                let work = self.jobs[n].work * self.slowness(endpoint);
-                let running = Running { host, lease, work };
+                let work = self.jobs[n].work * self.slowdown(endpoint);
+                let running = RunningCall { host, lease, work };
                 self.push(self.now + running.work, Event::Done(n, running.host));
                 self.running.insert(n, running);
                 return 0;
@@ -308,27 +308,27 @@
     }
 
     /// Sends a message, which arrives after the one-way delay.
-    fn post(&mut self, host: usize, to: HostKey, message: SlotMessage) {
+    fn send(&mut self, host: usize, to: HostKey, message: SlotMessage) {
         let from = *self
-            .index
+            .host_indices
             .iter()
             .find(|(_, n)| **n == host)
             .expect("every host has a key")
             .0;
-        if self.now >= START {
+        if self.now >= LOAD_START {
             self.meter.messages += 1;
             *self.meter.kinds.entry(kind(&message)).or_default() += 1;
             self.meter.bytes += 4 + PeerMessage::Slots(message.clone()).encode().len() as u64;
         }
-        let id = self.turn as usize;
-        self.mail.insert(id, Mail { from, to, message });
-        self.push(self.now + self.setting.one_way, Event::Message(id));
+        let id = self.sequence as usize;
+        self.deliveries.insert(id, Delivery { from, to, message });
+        self.push(self.now + self.scenario.one_way, Event::Message(id));
     }
 
     /// Returns the factor on working times at `endpoint`.
-    fn slowness(&self, endpoint: EndpointKey) -> u64 {
-        match self.setting.slow {
-            Some(slow) if self.endpoints[0] == endpoint && self.now >= START + slow.from => {
+    fn slowdown(&self, endpoint: EndpointKey) -> u64 {
+        match self.scenario.slow {
+            Some(slow) if self.endpoints[0] == endpoint && self.now >= LOAD_START + slow.from => {
                 slow.factor
             }
             _ => 1,
@@ -336,7 +336,7 @@
     }
 
     /// Schedules the next wake of a host's slot manager.
-    fn follow(&mut self, host: usize) {
+    fn schedule_wake(&mut self, host: usize) {
         let due = self.hosts[host].next_wake().0.max(self.now + 1);
         if due < self.wakes[host] {
             self.wakes[host] = due;
@@ -345,7 +345,7 @@
     }
 
     fn push(&mut self, at: u64, event: Event) {
-        self.turn += 1;
-        self.events.push(Reverse((at, self.turn, event)));
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 }
