--- a/benches/added_latency.rs
+++ b/benches/added_latency.rs
@@ -47,13 +47,13 @@
 ];
 const HOST: &str = "alone";
 /// Backend servers of each service, with six slots each: 300 calls in flight leave one slot in six free.
-const ENDPOINTS: usize = 10;
-const REPORT: &str = r#"{"boot":"bench","state":"warm","running":0,"slots":6}"#;
-const CONFIRM_EVERY: Duration = Duration::from_millis(100);
+const ENDPOINTS_PER_SERVICE: usize = 10;
+const LOAD_REPORT: &str = r#"{"boot":"bench","state":"warm","running":0,"slots":6}"#;
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 const READY_TRIES: usize = 200;
-const WORKED: &str = "x-worked-us";
-const CHUNK: usize = 64 * 1024;
-const LARGE: usize = 100 * 1024 * 1024;
+const WORK_TIME_HEADER: &str = "x-worked-us";
+const CHUNK_BYTES: usize = 64 * 1024;
+const LARGE_BYTES: usize = 100 * 1024 * 1024;
 const LARGE_ROUNDS: usize = 5;
 
 /// A number of concurrent callers and the calls of each.
@@ -84,9 +84,9 @@
 ];
 
 /// Times of calls without the backend server's work, in microseconds.
-struct Times {
-    straight: Histogram<u64>,
-    through: Histogram<u64>,
+struct Latencies {
+    direct: Histogram<u64>,
+    proxied: Histogram<u64>,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -98,17 +98,17 @@
     let endpoints = servers.block_on(start_servers())?;
     let server = endpoints[0];
     let host = hosts.block_on(start_edge(&endpoints))?;
-    callers.block_on(until_served(host))?;
+    callers.block_on(wait_until_served(host))?;
     println!(
         "in flight | direct p50 p99 p99.9 | through the edge p50 p99 p99.9 | added p50 p99 (us)"
     );
     for step in STEPS {
-        let times = callers.block_on(measure(&step, server, host))?;
-        print_step(&step, &times);
+        let latencies = callers.block_on(measure(&step, server, host))?;
+        print_step(&step, &latencies);
     }
-    let (before, most) = callers.block_on(large_answers(host))?;
+    let (before, peak) = callers.block_on(large_answers(host))?;
     println!(
-        "{LARGE_ROUNDS} answers of {LARGE} bytes: resident memory {before} KiB before, {most} KiB at its peak"
+        "{LARGE_ROUNDS} answers of {LARGE_BYTES} bytes: resident memory {before} KiB before, {peak} KiB at its peak"
     );
     Ok(())
 }
@@ -118,63 +118,60 @@
     Ok(builder.worker_threads(threads).enable_all().build()?)
 }
 
-fn print_step(step: &Step, times: &Times) {
-    let line = |h: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| h.value_at_quantile(q));
-    let straight = line(&times.straight);
-    let through = line(&times.through);
-    let added = [0, 1].map(|i| through[i].saturating_sub(straight[i]));
-    println!(
-        "{} | {straight:?} | {through:?} | {added:?}",
-        step.in_flight
-    );
+fn print_step(step: &Step, latencies: &Latencies) {
+    let quantiles = |h: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| h.value_at_quantile(q));
+    let direct = quantiles(&latencies.direct);
+    let proxied = quantiles(&latencies.proxied);
+    let added = [0, 1].map(|i| proxied[i].saturating_sub(direct[i]));
+    println!("{} | {direct:?} | {proxied:?} | {added:?}", step.in_flight);
 }
 
-async fn measure(step: &Step, server: SocketAddr, host: SocketAddr) -> Result<Times> {
+async fn measure(step: &Step, server: SocketAddr, host: SocketAddr) -> Result<Latencies> {
     let mut tasks = Vec::new();
     for number in 0..step.in_flight {
-        tasks.push(tokio::spawn(caller(
+        tasks.push(tokio::spawn(run_caller(
             number, step.calls, step.work, server, host,
         )));
     }
-    let mut all = times()?;
+    let mut all = empty_latencies()?;
     for task in tasks {
         let part = task.await??;
-        all.straight.add(part.straight)?;
-        all.through.add(part.through)?;
+        all.direct.add(part.direct)?;
+        all.proxied.add(part.proxied)?;
     }
     Ok(all)
 }
 
 /// Alternates between direct calls and calls through the edge; half of the callers begin with each.
-async fn caller(
+async fn run_caller(
     number: usize,
     calls: usize,
     work: Duration,
     server: SocketAddr,
     host: SocketAddr,
-) -> Result<Times> {
-    let mut straight = connect(server).await?;
-    let mut through = connect(host).await?;
+) -> Result<Latencies> {
+    let mut direct = connect(server).await?;
+    let mut proxied = connect(host).await?;
     // With a constant working time, all callers would wake on the same timer tick
     // and send at once. Random times spread the calls.
     let mut random = SmallRng::seed_from_u64(number as u64);
     let work = u64::try_from(work.as_micros())?;
     let service = SERVICES[number % SERVICES.len()];
-    let warm = calls / 10;
-    let mut times = times()?;
-    for call in 0..calls + warm {
+    let warm_up_calls = calls / 10;
+    let mut latencies = empty_latencies()?;
+    for call in 0..calls + warm_up_calls {
         let (sender, histogram) = match (call + number) % 2 {
-            0 => (&mut straight, &mut times.straight),
-            _ => (&mut through, &mut times.through),
+            0 => (&mut direct, &mut latencies.direct),
+            _ => (&mut proxied, &mut latencies.proxied),
         };
         let us = random.random_range(work / 2..=work * 3 / 2);
         let path = format!("/{service}/work?us={us}");
         let took = timed_call(sender, &path).await?;
-        if call >= warm {
+        if call >= warm_up_calls {
             histogram.record(took)?;
         }
     }
-    Ok(times)
+    Ok(latencies)
 }
 
 /// Returns a call's time in microseconds, without the backend server's work.
@@ -185,8 +182,8 @@
     let start = Instant::now();
     sender.ready().await?;
     let answer = sender.send_request(request).await?;
-    let worked = answer.headers().get(WORKED).ok_or_else(|| {
-        eyre!("answer without the {WORKED} header, so not from the backend server: {answer:?}")
+    let worked = answer.headers().get(WORK_TIME_HEADER).ok_or_else(|| {
+        eyre!("answer without the {WORK_TIME_HEADER} header, so not from the backend server: {answer:?}")
     })?;
     let worked: u64 = worked.to_str()?.parse()?;
     answer.into_body().collect().await?;
@@ -197,29 +194,29 @@
 /// Returns this process's resident memory before and at its peak during large answers, in KiB.
 async fn large_answers(host: SocketAddr) -> Result<(u64, u64)> {
     let mut sender = connect(host).await?;
-    let before = resident()?;
-    let mut most = before;
+    let before = resident_kib()?;
+    let mut peak = before;
     for _ in 0..LARGE_ROUNDS {
-        let request = Request::get(format!("/{}/large?size={LARGE}", SERVICES[0]))
+        let request = Request::get(format!("/{}/large?size={LARGE_BYTES}", SERVICES[0]))
             .header("host", "bench")
             .body(Full::new(Bytes::new()))?;
         sender.ready().await?;
         let mut body = sender.send_request(request).await?.into_body();
-        let mut seen = 0;
+        let mut received = 0;
         while let Some(frame) = body.frame().await {
-            let before = seen / LARGE.div_ceil(20);
-            seen += frame?.data_ref().map_or(0, Bytes::len);
-            if seen / LARGE.div_ceil(20) != before {
-                most = most.max(resident()?);
+            let before = received / LARGE_BYTES.div_ceil(20);
+            received += frame?.data_ref().map_or(0, Bytes::len);
+            if received / LARGE_BYTES.div_ceil(20) != before {
+                peak = peak.max(resident_kib()?);
             }
         }
-        assert_eq!(seen, LARGE, "the answer was cut off");
+        assert_eq!(received, LARGE_BYTES, "the answer was cut off");
     }
-    Ok((before, most))
+    Ok((before, peak))
 }
 
 /// Returns the resident memory of this process, in KiB.
-fn resident() -> Result<u64> {
+fn resident_kib() -> Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
@@ -232,10 +229,10 @@
     kib.parse().wrap_err("the value of VmRSS is not a number")
 }
 
-fn times() -> Result<Times> {
-    Ok(Times {
-        straight: Histogram::new(3)?,
-        through: Histogram::new(3)?,
+fn empty_latencies() -> Result<Latencies> {
+    Ok(Latencies {
+        direct: Histogram::new(3)?,
+        proxied: Histogram::new(3)?,
     })
 }
 
@@ -250,7 +247,7 @@
 /// Starts the backend servers of all services.
 async fn start_servers() -> Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
-    for _ in 0..ENDPOINTS * SERVICES.len() {
+    for _ in 0..ENDPOINTS_PER_SERVICE * SERVICES.len() {
         addresses.push(start_server().await?);
     }
     Ok(addresses)
@@ -278,8 +275,10 @@
     let (name, number) = query.split_once('=').unwrap_or_default();
     let number: u64 = number.parse().unwrap_or(0);
     let body = match name {
-        _ if request.uri().path() == "/-/load" => Full::new(Bytes::from(REPORT)).boxed_unsync(),
-        "size" => large(number as usize),
+        _ if request.uri().path() == "/-/load" => {
+            Full::new(Bytes::from(LOAD_REPORT)).boxed_unsync()
+        }
+        "size" => large_body(number as usize),
         _ if number > 0 => {
             tokio::time::sleep(Duration::from_micros(number)).await;
             Full::new(Bytes::from_static(b"free")).boxed_unsync()
@@ -288,13 +287,15 @@
     };
     let mut response = Response::new(body);
     let worked = start.elapsed().as_micros() as u64;
-    response.headers_mut().insert(WORKED, worked.into());
+    response
+        .headers_mut()
+        .insert(WORK_TIME_HEADER, worked.into());
     Ok(response)
 }
 
-fn large(size: usize) -> Body {
-    let chunk = Bytes::from(vec![b'a'; CHUNK]);
-    let frames = (0..size / CHUNK).map(move |_| Ok(Frame::data(chunk.clone())));
+fn large_body(size: usize) -> Body {
+    let chunk = Bytes::from(vec![b'a'; CHUNK_BYTES]);
+    let frames = (0..size / CHUNK_BYTES).map(move |_| Ok(Frame::data(chunk.clone())));
     StreamBody::new(futures_util::stream::iter(frames)).boxed_unsync()
 }
 
@@ -325,12 +326,12 @@
 async fn confirm(dispatcher: Arc<Dispatcher>) {
     loop {
         dispatcher.confirm(clock::now());
-        tokio::time::sleep(CONFIRM_EVERY).await;
+        tokio::time::sleep(CONFIRM_INTERVAL).await;
     }
 }
 
 /// Waits until the edge serves calls of every service, which it does once it holds slots.
-async fn until_served(host: SocketAddr) -> Result<()> {
+async fn wait_until_served(host: SocketAddr) -> Result<()> {
     for service in SERVICES {
         let path = format!("/{service}/work");
         let mut tries = 0;
@@ -340,7 +341,7 @@
                 tries < READY_TRIES,
                 "the edge does not serve {service} after {READY_TRIES} tries"
             );
-            tokio::time::sleep(CONFIRM_EVERY).await;
+            tokio::time::sleep(CONFIRM_INTERVAL).await;
         }
     }
     Ok(())
@@ -349,7 +350,7 @@
 fn config(endpoints: &[SocketAddr]) -> Config {
     let services = SERVICES
         .iter()
-        .zip(endpoints.chunks(ENDPOINTS))
+        .zip(endpoints.chunks(ENDPOINTS_PER_SERVICE))
         .map(|(name, endpoints)| service(name, endpoints));
     let preset = Preset {
         name: "bench".into(),
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -22,30 +22,30 @@
 use stand_ins::store::{Behaviour, StoreStandIn};
 use transport::log::{CommandRequest, Outcome, submit_to_store};
 
-const WINDOW: Duration = Duration::from_secs(10);
-const READY: Duration = Duration::from_secs(60);
+const MEASURE_TIME: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 /// Clock ticks a second in the processor times of Linux's `/proc`.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 /// Endpoints of one service, about the average of `examples/midlands.toml` and `examples/hr-central.toml`.
-const EACH: usize = 10;
+const ENDPOINTS_PER_SERVICE: usize = 10;
 
 /// An entry host as a child process, killed on drop.
 struct Host {
     child: Child,
-    callers: SocketAddr,
-    admin: SocketAddr,
+    caller_address: SocketAddr,
+    admin_address: SocketAddr,
 }
 
 /// A store, backend servers and entry hosts.
 struct Site {
     hosts: Vec<Host>,
-    _log: StoreStandIn,
+    _store: StoreStandIn,
     _backends: Vec<Backend>,
 }
 
 /// The resources that hosts use: totals of counters, or the average of a host.
-struct Spent {
+struct Usage {
     /// Seconds of processor time; as an average, a second.
     processor: f64,
     /// Resident memory in KiB.
@@ -62,74 +62,78 @@
     println!("idle, by hosts (30 endpoints of 3 services)");
     println!("hosts | core % | resident KiB | peer bytes/s out | messages/s out");
     for hosts in [2, 4, 8, 17] {
-        show(&hosts.to_string(), &Site::start(hosts, 30)?)?;
+        print_idle_usage(&hosts.to_string(), &Site::start(hosts, 30)?)?;
     }
     println!("idle, by endpoints (8 hosts)");
     println!("endpoints | core % | resident KiB | peer bytes/s out | messages/s out");
     for endpoints in [30, 120, 310, 630] {
-        show(&endpoints.to_string(), &Site::start(8, endpoints)?)?;
+        print_idle_usage(&endpoints.to_string(), &Site::start(8, endpoints)?)?;
     }
     println!("calls of 1 ms work (1 host, 30 endpoints)");
     println!("callers | calls/s | µs of processor a call | resident KiB");
     let site = Site::start(1, 30)?;
     for callers in [1, 4, 8, 16] {
-        drive(&site, callers)?;
+        measure_calls(&site, callers)?;
     }
     Ok(())
 }
 
-fn show(size: &str, site: &Site) -> Result<()> {
-    let spent = site.rest()?;
+fn print_idle_usage(size: &str, site: &Site) -> Result<()> {
+    let usage = site.idle_usage()?;
     println!(
         "{size} | {:.2} | {} | {:.0} | {:.1}",
-        spent.processor * 100.0,
-        spent.memory,
-        spent.bytes,
-        spent.messages
+        usage.processor * 100.0,
+        usage.memory,
+        usage.bytes,
+        usage.messages
     );
     Ok(())
 }
 
 /// Calls in a closed loop from `callers` threads, and prints the cost of a call.
-fn drive(site: &Site, callers: usize) -> Result<()> {
+fn measure_calls(site: &Site, callers: usize) -> Result<()> {
     let host = &site.hosts[0];
     let stop = Arc::new(AtomicBool::new(false));
     let calls = Arc::new(AtomicU64::new(0));
-    let before = host.processor()?;
+    let before = host.processor_seconds()?;
     let began = Instant::now();
     let threads: Vec<_> = (0..callers)
         .map(|n| {
             let (stop, calls) = (Arc::clone(&stop), Arc::clone(&calls));
-            let url = format!("http://{}/service-{}/x?work-ms=1", host.callers, n % 3);
+            let url = format!(
+                "http://{}/service-{}/x?work-ms=1",
+                host.caller_address,
+                n % 3
+            );
             thread::spawn(move || {
                 let agent = ureq::agent();
                 while !stop.load(Ordering::Relaxed) {
-                    let whole = agent
+                    let answer = agent
                         .get(&url)
                         .call()
                         .and_then(|mut a| a.body_mut().read_to_vec());
-                    if whole.is_ok() {
+                    if answer.is_ok() {
                         calls.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             })
         })
         .collect();
-    thread::sleep(WINDOW);
+    thread::sleep(MEASURE_TIME);
     stop.store(true, Ordering::Relaxed);
     for thread in threads {
         thread
             .join()
             .map_err(|_| eyre!("a caller thread panicked"))?;
     }
-    let spent = host.processor()? - before;
+    let spent = host.processor_seconds()? - before;
     let calls = calls.load(Ordering::Relaxed);
     ensure!(calls > 0, "no call was answered");
     println!(
         "{callers} | {:.0} | {:.0} | {}",
         calls as f64 / began.elapsed().as_secs_f64(),
         spent * 1e6 / calls as f64,
-        host.memory()?
+        host.memory_kib()?
     );
     Ok(())
 }
@@ -137,7 +141,7 @@
 impl Site {
     fn start(hosts: usize, endpoints: usize) -> Result<Site> {
         let history = History::default();
-        let log = StoreStandIn::on_loopback(Behaviour::default())?;
+        let store = StoreStandIn::on_loopback(Behaviour::default())?;
         let mut backends = Vec::new();
         for n in 0..endpoints {
             let options = Options {
@@ -147,18 +151,18 @@
             let listener = TcpListener::bind(("127.0.0.1", 0))?;
             backends.push(Backend::start(listener, options, history.clone())?);
         }
-        let address = log.address().to_string();
-        give(
-            log.address(),
+        let address = store.address().to_string();
+        submit(
+            store.address(),
             Change::PutPreset {
                 text: preset(&backends),
             },
         )?;
         let name = "ordinary".to_owned();
-        give(log.address(), Change::ChoosePreset { name })?;
+        submit(store.address(), Change::ChoosePreset { name })?;
         let mut site = Site {
             hosts: Vec::new(),
-            _log: log,
+            _store: store,
             _backends: backends,
         };
         for n in 0..hosts {
@@ -167,36 +171,36 @@
         for host in &site.hosts {
             host.await_ready()?;
         }
-        thread::sleep(WINDOW / 2);
+        thread::sleep(MEASURE_TIME / 2);
         Ok(site)
     }
 
-    /// Returns the resources that an idle host uses on average, over [`WINDOW`].
-    fn rest(&self) -> Result<Spent> {
+    /// Returns the resources that an idle host uses on average, over [`MEASURE_TIME`].
+    fn idle_usage(&self) -> Result<Usage> {
         let before = self.totals()?;
-        thread::sleep(WINDOW);
+        thread::sleep(MEASURE_TIME);
         let after = self.totals()?;
-        let a_host = |n: f64| n / self.hosts.len() as f64;
-        let a_second = |n: f64| a_host(n) / WINDOW.as_secs_f64();
-        Ok(Spent {
-            processor: a_second(after.processor - before.processor),
+        let per_host = |n: f64| n / self.hosts.len() as f64;
+        let per_host_second = |n: f64| per_host(n) / MEASURE_TIME.as_secs_f64();
+        Ok(Usage {
+            processor: per_host_second(after.processor - before.processor),
             memory: after.memory / self.hosts.len() as u64,
-            bytes: a_second(after.bytes - before.bytes),
-            messages: a_second(after.messages - before.messages),
+            bytes: per_host_second(after.bytes - before.bytes),
+            messages: per_host_second(after.messages - before.messages),
         })
     }
 
     /// Returns the sums over all hosts since their start.
-    fn totals(&self) -> Result<Spent> {
-        let mut sum = Spent {
+    fn totals(&self) -> Result<Usage> {
+        let mut sum = Usage {
             processor: 0.0,
             memory: 0,
             bytes: 0.0,
             messages: 0.0,
         };
         for host in &self.hosts {
-            sum.processor += host.processor()?;
-            sum.memory += host.memory()?;
+            sum.processor += host.processor_seconds()?;
+            sum.memory += host.memory_kib()?;
             sum.bytes += host.metric("cardamomvale_peer_bytes_sent_total")?;
             sum.messages += host.metric("cardamomvale_peer_messages_sent_total")?;
         }
@@ -205,9 +209,9 @@
 }
 
 impl Host {
-    fn start(n: usize, log: &str) -> Result<Host> {
+    fn start(n: usize, store: &str) -> Result<Host> {
         let mut child = Command::new(env!("CARGO_BIN_EXE_cardamomvale"))
-            .args(["entry", "--log-level", "error", "--log-address", log])
+            .args(["entry", "--log-level", "error", "--log-address", store])
             .args([
                 "--name",
                 &format!("entry-{n}"),
@@ -234,15 +238,15 @@
             Ok(ports[name].as_str().unwrap_or_default().parse()?)
         };
         Ok(Host {
-            callers: port("callers")?,
-            admin: port("admin")?,
+            caller_address: port("callers")?,
+            admin_address: port("admin")?,
             child,
         })
     }
 
     fn await_ready(&self) -> Result<()> {
-        let end = Instant::now() + READY;
-        while ureq::get(format!("http://{}/readyz", self.admin))
+        let end = Instant::now() + READY_TIMEOUT;
+        while ureq::get(format!("http://{}/readyz", self.admin_address))
             .call()
             .is_err()
         {
@@ -256,18 +260,18 @@
     }
 
     /// Returns the processor time that the process has used, in seconds.
-    fn processor(&self) -> Result<f64> {
+    fn processor_seconds(&self) -> Result<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let (_, fields) = stat
             .rsplit_once(')')
             .ok_or_else(|| eyre!("unexpected content of /proc/PID/stat"))?;
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let (user, system): (f64, f64) = (fields[11].parse()?, fields[12].parse()?);
-        Ok((user + system) / TICKS)
+        Ok((user + system) / TICKS_PER_SECOND)
     }
 
     /// Returns the resident memory of the process, in KiB.
-    fn memory(&self) -> Result<u64> {
+    fn memory_kib(&self) -> Result<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         let text = line.ok_or_else(|| eyre!("/proc/PID/status has no VmRSS line"))?;
@@ -276,7 +280,7 @@
 
     /// Returns the sum of a metric over its labels.
     fn metric(&self, name: &str) -> Result<f64> {
-        let mut answer = ureq::get(format!("http://{}/metrics", self.admin)).call()?;
+        let mut answer = ureq::get(format!("http://{}/metrics", self.admin_address)).call()?;
         let page = answer.body_mut().read_to_string()?;
         let values = page
             .lines()
@@ -293,13 +297,13 @@
     }
 }
 
-fn give(log: SocketAddr, change: Change) -> Result<()> {
+fn submit(store: SocketAddr, change: Change) -> Result<()> {
     let request = CommandRequest {
         id: None,
         decided_on: None,
         change,
     };
-    match submit_to_store(log, &request, Duration::from_secs(10)) {
+    match submit_to_store(store, &request, Duration::from_secs(10)) {
         Outcome::Accepted { .. } => Ok(()),
         other => Err(eyre!("the store did not accept the command: {other:?}")),
     }
@@ -310,10 +314,10 @@
     for centre in CENTRES {
         text += &format!("[[data-centre]]\nname = \"{centre}\"\nregion = \"midlands\"\n");
     }
-    for (n, endpoints) in backends.chunks(EACH).enumerate() {
+    for (n, endpoints) in backends.chunks(ENDPOINTS_PER_SERVICE).enumerate() {
         text += &format!("[[service]]\nname = \"service-{n}\"\nendpoints = [\n");
         for (m, backend) in endpoints.iter().enumerate() {
-            let centre = CENTRES[(n * EACH + m) % 3];
+            let centre = CENTRES[(n * ENDPOINTS_PER_SERVICE + m) % 3];
             let address = backend.address();
             text += &format!("  {{ address = \"{address}\", data-centre = \"{centre}\" }},\n");
         }
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -22,12 +22,12 @@
 use transport::log::BlockingStoreClient;
 
 const HOSTS: usize = 4;
-const RATES: [u64; 5] = [50, 200, 1_000, 4_000, 12_000];
-const ALONE: [u64; 4] = [50, 200, 400, 1_000];
-const SPAN: Duration = Duration::from_secs(6);
-const LOG_DELAY_MS: u64 = 5;
-const LOG_APPENDS: u32 = 500;
-const PATIENCE: Duration = Duration::from_secs(3);
+const HOME_RATES: [u64; 5] = [50, 200, 1_000, 4_000, 12_000];
+const NO_HOME_RATES: [u64; 4] = [50, 200, 400, 1_000];
+const RUN_TIME: Duration = Duration::from_secs(6);
+const STORE_DELAY_MS: u64 = 5;
+const STORE_APPENDS_PER_SECOND: u32 = 500;
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -38,23 +38,23 @@
     println!(
         "by home: claims/s  granted  not run  p50 ms  p99 ms  max ms  appends/s  claims/append"
     );
-    for rate in RATES {
-        runtime.block_on(by_home(rate));
+    for rate in HOME_RATES {
+        runtime.block_on(claim_by_home(rate));
     }
     println!("no home: claims/s  granted  not run  p50 ms  p99 ms  max ms  appends/s");
-    for rate in ALONE {
-        runtime.block_on(alone(rate));
+    for rate in NO_HOME_RATES {
+        runtime.block_on(claim_without_home(rate));
     }
-    table_cost();
+    print_table_cost();
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let site = Site::start(HOSTS, WorkerOptions::default()).await;
     // A home serves claims only after it has read its stream.
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.log.change(|b| {
-        b.slow_ms = LOG_DELAY_MS;
-        b.appends_second = LOG_APPENDS;
+        b.slow_ms = STORE_DELAY_MS;
+        b.appends_second = STORE_APPENDS_PER_SECOND;
     });
     site
 }
@@ -63,53 +63,56 @@
 struct Outcome {
     /// Waits in microseconds.
     waits: Histogram<u64>,
-    agreed: u64,
+    granted: u64,
     not_run: u64,
 }
 
-async fn by_home(rate: u64) {
-    let site = site().await;
+async fn claim_by_home(rate: u64) {
+    let site = start_site().await;
     let hosts: Vec<Arc<Claims>> = site.hosts.iter().map(|h| Arc::clone(&h.claims)).collect();
     let before = site.log.counts().appends;
-    let outcome = drive(rate, |n| {
+    let outcome = run_at_rate(rate, |n| {
         let claims = Arc::clone(&hosts[n as usize % HOSTS]);
         async move {
-            let request = request(&format!("key-{n}"), 0, PATIENCE);
+            let request = request(&format!("key-{n}"), 0, CLAIM_TIMEOUT);
             matches!(claims.claim(request).await, Verdict::Granted(_))
         }
     })
     .await;
     let appends = site.log.counts().appends - before;
-    let each = outcome.agreed as f64 / appends.max(1) as f64;
-    println!("         {}  {each:.1}", line(rate, &outcome, appends));
+    let each = outcome.granted as f64 / appends.max(1) as f64;
+    println!(
+        "         {}  {each:.1}",
+        format_row(rate, &outcome, appends)
+    );
     for host in &site.hosts {
         host.members.stop();
         host.claims.stop();
     }
 }
 
-async fn alone(rate: u64) {
-    let site = site().await;
+async fn claim_without_home(rate: u64) {
+    let site = start_site().await;
     for host in &site.hosts {
         host.members.stop();
         host.claims.stop();
     }
     let client = site.client();
     let before = site.log.counts().appends;
-    let outcome = drive(rate, |n| {
+    let outcome = run_at_rate(rate, |n| {
         let client = client.clone();
         async move {
-            let appended = tokio::task::spawn_blocking(move || append_alone(&client, n));
+            let appended = tokio::task::spawn_blocking(move || append_without_home(&client, n));
             appended.await.unwrap_or(false)
         }
     })
     .await;
     let appends = site.log.counts().appends - before;
-    println!("         {}", line(rate, &outcome, appends));
+    println!("         {}", format_row(rate, &outcome, appends));
 }
 
 /// Claims a key without a home, by an append of its own and a read; returns whether both succeeded.
-fn append_alone(client: &BlockingStoreClient, n: u64) -> bool {
+fn append_without_home(client: &BlockingStoreClient, n: u64) -> bool {
     let key = ClaimKey(u128::from(n) << 64);
     let record: Bytes = encode_batch(&Batch {
         entries: vec![claim(n, key)],
@@ -133,17 +136,17 @@
 }
 
 /// Runs `call` at `rate` calls a second in an open loop and returns the results.
-async fn drive<F>(rate: u64, call: impl Fn(u64) -> F) -> Outcome
+async fn run_at_rate<F>(rate: u64, call: impl Fn(u64) -> F) -> Outcome
 where
     F: Future<Output = bool> + Send + 'static,
 {
     let start = Instant::now();
-    let total = rate * SPAN.as_secs();
+    let total = rate * RUN_TIME.as_secs();
     let mut running = Vec::new();
     for n in 0..total {
         let due = start + Duration::from_secs_f64(n as f64 / rate as f64);
-        if let Some(early) = due.checked_duration_since(Instant::now()) {
-            tokio::time::sleep(early).await;
+        if let Some(pause) = due.checked_duration_since(Instant::now()) {
+            tokio::time::sleep(pause).await;
         }
         let called = call(n);
         // The wait counts from the planned time, so that a stall of this loop is
@@ -152,13 +155,13 @@
     }
     let mut outcome = Outcome {
         waits: Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid"),
-        agreed: 0,
+        granted: 0,
         not_run: 0,
     };
     for run in running {
-        let (agreed, wait) = run.await.expect("a claim does not panic");
-        match agreed {
-            true => outcome.agreed += 1,
+        let (granted, wait) = run.await.expect("a claim does not panic");
+        match granted {
+            true => outcome.granted += 1,
             false => outcome.not_run += 1,
         }
         outcome.waits.saturating_record(wait.as_micros() as u64);
@@ -166,21 +169,21 @@
     outcome
 }
 
-fn line(rate: u64, outcome: &Outcome, appends: u64) -> String {
+fn format_row(rate: u64, outcome: &Outcome, appends: u64) -> String {
     let millis = |quantile: f64| outcome.waits.value_at_quantile(quantile) as f64 / 1_000.0;
     format!(
         "{rate:8}  {:6}  {:7}  {:6.1}  {:6.1}  {:6.1}  {:9.0}",
-        outcome.agreed,
+        outcome.granted,
         outcome.not_run,
         millis(0.5),
         millis(0.99),
         outcome.waits.max() as f64 / 1_000.0,
-        appends as f64 / SPAN.as_secs_f64()
+        appends as f64 / RUN_TIME.as_secs_f64()
     )
 }
 
 /// Prints the memory and time that a key takes in a home's table of claims.
-fn table_cost() {
+fn print_table_cost() {
     const KEYS: u64 = 200_000;
     let before = resident_bytes();
     let start = Instant::now();
--- a/benches/config_history.rs
+++ b/benches/config_history.rs
@@ -19,13 +19,13 @@
     commands: u64,
     accepted: u64,
     refused: u64,
-    asked_again: u64,
+    retried: u64,
     unreachable: u64,
-    shown: u64,
+    observations: u64,
     records: u64,
     revisions: u64,
     faults: FaultCounts,
-    broken: u64,
+    violations: u64,
 }
 
 impl Total {
@@ -33,7 +33,7 @@
         self.runs += 1;
         self.commands += history.issued.len() as u64;
         for issued in &history.issued {
-            self.asked_again += (issued.outcomes.len() > 1) as u64;
+            self.retried += (issued.outcomes.len() > 1) as u64;
             match issued.outcomes.last() {
                 Some(Outcome::Accepted { .. }) => self.accepted += 1,
                 Some(Outcome::Refused { .. }) => self.refused += 1,
@@ -41,7 +41,7 @@
                 Some(Outcome::Unknown { .. }) | None => {}
             }
         }
-        self.shown += history.observations.len() as u64;
+        self.observations += history.observations.len() as u64;
         self.records += history.records.len() as u64;
         self.revisions += history.final_revisions.first().copied().unwrap_or(0);
         let (sum, one) = (&mut self.faults, &history.faults);
@@ -59,19 +59,19 @@
 fn main() -> ExitCode {
     let seeds = argument("--seeds").unwrap_or(20);
     let from = argument("--from").unwrap_or(1);
-    let at_once = argument("--runs-at-once").unwrap_or(4);
+    let concurrency = argument("--runs-at-once").unwrap_or(4);
     let next = AtomicU64::new(from);
     let total = Mutex::new(Total::default());
     let start = Instant::now();
     std::thread::scope(|scope| {
-        for _ in 0..at_once {
+        for _ in 0..concurrency {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= from + seeds {
                         return;
                     }
-                    one(seed, &total);
+                    run_seed(seed, &total);
                 }
             });
         }
@@ -86,19 +86,19 @@
         total.accepted,
         total.refused,
         total.unreachable,
-        total.asked_again
+        total.retried
     );
     println!(
         "{} records, {} revisions, {} configurations observed at hosts",
-        total.records, total.revisions, total.shown
+        total.records, total.revisions, total.observations
     );
     println!("{faults:?}");
-    println!("violated guarantees: {}", total.broken);
-    ExitCode::from((total.broken > 0) as u8)
+    println!("violated guarantees: {}", total.violations);
+    ExitCode::from((total.violations > 0) as u8)
 }
 
 /// Runs one seed, prints its violations and adds it to `total`.
-fn one(seed: u64, total: &Mutex<Total>) {
+fn run_seed(seed: u64, total: &Mutex<Total>) {
     let options = RunOptions {
         seed,
         hosts: 5,
@@ -107,13 +107,13 @@
         faults: 40,
     };
     let history = run(options).expect("the stand-ins can be started");
-    let broken = check(&history);
-    for fault in &broken {
-        println!("seed {seed}: {fault}");
+    let violations = check(&history);
+    for violation in &violations {
+        println!("seed {seed}: {violation}");
     }
     let mut total = total.lock().expect("no run panicked");
     total.add(&history);
-    total.broken += broken.len() as u64;
+    total.violations += violations.len() as u64;
 }
 
 fn argument(name: &str) -> Option<u64> {
--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -19,23 +19,23 @@
     Submission,
 };
 
-const ORDINARY: &str = include_str!("../examples/hr-central.toml");
-const PEAK: &str = include_str!("../examples/hr-central-peak.toml");
+const ORDINARY_PRESET: &str = include_str!("../examples/hr-central.toml");
+const PEAK_PRESET: &str = include_str!("../examples/hr-central-peak.toml");
 const CHANGES: usize = 200;
 const OUTAGES: usize = 10;
-const OUTAGE: Duration = Duration::from_secs(3);
+const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 
 fn main() {
     let tables: [(&str, fn()); 3] = [
         ("in-force", in_force),
         ("fold", fold_cost),
-        ("reading", reading_cost),
+        ("reading", read_cost),
     ];
-    let asked: Vec<String> = std::env::args().skip(1).collect();
-    let named = |name: &str| asked.iter().any(|a| a == name);
-    let some = tables.iter().any(|(name, _)| named(name));
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let is_selected = |name: &str| arguments.iter().any(|a| a == name);
+    let any_selected = tables.iter().any(|(name, _)| is_selected(name));
     for (name, table) in tables {
-        if !some || named(name) {
+        if !any_selected || is_selected(name) {
             table();
         }
     }
@@ -43,32 +43,32 @@
 
 /// A store, hosts that follow its log of configuration changes, and an operator.
 struct Site {
-    log: StoreStandIn,
+    store: StoreStandIn,
     hosts: Vec<Arc<Follower>>,
     operator: Submission,
 }
 
 impl Site {
     fn start(hosts: usize) -> Site {
-        let log = StoreStandIn::on_loopback(Behaviour::default())
+        let store = StoreStandIn::on_loopback(Behaviour::default())
             .expect("the store stand-in can be started");
-        let address = log.address();
+        let address = store.address();
         let client = || BlockingStoreClient::new(address, STORE_TIMEOUT);
         let follow = || Arc::new(Follower::start(client(), FollowerOptions::default()));
         let hosts: Vec<Arc<Follower>> = (0..hosts).map(|_| follow()).collect();
         let operator = Submission::new(client(), follow(), Duration::from_secs(20));
         let site = Site {
-            log,
+            store,
             hosts,
             operator,
         };
-        site.give(put(ORDINARY));
-        site.give(put(PEAK));
+        site.submit(put_preset(ORDINARY_PRESET));
+        site.submit(put_preset(PEAK_PRESET));
         site
     }
 
     /// Submits a change and returns the revision that it is in force since.
-    fn give(&self, change: Change) -> u64 {
+    fn submit(&self, change: Change) -> u64 {
         let request = CommandRequest {
             id: None,
             decided_on: None,
@@ -81,7 +81,7 @@
     }
 
     /// Waits until `revision` is in force on every host, and returns when the last host had it.
-    fn all_show(&self, revision: u64) -> Instant {
+    fn wait_in_force(&self, revision: u64) -> Instant {
         let shows = |h: &Arc<Follower>| h.config().borrow().revision >= revision;
         while !self.hosts.iter().all(shows) {
             std::thread::sleep(Duration::from_micros(50));
@@ -90,13 +90,13 @@
     }
 }
 
-fn put(text: &str) -> Change {
+fn put_preset(text: &str) -> Change {
     Change::PutPreset {
         text: text.to_owned(),
     }
 }
 
-fn choose(n: usize) -> Change {
+fn choose_example(n: usize) -> Change {
     let name = ["ordinary", "peak"][n % 2].to_owned();
     Change::ChoosePreset { name }
 }
@@ -108,21 +108,21 @@
     for hosts in [4, 8, 17, 34, 68] {
         for slow_ms in [0, 100] {
             let site = Site::start(hosts);
-            site.log.change(|b| b.slow_ms = slow_ms);
+            site.store.change(|b| b.slow_ms = slow_ms);
             let count = if slow_ms == 0 { CHANGES } else { CHANGES / 10 };
-            let mut told = Vec::new();
+            let mut accepted = Vec::new();
             let mut last = Vec::new();
             for n in 0..count {
                 let start = Instant::now();
-                let revision = site.give(choose(n));
-                told.push(start.elapsed());
-                last.push(site.all_show(revision) - start);
+                let revision = site.submit(choose_example(n));
+                accepted.push(start.elapsed());
+                last.push(site.wait_in_force(revision) - start);
             }
-            let log = match slow_ms {
+            let store = match slow_ms {
                 0 => "ordinary".to_owned(),
                 _ => format!("{slow_ms} ms delay, {count} changes"),
             };
-            row(hosts, &log, told, last);
+            print_row(hosts, &store, accepted, last);
         }
         after_outage(hosts);
     }
@@ -132,42 +132,42 @@
 fn after_outage(hosts: usize) {
     for kind in [Outage::Refusing, Outage::Silent] {
         let site = Site::start(hosts);
-        site.give(choose(0));
-        let mut told = Vec::new();
+        site.submit(choose_example(0));
+        let mut accepted = Vec::new();
         let mut last = Vec::new();
         for n in 1..=OUTAGES {
-            site.log.change(|b| b.outage = Some(kind));
+            site.store.change(|b| b.outage = Some(kind));
             let (end, revision, answered) = std::thread::scope(|scope| {
-                let giving = scope.spawn(|| (site.give(choose(n)), Instant::now()));
-                std::thread::sleep(OUTAGE);
-                site.log.change(|b| b.outage = None);
+                let giving = scope.spawn(|| (site.submit(choose_example(n)), Instant::now()));
+                std::thread::sleep(OUTAGE_DURATION);
+                site.store.change(|b| b.outage = None);
                 let end = Instant::now();
                 let (revision, answered) = giving.join().expect("the command is accepted");
                 (end, revision, answered)
             });
-            told.push(answered - end);
-            last.push(site.all_show(revision) - end);
+            accepted.push(answered - end);
+            last.push(site.wait_in_force(revision) - end);
         }
-        let log = format!("after {OUTAGES} outages of {OUTAGE:?}, {kind:?}");
-        row(hosts, &log, told, last);
+        let store = format!("after {OUTAGES} outages of {OUTAGE_DURATION:?}, {kind:?}");
+        print_row(hosts, &store, accepted, last);
     }
 }
 
 /// Prints a row: the times until the operator's answer, and until the change was in force on the last host.
-fn row(hosts: usize, log: &str, mut told: Vec<Duration>, mut last: Vec<Duration>) {
-    told.sort();
+fn print_row(hosts: usize, store: &str, mut accepted: Vec<Duration>, mut last: Vec<Duration>) {
+    accepted.sort();
     last.sort();
-    let at = |times: &[Duration], percent: usize| {
+    let millis_at = |times: &[Duration], percent: usize| {
         let index = (times.len() * percent).div_ceil(100).max(1) - 1;
         times[index].as_secs_f64() * 1e3
     };
     println!(
-        "| {hosts} | {log} | {:.1} / {:.1} | {:.1} / {:.1} / {:.1} |",
-        at(&told, 50),
-        at(&told, 99),
-        at(&last, 50),
-        at(&last, 99),
-        at(&last, 100)
+        "| {hosts} | {store} | {:.1} / {:.1} | {:.1} / {:.1} / {:.1} |",
+        millis_at(&accepted, 50),
+        millis_at(&accepted, 99),
+        millis_at(&last, 50),
+        millis_at(&last, 99),
+        millis_at(&last, 100)
     );
 }
 
@@ -193,7 +193,7 @@
     text + "]\n"
 }
 
-fn join(n: u64) -> Change {
+fn join_host(n: u64) -> Change {
     Change::Join {
         name: format!("host-{}", n % 300),
         incarnation: n,
@@ -202,7 +202,7 @@
     }
 }
 
-fn give(fold: &mut Fold, change: Change) {
+fn fold_change(fold: &mut Fold, change: Change) {
     let offset = fold.position().next;
     let command = Command {
         id: CommandId::new(offset, offset),
@@ -220,7 +220,7 @@
     println!("| endpoints a preset | records | ns a record |");
     println!("|---|---|---|");
     for endpoints in [33, 158, 315, 630] {
-        let (fold, first) = filled(endpoints);
+        let (fold, first) = filled_fold(endpoints);
         for count in [1_000_u64, 4_000] {
             let spent = fold_all(&mut fold.clone(), first, count);
             let each = spent.as_nanos() as f64 / count as f64;
@@ -235,11 +235,11 @@
     );
     println!("|---|---|---|---|---|---|");
     for endpoints in [33, 158, 315, 630] {
-        sizes(endpoints);
+        print_sizes(endpoints);
     }
 }
 
-fn choose_name(n: u64) -> Change {
+fn choose_generated(n: u64) -> Change {
     let name = ["p-0", "p-1"][(n / 10) as usize % 2].to_owned();
     Change::ChoosePreset { name }
 }
@@ -249,8 +249,8 @@
     let mut spent = Duration::ZERO;
     for n in 0..count {
         let change = match n % 10 {
-            0 => choose_name(n),
-            _ => join(n),
+            0 => choose_generated(n),
+            _ => join_host(n),
         };
         let command = Command {
             id: CommandId::new(first + n, n),
@@ -259,7 +259,7 @@
         };
         let data = encode_command(&command);
         // A host's readers hold the configuration, so that the fold has to copy it.
-        let _shown = Arc::clone(fold.config());
+        let _config = Arc::clone(fold.config());
         let start = Instant::now();
         let step = fold.apply(first + n, decode_record(&data));
         spent += start.elapsed();
@@ -269,27 +269,27 @@
 }
 
 /// Returns a fold with 3 presets and 1,200 joins of 300 hosts, and the next offset.
-fn filled(endpoints: usize) -> (Fold, u64) {
+fn filled_fold(endpoints: usize) -> (Fold, u64) {
     let mut fold = Fold::default();
     for name in ["p-0", "p-1", "p-2"] {
-        give(&mut fold, put(&preset(name, endpoints)));
+        fold_change(&mut fold, put_preset(&preset(name, endpoints)));
     }
     for n in 0..1_200 {
-        give(&mut fold, join(n));
+        fold_change(&mut fold, join_host(n));
     }
     let next = fold.position().next;
     (fold, next)
 }
 
 /// Prints the sizes of a preset's record and of a snapshot, and the times to process them.
-fn sizes(endpoints: usize) {
-    let (fold, next) = filled(endpoints);
+fn print_sizes(endpoints: usize) {
+    let (fold, next) = filled_fold(endpoints);
     let text = preset("p-3", endpoints);
     parse_preset(&text).expect("the preset is valid");
     let command = Command {
         id: CommandId::new(next, 1),
         decided_on: fold.position().revision,
-        change: put(&text),
+        change: put_preset(&text),
     };
     let record = encode_command(&command);
     let folded = median(|| {
@@ -326,7 +326,7 @@
 }
 
 /// Prints the bytes that one host's reads of the log take, without and with changes.
-fn reading_cost() {
+fn read_cost() {
     const SECONDS: u64 = 10;
     println!("\nReads of one host through a proxy that counts bytes, {SECONDS} s each");
     println!("| wait of a read | changes | bytes/s | of these from the store |");
@@ -335,18 +335,18 @@
         for changes in [0, 100] {
             let site = Site::start(0);
             let bytes = Arc::new([AtomicU64::new(0), AtomicU64::new(0)]);
-            let relay = relay(site.log.address(), Arc::clone(&bytes));
+            let proxy = start_counting_proxy(site.store.address(), Arc::clone(&bytes));
             let options = FollowerOptions {
                 wait: Duration::from_millis(wait_ms),
                 ..FollowerOptions::default()
             };
-            let client = BlockingStoreClient::new(relay, STORE_TIMEOUT);
+            let client = BlockingStoreClient::new(proxy, STORE_TIMEOUT);
             let host = Follower::start(client, options);
             host.wait_folded(2, Duration::from_secs(5));
             let before = [0, 1].map(|n| bytes[n].load(Ordering::Relaxed));
             let start = Instant::now();
             for n in 0..changes {
-                site.give(choose(n));
+                site.submit(choose_example(n));
                 std::thread::sleep(Duration::from_millis(SECONDS * 1_000 / changes as u64 - 20));
             }
             std::thread::sleep(Duration::from_secs(SECONDS).saturating_sub(start.elapsed()));
@@ -363,27 +363,30 @@
 }
 
 /// Starts a TCP proxy that counts bytes to `target` in `bytes[0]` and from `target` in `bytes[1]`.
-fn relay(target: SocketAddr, bytes: Arc<[AtomicU64; 2]>) -> SocketAddr {
+fn start_counting_proxy(target: SocketAddr, bytes: Arc<[AtomicU64; 2]>) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
-        for near in listener.incoming().map_while(Result::ok) {
-            let far = TcpStream::connect(target).expect("the store accepts connections");
-            let pairs = [(near.try_clone(), far.try_clone()), (Ok(far), Ok(near))];
-            for (way, (from, to)) in pairs.into_iter().enumerate() {
+        for client in listener.incoming().map_while(Result::ok) {
+            let server = TcpStream::connect(target).expect("the store accepts connections");
+            let pairs = [
+                (client.try_clone(), server.try_clone()),
+                (Ok(server), Ok(client)),
+            ];
+            for (direction, (from, to)) in pairs.into_iter().enumerate() {
                 let bytes = Arc::clone(&bytes);
                 let (from, to) = (
                     from.expect("the socket can be cloned"),
                     to.expect("the socket can be cloned"),
                 );
-                std::thread::spawn(move || pump(from, to, &bytes[way]));
+                std::thread::spawn(move || copy_and_count(from, to, &bytes[direction]));
             }
         }
     });
     address
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, count: &AtomicU64) {
+fn copy_and_count(mut from: TcpStream, mut to: TcpStream, count: &AtomicU64) {
     let mut buffer = [0; 16 * 1024];
     while let Ok(read @ 1..) = from.read(&mut buffer) {
         count.fetch_add(read as u64, Ordering::Relaxed);
--- a/benches/http_libraries.rs
+++ b/benches/http_libraries.rs
@@ -27,49 +27,49 @@
 const WORKERS: usize = 64;
 
 /// How long connections with unfinished heads are kept; longer than the edge's time-out for a head.
-const WATCH: Duration = Duration::from_secs(13);
+const HOLD_TIME: Duration = Duration::from_secs(13);
 
 /// The prompt caller's time-out.
-const PATIENCE: Duration = Duration::from_secs(3);
+const PROMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() -> Result<()> {
     let server = start_tiny()?;
-    burden("tiny_http", server, "/hallboard/")?;
+    measure_slow_callers("tiny_http", server, "/hallboard/")?;
     let server = start_tiny()?;
     let (edge, _runtime) = start_edge(server)?;
-    burden("edge", edge, "/hallboard/")?;
+    measure_slow_callers("edge", edge, "/hallboard/")?;
     for method in ["GET", "POST"] {
-        let seen = sent_by_ureq(method)?;
+        let received = count_ureq_sends(method)?;
         println!(
-            "ureq {method} on a reused connection that the server closes on receipt: sent {seen} times"
+            "ureq {method} on a reused connection that the server closes on receipt: sent {received} times"
         );
     }
     Ok(())
 }
 
 /// Opens slow requests to a server and prints how a prompt caller is answered meanwhile.
-fn burden(name: &str, address: SocketAddr, path: &str) -> Result<()> {
-    let threads = threads()?;
+fn measure_slow_callers(name: &str, address: SocketAddr, path: &str) -> Result<()> {
+    let threads = thread_count()?;
     let mut slow = Vec::new();
     for _ in 0..SLOW_HEADS {
-        slow.push(begin(address, "G")?);
+        slow.push(open_and_send(address, "G")?);
     }
     let prompt = prompt_call(address, path)?;
     println!(
         "{name}: {SLOW_HEADS} unfinished heads: {} more threads, prompt caller {prompt}",
-        self::threads()?.saturating_sub(threads)
+        self::thread_count()?.saturating_sub(threads)
     );
-    thread::sleep(WATCH);
+    thread::sleep(HOLD_TIME);
     let held = slow.iter().filter(|s| is_open(s)).count();
     println!(
         "{name}: after {} s {held} of them are still open",
-        WATCH.as_secs()
+        HOLD_TIME.as_secs()
     );
     drop(slow);
     let start = format!("POST {path} HTTP/1.1\r\nhost: e\r\ncontent-length: 100000\r\n\r\nabc");
     let mut slow = Vec::new();
     for _ in 0..SLOW_BODIES {
-        slow.push(begin(address, &start)?);
+        slow.push(open_and_send(address, &start)?);
     }
     thread::sleep(Duration::from_millis(500));
     let prompt = prompt_call(address, path)?;
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-fn begin(address: SocketAddr, bytes: &str) -> Result<TcpStream> {
+fn open_and_send(address: SocketAddr, bytes: &str) -> Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.write_all(bytes.as_bytes())?;
     Ok(stream)
@@ -101,21 +101,21 @@
 /// Sends a whole request and describes how it was answered.
 fn prompt_call(address: SocketAddr, path: &str) -> Result<String> {
     let start = Instant::now();
-    let mut stream = begin(
+    let mut stream = open_and_send(
         address,
         &format!("GET {path} HTTP/1.1\r\nhost: e\r\nconnection: close\r\n\r\n"),
     )?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(PROMPT_TIMEOUT))?;
     let mut byte = [0; 1];
     match stream.read(&mut byte) {
         Ok(1) => Ok(format!("answered in {} us", start.elapsed().as_micros())),
         Ok(_) => Ok("cut off".into()),
-        Err(_) => Ok(format!("not answered in {} s", PATIENCE.as_secs())),
+        Err(_) => Ok(format!("not answered in {} s", PROMPT_TIMEOUT.as_secs())),
     }
 }
 
 /// Returns the number of threads of this process.
-fn threads() -> Result<usize> {
+fn thread_count() -> Result<usize> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|l| l.strip_prefix("Threads:"));
     Ok(line
@@ -146,15 +146,15 @@
 /// Returns how often `ureq` sent one request to a server that closes the connection on receipt.
 ///
 /// The first call succeeds, so that the second one reuses a connection.
-fn sent_by_ureq(method: &str) -> Result<usize> {
+fn count_ureq_sends(method: &str) -> Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let seen = Arc::new(AtomicUsize::new(0));
-    let counter = Arc::clone(&seen);
+    let received = Arc::new(AtomicUsize::new(0));
+    let counter = Arc::clone(&received);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let counter = Arc::clone(&counter);
-            thread::spawn(move || answer_first(stream, &counter));
+            thread::spawn(move || answer_first_request(stream, &counter));
         }
     });
     let agent = ureq::Agent::new_with_defaults();
@@ -175,14 +175,14 @@
             "the second call was answered although the server closes the connection"
         ));
     }
-    Ok(seen.load(Ordering::SeqCst) - 1)
+    Ok(received.load(Ordering::SeqCst) - 1)
 }
 
 /// Answers the first request of all, and closes the connection on every later one.
-fn answer_first(mut stream: TcpStream, seen: &AtomicUsize) {
+fn answer_first_request(mut stream: TcpStream, received: &AtomicUsize) {
     let mut bytes = [0; 4096];
     while let Ok(1..) = stream.read(&mut bytes) {
-        if seen.fetch_add(1, Ordering::SeqCst) > 0 {
+        if received.fetch_add(1, Ordering::SeqCst) > 0 {
             return;
         }
         let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -20,9 +20,9 @@
 use transport::claims::WorkerOptions;
 
 const SIZES: [usize; 5] = [4, 8, 17, 34, 68];
-const QUIET: Duration = Duration::from_secs(10);
-const KILLS: usize = 3;
-const MAPS: u32 = 20;
+const MEASURE_TIME: Duration = Duration::from_secs(10);
+const MAX_KILLS: usize = 3;
+const MAP_RUNS: u32 = 20;
 const TICKS_A_SECOND: f64 = 100.0;
 
 fn main() {
@@ -35,7 +35,7 @@
         .build()
         .expect("a runtime can be built");
     for size in [17, 68, 300] {
-        map_cost(size);
+        print_map_cost(size);
     }
     println!(
         "hosts  messages/s  bytes/s  processor  suspected by all after (ms, each kill)  removed after (ms)"
@@ -50,24 +50,26 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = Sample::take(handle);
     let start = Instant::now();
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(MEASURE_TIME).await;
     let after = Sample::take(handle);
     let hosts = size as f64;
-    let each = |to: f64, from: f64| (to - from) / start.elapsed().as_secs_f64() / hosts;
-    let messages = each(after.messages, before.messages);
-    let bytes = each(after.bytes, before.bytes);
-    let processor = each(after.processor, before.processor) * 100.0;
-    let kills = KILLS.min(size - 3);
-    let mut seen = Vec::new();
-    let mut removed = Vec::new();
+    let per_host_second = |to: f64, from: f64| (to - from) / start.elapsed().as_secs_f64() / hosts;
+    let messages = per_host_second(after.messages, before.messages);
+    let bytes = per_host_second(after.bytes, before.bytes);
+    let processor = per_host_second(after.processor, before.processor) * 100.0;
+    let kills = MAX_KILLS.min(size - 3);
+    let mut suspect_times = Vec::new();
+    let mut removal_times = Vec::new();
     for kill in 0..kills {
         // Each kill falls on another phase of the heartbeats.
         tokio::time::sleep(Duration::from_millis(300 + 67 * kill as u64)).await;
-        let (suspected, gone) = lose(&mut site).await;
-        seen.push(suspected.as_millis());
-        removed.push(gone.as_millis());
+        let (suspected, gone) = kill_host(&mut site).await;
+        suspect_times.push(suspected.as_millis());
+        removal_times.push(gone.as_millis());
     }
-    println!("{size:5}  {messages:10.1}  {bytes:7.0}  {processor:8.2}%  {seen:?}  {removed:?}");
+    println!(
+        "{size:5}  {messages:10.1}  {bytes:7.0}  {processor:8.2}%  {suspect_times:?}  {removal_times:?}"
+    );
     for host in &site.hosts {
         host.members.stop();
         host.claims.stop();
@@ -75,7 +77,7 @@
 }
 
 /// Kills a host; returns how long all others took to suspect it, and to remove it from their view.
-async fn lose(site: &mut Site) -> (Duration, Duration) {
+async fn kill_host(site: &mut Site) -> (Duration, Duration) {
     let start = Instant::now();
     let dead = site.kill(1);
     let mut suspected = None;
@@ -98,7 +100,7 @@
 }
 
 /// Prints how long a host takes to compute the watch map, as it does at each change of members.
-fn map_cost(size: usize) {
+fn print_map_cost(size: usize) {
     let mut config = Config::default();
     for index in 0..size {
         let name = format!("entry-{index}");
@@ -112,10 +114,10 @@
         config.members.insert(HostKey::named(&name), member);
     }
     let start = Instant::now();
-    for _ in 0..MAPS {
+    for _ in 0..MAP_RUNS {
         std::hint::black_box(WatchMap::from_config(&config));
     }
-    let each = start.elapsed() / MAPS;
+    let each = start.elapsed() / MAP_RUNS;
     println!("watch map of {size} hosts: {each:?}");
 }
 
--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -19,17 +19,17 @@
 use stand_ins::proxy::Fault;
 use stand_ins::store::{Loss, Outage};
 
-const SITE: &str = include_str!("../tests/common/small.toml");
-const SECONDS: u64 = 900;
-const SEED: u64 = 1;
+const EXPERIMENT: &str = include_str!("../tests/common/small.toml");
+const DEFAULT_SECONDS: u64 = 900;
+const DEFAULT_SEED: u64 = 1;
 /// The time from the end of a fault to the start of the next one.
-const REST: Duration = Duration::from_secs(3);
+const FAULT_GAP: Duration = Duration::from_secs(3);
 /// How long a fault lasts that does not end by itself.
-const FAULT: Duration = Duration::from_secs(4);
+const FAULT_DURATION: Duration = Duration::from_secs(4);
 
 /// A kind of fault; printed by name.
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum FaultKind {
     Killed,
     Paused,
     Replaced,
@@ -44,19 +44,19 @@
     LostAnswers,
 }
 
-const KINDS: [Kind; 12] = [
-    Kind::Killed,
-    Kind::Paused,
-    Kind::Replaced,
-    Kind::Cold,
-    Kind::Restarted,
-    Kind::Slow,
-    Kind::CutAnswers,
-    Kind::Silence,
-    Kind::OneWay,
-    Kind::CentreLeaves,
-    Kind::LogDown,
-    Kind::LostAnswers,
+const FAULT_KINDS: [FaultKind; 12] = [
+    FaultKind::Killed,
+    FaultKind::Paused,
+    FaultKind::Replaced,
+    FaultKind::Cold,
+    FaultKind::Restarted,
+    FaultKind::Slow,
+    FaultKind::CutAnswers,
+    FaultKind::Silence,
+    FaultKind::OneWay,
+    FaultKind::CentreLeaves,
+    FaultKind::LogDown,
+    FaultKind::LostAnswers,
 ];
 
 fn main() -> ExitCode {
@@ -65,90 +65,90 @@
 }
 
 async fn soak() -> ExitCode {
-    let seconds = setting("SOAK_SECONDS", SECONDS);
-    let mut random = SmallRng::seed_from_u64(setting("SOAK_SEED", SEED));
-    let text = SITE.replace("seconds = 120", &format!("seconds = {}", seconds + 600));
+    let seconds = env_number("SOAK_SECONDS", DEFAULT_SECONDS);
+    let mut random = SmallRng::seed_from_u64(env_number("SOAK_SEED", DEFAULT_SEED));
+    let text = EXPERIMENT.replace("seconds = 120", &format!("seconds = {}", seconds + 600));
     let mut cluster = Cluster::start_proxied(&text).await;
     let start = Instant::now();
     let load = cluster.load();
-    print(&cluster, start, "start");
+    print_resources(&cluster, start, "start");
     while start.elapsed().as_secs() < seconds {
-        tokio::time::sleep(REST).await;
-        let kind = KINDS[random.random_range(0..KINDS.len())];
-        let place = random.random_range(0..3);
-        cause(&mut cluster, kind, place).await;
-        print(&cluster, start, &format!("{kind:?} {place}"));
+        tokio::time::sleep(FAULT_GAP).await;
+        let kind = FAULT_KINDS[random.random_range(0..FAULT_KINDS.len())];
+        let index = random.random_range(0..3);
+        inject(&mut cluster, kind, index).await;
+        print_resources(&cluster, start, &format!("{kind:?} {index}"));
     }
     load.stop().await;
-    let faults = cluster.violations(&Limits::default());
+    let violations = cluster.violations(&Limits::default());
     println!("{:?}", cluster.tally());
-    for (check, count) in tally(&faults) {
+    for (check, count) in tally(&violations) {
         println!("{check:?}: {count}");
     }
-    for fault in faults.iter().take(20) {
-        println!("{fault}");
+    for violation in violations.iter().take(20) {
+        println!("{violation}");
     }
-    match faults.is_empty() {
+    match violations.is_empty() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
 }
 
-/// Injects a fault at the entry host, endpoint or data centre with index `place`, and ends it unless it ends by itself.
-async fn cause(cluster: &mut Cluster, kind: Kind, place: usize) {
+/// Injects a fault at the entry host, endpoint or data centre with index `index`, and ends it unless it ends by itself.
+async fn inject(cluster: &mut Cluster, kind: FaultKind, index: usize) {
     match kind {
-        Kind::Killed => {
-            cluster.kill(place);
-            tokio::time::sleep(FAULT).await;
-            cluster.restart_host(place);
-            ready(cluster, place).await;
+        FaultKind::Killed => {
+            cluster.kill(index);
+            tokio::time::sleep(FAULT_DURATION).await;
+            cluster.restart_host(index);
+            wait_ready(cluster, index).await;
         }
-        Kind::Paused => {
-            cluster.pause(place);
-            tokio::time::sleep(FAULT).await;
-            cluster.resume(place);
-            ready(cluster, place).await;
+        FaultKind::Paused => {
+            cluster.pause(index);
+            tokio::time::sleep(FAULT_DURATION).await;
+            cluster.resume(index);
+            wait_ready(cluster, index).await;
         }
-        Kind::Replaced => {
-            cluster.shut_down(place).await;
-            cluster.restart_host(place);
-            ready(cluster, place).await;
+        FaultKind::Replaced => {
+            cluster.shut_down(index).await;
+            cluster.restart_host(index);
+            wait_ready(cluster, index).await;
         }
-        Kind::CentreLeaves => {
-            let centre = cluster.site.deployment.data_centres[place].clone();
+        FaultKind::CentreLeaves => {
+            let centre = cluster.site.deployment.data_centres[index].clone();
             order(cluster, Order::CentreLeaves, &centre).await;
-            tokio::time::sleep(FAULT).await;
+            tokio::time::sleep(FAULT_DURATION).await;
             order(cluster, Order::CentreReturns, &centre).await;
         }
-        Kind::LogDown => {
+        FaultKind::LogDown => {
             cluster
                 .site
                 .store
                 .change(|b| b.outage = Some(Outage::Silent));
-            tokio::time::sleep(FAULT).await;
+            tokio::time::sleep(FAULT_DURATION).await;
             cluster.site.store.change(|b| b.outage = None);
         }
-        Kind::LostAnswers => cluster.site.store.change(|b| {
+        FaultKind::LostAnswers => cluster.site.store.change(|b| {
             b.loss = Some(Loss::Gateway);
             b.losses = 5;
         }),
-        Kind::Silence => cluster.site.proxies("hallboard")[place].silence(),
-        Kind::OneWay => {
-            let proxy = &cluster.site.proxies("hallboard")[place];
+        FaultKind::Silence => cluster.site.proxies("hallboard")[index].silence(),
+        FaultKind::OneWay => {
+            let proxy = &cluster.site.proxies("hallboard")[index];
             proxy.set(Fault::LoseAnswers);
-            tokio::time::sleep(FAULT).await;
+            tokio::time::sleep(FAULT_DURATION).await;
             proxy.set(Fault::Pass);
         }
-        Kind::Cold => set(cluster, place, |k| k.turn_cold = true),
-        Kind::Restarted => set(cluster, place, |k| k.restart = true),
-        Kind::CutAnswers => set(cluster, place, |k| k.cut_answers = Some(3)),
-        Kind::Slow => {
-            set(cluster, place, |k| {
+        FaultKind::Cold => set_knobs(cluster, index, |k| k.turn_cold = true),
+        FaultKind::Restarted => set_knobs(cluster, index, |k| k.restart = true),
+        FaultKind::CutAnswers => set_knobs(cluster, index, |k| k.cut_answers = Some(3)),
+        FaultKind::Slow => {
+            set_knobs(cluster, index, |k| {
                 k.slow = Some(20);
                 k.report = Some(Report::Idle);
             });
-            tokio::time::sleep(FAULT).await;
-            set(cluster, place, |k| {
+            tokio::time::sleep(FAULT_DURATION).await;
+            set_knobs(cluster, index, |k| {
                 k.slow = Some(1);
                 k.report = Some(Report::Honest);
             });
@@ -157,10 +157,10 @@
 }
 
 /// Sets faults on a backend server of `hallboard`.
-fn set(cluster: &Cluster, place: usize, change: impl FnOnce(&mut Knobs)) {
+fn set_knobs(cluster: &Cluster, index: usize, change: impl FnOnce(&mut Knobs)) {
     let mut knobs = Knobs::default();
     change(&mut knobs);
-    cluster.site.backends("hallboard")[place].set(&knobs);
+    cluster.site.backends("hallboard")[index].set(&knobs);
 }
 
 /// Has the site carry out an operator's action.
@@ -171,12 +171,12 @@
 }
 
 /// Waits until an entry host is ready.
-async fn ready(cluster: &Cluster, place: usize) {
-    until("the entry host is ready", || cluster.targets[place].is_up()).await;
+async fn wait_ready(cluster: &Cluster, index: usize) {
+    until("the entry host is ready", || cluster.targets[index].is_up()).await;
 }
 
 /// Prints the resources of every entry host.
-fn print(cluster: &Cluster, start: Instant, what: &str) {
+fn print_resources(cluster: &Cluster, start: Instant, label: &str) {
     let uses: Vec<String> = (0..cluster.hosts.len())
         .map(|host| {
             let Resources {
@@ -188,16 +188,16 @@
         })
         .collect();
     println!(
-        "{:>5} s  {what:<16} {}",
+        "{:>5} s  {label:<16} {}",
         start.elapsed().as_secs(),
         uses.join("  |  ")
     );
 }
 
-/// Returns the number in an environment variable, or `usual`.
-fn setting(name: &str, usual: u64) -> u64 {
+/// Returns the number in an environment variable, or `fallback`.
+fn env_number(name: &str, fallback: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|v| v.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(fallback)
 }
