--- a/benches/added_latency.rs
+++ b/benches/added_latency.rs
@@ -1,4 +1,4 @@
-//! Measures the latency that an entry host adds to a call, and its memory use for large answers.
+//! Measures the latency that an entry host adds, and its memory use for large answers.
 //!
 //! Each caller alternates between direct calls to a backend server and calls
 //! through an entry host's edge in the same run, so that other load on the machine
@@ -46,7 +46,9 @@
     "archive",
 ];
 const HOST: &str = "alone";
-/// Backend servers of each service, with six slots each: 300 calls in flight leave one slot in six free.
+/// Backend servers of each service.
+///
+/// They have six slots each, so that 300 calls in flight leave one slot in six free.
 const ENDPOINTS_PER_SERVICE: usize = 10;
 const LOAD_REPORT: &str = r#"{"boot":"bench","state":"warm","running":0,"slots":6}"#;
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
@@ -64,7 +66,7 @@
     calls: usize,
 }
 
-/// The steps with work send about 3,000 calls a second each, so that only the concurrency differs.
+/// The steps with work send about 3,000 calls a second each, so that only concurrency differs.
 const STEPS: [Step; 3] = [
     Step {
         in_flight: 1,
@@ -322,7 +324,7 @@
     Ok(address)
 }
 
-/// Confirms at a fixed interval that the configuration is current, so that this host may act as an owner.
+/// Keeps confirming that the configuration is current, so that this host may act as an owner.
 async fn confirm(dispatcher: Arc<Dispatcher>) {
     loop {
         dispatcher.confirm(clock::now());
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -27,7 +27,9 @@
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 /// Clock ticks a second in the processor times of Linux's `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Endpoints of one service, about the average of `examples/midlands.toml` and `examples/hr-central.toml`.
+/// Endpoints of one service.
+///
+/// Close to the average of `examples/midlands.toml` and `examples/hr-central.toml`.
 const ENDPOINTS_PER_SERVICE: usize = 10;
 
 /// An entry host as a child process, killed on drop.
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of claiming an idempotency key: the caller's wait, and appends to the store.
+//! Measures the cost of claiming an idempotency key: the caller's wait and the store's appends.
 //!
 //! `cargo bench --bench claims` starts four hosts in this process and a store
 //! stand-in that takes 500 appends a second and answers each after 5 ms. Claims
--- a/benches/config_history.rs
+++ b/benches/config_history.rs
@@ -1,4 +1,4 @@
-//! Runs hosts and operators under injected faults for many seeds, and checks every run's history.
+//! Runs hosts and operators under injected faults for many seeds and checks each run's history.
 //!
 //! `cargo bench --bench config_history -- --seeds 200`; `--from N` sets the first
 //! seed, `--runs-at-once N` the number of concurrent runs. The exit code is 1 if a
--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -1,9 +1,9 @@
-//! Measures how soon a configuration change is in force on all hosts, and the cost of following the log.
+//! Measures how soon a configuration change is in force, and the cost of following the log.
 //!
 //! `cargo bench --bench config_in_force` prints the time until a change is in
-//! force, the cost of the fold and of snapshots by size, and the bytes that one
-//! host's reads take. The arguments `in-force`, `fold` and `reading` after `--`
-//! select among them.
+//! force on all hosts, the cost of the fold and of snapshots by size, and the bytes
+//! that one host's reads take. The arguments `in-force`, `fold` and `reading` after
+//! `--` select among them.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -153,7 +153,7 @@
     }
 }
 
-/// Prints a row: the times until the operator's answer, and until the change was in force on the last host.
+/// Prints a row: times until the operator's answer, and until the last host had the change.
 fn print_row(hosts: usize, store: &str, mut accepted: Vec<Duration>, mut last: Vec<Duration>) {
     accepted.sort();
     last.sort();
@@ -244,7 +244,9 @@
     Change::ChoosePreset { name }
 }
 
-/// Folds encoded commands, each based on the newest revision; returns the time that decoding and folding took.
+/// Folds encoded commands, each based on the newest revision.
+///
+/// Returns the time that decoding and folding took.
 fn fold_all(fold: &mut Fold, first: u64, count: u64) -> Duration {
     let mut spent = Duration::ZERO;
     for n in 0..count {
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of failure detection to a host, and how soon the loss of a host is detected.
+//! Measures the cost of failure detection, and how soon the loss of a host is detected.
 //!
 //! `cargo bench --bench members` starts 4, 8, 17, 34 and 68 hosts in this
 //! process, on loopback, each with its links and its failure detector. Bytes are
--- a/benches/slots/baseline.rs
+++ b/benches/slots/baseline.rs
@@ -139,7 +139,7 @@
         meter.finish(now - LOAD_START)
     }
 
-    /// Starts queued calls at a station while it has free slots, and refuses those past their deadline.
+    /// Starts queued calls while a station has free slots; refuses those past their deadline.
     fn start_queued(
         &mut self,
         index: usize,
--- a/benches/slots/main.rs
+++ b/benches/slots/main.rs
@@ -1,4 +1,4 @@
-//! Simulates the shared-slots policy, the baseline policies and the single-queue bound, and compares them.
+//! Compares the shared-slots policy with baseline policies and a single-queue bound, by simulation.
 //!
 //! `cargo bench --bench slots` runs all loads and writes the plot;
 //! `cargo bench --bench slots -- 80%` runs only the loads whose name contains `80%`;
--- a/benches/slots/scenario.rs
+++ b/benches/slots/scenario.rs
@@ -71,7 +71,9 @@
 }
 
 impl Scenario {
-    /// The size of `hallboard` in `examples/midlands.toml`: 11 endpoints of 6 slots, with 15 entry hosts.
+    /// The size of `hallboard` in `examples/midlands.toml`, with 15 entry hosts.
+    ///
+    /// There are 11 endpoints of 6 slots.
     pub const HALLBOARD: Scenario = Scenario {
         name: "80%",
         hosts: 15,
--- a/benches/slots/simulation.rs
+++ b/benches/slots/simulation.rs
@@ -16,7 +16,9 @@
 use crate::outcome::{Meter, Outcome};
 use crate::scenario::{Job, Scenario};
 
-/// When calls begin to arrive, in microseconds: the fence of new owners is over and slots are spread.
+/// When calls begin to arrive, in microseconds.
+///
+/// By then the fence of new owners is over and slots are spread over the hosts.
 pub const LOAD_START: u64 = 8_000_000;
 /// How often each host's configuration is confirmed as current, in microseconds.
 const CONFIRM_INTERVAL: u64 = 500_000;
--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -1,4 +1,4 @@
-//! A soak test: entry host processes under load for a long time with one injected fault after another.
+//! A soak test: entry host processes under long load, with one injected fault after another.
 //!
 //! `SOAK_SECONDS=900 SOAK_SEED=1 cargo bench --bench soak`. Prints the resources
 //! that each entry host's process uses, then the number of violated guarantees by
@@ -94,7 +94,9 @@
     }
 }
 
-/// Injects a fault at the entry host, endpoint or data centre with index `index`, and ends it unless it ends by itself.
+/// Injects a fault and ends it, unless it ends by itself.
+///
+/// `index` is that of the entry host, endpoint or data centre.
 async fn inject(cluster: &mut Cluster, kind: FaultKind, index: usize) {
     match kind {
         FaultKind::Killed => {
