--- a/benches/config_history.rs
+++ b/benches/config_history.rs
@@ -1,7 +1,8 @@
-//! Runs the configuration under faults for many seeds and checks every history.
+//! Runs hosts and operators under injected faults for many seeds and checks each run's history.
 //!
-//! `cargo bench --bench config_history -- --seeds 200`; `--from N` starts at
-//! another seed, `--runs-at-once N` runs so many side by side.
+//! `cargo bench --bench config_history -- --seeds 200`; `--from N` sets the first
+//! seed, `--runs-at-once N` the number of concurrent runs. The exit code is 1 if a
+//! run violated a guarantee of the configuration.
 
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -11,19 +12,20 @@
 use stand_ins::config_run::{FaultCounts, History, RunOptions, check, run};
 use transport::log::Outcome;
 
+/// Sums over all runs.
 #[derive(Default)]
 struct Total {
     runs: u64,
     commands: u64,
     accepted: u64,
     refused: u64,
-    asked_again: u64,
+    retried: u64,
     unreachable: u64,
-    shown: u64,
+    observations: u64,
     records: u64,
     revisions: u64,
     faults: FaultCounts,
-    broken: u64,
+    violations: u64,
 }
 
 impl Total {
@@ -31,7 +33,7 @@
         self.runs += 1;
         self.commands += history.issued.len() as u64;
         for issued in &history.issued {
-            self.asked_again += (issued.outcomes.len() > 1) as u64;
+            self.retried += (issued.outcomes.len() > 1) as u64;
             match issued.outcomes.last() {
                 Some(Outcome::Accepted { .. }) => self.accepted += 1,
                 Some(Outcome::Refused { .. }) => self.refused += 1,
@@ -39,7 +41,7 @@
                 Some(Outcome::Unknown { .. }) | None => {}
             }
         }
-        self.shown += history.observations.len() as u64;
+        self.observations += history.observations.len() as u64;
         self.records += history.records.len() as u64;
         self.revisions += history.final_revisions.first().copied().unwrap_or(0);
         let (sum, one) = (&mut self.faults, &history.faults);
@@ -57,19 +59,19 @@
 fn main() -> ExitCode {
     let seeds = argument("--seeds").unwrap_or(20);
     let from = argument("--from").unwrap_or(1);
-    let at_once = argument("--runs-at-once").unwrap_or(4);
+    let concurrency = argument("--runs-at-once").unwrap_or(4);
     let next = AtomicU64::new(from);
     let total = Mutex::new(Total::default());
     let start = Instant::now();
     std::thread::scope(|scope| {
-        for _ in 0..at_once {
+        for _ in 0..concurrency {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= from + seeds {
                         return;
                     }
-                    one(seed, &total);
+                    run_seed(seed, &total);
                 }
             });
         }
@@ -77,25 +79,26 @@
     let total = total.into_inner().expect("no run panicked");
     let faults = total.faults;
     println!(
-        "{} runs in {:.0} s: {} commands, {} accepted, {} refused, {} not handed over, {} asked again",
+        "{} runs in {:.0} s: {} commands, {} accepted, {} refused, {} not submitted, {} retried",
         total.runs,
         start.elapsed().as_secs_f64(),
         total.commands,
         total.accepted,
         total.refused,
         total.unreachable,
-        total.asked_again
+        total.retried
     );
     println!(
-        "{} records, {} revisions, {} configurations shown by hosts",
-        total.records, total.revisions, total.shown
+        "{} records, {} revisions, {} configurations observed at hosts",
+        total.records, total.revisions, total.observations
     );
     println!("{faults:?}");
-    println!("promises broken: {}", total.broken);
-    ExitCode::from((total.broken > 0) as u8)
+    println!("violated guarantees: {}", total.violations);
+    ExitCode::from((total.violations > 0) as u8)
 }
 
-fn one(seed: u64, total: &Mutex<Total>) {
+/// Runs one seed, prints its violations and adds it to `total`.
+fn run_seed(seed: u64, total: &Mutex<Total>) {
     let options = RunOptions {
         seed,
         hosts: 5,
@@ -103,14 +106,14 @@
         commands: 30,
         faults: 40,
     };
-    let history = run(options).expect("the stand-ins start");
-    let broken = check(&history);
-    for fault in &broken {
-        println!("seed {seed}: {fault}");
+    let history = run(options).expect("the stand-ins can be started");
+    let violations = check(&history);
+    for violation in &violations {
+        println!("seed {seed}: {violation}");
     }
     let mut total = total.lock().expect("no run panicked");
     total.add(&history);
-    total.broken += broken.len() as u64;
+    total.violations += violations.len() as u64;
 }
 
 fn argument(name: &str) -> Option<u64> {
--- a/benches/slots/outcome.rs
+++ b/benches/slots/outcome.rs
@@ -1,13 +1,13 @@
-//! What a run is judged by.
+//! The measured results of a run.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 
-use crate::work::{Job, Setting};
-use crate::world::START;
+use crate::scenario::{Job, Scenario};
+use crate::simulation::LOAD_START;
 
-/// Counts while a run goes on.
+/// Records measurements during a run; times in microseconds.
 pub struct Meter {
     capacity: u32,
     hosts: usize,
@@ -25,48 +25,49 @@
     pub messages: u64,
     /// Messages by kind.
     pub kinds: BTreeMap<&'static str, u64>,
-    /// Their bytes, with the frame's length.
+    /// Bytes of the messages between hosts, with the frames' length prefixes.
     pub bytes: u64,
-    /// Probes sent, from the start of the world.
+    /// Probes sent, since the start of the simulation.
     pub probes: u64,
 }
 
-/// A run's figures; times in milliseconds.
+/// The results of a run; times in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Waits at p50, p99 and p99.9.
     pub wait: [f64; 3],
-    /// Whole times at p50, p99 and p99.9.
+    /// Times from arrival to answer at p50, p99 and p99.9.
     pub total: [f64; 3],
-    /// The share of slot time that was idle while a call waited, in percent.
+    /// Slot time that was idle while a call waited, in percent of all slot time.
     pub idle: f64,
-    /// Calls refused, in percent.
+    /// Refused calls, in percent.
     pub refused: f64,
-    /// Time from arrival to refusal at p99.
-    pub refusal: f64,
-    /// Answers a second over what all slots can give.
+    /// The time from arrival to refusal at p99.
+    pub refusal_p99: f64,
+    /// Work of answered calls, in percent of all slot time.
     pub goodput: f64,
     /// The most calls at one endpoint at once.
     pub peak: u32,
-    /// Messages a host a second.
+    /// Messages a second from each host.
     pub messages: f64,
-    /// Messages a host a second by kind.
+    /// Messages a second from each host, by kind.
     pub kinds: BTreeMap<&'static str, f64>,
-    /// Bytes a host a second.
+    /// Bytes of messages a second from each host.
     pub bytes: f64,
-    /// Nanoseconds a decision step.
-    pub decision: f64,
-    /// Share of a core a host.
+    /// Processor time of a step of a host's slot manager, in nanoseconds; 0 for baselines.
+    pub step_nanos: f64,
+    /// Processor time of a host's slot manager a second, as a fraction of a core; 0 for baselines.
     pub cpu: f64,
 }
 
 impl Meter {
-    /// Returns a meter that has counted nothing.
-    pub fn new(setting: &Setting) -> Meter {
-        let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).expect("bounds");
+    /// Returns a meter without measurements.
+    pub fn new(scenario: &Scenario) -> Meter {
+        let histogram =
+            || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid");
         Meter {
-            capacity: setting.capacity(),
-            hosts: setting.hosts,
+            capacity: scenario.capacity(),
+            hosts: scenario.hosts,
             waiting: 0,
             running: 0,
             peak: 0,
@@ -84,41 +85,41 @@
         }
     }
 
-    /// Passes the time from `from` to `to`.
+    /// Adds the idle slot time between `from` and `to`, in which nothing changes.
     pub fn advance(&mut self, from: u64, to: u64) {
         let idle = self.capacity.saturating_sub(self.running);
         self.idle += u64::from(idle.min(self.waiting)) * (to - from);
     }
 
-    /// Counts an arrival.
+    /// Records an arrival.
     pub fn arrive(&mut self) {
         self.waiting += 1;
     }
 
-    /// Counts a start at an endpoint that now runs `busy` calls.
+    /// Records the start of a call at an endpoint that now runs `busy` calls.
     pub fn start(&mut self, job: &Job, now: u64, busy: u32) {
         self.waiting -= 1;
         self.running += 1;
         self.peak = self.peak.max(busy);
-        self.waits.saturating_record(now - START - job.at);
+        self.waits.saturating_record(now - LOAD_START - job.at);
     }
 
-    /// Counts an answer.
+    /// Records an answered call.
     pub fn end(&mut self, _call: usize, job: &Job, now: u64) {
         self.running -= 1;
         self.done += job.work;
         self.last = now;
-        self.totals.saturating_record(now - START - job.at);
+        self.totals.saturating_record(now - LOAD_START - job.at);
     }
 
-    /// Counts a refusal.
+    /// Records a refused call.
     pub fn refuse(&mut self, job: &Job, now: u64) {
         self.waiting -= 1;
         self.refused += 1;
-        self.refusals.saturating_record(now - START - job.at);
+        self.refusals.saturating_record(now - LOAD_START - job.at);
     }
 
-    /// Returns the figures of a run that took `span` microseconds.
+    /// Returns the results of a run that took `span` microseconds.
     pub fn finish(&self, span: u64) -> Outcome {
         let seconds = span as f64 / 1e6;
         let calls = (self.totals.len() + self.refused).max(1) as f64;
@@ -129,7 +130,7 @@
             total: quantiles(&self.totals),
             idle: 100.0 * self.idle as f64 / slot_time,
             refused: 100.0 * self.refused as f64 / calls,
-            refusal: self.refusals.value_at_quantile(0.99) as f64 / 1e3,
+            refusal_p99: self.refusals.value_at_quantile(0.99) as f64 / 1e3,
             goodput: 100.0 * self.done as f64 / slot_time,
             peak: self.peak,
             messages: self.messages as f64 / seconds / hosts,
@@ -139,12 +140,13 @@
                 .map(|(kind, n)| (*kind, *n as f64 / seconds / hosts))
                 .collect(),
             bytes: self.bytes as f64 / seconds / hosts,
-            decision: 0.0,
+            step_nanos: 0.0,
             cpu: 0.0,
         }
     }
 }
 
+/// Returns p50, p99 and p99.9 in milliseconds.
 fn quantiles(histogram: &Histogram<u64>) -> [f64; 3] {
     [0.5, 0.99, 0.999].map(|q| histogram.value_at_quantile(q) as f64 / 1e3)
 }
