--- a/components/transport/src/claims/entry.rs
+++ b/components/transport/src/claims/entry.rs
@@ -1,4 +1,4 @@
-//! The entry host's side: asks a key's home, and takes the first answer.
+//! The claiming side: sends a claim to the home of its key and waits for the first answer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::pin::Pin;
@@ -25,69 +25,70 @@
 use crate::log::BlockingStoreClient;
 use crate::peers::Links;
 
-/// How long a home may take to say that it has the ask. After it this host acts
-/// as home itself: a lost link must cost a caller this much and no more.
+/// How long a home may take to acknowledge a request. After that, this host acts
+/// as home itself, so that a lost link delays a caller by no more than this.
 const GOT_LIMIT: Duration = Duration::from_millis(100);
 
-/// How often an ending is told again until the home has noted it.
+/// Interval at which the end of a call is sent again until the home acknowledges it.
 const TELL_EVERY: Duration = Duration::from_millis(500);
 
-/// How often an ending is told at the most.
+/// Largest number of times that the end of a call is sent.
 const TELLS: usize = 10;
 
-/// How long before the deadline the verdict is due, so that its answer still
-/// reaches a caller who would otherwise see a time-out.
+/// How long before the call's deadline the verdict is due, so that the answer
+/// still reaches the caller before the caller times out.
 const MARGIN: Duration = Duration::from_millis(20);
 
-/// How long a repeat waits for the first call's answer.
+/// How long a repeated call waits for the first call's answer.
 ///
-/// A double click is served by it. A caller whose first call hangs has its
-/// final word, "it was started", at once after that and not near its deadline.
+/// This is long enough to return the answer to a double click. Where the first
+/// call hangs, the caller is told right after this wait, and not only near its
+/// deadline, that the call was started.
 const REPEAT_WAIT: Duration = Duration::from_secs(1);
 
-/// When a caller without a verdict in time may come again.
+/// When a caller may retry that got no verdict in time.
 const RETRY: Duration = Duration::from_secs(1);
 
-/// What [`Claims`] works with.
+/// The dependencies of [`Claims`].
 pub struct ClaimsOptions {
-    /// The log.
+    /// The client of the store.
     pub client: BlockingStoreClient,
-    /// Links to the other homes.
+    /// The links to the other hosts.
     pub links: Arc<Links>,
-    /// How homes on this host work.
+    /// The options of the homes on this host.
     pub worker: WorkerOptions,
 }
 
-/// Claims keys for the calls that come to this host, and runs homes for others.
+/// Claims keys for the calls that this host receives, and runs the homes of some streams.
 pub struct Claims {
     me: HostKey,
     links: Arc<Links>,
     steward: Steward,
     asked: Mutex<BTreeMap<ClaimId, UnboundedSender<Word>>>,
-    /// Endings that no home has noted yet.
+    /// The claims whose end no home has acknowledged yet.
     untold: Mutex<BTreeSet<ClaimId>>,
     this: Weak<Claims>,
     runtime: tokio::runtime::Handle,
 }
 
-/// What a home says about an ask.
+/// A message from a home about a request.
 enum Word {
-    /// It has the ask.
+    /// The home has received the request.
     Got,
-    /// Its answer.
+    /// The home's answer.
     Answer(Answer),
 }
 
-/// A claim under way. However its wait ends, the claim is either run or given up.
+/// A claim under way, which is given up when dropped unless it has been granted.
 struct Claim<'a> {
     claims: &'a Claims,
     ask: KeyRequest,
-    /// Where it was asked.
+    /// The homes that the request was sent to.
     homes: Vec<HostKey>,
     words: UnboundedReceiver<Word>,
-    /// Whether a home has said that the first call with the key is running.
+    /// Whether a home has answered that the first call with the key is running.
     waits: bool,
-    /// Whether nothing of it can come to hold the key unused.
+    /// Whether the claim needs no giving up: it was granted, or no home can grant it later.
     decided: bool,
 }
 
@@ -109,10 +110,10 @@
         claims
     }
 
-    /// Claims a key for a call. Returns by the request's deadline.
+    /// Claims a key for a call. Returns before the request's deadline.
     ///
-    /// After [`Verdict::Granted`] the call is to be sent once, and its ending told by
-    /// [`Claims::end`]. Dropping the future gives the claim up.
+    /// After [`Verdict::Granted`], the call is to be sent once, and its end reported
+    /// with [`Claims::end`]. Dropping the future gives the claim up.
     pub async fn claim(&self, request: ClaimRequest) -> Verdict {
         let started = clock::now();
         let ask = KeyRequest {
@@ -139,7 +140,7 @@
         claim.decide(answer, started, until)
     }
 
-    /// Tells how a claimed call ended. Never blocks.
+    /// Reports to the key's home how a call with a granted claim ended. Never blocks.
     pub fn end(&self, ticket: ClaimTicket, ending: ClaimEnding) {
         let ending = match ending {
             ClaimEnding::Answered(kept) if kept.size() > CACHED_ANSWER_LIMIT => {
@@ -150,7 +151,7 @@
         self.tell(ticket.id, ticket.key, ending);
     }
 
-    /// Takes a message of another host.
+    /// Handles a message from another host.
     pub fn receive(&self, from: HostKey, message: ClaimMessage) {
         match message {
             ClaimMessage::Request(ask, wait) => {
@@ -175,12 +176,12 @@
         }
     }
 
-    /// Ends the homes on this host.
+    /// Stops the homes on this host.
     pub fn stop(&self) {
         self.steward.stop();
     }
 
-    /// Passes a home's answer to the host that asked.
+    /// Sends a home's answer to the host that made the request.
     pub(super) fn pass_on(&self, reply: Reply) {
         if reply.to == self.me {
             self.say(reply.id, Word::Answer(reply.answer));
@@ -273,8 +274,11 @@
         }
     }
 
-    /// Waits for the first answer that settles the claim. Acts as home itself where
-    /// the home does not say that it has the ask, and asks anew where it is lost.
+    /// Waits for the first answer that decides the claim.
+    ///
+    /// Sends the request to this host's own home where the home does not
+    /// acknowledge it in time, and to the stream's new home where all homes
+    /// that have the request are lost.
     async fn wait(&mut self, mut deadline: Instant, until: Moment) -> Option<Answer> {
         let mut view = self.claims.links.view();
         let mut quick = Some(Instant::now() + GOT_LIMIT);
@@ -324,13 +328,14 @@
             Some(Answer::Started) => Verdict::Started,
             Some(Answer::Mismatch) => Verdict::Mismatch,
             Some(Answer::NotRun(retry)) => Verdict::NotRun(retry),
-            // The first call with the key may have run by now.
+            // The first call with the key may have run meanwhile.
             Some(Answer::InProgress) | None if self.waits => Verdict::Started,
             Some(Answer::InProgress) | None => Verdict::NotRun(RETRY),
         };
         self.decided = match verdict {
             Verdict::Granted(_) => true,
-            // The one home that was asked knows that it does not have the key.
+            // Only one home has the request, and it has decided that this claim
+            // does not get the key.
             Verdict::Known(_) | Verdict::Started | Verdict::Mismatch => {
                 self.homes.len() == 1 && !self.waits
             }
@@ -343,11 +348,12 @@
 }
 
 impl Drop for Claim<'_> {
-    /// Gives the claim up, unless it has the key.
+    /// Gives the claim up, unless it was granted.
     ///
-    /// A claim without a verdict may still come to hold its key: the caller
-    /// hung up, or the log was slow. Each home that was asked is told, or
-    /// repeats of the key would wait for a call that nobody makes.
+    /// A claim without a verdict may still be granted later: the caller closed
+    /// its connection, or the store was slow. The homes are told that the claim
+    /// is given up; otherwise repeated calls with the key would wait for a call
+    /// that is never sent.
     fn drop(&mut self) {
         let claims = self.claims;
         lock(&claims.asked).remove(&self.ask.id);
@@ -364,7 +370,7 @@
     }
 }
 
-/// Tells homes on this host who is alive.
+/// Notifies the homes on this host of changes in which members are alive.
 async fn follow(claims: Weak<Claims>, mut view: watch::Receiver<Arc<LiveView>>) {
     let mut alive: BTreeSet<HostKey> = BTreeSet::new();
     loop {
@@ -383,7 +389,7 @@
     }
 }
 
-/// Returns what a call claims: a hash of its service and key.
+/// Returns the key that a call claims: a hash of its service and its idempotency key.
 pub fn claim_key(request: &ClaimRequest) -> ClaimKey {
     let mut hash = Sha256::new();
     hash.update(request.service.0.to_le_bytes());
@@ -391,7 +397,7 @@
     ClaimKey(narrow(&hash.finalize().into()))
 }
 
-/// Returns the first half of a SHA-256: enough that two never meet by chance.
+/// Returns the first half of a SHA-256 hash, which is long enough to avoid collisions.
 fn narrow(digest: &[u8; 32]) -> u128 {
     let mut half = [0; 16];
     half.copy_from_slice(&digest[..16]);
--- a/components/transport/src/claims/mod.rs
+++ b/components/transport/src/claims/mod.rs
@@ -1,8 +1,11 @@
-//! Claims of idempotency keys: the call path's view, and the homes that this host runs.
+//! Claims of idempotency keys: the interface for calls, and the homes that this host runs.
 //!
-//! A claim goes to the home of its key's stream, another entry host as a rule.
-//! Where that can't be reached this host acts as home itself: the stream
-//! decides, so two homes do no harm.
+//! The keys are divided among several streams on the store. Each stream has a
+//! home: the entry host that appends the claims of its keys. A claim is sent to
+//! the home of its key's stream, which is another entry host as a rule. Where
+//! the home can't be reached, this host acts as home itself. Two homes of one
+//! stream do no harm, since the order of the stream's records decides which
+//! claim has the key.
 
 mod entry;
 mod steward;
@@ -19,41 +22,41 @@
 pub use steward::home_of;
 pub use worker::WorkerOptions;
 
-/// A non-idempotent call with a key, before it may be sent.
+/// The claim of a key for a non-idempotent call, which must be granted before the call is sent.
 #[value]
 pub struct ClaimRequest {
-    /// The service called.
+    /// The service that is called.
     pub service: ServiceKey,
-    /// The caller's `Idempotency-Key`.
+    /// The value of the caller's `Idempotency-Key` header.
     pub key: String,
     /// The SHA-256 of method, path, query and body.
     pub digest: [u8; 32],
-    /// How long the key is remembered: the service's `key-seconds`.
+    /// How long the key and its answer are kept: the service's `key-seconds`.
     pub ttl: Duration,
-    /// When a verdict is of no more use to the call.
+    /// The call's deadline, after which a verdict is of no use.
     pub deadline: Moment,
 }
 
-/// What the claim of a key came to.
+/// The result of a claim.
 #[value]
 pub enum Verdict {
-    /// The key is this call's: send it once.
+    /// The key is granted to this call, which is to be sent once.
     Granted(ClaimTicket),
-    /// The first call with this key is answered: this is its kept answer.
+    /// The first call with this key has been answered; holds its cached answer.
     Known(CachedAnswer),
-    /// The first call with this key was started and its outcome is not known here.
+    /// The first call with this key was started, and its outcome is unknown.
     Started,
-    /// The key was used for another request.
+    /// The key was already used for a different request.
     Mismatch,
-    /// The claim could not be agreed: nothing ran. To be tried again after this time.
+    /// The claim could not be decided, and no call ran. May be retried after this time.
     NotRun(Duration),
 }
 
-/// Names the claim a call runs under.
+/// The granted claim under which a call runs.
 #[tag]
 pub struct ClaimTicket {
-    /// The claim's own id, drawn by the entry host.
+    /// The claim's random id, drawn by the entry host that received the call.
     pub id: ClaimId,
-    /// What is claimed.
+    /// The claimed key.
     pub key: ClaimKey,
 }
--- a/components/transport/src/claims/steward.rs
+++ b/components/transport/src/claims/steward.rs
@@ -1,4 +1,4 @@
-//! The homes that this host runs, one worker a stream, started when first needed.
+//! The homes that this host runs: one worker for each stream, started when first needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -12,25 +12,25 @@
 use super::worker::{Order, Worker, WorkerOptions, WorkerSetup};
 use crate::log::BlockingStoreClient;
 
-/// Returns the home of `stream`: a member that is alive, by rendezvous.
+/// Returns the home of `stream`, chosen among the members that are alive by rendezvous hashing.
 ///
-/// Hosts that see different members choose different homes for a while; the
-/// stream's order decides between them.
+/// Hosts with different views of the members choose different homes for a
+/// while; the order of the stream's records decides between their claims.
 pub fn home_of(stream: u64, view: &LiveView) -> Option<HostKey> {
     view.alive().max_by_key(|host| rendezvous(host.0, stream))
 }
 
-/// The workers of this host.
+/// The workers that run homes on this host.
 pub struct Steward {
     client: BlockingStoreClient,
     options: WorkerOptions,
     workers: Mutex<BTreeMap<u64, Worker>>,
-    /// The streams whose home this host is.
+    /// The streams that have this host as their home.
     mine: Arc<Mutex<BTreeSet<u64>>>,
 }
 
 impl Steward {
-    /// Returns one that runs no worker yet.
+    /// Returns an instance without workers.
     pub fn new(client: BlockingStoreClient, options: WorkerOptions) -> Steward {
         Steward {
             client,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Hands an order to the worker of the key's stream.
+    /// Sends an order to the worker of the key's stream, which is started where it is missing.
     pub fn order(&self, claims: &Weak<Claims>, key: ClaimKey, order: Order) {
         let stream = key.stream();
         let mut workers = lock(&self.workers);
@@ -50,8 +50,11 @@
         worker.order(order);
     }
 
-    /// Takes over who is alive: starts homes early, so that they have read their
-    /// stream when the first claim comes, and tells of lost hosts.
+    /// Applies a changed view of the members, in which the hosts in `lost` are no longer alive.
+    ///
+    /// Starts the workers of the streams that have this host as their home now,
+    /// so that they have read their stream before the first claim arrives, and
+    /// notifies all workers of the lost hosts.
     pub fn take(&self, claims: &Weak<Claims>, me: HostKey, view: &LiveView, lost: &[HostKey]) {
         let mine: BTreeSet<u64> = (0..STREAMS)
             .filter(|stream| home_of(*stream, view) == Some(me))
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Ends all workers.
+    /// Stops all workers.
     pub fn stop(&self) {
         lock(&self.workers).clear();
     }
--- a/components/transport/src/claims/worker.rs
+++ b/components/transport/src/claims/worker.rs
@@ -1,4 +1,4 @@
-//! A thread that runs the home of one stream against the log.
+//! The worker: a thread that runs the home of one stream and appends to the store.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,27 +16,28 @@
 use crate::clock;
 use crate::log::{AppendError, BlockingStoreClient};
 
-/// How a home works. The defaults are for production; tests shorten them.
+/// Options of a home. The defaults are for production; tests use shorter times.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerOptions {
-    /// Appends a second that one stream's home may spend.
+    /// Appends a second that the home of one stream may make, as the rate of a token bucket.
     pub rate: f64,
-    /// Appends that it may have saved up.
+    /// Largest number of appends at once: the token bucket's capacity.
     pub burst: f64,
-    /// How long a record is relied on to stay on the log.
+    /// Age after which a key's record is appended again, before the store may trim it.
     pub carry_after: Duration,
-    /// How long endings wait for claims to share their append.
+    /// How long ended calls wait for new claims to share an append with.
     pub linger: Duration,
-    /// The pause after the log failed, in which keyed calls are refused at once.
+    /// The pause after the store failed, during which keyed calls are refused at once.
     pub pause: Duration,
-    /// How long a home that is not needed keeps what it read.
+    /// How long a home that is not needed keeps the state read from its stream.
     pub idle: Duration,
 }
 
 impl Default for WorkerOptions {
     fn default() -> WorkerOptions {
         WorkerOptions {
-            // 8 streams of 30 leave the log's several hundred to the config stream.
+            // 8 streams with 30 appends a second each leave enough of the several
+            // hundred that the store takes to the `config` stream.
             rate: 30.0,
             burst: 10.0,
             carry_after: CARRY_AFTER,
@@ -47,45 +48,46 @@
     }
 }
 
-/// What a worker is told.
+/// An input to a worker.
 pub enum Order {
-    /// A host asks for a key and waits until this moment.
+    /// A host requests a key and waits for the answer until this moment.
     Ask(HostKey, KeyRequest, Moment),
-    /// A call under a claim ended.
+    /// A call with a granted claim has ended.
     End(ClaimId, ClaimKey, Ending),
-    /// An entry host is lost.
+    /// An entry host is no longer alive.
     Lost(HostKey),
 }
 
-/// Where a worker's answers go.
+/// Takes the answers of a worker.
 pub type Answers = Arc<dyn Fn(Reply) + Send + Sync>;
 
-/// Runs the home of one stream on its own thread, since the log's client blocks.
+/// Runs the home of one stream on a thread of its own, since the store's client blocks.
 pub struct Worker {
     orders: Mutex<Sender<Order>>,
 }
 
-/// What a worker needs.
+/// The dependencies and options of a worker.
 #[derive(Clone)]
 pub struct WorkerSetup {
-    /// The log.
+    /// The client of the store.
     pub client: BlockingStoreClient,
-    /// The stream's number.
+    /// The number of the stream.
     pub stream: u64,
-    /// How it works.
+    /// The options of the home.
     pub options: WorkerOptions,
-    /// Where answers go.
+    /// Takes the home's answers.
     pub answers: Answers,
-    /// Whether this host is the stream's home by its members, so that it carries keys over.
+    /// Returns whether this host is the home of a stream in its own view of the
+    /// members. Only then does the worker append old keys again.
     pub is_home: Arc<dyn Fn(u64) -> bool + Send + Sync>,
 }
 
 impl Worker {
-    /// Starts the thread. It ends when the worker is dropped.
+    /// Starts the thread, which ends when the worker is dropped.
     ///
     /// # Panics
     ///
-    /// Panics where the system gives no thread.
+    /// Panics if the system can't start a thread.
     pub fn start(setup: WorkerSetup) -> Worker {
         let (orders, receiver) = channel();
         let name = format!("claims-{}", setup.stream);
@@ -98,19 +100,19 @@
         }
     }
 
-    /// Hands an order over without waiting.
+    /// Sends an order to the thread without waiting.
     pub fn order(&self, order: Order) {
         let orders = self.orders.lock().unwrap_or_else(PoisonError::into_inner);
         let _ = orders.send(order);
     }
 }
 
-/// Why the stream could not be brought up to date.
+/// Why the stream could not be read to its end.
 #[value]
 enum Trouble {
-    /// The log can't be read now.
+    /// The store can't be read now.
     Unread(String),
-    /// The stream holds a record of a newer release.
+    /// The stream holds a record of a newer format version, which this release can't decode.
     Newer(u32),
 }
 
@@ -122,9 +124,9 @@
     used: Moment,
     written: Moment,
     read: Moment,
-    /// Whether the log failed last time.
+    /// Whether the last access to the store failed.
     failing: bool,
-    /// Until when the log is taken to be out of reach.
+    /// Until when the store counts as unavailable.
     out_until: Option<Moment>,
 }
 
@@ -151,7 +153,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // All that came while the last append was under way shares the next.
+            // All orders that arrived during the last append share the next one.
             while let Ok(order) = orders.try_recv() {
                 self.take(order);
             }
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Returns how long to wait for orders.
+    /// Returns how long to wait for the next order.
     fn patience(&self) -> Duration {
         match self.out_until {
             Some(until) => clock::now().until(until).min(self.setup.options.linger),
@@ -174,8 +176,8 @@
         let now = clock::now();
         self.used = now;
         match order {
-            // While the log is out of reach a caller is told so at once: waiting
-            // would only make its "not run" late.
+            // While the store is unavailable, a request is refused at once: waiting
+            // would only delay the caller's "not run" answer.
             Order::Ask(from, ask, until) if self.is_out(now) => {
                 self.home.request_offline(from, ask, until, now);
             }
@@ -201,7 +203,7 @@
             self.home = Home::new(self.setup.options.carry_after);
             return;
         }
-        // Claims that other hosts appended as their own homes show themselves so.
+        // Regular reads show the claims that other hosts appended as home of this stream.
         let stale = is_home && now.since(self.read) >= READ_EVERY;
         let unread = !self.home.is_ready() && (is_home || self.home.has_claims());
         if (stale || unread)
@@ -234,7 +236,7 @@
         metrics::histogram!("cardamomvale_claims_batch_entries").record(batch.entries.len() as f64);
         let record: Bytes = encode_batch(&batch);
         match self.setup.client.append(&self.stream, &record) {
-            // Nothing came in between: what stands there is known without reading.
+            // No other host has appended meanwhile, so the record need not be read back.
             Ok(offset) if offset == self.home.table().next() => {
                 let now = clock::now();
                 self.home.fold(offset, Some(&batch), now);
@@ -245,7 +247,8 @@
             Err(AppendError::Refused(reason)) => {
                 self.fail(&reason, true);
             }
-            // The record may stand there, or not yet: reading tells which.
+            // The record may have been appended or may still be; reading the
+            // stream shows whether it has been.
             Err(AppendError::Unanswered(reason)) => {
                 log::warn!(
                     "E0452 claims-append-unanswered stream={} reason={reason:?}",
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Reads the stream to its end.
+    /// Reads the stream to its end and applies its records.
     fn catch_up(&mut self) -> Result<(), Trouble> {
         loop {
             let from = self.home.table().next();
@@ -277,13 +280,13 @@
             let page = read.map_err(|e| Trouble::Unread(e.0))?;
             if page.end < from {
                 return Err(Trouble::Unread(format!(
-                    "the stream ends at {}, before {from}, where this host has been",
+                    "the stream ends at offset {}, but this host has already read up to {from}",
                     page.end
                 )));
             }
             if page.first > from {
-                // What this host has not read is gone; what has to be
-                // remembered was carried over into what is left.
+                // The store has trimmed records that this host has not read. The
+                // keys in them that are still needed were appended again since.
                 self.home.restart(page.first);
             }
             let now = clock::now();
@@ -359,5 +362,5 @@
     }
 }
 
-/// How often an idle home reads its stream.
+/// Interval at which an idle home reads its stream.
 const READ_EVERY: Duration = Duration::from_secs(5);
--- a/components/transport/src/log/client.rs
+++ b/components/transport/src/log/client.rs
@@ -1,4 +1,4 @@
-//! The store's client for threads that may block: commands, followers, claims.
+//! A blocking client of the store, for commands, followers and claims.
 
 use std::cell::RefCell;
 use std::io;
@@ -16,30 +16,31 @@
 
 use crate::store::{StoreClient, StoreError};
 
-/// How long an append's answer, or a read's beyond its own wait, may take by default.
+/// Default time-out for the answer to an append, or to a read in addition to its own wait.
 ///
-/// An operator's command rather waits for a slow store than ends as "unknown".
+/// The time-out is long, since an operator's command had better wait for a slow
+/// store than end with an unknown outcome.
 pub const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an append got no offset.
+/// Why an append returned no offset.
 #[value]
 #[derive(thiserror::Error)]
 pub enum AppendError {
-    /// The record surely does not stand on the log.
+    /// The record was certainly not appended.
     #[error("the log did not take the record: {0}")]
     Refused(String),
-    /// The record may stand on the log, or may yet come to stand there.
+    /// The record may have been appended, or may still be.
     #[error("the log did not say whether it took the record: {0}")]
     Unanswered(String),
 }
 
-/// Why a read got no records.
+/// Why a read failed.
 #[value]
 #[derive(thiserror::Error)]
 #[error("the log can't be read: {0}")]
 pub struct ReadError(pub String);
 
-/// One call, and where its answer goes.
+/// A request to the client's thread, with the channel for its answer.
 enum Call {
     Append {
         topic: String,
@@ -57,10 +58,10 @@
     },
 }
 
-/// A client of the log for threads that may block. Clones share its connections.
+/// A blocking client of the store. Clones share its connections.
 ///
-/// A thread of its own runs [`StoreClient`], the one client of the store, so that it
-/// needs no runtime where it is used. The thread ends with the last clone.
+/// A thread of its own runs the asynchronous [`StoreClient`], so that callers
+/// need no runtime. The thread ends with the last clone.
 #[derive(Clone, Debug)]
 pub struct BlockingStoreClient {
     calls: UnboundedSender<Call>,
@@ -68,11 +69,11 @@
 }
 
 impl BlockingStoreClient {
-    /// Returns a client of the log at `address`; `limit` bounds how long an answer takes.
+    /// Returns a client of the store at `address`, with `limit` as the time-out for answers.
     ///
     /// # Panics
     ///
-    /// Panics where the system gives no thread.
+    /// Panics if the system can't start a thread.
     pub fn new(address: SocketAddr, limit: Duration) -> BlockingStoreClient {
         let (sender, calls) = unbounded_channel();
         std::thread::Builder::new()
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Returns the same client with another time-out for answers.
+    /// Returns a clone of this client with another time-out for answers.
     pub fn waiting(&self, limit: Duration) -> BlockingStoreClient {
         let mut client = self.clone();
         client.limit = limit;
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// Keeps what surely did not land apart from what may have.
+    /// Returns whether the record was certainly not appended or may have been.
     pub fn append(&self, topic: &str, record: &Bytes) -> Result<u64, AppendError> {
         metrics::counter!("cardamomvale_log_appends_total", "stream" => topic.to_owned())
             .increment(1);
@@ -120,14 +121,14 @@
         }
     }
 
-    /// Reads records from offset `from`, or from the oldest where that one is gone.
+    /// Reads records from offset `from`, or from the oldest one where that offset is trimmed.
     ///
-    /// Waits up to `wait` for the first where there is none yet; `max_kilobytes`
-    /// bounds the answer. Blocks.
+    /// Where there is no record yet, waits up to `wait` for the first one;
+    /// `max_kilobytes` limits the size of the answer. Blocks.
     ///
     /// # Errors
     ///
-    /// Says why there are no records; reading again does no harm.
+    /// Returns why the read failed; a read may always be repeated.
     pub fn read(
         &self,
         topic: &str,
@@ -154,10 +155,10 @@
     }
 }
 
-/// What is said where the client's thread has ended.
+/// The error text after the client's thread has ended.
 const GONE: &str = "the log's client has stopped";
 
-/// Connections of one client that lie idle.
+/// The idle connections of one client.
 type Idle = Rc<RefCell<Vec<StoreClient>>>;
 
 fn run(address: SocketAddr, calls: UnboundedReceiver<Call>) {
@@ -192,7 +193,7 @@
             store.set_timeout(limit);
             let result = store.append(&topic, &record).await;
             let silent = is_silent(&result);
-            // The caller waits for this answer, so it is there.
+            // The caller blocks on this answer, so the receiver still exists.
             let _ = answer.send(result);
             silent
         }
@@ -214,7 +215,7 @@
             silent
         }
     };
-    // What took one connection away without a word may have taken them all.
+    // Whatever made one connection go silent may have broken the idle ones as well.
     if silent {
         idle.borrow_mut().clear();
     }
--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -14,22 +14,24 @@
 use super::client::BlockingStoreClient;
 use super::reader::{Event, Reader};
 
-/// How a follower reads.
+/// Options of a follower.
 #[value]
 pub struct FollowerOptions {
-    /// How long the log holds a read that finds nothing new. It bounds how old
-    /// [`Progress::end_seen`] gets while all is well: twice this.
+    /// How long the store holds a read that finds no new record. While reads
+    /// succeed, [`Progress::end_seen`] gets at most twice this old.
     pub wait: Duration,
-    /// The first pause after a read that failed.
+    /// The delay before a retry after the first failed read; it doubles with each further one.
     pub retry_delay: Duration,
-    /// The longest pause. It bounds how late a host learns that an outage is over.
+    /// The longest delay before a retry, which limits how late a host notices
+    /// that an outage is over.
     pub max_retry_delay: Duration,
-    /// How long a read may take beyond its wait before another is sent beside
-    /// it. It bounds how late a host learns that a link has gone silent.
+    /// How long a read may take in addition to its wait before a second read is
+    /// sent on another connection. This limits how late a host notices that a
+    /// connection no longer delivers.
     pub hedge_delay: Duration,
-    /// Kilobytes of records asked for at once, none for as many as the log gives.
+    /// Kilobytes of records requested by one read, or none for the store's own limit.
     pub max_kilobytes: Option<u32>,
-    /// When snapshots are due, or none where this follower appends none.
+    /// When snapshots are due, or none where this follower appends no snapshots.
     pub snapshots: Option<SnapshotPolicy>,
 }
 
@@ -46,15 +48,15 @@
     }
 }
 
-/// How far a follower has come.
+/// How far a follower has read the stream.
 #[value]
 pub struct Progress {
-    /// What has been folded.
+    /// The position up to which records have been folded.
     pub position: Position,
-    /// When the read was sent whose answer showed that nothing more stood on
-    /// the log, or none yet. What came later may not be known here.
+    /// When the latest read was sent that reached the end of the stream, or none
+    /// before the first. Records appended later may be missing here.
     pub end_seen: Option<Moment>,
-    /// Why this host has no configuration, or an old one; empty where all is well.
+    /// Why this host has no configuration or may have an old one, or none where it is current.
     pub stale_reason: Option<String>,
 }
 
@@ -69,13 +71,13 @@
 }
 
 impl Progress {
-    /// Returns whether the log's end was seen within `age` before `now`.
+    /// Returns whether a read reached the end of the stream within `age` before `now`.
     pub fn is_fresh(&self, now: Moment, age: Duration) -> bool {
         self.end_seen.is_some_and(|seen| now.since(seen) <= age)
     }
 }
 
-/// A thread that folds the `config` stream. Stops when dropped.
+/// Folds the `config` stream into the configuration, on a thread that stops when this is dropped.
 pub struct Follower {
     shared: Arc<Shared>,
     events: Sender<Event>,
@@ -93,15 +95,15 @@
     changes: broadcast::Sender<Arc<Config>>,
 }
 
-/// Changes that a slow reader may be behind before it is told that it missed some.
+/// Number of changes buffered for a slow receiver before it misses some.
 const CHANGES: usize = 64;
 
 impl Follower {
-    /// Starts to follow the log from its first record.
+    /// Starts to follow the stream from its first record.
     ///
     /// # Panics
     ///
-    /// Panics where the system gives no thread.
+    /// Panics if the system can't start a thread.
     pub fn start(client: BlockingStoreClient, options: FollowerOptions) -> Follower {
         let (config_sender, config) = watch::channel(Arc::default());
         let (progress_sender, progress) = watch::channel(Progress::default());
@@ -123,28 +125,28 @@
         }
     }
 
-    /// Returns the configuration in force, as it changes. Its revision only grows.
+    /// Returns a watch on the configuration in force, whose revision never decreases.
     pub fn config(&self) -> watch::Receiver<Arc<Config>> {
         self.config.clone()
     }
 
-    /// Returns each configuration in turn, also those that are in force for a moment only.
+    /// Returns a channel that receives every configuration, also those in force only for a moment.
     ///
-    /// The failure detector needs them all: see `coordination::members::History`.
+    /// The failure detector needs all of them: see `coordination::members::History`.
     pub fn changes(&self) -> broadcast::Receiver<Arc<Config>> {
         self.shared.changes.subscribe()
     }
 
-    /// Returns how far the follower has come, as it changes.
+    /// Returns a watch on the follower's progress.
     pub fn progress(&self) -> watch::Receiver<Progress> {
         self.progress.clone()
     }
 
-    /// Returns whether this host has a preset in force, from the log or a peer.
+    /// Checks that this host has a preset in force, from the store or from a peer.
     ///
     /// # Errors
     ///
-    /// Says why it has none, for the host is not ready then.
+    /// Returns why no preset is in force; the host is not ready then.
     pub fn ready(&self) -> Result<(), String> {
         match self.config.borrow().preset() {
             Some(_) => Ok(()),
@@ -158,19 +160,20 @@
         stale_reason.unwrap_or_else(|| "the log's records have not all been read yet".to_owned())
     }
 
-    /// Returns how far the follower has folded.
+    /// Returns the position up to which the follower has folded the stream.
     pub fn position(&self) -> Position {
         lock(&self.shared.fold).position()
     }
 
-    /// Returns whether the log has dropped records that this host needs, and
-    /// holds no snapshot in their place up to `end`.
+    /// Returns whether the store has trimmed records that this host needs, and
+    /// the stream holds no snapshot in their place before offset `end`.
     pub fn is_lost(&self, end: u64) -> bool {
         let fold = lock(&self.shared.fold);
         fold.is_behind() && fold.read_offset() >= end
     }
 
-    /// Waits up to `limit` until every record before `next` is folded; says whether it is. Blocks.
+    /// Waits up to `limit` until every record before offset `next` is folded, and returns whether
+    /// that is so. Blocks.
     pub fn wait_folded(&self, next: u64, limit: Duration) -> bool {
         let fold = lock(&self.shared.fold);
         let waited = self
@@ -181,16 +184,17 @@
         waited.0.position().next >= next
     }
 
-    /// Reads again at once, in place of waiting out a pause after a failure.
+    /// Reads again at once, in place of waiting for the delay after a failed read.
     ///
-    /// To be called when a sign says that the log may be back, such as a peer
-    /// that has read further.
+    /// To be called on a sign that the store may be available again, such as a
+    /// peer that has read further.
     pub fn resume(&self) {
-        // A reader that has ended has nothing to resume.
+        // Sending fails only after the reader has ended, when there is nothing to resume.
         let _ = self.events.send(Event::Resume);
     }
 
-    /// Takes a peer's snapshot, where it is newer. Returns whether it was.
+    /// Replaces the folded state by a peer's snapshot where that is newer, and returns whether it
+    /// was.
     pub fn take(&self, snapshot: Snapshot) -> bool {
         let mut fold = lock(&self.shared.fold);
         let taken = fold.take_snapshot(snapshot);
@@ -204,7 +208,7 @@
         taken
     }
 
-    /// Returns the whole state for a peer that has none, or none where there is nothing to hand on.
+    /// Returns a snapshot of the folded state for a peer, or none where nothing has been folded.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let fold = lock(&self.shared.fold);
         match fold.position().next {
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Takes a snapshot's record as a peer hands it on. Returns whether it was newer.
+    /// Applies an encoded snapshot record received from a peer, and returns whether it was newer.
     pub fn install_record(&self, record: &Bytes) -> bool {
         match decode_record(record) {
             Ok(Record::Snapshot(snapshot)) => self.take(*snapshot),
@@ -225,18 +229,18 @@
         }
     }
 
-    /// Returns the snapshot's record to hand to a peer, with its mark.
+    /// Returns an encoded snapshot record for a peer, with its position.
     pub fn snapshot_record(&self) -> Option<(Position, Bytes)> {
         let snapshot = self.snapshot()?;
         Some((snapshot.position(), encode_snapshot(&snapshot)))
     }
 
-    /// Returns a copy of the folded state.
+    /// Returns a clone of the folded state.
     pub fn fold(&self) -> Fold {
         lock(&self.shared.fold).clone()
     }
 
-    /// Waits up to `limit` for the answer to a command. Blocks.
+    /// Waits up to `limit` for the decision on a command. Blocks.
     pub fn wait_answer(&self, id: CommandId, limit: Duration) -> Option<Answer> {
         let fold = lock(&self.shared.fold);
         let waited = self
@@ -261,9 +265,12 @@
         }
     }
 
-    /// Hands on what has been folded. An older revision is never shown: it
-    /// would send work back to what has left. The same one with other content
-    /// comes only where a record of a newer version was skipped and is made good.
+    /// Publishes the folded configuration.
+    ///
+    /// An older revision is never published, since it would send work to hosts
+    /// and endpoints that have left. The same revision with other content occurs
+    /// only where a record of a newer version was skipped and a snapshot has
+    /// made up for it.
     pub(super) fn publish(&self, fold: &Fold) {
         let config = fold.config();
         self.config.send_if_modified(|shown| {
--- a/components/transport/src/log/mod.rs
+++ b/components/transport/src/log/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's append-only log: its client, the follower of the `config` stream, and commands.
+//! Access to the store from threads that may block: a client, the follower of the `config` stream,
+//! and commands that change the configuration.
 
 mod client;
 mod follower;
@@ -14,5 +15,5 @@
     submit_to_store,
 };
 
-/// The stream that operators' commands and members' joins stand on.
+/// The stream that holds the operators' commands and the members' joins and removals.
 pub const CONFIG_STREAM: &str = "config";
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -15,36 +15,37 @@
 use super::follower::{Shared, lock};
 use crate::clock;
 
-/// The longest time that a read is waited for. A log that is slower can't be followed.
+/// Time-out of a read. A store that takes longer can't be followed.
 const READ_LIMIT: Duration = Duration::from_secs(10);
 
-/// Reads in flight at once: at one more each time the patience is over, all
-/// that fit into [`READ_LIMIT`].
+/// Largest number of reads in flight at once: one more is sent after every
+/// [`FollowerOptions::hedge_delay`](super::FollowerOptions::patience), for as long as [`READ_LIMIT`].
 const READS_AT_ONCE: usize = 10;
 
-/// What the reader's thread waits for.
+/// An input to the reader's thread.
 pub(super) enum Event {
     /// A read has ended.
     Read(ReadEnd),
-    /// The log may be back: read at once.
+    /// The store may be available again, so the next read is due at once.
     Resume,
-    /// The follower is gone.
+    /// The follower was dropped.
     Stop,
 }
 
-/// A read and what came of it.
+/// A read that has ended, and its result.
 pub(super) struct ReadEnd {
     from: u64,
     sent: Moment,
     page: Result<ReadAnswer, ReadError>,
 }
 
-/// Reads page after page, and a second time where the first read is silent.
+/// Reads page after page, and sends a second read where the first one is late.
 ///
-/// A link that goes silent for good, or a log that answers seconds late, would
-/// hold a host on an old configuration. With one read at a time it could only
-/// choose between giving up a slow log and waiting long on a silent link. So a
-/// read that is late stays, and another is sent beside it on a new connection.
+/// A connection that no longer delivers, or a store that answers seconds late,
+/// would keep a host on an old configuration. With one read at a time, the host
+/// would have to choose between giving up on a slow store and waiting long on a
+/// dead connection. So a late read stays in flight, and another one is sent in
+/// parallel on a new connection.
 pub(super) struct Reader {
     shared: Arc<Shared>,
     events: Sender<Event>,
@@ -57,7 +58,7 @@
 }
 
 impl Reader {
-    /// Starts the thread; it ends with [`Event::Stop`].
+    /// Starts the thread, which ends on [`Event::Stop`], and returns the sender of its events.
     pub(super) fn start(shared: Arc<Shared>) -> Sender<Event> {
         let (sender, events) = mpsc::channel();
         let now = clock::now();
@@ -113,7 +114,7 @@
             .spawn(move || {
                 let page = client.read(CONFIG_STREAM, from, max_kilobytes, wait);
                 let sent = now;
-                // The follower may be gone by now.
+                // Sending fails where the follower was dropped meanwhile.
                 let _ = events.send(Event::Read(ReadEnd { from, sent, page }));
             })
             .expect("a thread can be started");
@@ -125,7 +126,7 @@
         match read.page {
             Ok(page) if page.end < from => self.fail(
                 &format!(
-                    "the log ends at offset {}, before {from}, where this host has been",
+                    "the log ends at offset {}, but this host has already read up to {from}",
                     page.end
                 ),
                 read.sent,
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Appends a snapshot where one is due, on a thread of its own: a log that
-    /// does not answer must not hold up reading.
+    /// Appends a snapshot where one is due, on a thread of its own, so that a
+    /// store that does not answer can't hold up reading.
     fn append_snapshot(&mut self, page: &ReadAnswer) {
         let Some(timer) = &mut self.timer else {
             return;
@@ -203,9 +204,12 @@
             .expect("a thread can be started");
     }
 
-    /// Notes a read that went well. While another is still out, the next one
-    /// waits for it or for the patience to end: else the reads that a slow log
-    /// gathered would go on side by side for ever.
+    /// Records a successful read and sets when the next one is due.
+    ///
+    /// While other reads are in flight, the next read waits until they have
+    /// ended or [`FollowerOptions::hedge_delay`](super::FollowerOptions::patience)
+    /// has passed. Otherwise the parallel reads that a slow store has
+    /// accumulated would never get fewer.
     fn recover(&mut self, sent: Moment) {
         if self.failures > 0 {
             let failures = self.failures;
@@ -219,15 +223,15 @@
         }
     }
 
-    /// Notes a failed read and pauses, jittered so that hosts don't all come
-    /// back to a log that has just recovered in the same moment.
+    /// Records a failed read and delays the next one. The delay has jitter, so
+    /// that the hosts don't all read at once from a store that has just recovered.
     fn fail(&mut self, error: &str, sent: Moment) {
         metrics::counter!("cardamomvale_log_read_failures_total").increment(1);
         if self.last_page > Some(sent) {
-            // A later read went well: only the link of this one was lost.
+            // A later read succeeded, so only the connection of this one failed.
             return;
         }
-        // One line an outage: the metric counts the rest.
+        // Logs one line an outage; the metric counts every failure.
         if self.failures == 0 {
             log::warn!("E0301 log-unreadable error=\"{error}\"");
         }
@@ -256,11 +260,11 @@
     }
 }
 
-/// Says why the configuration is missing or old, for readiness and status.
+/// Returns why the configuration is missing or old, for readiness and status.
 fn stale_reason(fold: &Fold, page: &ReadAnswer) -> Option<String> {
     match fold.skipped_newer() {
         _ if fold.is_behind() => Some(format!(
-            "the log's records before {} are gone and no snapshot has come yet",
+            "the log's records before {} are gone and no snapshot has been read yet",
             page.first
         )),
         Some(offset) => Some(format!(
--- a/components/transport/src/log/remote.rs
+++ b/components/transport/src/log/remote.rs
@@ -1,4 +1,4 @@
-//! Hands a command to an entry host's admin port, and reads the configuration there.
+//! A client of an entry host's admin port, which submits commands and reads the configuration.
 
 use std::io;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 use super::submit::{CommandRequest, Outcome};
 
-/// The largest configuration that is read, in bytes.
+/// The largest configuration that is accepted, in bytes.
 const CONFIG_LIMIT: u64 = 16 * 1024 * 1024;
 
 /// Returns the configuration in force at the entry host with this admin address. Blocks.
 ///
 /// # Errors
 ///
-/// Says why there is none.
+/// Returns why the configuration could not be read.
 pub fn read_from_host(address: &str, limit: Duration) -> Result<Config, String> {
     let mut response = agent(limit)
         .get(format!("http://{address}/config"))
@@ -32,11 +32,12 @@
     serde_json::from_slice(&bytes).map_err(|e| e.to_string())
 }
 
-/// Hands a command to the entry host with this admin address. Blocks.
+/// Submits a command to the entry host with this admin address. Blocks.
 ///
-/// The id is drawn here and not at the entry host: were its answer lost, the
-/// operator could not ask again. The revision is left to the host, which first
-/// reads the log to its end: one that has just started shows an old one here.
+/// The command's id is drawn here and not at the entry host. If the host drew it
+/// and its answer were lost, the operator could not repeat the command under the
+/// same id. The revision is left to the host, which first reads the stream to
+/// its end; a host that has just started returns an old configuration here.
 pub fn submit_to_host(address: &str, request: &CommandRequest, limit: Duration) -> Outcome {
     let config = match (request.id, read_from_host(address, limit)) {
         (_, Ok(config)) => config,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Returns whether the error came before a byte could be sent.
+/// Returns whether the error occurred before any byte was sent.
 fn never_sent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Timeout(timeout) => matches!(timeout, ureq::Timeout::Connect),
--- a/components/transport/src/log/submit.rs
+++ b/components/transport/src/log/submit.rs
@@ -1,4 +1,4 @@
-//! Hands a command to the log and tells its author truly what came of it.
+//! Submits commands to the `config` stream and reports their outcome, also where it is unknown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,58 +16,58 @@
 use super::client::{AppendError, BlockingStoreClient, STORE_TIMEOUT};
 use super::follower::{Follower, FollowerOptions};
 
-/// How long to wait for an append whose answer was lost to show itself.
+/// How long to wait for a record to be read back after the answer to its append was lost.
 const SETTLE: Duration = Duration::from_millis(300);
 
-/// The pause before asking a log again that refused.
+/// The delay before a retry after the store has refused a request.
 const RETRY: Duration = Duration::from_millis(200);
 
-/// A command that has still to be given its id, or is asked again.
+/// A request to submit a command, or to repeat an earlier one under its id.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CommandRequest {
-    /// The id of an earlier try whose outcome is unknown.
+    /// The id of an earlier attempt whose outcome is unknown, or none for a new command.
     #[serde(default)]
     pub id: Option<CommandId>,
-    /// The revision the author looked at; the newest where none is given.
+    /// The revision on which the author based the command, or none for the newest.
     #[serde(default)]
     pub decided_on: Option<u64>,
-    /// What is asked for.
+    /// The requested change.
     pub change: Change,
 }
 
-/// What came of a command.
+/// The outcome of a command.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It is in force since this revision.
+    /// The command is in force since this revision.
     Accepted {
         /// The revision.
         revision: u64,
     },
-    /// It changed nothing and never will.
+    /// The command changed nothing and never will.
     Refused {
-        /// Why, and what to do.
+        /// Why the command was refused, and what to do.
         reason: String,
     },
-    /// It may be in force or come into force: ask again with this id.
+    /// The command may be in force or come into force later; to be repeated with this id.
     Unknown {
-        /// The id.
+        /// The command's id.
         id: CommandId,
     },
-    /// It was not handed to the log, and never will be.
+    /// The command was not appended to the stream and never will be.
     Unreachable {
-        /// Why.
+        /// Why the command was not appended.
         reason: String,
     },
 }
 
-/// Kilobytes asked for by a read that only wants to know where the log ends.
+/// Kilobytes requested by a read that only needs the end of the stream.
 const LEAST: Option<u32> = Some(1);
 
-/// Hands commands to the log, in an entry host or an operator's command.
+/// Submits commands to the `config` stream, from an entry host or an operator's command.
 #[derive(Clone)]
 pub struct Submission {
     client: BlockingStoreClient,
@@ -76,7 +76,7 @@
 }
 
 impl Submission {
-    /// Returns one that gives up waiting after `limit`.
+    /// Returns an instance that waits up to `limit` for a command to be decided.
     pub fn new(
         client: BlockingStoreClient,
         follower: Arc<Follower>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Hands a command to the log and waits until the fold has decided it. Blocks.
+    /// Appends a command to the stream and waits until the fold has decided it. Blocks.
     pub fn submit(&self, request: &CommandRequest) -> Outcome {
         let deadline = Instant::now() + self.limit;
         if let Err(reason) = self.catch_up(deadline) {
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Answers a command posted as JSON: the status and the body.
+    /// Submits a command posted as JSON, and returns the HTTP status and the JSON body of the
+    /// answer. Blocks.
     pub fn answer_json(&self, body: &[u8]) -> (u16, String) {
         let request: CommandRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
@@ -138,11 +139,12 @@
         (status, to_json(&outcome))
     }
 
-    /// Waits until all that stands on the log now has been folded.
+    /// Waits until all records that the stream holds now have been folded.
     ///
-    /// Without it a command would be decided on an old revision and refused
-    /// for a change that its author may well have seen. Asks the log for its
-    /// end by a read of its own: the follower's may be waiting for a record.
+    /// Otherwise a command could be decided on an old revision and be refused
+    /// because of a change that its author has already seen. The end of the
+    /// stream is found with a separate read, since the follower's read may be
+    /// waiting for a new record.
     fn catch_up(&self, deadline: Instant) -> Result<(), String> {
         let mut reason;
         loop {
@@ -150,7 +152,7 @@
             let from = self.follower.position().next;
             let end = self.client.read(CONFIG_STREAM, from, LEAST, Duration::ZERO);
             if end.as_ref().is_ok_and(|page| page.end > from) {
-                // The log answers: a follower that waits out a pause need not.
+                // The store answers, so a follower that delays its next read can read now.
                 self.follower.resume();
             }
             match end {
@@ -193,19 +195,20 @@
     }
 }
 
-/// Hands a command straight to the log at `address`. Blocks.
+/// Submits a command directly to the store at `address`. Blocks.
 pub fn submit_to_store(address: SocketAddr, request: &CommandRequest, limit: Duration) -> Outcome {
     let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     let follower = Follower::start(client.clone(), reader_options());
     Submission::new(client, Arc::new(follower), limit).submit(request)
 }
 
-/// Begins the configuration anew at the log at `address`, with this preset in
-/// force, where the log has forgotten it and no host hands it on. Blocks.
+/// Starts a new configuration in the store at `address`, with the preset in `text` in force. Blocks.
 ///
-/// A host that has the configuration appends a snapshot within seconds; so the
-/// log is watched for `quiet` first. The record is appended once and never
-/// again, since each one begins anew.
+/// Works only where the store has trimmed the old configuration and no host
+/// supplies a snapshot. A host that has the configuration appends a snapshot
+/// within seconds, so the stream is watched for `quiet` first. The record is
+/// never appended a second time, since each such record starts a new
+/// configuration.
 pub fn begin_in_store(
     address: SocketAddr,
     text: &str,
@@ -242,11 +245,11 @@
     }
 }
 
-/// Returns the configuration folded from the log at `address`. Blocks.
+/// Returns the configuration folded from the stream in the store at `address`. Blocks.
 ///
 /// # Errors
 ///
-/// Says why there is none.
+/// Returns why the stream could not be read to its end.
 pub fn read_from_store(address: SocketAddr, limit: Duration) -> Result<Arc<Config>, String> {
     let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     let follower = Arc::new(Follower::start(client.clone(), reader_options()));
@@ -255,7 +258,8 @@
     Ok(Arc::clone(follower.fold().config()))
 }
 
-/// Returns the options of a follower that only reads, such as an operator's command.
+/// Returns the options of a follower that appends no snapshots, such as that of an operator's
+/// command.
 pub fn reader_options() -> FollowerOptions {
     FollowerOptions {
         snapshots: None,
@@ -264,8 +268,9 @@
     }
 }
 
-/// Decides a command that nobody has seen yet, without the log, where it would
-/// change nothing: that needs no append, and is as true as by the log.
+/// Returns the outcome of a new command that would change nothing, or none where it would.
+///
+/// Such a command needs no append, since the fold would decide the same after one.
 fn preview(mut fold: Fold, command: &Command) -> Option<Outcome> {
     let before = fold.position();
     let step = fold.apply(before.next, Ok(Record::Command(command.clone())));
--- a/components/transport/src/peers/counters.rs
+++ b/components/transport/src/peers/counters.rs
@@ -1,22 +1,22 @@
-//! What the links count, and events that a flood can't repeat without bound.
+//! Metrics of the peer links, and a rate limit for their log lines.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::clock;
 
-/// Counts one message sent, with its bytes on the link.
+/// Counts one sent message and its bytes on the link.
 pub fn sent(bytes: usize) {
     metrics::counter!("cardamomvale_peer_messages_sent_total").increment(1);
     metrics::counter!("cardamomvale_peer_bytes_sent_total").increment(bytes as u64);
 }
 
-/// Counts one message received, with its bytes on the link.
+/// Counts one received message and its bytes on the link.
 pub fn received(bytes: usize) {
     metrics::counter!("cardamomvale_peer_messages_received_total").increment(1);
     metrics::counter!("cardamomvale_peer_bytes_received_total").increment(bytes as u64);
 }
 
-/// Counts messages dropped, for `reason`.
+/// Counts dropped messages, labelled with the `reason`.
 pub fn dropped(reason: &'static str, count: usize) {
     if count > 0 {
         metrics::counter!("cardamomvale_peer_messages_dropped_total", "reason" => reason)
@@ -24,12 +24,12 @@
     }
 }
 
-/// Counts a peer refused, for `reason`.
+/// Counts a refused peer, labelled with the `reason`.
 pub fn refused(reason: &'static str) {
     metrics::counter!("cardamomvale_peer_refused_total", "reason" => reason).increment(1);
 }
 
-/// Lets one event through each second, so that a flood of bad peers is no flood of logs.
+/// Limits an event to one log line a second, so that many bad connections don't flood the output.
 #[derive(Default)]
 pub struct Throttle {
     last: AtomicU64,
--- a/components/transport/src/peers/handshake.rs
+++ b/components/transport/src/peers/handshake.rs
@@ -1,4 +1,4 @@
-//! The first exchange on a link: who speaks, and whether it is a member.
+//! The handshake of a link: each end names itself and checks that the other one is a member.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,32 +24,32 @@
 /// Reads the frames of one link.
 pub type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// A link whose peer has said who it is.
+/// A link whose handshake is complete.
 pub struct Met {
     /// The peer's key.
     pub peer: HostKey,
-    /// What the peer said.
+    /// The peer's hello message.
     pub hello: Hello,
-    /// The frames that come in.
+    /// The incoming frames.
     pub reader: Reader,
-    /// Where frames go out.
+    /// The sending half of the connection.
     pub writer: OwnedWriteHalf,
 }
 
-/// Why two hosts did not meet.
+/// Why a handshake failed.
 #[derive(Debug, Error)]
 pub enum MeetError {
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The peer said nothing in time, or hung up.
-    #[error("the peer said nothing")]
+    /// The peer did not answer in time, or closed the connection.
+    #[error("the peer did not answer")]
     Silent,
-    /// The peer's bytes are no message.
+    /// The peer's bytes can't be decoded as a message.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The peer only asked for the configuration.
-    #[error("the peer asked for the configuration")]
+    /// The peer requested the configuration only; no link was wanted.
+    #[error("the peer requested the configuration only")]
     Asked,
     /// This host refused the peer.
     #[error("the peer was refused: {0:?}")]
@@ -60,7 +60,7 @@
 }
 
 impl MeetError {
-    /// Returns whether one of the two is not known to the other as a member.
+    /// Returns whether one of the two hosts does not know the other one as a member.
     pub fn is_no_member(&self) -> bool {
         match self {
             MeetError::Refused(reason) => *reason == RefusedReason::NoMember,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the reason's name, as metrics name it.
+    /// Returns the reason as the metrics' label.
     pub fn label(&self) -> &'static str {
         match self {
             MeetError::Io(e) if e.kind() == io::ErrorKind::InvalidData => "oversized",
@@ -85,11 +85,11 @@
     }
 }
 
-/// Meets a peer that this host dialled.
+/// Performs the handshake with a peer that this host dialled.
 ///
 /// # Errors
 ///
-/// Says why the two did not meet.
+/// Returns why the handshake failed.
 pub async fn greet(
     stream: TcpStream,
     hello: &Hello,
@@ -108,11 +108,13 @@
     }
 }
 
-/// Meets a peer that dialled this host. `hello` lacks the peer's name yet.
+/// Performs the handshake with a peer that dialled this host.
+///
+/// The field `to` of `hello` is filled in here, with the name that the peer gives.
 ///
 /// # Errors
 ///
-/// Says why the two did not meet.
+/// Returns why the handshake failed.
 pub async fn answer(
     stream: TcpStream,
     mut hello: Hello,
@@ -147,7 +149,7 @@
     }
 }
 
-/// Hands the configuration to a host that starts while the log is down.
+/// Sends the configuration to a host that starts while the store is down.
 async fn hand_over(
     writer: &mut OwnedWriteHalf,
     receive: &Arc<dyn MessageHandler>,
@@ -160,11 +162,11 @@
     }
 }
 
-/// Asks the host at `address` for its configuration, without being a member.
+/// Requests the configuration from the host at `address`; the caller need not be a member.
 ///
 /// # Errors
 ///
-/// Says why none came.
+/// Returns why no configuration was received.
 pub async fn fetch_config(address: SocketAddr) -> Result<ConfigOffer, MeetError> {
     let stream = timeout(HELLO_TIMEOUT, TcpStream::connect(address))
         .await
@@ -180,10 +182,10 @@
     }
 }
 
-/// Checks that a hello is meant for this host and comes from a member.
+/// Checks that a hello is addressed to this host and comes from a current member.
 ///
-/// A host that was removed while it was paused still believes itself a member;
-/// its messages about slots it no longer owns must reach nobody.
+/// A host that was removed while it was paused still takes itself for a member;
+/// its messages about slots that it no longer owns must be refused.
 fn check(hello: &Hello, me: &str, config: &Config) -> Result<(), RefusedReason> {
     let member = config.members.get(&HostKey::named(&hello.name));
     match member {
@@ -193,7 +195,9 @@
     }
 }
 
-/// Limits frames to a hello's size, so that a stranger can't make this host set memory aside.
+/// Returns a reader that limits frames to a hello's size.
+///
+/// An unknown peer could otherwise make this host allocate memory for a large frame.
 fn limited(reader: OwnedReadHalf) -> Reader {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(HELLO_LIMIT)
--- a/components/transport/src/peers/host_list.rs
+++ b/components/transport/src/peers/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags.
+//! The platform's list of hosts, which may be out of date.
 
 use std::time::Duration;
 
@@ -7,40 +7,40 @@
 use thiserror::Error;
 use ureq::Agent;
 
-/// How long the list may take.
+/// Time-out of a request for the list.
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// One line of the list.
+/// One entry of the list.
 #[value]
 #[derive(Serialize, Deserialize)]
 pub struct HostEntry {
     /// The host's name.
     pub name: String,
-    /// Its IP number.
+    /// The host's IP address.
     pub address: String,
-    /// Whether it is to stay.
+    /// Whether the host is to keep running.
     pub state: HostState,
 }
 
-/// What the platform says of a host.
+/// The state of a host as the platform reports it.
 #[tag]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It runs.
+    /// The host runs.
     Live,
-    /// It is about to go.
+    /// The host is about to be shut down.
     Leaving,
 }
 
-/// Why there is no list.
+/// Why the list of hosts could not be read.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It could not be asked for.
-    #[error("the list of hosts can't be had: {0}")]
+    /// The request failed.
+    #[error("the request for the list of hosts failed: {0}")]
     Call(#[from] ureq::Error),
-    /// It can't be understood.
-    #[error("the list of hosts can't be read: {0}")]
+    /// The answer is not valid JSON of the expected shape.
+    #[error("the list of hosts can't be parsed: {0}")]
     Format(#[from] serde_json::Error),
 }
 
@@ -49,11 +49,11 @@
     hosts: Vec<HostEntry>,
 }
 
-/// Returns the list that the platform gives at `address` (`IP:port`). Blocks.
+/// Returns the list of hosts that the platform serves at `address` (`IP:port`). Blocks.
 ///
 /// # Errors
 ///
-/// Says why there is no list; that is no sign that any host has gone.
+/// Returns why the list could not be read. A failed read is no sign that a host is gone.
 pub fn read(address: &str) -> Result<Vec<HostEntry>, ListError> {
     let config = Agent::config_builder()
         .max_redirects(0)
--- a/components/transport/src/peers/links.rs
+++ b/components/transport/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! The running links of one entry host.
+//! The peer links of one entry host: accepting, dialling, sending and receiving.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -25,38 +25,38 @@
 use super::{FULL_MESH_LIMIT, IDLE_LIMIT, STRANGERS, socket};
 use crate::clock;
 
-/// How long a dial may take.
+/// Time-out of a TCP connect to a peer.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often missing links are looked for.
+/// Interval at which missing links are dialled and unwanted ones are closed.
 const UPKEEP: Duration = Duration::from_millis(100);
 
-/// How long a replaced link may go on delivering what is under way.
+/// How long a replaced link stays open to deliver the messages already sent on it.
 const DRAIN: Duration = Duration::from_secs(2);
 
-/// Takes the messages that peers send.
+/// Receives the messages of peers.
 pub trait MessageHandler: Send + Sync {
-    /// Takes one message. Runs on the link's reader: it must not block.
+    /// Handles one message. Runs in the link's reading task and must not block.
     fn handle(&self, from: HostKey, message: PeerMessage);
 
-    /// Returns the configuration to hand to a host that asks for it. May take long.
+    /// Returns the configuration to send to a host that requests it. May block.
     fn offer(&self) -> Option<ConfigOffer> {
         None
     }
 }
 
-/// Who this process is.
+/// The identity of this process as an entry host.
 #[value]
 pub struct Identity {
     /// The host's name.
     pub name: String,
-    /// Drawn anew each time the process starts or joins anew.
+    /// A random number, drawn anew each time the process starts or joins again.
     pub incarnation: u64,
-    /// The data centre it stands in.
+    /// The data centre that the host runs in.
     pub data_centre: String,
 }
 
-/// Sends messages to other members and hands in what they send.
+/// Sends messages to other members, and passes received ones to a [`MessageHandler`].
 pub struct Links {
     me: HostKey,
     identity: Mutex<Identity>,
@@ -77,7 +77,7 @@
 }
 
 impl Links {
-    /// Returns links that are not yet running.
+    /// Returns links that don't accept or dial until [`Links::run`] is called.
     pub fn new(identity: Identity, config: watch::Receiver<Arc<Config>>) -> Arc<Links> {
         let me = identity.key();
         Arc::new(Links {
@@ -93,13 +93,13 @@
         })
     }
 
-    /// Starts accepting and dialling on the current runtime.
+    /// Starts to accept and dial links on the current runtime.
     pub fn run(self: &Arc<Self>, listener: TcpListener, receive: Arc<dyn MessageHandler>) {
         tokio::spawn(Arc::clone(self).accept(listener, Arc::clone(&receive)));
         tokio::spawn(Arc::clone(self).keep_up(receive));
     }
 
-    /// Ends all links.
+    /// Closes all links.
     pub fn stop(&self) {
         self.stop.cancel();
         self.table().retain(|_, _| false);
@@ -110,23 +110,23 @@
         self.me
     }
 
-    /// Returns who this process is now.
+    /// Returns the identity of this process; its incarnation changes when it joins again.
     pub fn identity(&self) -> Identity {
         lock(&self.identity).clone()
     }
 
-    /// Takes a new incarnation, with which this host is going to join anew.
+    /// Sets a new incarnation, under which this host will join again, and closes all links.
     pub fn renew(&self, incarnation: u64) {
         lock(&self.identity).incarnation = incarnation;
         self.table().retain(|_, _| false);
     }
 
-    /// Returns who is alive, as it changes.
+    /// Returns a watch on the members that are alive.
     pub fn view(&self) -> watch::Receiver<Arc<LiveView>> {
         self.view.subscribe()
     }
 
-    /// Publishes who is alive.
+    /// Publishes which members are alive.
     pub(super) fn publish(&self, view: LiveView) {
         self.view.send_if_modified(|shown| {
             let changed = **shown != view;
@@ -142,22 +142,22 @@
         self.table().is_linked(host)
     }
 
-    /// Returns how many links there are.
+    /// Returns the number of links.
     pub fn link_count(&self) -> usize {
         self.table().link_count()
     }
 
-    /// Ends the link to `host`, so that a new one is dialled.
+    /// Closes the link to `host`, so that a new one is dialled.
     ///
-    /// A link can go silent for good while new ones work.
+    /// A link can stop delivering for good while new ones work.
     pub fn close_link(&self, host: HostKey) {
         self.table().close_link(host);
     }
 
-    /// Sends a message without waiting; false where it was dropped.
+    /// Queues a message for `to` without waiting. Returns false where the message was dropped.
     ///
-    /// True does not mean that it arrives: links break. Senders repeat what
-    /// matters.
+    /// True does not mean that the message arrives, since a link can break.
+    /// Senders repeat the messages that must arrive.
     pub fn send(&self, to: HostKey, message: &PeerMessage) -> bool {
         if !self.config.borrow().members.contains_key(&to) {
             counters::dropped("no_member", 1);
@@ -176,7 +176,8 @@
 
     async fn accept(self: Arc<Self>, listener: TcpListener, receive: Arc<dyn MessageHandler>) {
         loop {
-            // A permit first: past the limit, newcomers wait in the kernel's queue.
+            // Takes the permit before accepting: past the limit, new connections
+            // wait in the kernel's queue.
             let Ok(permit) = Arc::clone(&self.strangers).acquire_owned().await else {
                 return;
             };
@@ -219,7 +220,7 @@
         handshake::answer(stream, hello, || self.config(), receive).await
     }
 
-    /// Dials what is missing and hangs up what is no longer wanted.
+    /// Dials missing links and closes those that are no longer wanted, until stopped.
     async fn keep_up(self: Arc<Self>, receive: Arc<dyn MessageHandler>) {
         let mut config = self.config.clone();
         let mut tick = interval(UPKEEP);
@@ -249,7 +250,7 @@
         }
         let mut wanted = table.wanted();
         if config.members.len() <= FULL_MESH_LIMIT {
-            // The smaller key dials, so that a pair makes one link, not two.
+            // The host with the smaller key dials, so that a pair opens one link, not two.
             wanted.extend(config.members.range(self.me..).skip(1).map(|(h, _)| *h));
         } else {
             for host in table.idle(now - IDLE_LIMIT) {
@@ -305,7 +306,7 @@
         handshake::greet(stream, &hello, || self.config()).await
     }
 
-    /// Runs one link until it ends.
+    /// Runs one link until it is closed.
     async fn serve(&self, met: Met, dialer: HostKey, receive: Arc<dyn MessageHandler>) {
         let Met {
             peer,
@@ -367,7 +368,8 @@
 
     fn report(&self, host: &str, error: &MeetError) {
         counters::refused(error.label());
-        // A host that has just joined is known to some before others: no alarm.
+        // Members learn of a new host at different times, so this refusal is
+        // expected during a join and no reason for a warning.
         let level = match error.is_no_member() {
             true => log::Level::Info,
             false => log::Level::Warn,
@@ -415,7 +417,8 @@
         }
         buffer.clear();
     }
-    // The peer reads to the end of what was sent; so does this host meanwhile.
+    // The peer reads all that was sent before the shutdown, and this host goes on
+    // reading meanwhile.
     let _ = writer.shutdown().await;
     std::future::pending().await
 }
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -1,4 +1,4 @@
-//! Runs the failure detector and this host's own membership.
+//! Runs the failure detector, and joins and leaves on behalf of this host.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,23 +25,23 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// How often the platform's list of hosts is read.
+/// Interval at which the platform's list of hosts is read.
 const LIST_EVERY: Duration = Duration::from_secs(5);
 
-/// How old the log's end may be for a host that joins.
+/// How long ago a joining host may have last seen the end of the `config` stream.
 const CURRENT: Duration = Duration::from_secs(3);
 
-/// What [`Members`] works with.
+/// The dependencies of [`Members`].
 pub struct MembersOptions {
-    /// Who this process is.
+    /// The identity of this process.
     pub identity: Identity,
-    /// Where peers reach this host; what its `Join` says.
+    /// The address at which peers reach this host, as its `Join` command states it.
     pub address: std::net::SocketAddr,
-    /// Follows the `config` stream.
+    /// The follower of the `config` stream.
     pub follower: Arc<Follower>,
-    /// Where the platform gives its list of hosts.
+    /// The address at which the platform serves its list of hosts.
     pub host_list: std::net::SocketAddr,
-    /// Writes joins and removals.
+    /// Submits joins and removals to the `config` stream.
     pub submission: Submission,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Members {
-    /// Starts on the current runtime. Messages that are not about members go to `receive`.
+    /// Starts on the current runtime. Messages that don't concern membership go to `receive`.
     pub fn start(
         options: MembersOptions,
         listener: TcpListener,
@@ -84,37 +84,39 @@
         members
     }
 
-    /// Returns whether this host may act as an owner now. Ask right before acting.
+    /// Returns whether this host may act as an owner now. To be called right before acting.
     pub fn may_act(&self) -> bool {
         self.detector().may_act(clock::now())
     }
 
-    /// Returns when the configuration of this member was last shown to be current.
+    /// Returns when this member's configuration was last confirmed to be current.
     pub fn current_at(&self) -> Option<Moment> {
         self.detector().current_at()
     }
 
-    /// Returns what is known of a previous owner after the change at offset `change`.
+    /// Returns what is known of the previous `owner` after the change at offset `change`.
     pub fn settled(&self, owner: MemberId, change: u64) -> OwnerStatus {
         self.detector().owner_status(owner, change)
     }
 
-    /// Asks `host` how far it has folded the configuration; the view shows the answer.
+    /// Asks `host` up to which offset it has applied the configuration; the view shows the answer.
     pub fn ask(&self, host: HostKey) {
         self.with_detector(|d| d.ask(host, clock::now()));
     }
 
-    /// Returns this process as a member.
+    /// Returns the member id of this process.
     pub fn own_id(&self) -> MemberId {
         member_id(&self.links.identity())
     }
 
-    /// Returns whether the configuration names this process as a member.
+    /// Returns whether the configuration lists this process as a member.
     pub fn is_member(&self) -> bool {
         is_member(&self.config(), self.own_id())
     }
 
-    /// Has this host's roles handed on; false where that was not in force within `limit`.
+    /// Submits a drain of this host, after which its roles go to other hosts.
+    ///
+    /// Returns false where the drain was not in force within `limit`.
     pub async fn drain(&self, limit: Duration) -> bool {
         let me = self.own_id();
         let mut config = self.options.follower.config();
@@ -126,10 +128,10 @@
         matches!(tokio::time::timeout(limit, drained).await, Ok(Ok(_)))
     }
 
-    /// Leaves: writes the removal of this host and waits until it is in force.
+    /// Submits the removal of this host and waits until the removal is in force.
     ///
-    /// False where that did not happen within `limit`; the others then remove
-    /// this host once they find it silent.
+    /// Returns false where that did not happen within `limit`; the others then
+    /// remove this host after they have stopped receiving its heartbeats.
     pub async fn leave(&self, limit: Duration) -> bool {
         lock(&self.joining).leave();
         let left = async {
@@ -140,7 +142,7 @@
         tokio::time::timeout(limit, left).await.is_ok()
     }
 
-    /// Ends all links and tasks.
+    /// Closes all links and ends all tasks.
     pub fn stop(&self) {
         self.stop.cancel();
         self.links.stop();
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Does what is due about this host's own membership.
+    /// Submits this host's join or removal, or renews its incarnation, where one of them is due.
     fn step(&self) {
         let now = clock::now();
         let identity = self.links.identity();
@@ -207,10 +209,10 @@
         }
     }
 
-    /// Begins anew after others removed this host, for instance while it was paused.
+    /// Takes a new incarnation after others removed this host, for instance while it was paused.
     ///
-    /// What the old incarnation owned may have other owners by now, and nobody
-    /// listens to it any longer.
+    /// The slots of the old incarnation may have other owners by now, and the
+    /// other members refuse its messages.
     fn renew(&self) {
         let incarnation = rand::rng().random();
         log::warn!("E0414 removed-by-others new-incarnation={incarnation}");
@@ -251,7 +253,7 @@
             let read = tokio::task::spawn_blocking(move || host_list::read(&address)).await;
             let list = match read {
                 Ok(Ok(list)) => list,
-                // No list is no sign that anybody has gone.
+                // A failed read is no sign that a host is gone.
                 Ok(Err(error)) => {
                     log::debug!("E0416 host-list-unread error={error:?}");
                     Vec::new()
@@ -277,7 +279,7 @@
         self.links.publish(view);
     }
 
-    /// Lets the detector work, then does what it asks for.
+    /// Runs `work` on the detector, then carries out the actions that the detector requests.
     fn with_detector(&self, work: impl FnOnce(&mut Detector)) {
         let mut detector = self.detector();
         work(&mut detector);
--- a/components/transport/src/peers/mod.rs
+++ b/components/transport/src/peers/mod.rs
@@ -1,8 +1,9 @@
 //! Links between entry hosts.
 //!
-//! One TCP link a pair of members, made on demand. Up to [`FULL_MESH_LIMIT`] members
-//! each host keeps a link to each, so that no message waits for a dial; above
-//! that a link lives while it is used: to watchers, owners and brokers.
+//! Each pair of members has at most one TCP link, dialled on demand. Up to
+//! [`FULL_MESH_LIMIT`] members, each host keeps a link to every other one, so that no
+//! message waits for a dial. Above that, a link is kept while it is in use: to
+//! watchers, owners and brokers.
 
 mod counters;
 mod handshake;
@@ -20,26 +21,28 @@
 
 use std::time::Duration;
 
-/// Members up to which a host keeps a link to each of them.
+/// Number of members up to which every host keeps a link to every other one.
 ///
-/// An idle link costs two TCP keep-alive probes each [`KEEPALIVE_IDLE`]: at 33
-/// links about 0.7 KB/s. At 300 it would be a quarter of the whole budget.
+/// An idle link costs two TCP keep-alive probes every [`KEEPALIVE_IDLE`]: about
+/// 0.7 KB/s for 33 links. With 300 links, these probes alone would take a
+/// quarter of the whole traffic budget.
 pub const FULL_MESH_LIMIT: usize = 34;
 
-/// How long a link may be unused before it is closed, above [`FULL_MESH_LIMIT`] members.
+/// How long a link may be unused before it is closed, with more than [`FULL_MESH_LIMIT`] members.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
-/// How long an idle link is trusted before the kernel probes it.
+/// Idle time after which the kernel sends TCP keep-alive probes on a link.
 pub const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 
 /// How long the kernel waits for sent bytes to be acknowledged.
 ///
-/// Something between two hosts can lose track of a link, which then swallows
-/// all that is sent. Two seconds later the link ends and a new one is dialled.
+/// A device between two hosts can lose the state of a connection and then
+/// silently drop all packets. Two seconds later the link is closed and a new
+/// one is dialled.
 pub const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a peer may take to say who it is.
+/// How long a peer may take to send its hello message.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Accepted connections at once that have not yet said who they are.
+/// Largest number of accepted connections whose handshake is not complete.
 pub const STRANGERS: usize = 64;
--- a/components/transport/src/peers/outbox.rs
+++ b/components/transport/src/peers/outbox.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of messages to one peer.
+//! The bounded send queue of one peer.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,19 +8,19 @@
 
 use super::counters;
 
-/// Control messages that may wait for one peer.
+/// Control messages that may be queued for one peer.
 ///
-/// A peer that reads nothing must not grow this host's memory; what waits
-/// longer than this many messages is too old to be of use.
+/// A peer that does not read must not make this host's memory grow. A message
+/// with this many others before it would be out of date when it is sent.
 const CONTROL_LIMIT: usize = 1_024;
 
-/// Bytes of bulk messages that may wait for one peer.
+/// Bytes of bulk messages that may be queued for one peer.
 const BULK_LIMIT: usize = 2 * 1_024 * 1_024;
 
-/// Bytes written at once before control messages are looked at again.
+/// Bytes of one write. Control messages that arrive meanwhile go first in the next one.
 const BATCH_LIMIT: usize = 64 * 1_024;
 
-/// Messages that wait to be written to one peer, control before bulk.
+/// The messages queued for one peer. Control messages are sent before bulk messages.
 #[derive(Default)]
 pub struct Outbox {
     queues: Mutex<Queues>,
@@ -35,7 +35,7 @@
 }
 
 impl Outbox {
-    /// Adds a message; false where it was dropped because too much waits.
+    /// Adds a message. Returns false where the queue is full and the message was dropped.
     pub fn push(&self, message: Bytes, bulk: bool) -> bool {
         let mut queues = self.queues();
         let fits = match bulk {
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Waits until there is something to write, then frames as much as one write takes.
+    /// Waits for a message, then appends frames for one write to `buffer`.
     pub async fn batch(&self, buffer: &mut BytesMut) {
         loop {
             if self.take(buffer) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Drops all that waits: it was meant for a link that is gone.
+    /// Drops all queued messages, after their link was closed.
     pub fn clear(&self) {
         let mut queues = self.queues();
         counters::dropped("no_link", queues.control.len() + queues.bulk.len());
@@ -102,10 +102,10 @@
     }
 }
 
-/// Bytes of a frame's length field, as `tokio-util`'s codec reads it by default.
+/// Bytes of a frame's length field, which is the default of `tokio-util`'s codec.
 pub const LENGTH_FIELD: usize = 4;
 
-/// Appends `message` with its length to `buffer`.
+/// Appends a frame to `buffer`: the length of `message`, then `message`.
 pub fn frame(buffer: &mut BytesMut, message: &Bytes) {
     buffer.reserve(LENGTH_FIELD + message.len());
     buffer.put_u32(u32::try_from(message.len()).expect("a message is far shorter than 4 GiB"));
--- a/components/transport/src/peers/socket.rs
+++ b/components/transport/src/peers/socket.rs
@@ -1,4 +1,4 @@
-//! The options of a peer link's socket.
+//! Socket options of a peer link.
 
 use std::io;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sets what keeps a link prompt and finds it when it has gone silent for good.
+/// Disables Nagle's algorithm, and sets the time-outs by which the kernel detects a dead link.
 ///
 /// # Errors
 ///
-/// Returns the system's error where an option can't be set.
+/// Returns the system's error if an option can't be set.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/components/transport/src/peers/table.rs
+++ b/components/transport/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! Which links there are, which of two links a pair keeps, and when to dial again.
+//! The table of links: which exist, which of two links a pair keeps, and when to dial again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use super::outbox::Outbox;
 
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// How far apart two dials of a pair may end and still have been made at once.
+/// How far apart two links of a pair may open and still count as dialled at the same time.
 const DOUBLE_DIAL: Duration = Duration::from_secs(1);
 
 const LAST_BACKOFF: Duration = Duration::from_secs(2);
 
-/// All peers this host has to do with.
+/// The peers that this host has a link to or messages for.
 pub struct Table {
     me: HostKey,
     peers: BTreeMap<HostKey, Peer>,
     serial: u64,
 }
 
-/// One peer.
+/// The state of one peer.
 pub struct Peer {
-    /// What waits to be written to it.
+    /// The messages queued for the peer.
     pub outbox: Arc<Outbox>,
-    /// When a message last went either way.
+    /// When the link was opened or a message was last queued for the peer.
     pub used: Moment,
     active: Option<Active>,
     wanted: bool,
@@ -35,7 +35,7 @@
     retry_at: Moment,
 }
 
-/// The link in use between a pair.
+/// The link in use between this host and a peer.
 struct Active {
     serial: u64,
     incarnation: u64,
@@ -44,21 +44,21 @@
     stop: CancellationToken,
 }
 
-/// A link that was taken into use.
+/// A link that was added to the table.
 pub struct Opened {
-    /// Names the link until it ends.
+    /// Identifies the link until it is closed.
     pub serial: u64,
-    /// What to write on it.
+    /// The messages to write on the link.
     pub outbox: Arc<Outbox>,
-    /// Ends the link when it is replaced or the peer is no longer wanted.
+    /// Cancelled when the link is replaced or the peer is no longer wanted.
     pub stop: CancellationToken,
 }
 
-/// Where a message goes.
+/// The queue for a message, and whether a link has to be dialled.
 pub struct Route {
-    /// The queue it joins.
+    /// The queue that takes the message.
     pub outbox: Arc<Outbox>,
-    /// Whether nothing leads to the peer yet.
+    /// Whether there is neither a link to the peer nor a dial under way.
     pub dial: bool,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the peer, known from now on.
+    /// Returns the state of `host`, and adds it where it is missing.
     pub fn peer(&mut self, host: HostKey) -> &mut Peer {
         self.peers.entry(host).or_insert_with(Peer::new)
     }
@@ -82,18 +82,19 @@
         self.peers.get(&host).is_some_and(|p| p.active.is_some())
     }
 
-    /// Returns how many links there are.
+    /// Returns the number of links.
     pub fn link_count(&self) -> usize {
         self.peers.values().filter(|p| p.active.is_some()).count()
     }
 
-    /// Takes a link into use, unless the pair keeps the one it has.
+    /// Adds a link to `host`, unless the existing one is kept in its place.
     ///
-    /// Two hosts that dial each other at once end up with two links. Both keep
-    /// the one that the host with the smaller key dialled, so they can't each
-    /// keep the one the other drops. A second link by the same dialer is newer,
-    /// and so is one that comes long after the first: its dialer hears nothing
-    /// on the first, though this end may not have noticed.
+    /// Two hosts that dial each other at the same time open two links. Both
+    /// keep the link that the host with the smaller key dialled; otherwise each
+    /// could keep the link that the other one drops. A second link by the same
+    /// dialer replaces the first, and so does one that opens long after it: its
+    /// dialer receives nothing on the first link, though this end may not have
+    /// noticed that yet.
     pub fn open(
         &mut self,
         host: HostKey,
@@ -133,7 +134,7 @@
         })
     }
 
-    /// Forgets a link that has ended; false where another has taken its place.
+    /// Removes a closed link. Returns false where another link has replaced it.
     pub fn close(&mut self, host: HostKey, serial: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&host) else {
             return false;
@@ -146,7 +147,7 @@
         true
     }
 
-    /// Gives up the link to `host`, if there is one. It delivers what is under way.
+    /// Closes the link to `host`, if there is one, after delivery of the messages already sent.
     pub fn close_link(&mut self, host: HostKey) {
         let active = self.peers.get_mut(&host).and_then(|p| p.active.take());
         if let Some(active) = active {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Returns whether to dial `host` now, and notes that the dial is under way.
+    /// Returns whether to dial `host` now, and if so records that a dial is under way.
     pub fn start_dial(&mut self, host: HostKey, now: Moment) -> bool {
         let me = self.me;
         let peer = self.peer(host);
@@ -164,9 +165,9 @@
         due
     }
 
-    /// Notes that a dial failed. `jitter` is drawn evenly from 0 to 1.
+    /// Records a failed dial and sets the back-off. `jitter` is a random number from 0 to 1.
     ///
-    /// Without jitter all peers of a host that comes back would dial it in the
+    /// Without jitter, all peers of a host that restarts would dial it in the
     /// same millisecond, and again after each failure.
     pub fn fail_dial(&mut self, host: HostKey, now: Moment, jitter: f64) {
         let peer = self.peer(host);
@@ -181,10 +182,10 @@
         }
     }
 
-    /// Returns where to put a message to `host`, and whether a dial is needed first.
+    /// Returns the queue for a message to `host`, and whether a dial is needed first.
     ///
-    /// None while the back-off after a failed dial lasts: what is sent then
-    /// would be old before there is a link.
+    /// Returns none during the back-off after a failed dial: a message queued
+    /// then would be out of date before there is a link.
     pub fn route(&mut self, host: HostKey, now: Moment) -> Option<Route> {
         let me = self.me;
         let peer = self.peer(host);
@@ -200,15 +201,16 @@
         })
     }
 
-    /// Returns the peers that messages wait for without a link.
+    /// Returns the peers that have queued messages but no link.
     pub fn wanted(&self) -> Vec<HostKey> {
         let peers = self.peers.iter().filter(|(_, p)| p.wanted);
         peers.map(|(host, _)| *host).collect()
     }
 
-    /// Forgets the peers that `keep` denies, and ends their links.
+    /// Removes the peers for which `keep` returns false, and closes their links.
     ///
-    /// It is asked with the host and the incarnation at the link's other end.
+    /// The arguments of `keep` are the host and the incarnation at the other end
+    /// of its link, or none where there is no link.
     pub fn retain(&mut self, keep: impl Fn(HostKey, Option<u64>) -> bool) {
         self.peers.retain(|host, peer| {
             let active = peer.active.as_ref();
--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys claimed at several entry hosts, with the log at its worst.
+//! Claims of idempotency keys at several entry hosts, with failures of hosts and of the store.
 
 mod entry_hosts;
 
@@ -24,7 +24,7 @@
     host.claims.claim(request(key, 0, PATIENCE)).await
 }
 
-/// Claims until the verdict is not "not run", as a caller that comes again does.
+/// Claims until the verdict is not "not run", like a caller that retries.
 async fn claim_at_last(host: &Host, key: &str) -> Verdict {
     for _ in 0..200 {
         match claim(host, key).await {
@@ -38,12 +38,12 @@
 fn ticket(verdict: &Verdict) -> ClaimTicket {
     match verdict {
         Verdict::Granted(ticket) => *ticket,
-        other => panic!("no go: {other:?}"),
+        other => panic!("the claim was not granted: {other:?}"),
     }
 }
 
-// One deposit comes to three entry hosts at once: a client library that sends
-// again without waiting. One of them runs it, the others pass its answer on.
+// A client library sends one deposit to three entry hosts at once. Exactly one
+// of them may run it; the others must return its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn same_moment() {
     let site = Site::start(3, WorkerOptions::default()).await;
@@ -58,7 +58,7 @@
 
 async fn claim_and_run(host: &Host, key: &str) -> bool {
     let mut verdict = claim(host, key).await;
-    // On a busy machine the first call may run for longer than a repeat waits.
+    // On a busy machine, the first call may run for longer than a repeated call waits.
     while verdict == Verdict::Started {
         verdict = claim(host, key).await;
     }
@@ -76,8 +76,8 @@
     }
 }
 
-// An hour later a clerk sends the form again, at another host; and somebody
-// uses the key for another deposit.
+// A completed deposit is sent again at every host and must get the first answer.
+// A different deposit with the same key must be refused as a mismatch.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeat_and_mismatch() {
     let site = Site::start(3, WorkerOptions::default()).await;
@@ -92,9 +92,9 @@
     }
 }
 
-// The first deposit hangs at its backend server, and the clerk sends the form again
-// with ten minutes of patience. The final word is that it was started; it used to
-// be held back until nearly the end of those ten minutes.
+// The first deposit hangs at its backend server, and a repeated call has a
+// deadline of ten minutes. The verdict that the first call was started must be
+// returned soon; it used to be delayed until shortly before that deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn hung_first_call() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -102,10 +102,13 @@
     let patience = Duration::from_secs(600);
     let repeat = site.hosts[1].claims.claim(request("deposit", 0, patience));
     let verdict = tokio::time::timeout(Duration::from_secs(30), repeat).await;
-    assert_eq!(verdict.expect("the word comes at once"), Verdict::Started);
+    assert_eq!(
+        verdict.expect("the verdict is returned before the deadline"),
+        Verdict::Started
+    );
 }
 
-// The backend server shed the call: nothing ran, and the caller comes again.
+// The backend server shed the call, so nothing ran and a retry must be granted.
 #[tokio::test(flavor = "multi_thread")]
 async fn shed_and_again() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -118,8 +121,8 @@
     assert_eq!(repeat.await, Verdict::Started);
 }
 
-// The entry host that ran a deposit dies between "sent" and "answered". The
-// clerk asks elsewhere and must hear that it was started, not see it run again.
+// The entry host that sent a deposit crashes before the answer arrives. A retry
+// at another host must get the verdict that it was started, and must not run it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn runner_killed() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
@@ -134,8 +137,8 @@
     }
 }
 
-// The key's home dies. Another host takes its place, reads the stream, and
-// knows what was started.
+// The key's home crashes. Another host must become home, read the stream, and
+// return the verdict that the call was started.
 #[tokio::test(flavor = "multi_thread")]
 async fn home_killed() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
@@ -156,8 +159,8 @@
     transport::claims::home_of(key.stream(), &view).unwrap()
 }
 
-// The log takes the claim and its answer is lost. Reading it tells that the
-// claim landed; the caller notices nothing but a longer wait.
+// The store appends the claim, but the answer to the append is lost. The home
+// must read the stream and find the claim; the caller only waits longer.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_lost() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -173,8 +176,8 @@
     assert_eq!(repeat.await, Verdict::Started);
 }
 
-// The log is down for a while. Deposits are refused at once, and it is true
-// that they did not run: afterwards the same key runs once.
+// The store is down for a while. Deposits must be refused at once as not run,
+// and afterwards the same key must run exactly once.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_down() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -191,8 +194,9 @@
     );
 }
 
-// The log says nothing for a while, and lands what it got when it is back.
-// Callers gave up meanwhile; what lands late runs nowhere and blocks no repeat.
+// The store does not answer for a while, and appends what it received once it
+// is back. The caller has given up meanwhile, so the late claim must neither run
+// a call nor block a retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_silent() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -205,7 +209,8 @@
     ticket(&claim_at_last(&site.hosts[1], "deposit").await);
 }
 
-// The log is slower than a home waits for it, so that appends land unanswered.
+// The store is slower than the home's time-out, so claims are appended without
+// an answer. They must be refused as not run and must not block a retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_slow() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -218,8 +223,8 @@
     ticket(&claim_at_last(&site.hosts[1], "deposit").await);
 }
 
-// The caller hangs up while its key is being claimed: the claim is given up,
-// and the caller's next try runs.
+// The caller closes its connection while its key is being claimed. The claim
+// must be given up, so that the caller's retry is granted.
 #[tokio::test(flavor = "multi_thread")]
 async fn hung_up() {
     let site = Site::start(2, WorkerOptions::default()).await;
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -1,4 +1,4 @@
-//! The follower and the commands against the log stand-in, and what fails there.
+//! The follower and commands against the store stand-in, with failures of the store and its links.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -59,7 +59,7 @@
     }
 }
 
-/// Starts a host that appends snapshots as often as the tests are short.
+/// Starts a host that appends a snapshot every 8 records, for the few records of a test.
 fn host_at(address: std::net::SocketAddr) -> Follower {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
@@ -84,7 +84,7 @@
     })
 }
 
-/// Puts and chooses the ordinary preset.
+/// Submits the ordinary preset and puts it in force.
 fn open(operator: &Submission) {
     accepted(&operator.submit(&put(ORDINARY)));
     accepted(&operator.submit(&choose("ordinary")));
@@ -131,9 +131,9 @@
     );
 }
 
-// Something between host and log gives up on an append, or goes silent, after
-// the record has landed. The operator still learns the true answer, and the
-// change is made once.
+// A device between host and store fails an append, or stops delivering, after
+// the record was appended. The operator must still get the true outcome, and the
+// change must be made only once.
 #[rstest::rstest]
 #[case(Loss::Gateway)]
 #[case(Loss::Silence)]
@@ -147,9 +147,9 @@
     assert!(matches!(raw, Err(AppendError::Unanswered(_))), "{raw:?}");
 }
 
-// The log is down for a while when an operator chooses a preset. Hosts go on
-// with what they have, the operator is told that nothing was done, and once
-// the log is back the command goes through.
+// The store is down when an operator submits a preset. Hosts must keep their
+// configuration, the command must end as unreachable, and it must be accepted
+// once the store is back.
 #[test]
 fn log_down() {
     let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
@@ -172,9 +172,10 @@
     wait_config(&host, |c| c.revision == 3);
 }
 
-// The log has dropped its first records long ago when a host starts, or while
-// a host is cut off. Hosts have appended snapshots in time, so the new host and
-// the cut-off one have the configuration in force, whole, and follow on.
+// The store has trimmed its first records before a host starts, or while a host
+// is cut off. With the snapshots that other hosts have appended, both the new
+// host and the cut-off one must get the complete configuration in force and
+// follow later changes.
 #[test]
 fn first_records_gone() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -205,9 +206,9 @@
     }
 }
 
-// A host starts while the log is down. Alone it is not ready and says why; a
-// peer's word gives it the configuration in force. A word that is older than
-// what it has changes nothing.
+// A host starts while the store is down. It must not be ready and must state
+// why, until a peer's snapshot gives it the configuration in force. An older
+// snapshot must change nothing.
 #[test]
 fn start_without_log() {
     let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
@@ -237,8 +238,8 @@
     wait_config(&new, |c| c.revision == 5);
 }
 
-// Something between host and log has lost track of the connection: it is
-// silent for good while new ones work. The change is in force all the same.
+// A device between host and store has lost the state of the connection, which
+// no longer delivers while new ones work. Changes must still come into force.
 #[test]
 fn silent_link() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -256,8 +257,8 @@
     }
 }
 
-// The log answers each request late by many times what a read should take.
-// Hosts go on following it, late as it is.
+// The store answers every request many times later than a read should take.
+// Hosts must still follow the stream.
 #[test]
 fn slow_log() {
     let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
@@ -276,8 +277,7 @@
     wait_config(&host, |c| c.leaving_centres.contains("soar"));
 }
 
-// A record on the log is damaged. No host stops there, and what comes after
-// it is in force.
+// A record of the stream is damaged. Hosts must skip it and apply the records after it.
 #[test]
 fn damaged_record() {
     let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
@@ -291,8 +291,8 @@
     assert_eq!(host.ready(), Ok(()));
 }
 
-// More is appended in a second than the log takes. What is over is refused,
-// which is surely not on the log, and reading goes on.
+// More records are appended in a second than the store accepts. The rest must be
+// refused and not be in the stream, and reads must still work.
 #[test]
 fn append_budget() {
     let log = StoreStandIn::on_loopback(Behaviour {
--- a/components/transport/tests/members_run.rs
+++ b/components/transport/tests/members_run.rs
@@ -1,4 +1,4 @@
-//! Hosts join through the log, lose each other, and come back.
+//! Membership of entry hosts: joining, leaving, removal after a crash, and joining again.
 
 mod entry_hosts;
 
@@ -24,8 +24,8 @@
     assert!(!site.hosts[0].members.may_act());
 }
 
-// A host dies without a word. The others notice, and one of them has it
-// removed, so that its slots get another owner.
+// A host crashes without leaving. The others must detect it, and one of them
+// must submit its removal; otherwise its slots would keep a dead owner.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_host() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
@@ -38,9 +38,10 @@
     }
 }
 
-// The log is down when a host dies: nobody can be removed, and an empty list of
-// hosts, or none at all, must not shrink the members either. The living go on:
-// their watchers tell them that nothing newer is known.
+// The store is down when a host crashes, so no removal can be written. Neither
+// an empty list of hosts nor a missing one may remove a member. The hosts that
+// are alive must be able to act as owners: their watchers confirm that no newer
+// configuration is known.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_down() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
@@ -65,8 +66,9 @@
     }
 }
 
-// A host was paused for long and has been removed. It notices, begins anew as
-// another member, and the others take it in again.
+// A host was removed, as happens after a long pause of its process. It must
+// notice the removal and join again under a new incarnation, and the others must
+// link to it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn removed_and_back() {
     use coordination::config::Change;
@@ -97,8 +99,8 @@
     until(|| host.members.may_act()).await;
 }
 
-// A new host starts while the log is down. A peer's word gives it the
-// configuration, with its revision.
+// A new host starts while the store is down. It must get the configuration, with
+// its revision, from a peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_from_peer() {
     let site = Site::start(2, WorkerOptions::default()).await;
--- a/components/transport/tests/peer_links.rs
+++ b/components/transport/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links between entry hosts, and peers that are refused.
+//! Links between entry hosts, and refused peers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -53,7 +53,7 @@
     format!("entry-{index}")
 }
 
-/// Starts `count` hosts that are members together, with `absent` more that are not running.
+/// Starts `count` hosts of one configuration, which lists `absent` more members that don't run.
 async fn hosts(count: usize, absent: usize) -> Vec<Host> {
     let mut listeners = Vec::new();
     for _ in 0..count + absent {
@@ -132,7 +132,7 @@
     })
 }
 
-/// Reads one message from a raw connection; none when it is closed first.
+/// Reads one message from a raw connection, or none if the connection is closed first.
 async fn read(stream: &mut TcpStream) -> Option<PeerMessage> {
     let length = stream.read_u32().await.ok()?;
     let mut body = vec![0; length as usize];
@@ -150,9 +150,10 @@
     hosts[3].has(|m| *m == heartbeat(5)).await;
 }
 
-// At letter 1's size nobody keeps a link to all the others: the first message
-// makes one. Both ends send at once, so two links are dialled; if each end kept
-// its own and dropped the other's, all messages would be lost for good.
+// Above `FULL_MESH_LIMIT` members, hosts don't keep a link to every other one: the
+// first message opens it. Here both ends send at once and dial two links. If each
+// end kept its own link and dropped the other's, all messages would be lost for
+// good.
 #[tokio::test]
 async fn double_dial() {
     let hosts = hosts(2, FULL_MESH_LIMIT).await;
@@ -179,8 +180,9 @@
     .await;
 }
 
-// A host that is paused for long is removed; resumed, it still believes itself
-// a member. It must reach nobody, and is told so, with the revision that it lacks.
+// A host that is removed during a long pause still takes itself for a member when
+// it resumes. Its hello must be refused, and the refusal must state the offset of
+// the configuration that it lacks.
 #[tokio::test]
 async fn no_member() {
     let hosts = hosts(1, 0).await;
@@ -190,7 +192,7 @@
         .await
         .unwrap();
     let Some(PeerMessage::Refused(refused)) = read(&mut stream).await else {
-        panic!("no refusal came");
+        panic!("no refusal was received");
     };
     assert_eq!(refused.reason, RefusedReason::NoMember);
     assert_eq!(refused.offset, 9);
@@ -198,8 +200,8 @@
     assert!(hosts[0].inbox.0.lock().unwrap().is_empty());
 }
 
-// Something that is no entry host, or one of another release, writes to the
-// peer port. The link ends, and the members' links go on as if nothing happened.
+// A client that is no entry host, or a host of another release, writes to the
+// peer port. Its connection must be closed, and the members' links must still work.
 #[rstest]
 #[case::garbage(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec())]
 #[case::oversized(vec![0x7f, 0xff, 0xff, 0xff, 1, 2, 3])]
@@ -219,7 +221,7 @@
 }
 
 // A member's link is cut in the middle of a message, or a fault in its release
-// makes it send rubbish. Its link ends; it may dial again.
+// makes it send invalid frames. Its link must be closed, and it may dial again.
 #[rstest]
 #[case::cut(framed(&heartbeat(1).encode())[..6].to_vec())]
 #[case::oversized(vec![0x10, 0, 0, 0])]
@@ -242,8 +244,8 @@
     until(|| hosts[0].links.link_count() == 0).await;
 }
 
-// A peer stops reading: its process hangs, or its host is overloaded. What is
-// meant for it must not pile up in this host's memory.
+// A peer stops reading, since its process hangs or its host is overloaded. The
+// messages queued for it must not grow in this host's memory without limit.
 #[tokio::test]
 async fn stuck_reader() {
     let hosts = hosts(1, 1).await;
@@ -263,15 +265,18 @@
     let mut taken = 0;
     while hosts[0].links.send(to, &offer) {
         taken += 1;
-        assert!(taken < 200, "80 MB wait for a peer that reads nothing");
+        assert!(
+            taken < 200,
+            "80 MB are queued for a peer that does not read"
+        );
         tokio::task::yield_now().await;
     }
     assert!(taken > 0);
 }
 
-// Something between two hosts loses track of their link: what is sent on it is
-// swallowed for good, while new links work. One end hears nothing and dials
-// anew; the other, which has not noticed, must not insist on the old link.
+// A device between two hosts loses the state of their link: all that is sent on
+// it is lost, while new links work. One end notices and dials a new link; the
+// other end, which has not noticed, must not keep the old link instead.
 #[rstest]
 #[case::dialer_notices(0)]
 #[case::other_notices(1)]
--- a/components/transport/tests/slow_answers.rs
+++ b/components/transport/tests/slow_answers.rs
@@ -1,4 +1,4 @@
-//! The store's answers that take long.
+//! Reads from a store whose answers arrive slowly or stop midway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,32 @@
 use tokio::time::sleep;
 use transport::store::{StoreClient, StoreError};
 
-/// Pieces of the answer, one every [`PAUSE`].
+/// Number of pieces in which an answer is sent, one every [`PAUSE`].
 const PIECES: usize = 10;
 
-/// Far less than an answer may keep silent; all pieces take longer than that.
+/// Time between two pieces: much shorter than the client's time-out for silence, which all pieces
+/// together exceed.
 const PAUSE: Duration = Duration::from_millis(200);
 
-/// Starts a store that answers one read with a record, and stops after so many pieces.
+/// Starts a store that answers one read with `record`, and stops after `sent` pieces.
 async fn slow_store(record: &Bytes, sent: usize) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0")
-        .await
-        .expect("a port is free");
-    let address = listener.local_addr().expect("it has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("an address");
     let mut body = vec![0; 16];
     body[7] = 1;
     body.extend_from_slice(&platform::store::frame([record]));
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a client comes");
+        let (mut stream, _) = listener.accept().await.expect("a client connects");
         let mut request = [0; 1_024];
-        let _ = stream.read(&mut request).await.expect("it asks");
+        let _ = stream
+            .read(&mut request)
+            .await
+            .expect("the client sends a request");
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        stream.write_all(head.as_bytes()).await.expect("it listens");
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the client reads");
         for piece in body.chunks(body.len().div_ceil(PIECES)).take(sent) {
             sleep(PAUSE).await;
             if stream.write_all(piece).await.is_err() {
@@ -47,21 +52,24 @@
     Ok(read.records)
 }
 
-/// Operators saw a change in force a second too late at some hosts. Many hosts read
-/// it at the same moment and shared what the store gives: a second for all of them.
-/// Some gave their read up then, though its bytes were coming, and began anew a
-/// second and a half later. The whole answer was timed, not the store's silence; the
-/// logs had those hosts give up within 70 ms of each other with up to all of their
-/// 575 KB received.
+/// A slow answer must be read to its end while bytes keep arriving. When many
+/// hosts read a change at once and shared the store's bandwidth, their answers
+/// took a second. The time-out applied to the whole answer instead of the store's
+/// silence, so some hosts gave up, within 70 ms of each other and with up to all
+/// of their 575 KB received, and read again a second and a half later. The change
+/// was in force at these hosts a second too late.
 #[tokio::test]
 async fn slow_answer_awaited() {
     let record = Bytes::from(vec![7; 200_000]);
     let address = slow_store(&record, PIECES).await;
-    assert_eq!(read(address).await.expect("it comes"), [record]);
+    assert_eq!(
+        read(address).await.expect("the answer is complete"),
+        [record]
+    );
 }
 
-/// An answer stops midway for good. A host that waited for the rest for ever would
-/// learn of no change any more.
+/// An answer that stops midway must time out. A host that waited for the rest for
+/// ever would receive no further change.
 #[tokio::test]
 async fn stopped_answer_given_up() {
     let record = Bytes::from(vec![7; 200_000]);
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An edge on loopback, scripted backend servers, and callers that write raw bytes.
+//! A test edge on loopback, scripted backend servers, and callers that send raw bytes.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only a part of the module")]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use transport::edge::{Edge, Limits};
 use transport::trace::Tracing;
 
-/// Longer than anything that is waited for, on a busy machine too.
+/// Time-out of every wait, long enough for a busy machine.
 pub const GENEROUS: Duration = Duration::from_secs(30);
 
 /// What a scripted backend server does with one request.
@@ -30,42 +30,42 @@
     Close(String),
     /// Writes these bytes and then nothing, until the other end closes.
     Hang(String),
-    /// Writes nothing and keeps its end open, whatever the other end does.
+    /// Writes nothing and keeps the connection open, even when the other end closes it.
     Ignore,
 }
 
-/// A request as a scripted backend server saw it.
+/// A request that a scripted backend server received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedRequest {
-    /// Its head, as it came.
+    /// The request line and the header fields, as received.
     pub head: String,
-    /// Its body.
+    /// The body, with the framing of a chunked one.
     pub body: Vec<u8>,
-    /// Which connection it came on, counted from 0.
+    /// The index of the connection, counted from 0.
     pub connection: usize,
 }
 
-/// What happened at a scripted backend server.
+/// The requests and connections that a scripted backend server has recorded.
 #[derive(Default)]
 pub struct ServerRecord {
-    /// Whole requests.
+    /// The complete requests.
     pub requests: Vec<RecordedRequest>,
-    /// Connections that the other end closed while a reply hung.
+    /// Number of connections that the other end closed while a reply hung.
     pub cancelled: usize,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub accepted: usize,
 }
 
 /// A scripted backend server.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
     journal: Arc<Mutex<ServerRecord>>,
     task: JoinHandle<()>,
 }
 
 impl ScriptedServer {
-    /// Starts one that answers its n-th request as `script` says.
+    /// Starts a server that answers its n-th request with what `script` returns.
     pub async fn start(
         script: impl Fn(usize, &RecordedRequest) -> Reply + Send + Sync + 'static,
     ) -> ScriptedServer {
@@ -96,22 +96,22 @@
         }
     }
 
-    /// Starts one that always answers the same.
+    /// Starts a server that answers every request with `reply`.
     pub async fn always(reply: Reply) -> ScriptedServer {
         ScriptedServer::start(move |_, _| reply.clone()).await
     }
 
-    /// Returns the requests seen so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<RecordedRequest> {
         self.journal.lock().expect("the journal").requests.clone()
     }
 
-    /// Returns how many hanging replies were cancelled.
+    /// Returns the number of hanging replies whose connection the other end closed.
     pub fn cancelled(&self) -> usize {
         self.journal.lock().expect("the journal").cancelled
     }
 
-    /// Returns how many connections were accepted.
+    /// Returns the number of accepted connections.
     pub fn accepted(&self) -> usize {
         self.journal.lock().expect("the journal").accepted
     }
@@ -193,7 +193,7 @@
     }
 }
 
-/// Returns the value of a header field in `head`.
+/// Returns the value of the header field `name` in `head`.
 pub fn field(head: &str, name: &str) -> Option<String> {
     head.lines()
         .take_while(|line| !line.is_empty())
@@ -202,7 +202,7 @@
         .map(|(_, value)| value.trim().to_owned())
 }
 
-/// Returns a whole answer with `body`.
+/// Returns a complete answer with status 200 and `body`.
 pub fn ok(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
@@ -212,26 +212,26 @@
 
 /// An edge with one service, `hallboard`.
 pub struct EdgeServer {
-    /// Where callers connect.
+    /// The address for callers.
     pub address: SocketAddr,
-    /// The edge itself.
+    /// The edge under test.
     pub edge: Arc<Edge>,
     _config: watch::Sender<Arc<Config>>,
     task: JoinHandle<()>,
 }
 
 impl EdgeServer {
-    /// Starts an edge before `servers`.
+    /// Starts an edge with `servers` as the service's endpoints.
     pub async fn start(servers: &[&ScriptedServer]) -> EdgeServer {
         EdgeServer::with(servers, |_| {}, Limits::default()).await
     }
 
-    /// Starts an edge whose calls are traced.
+    /// Starts an edge that records traces with `tracing`.
     pub async fn traced(servers: &[&ScriptedServer], tracing: Tracing) -> EdgeServer {
         EdgeServer::build(servers, |_| {}, Limits::default(), tracing).await
     }
 
-    /// Starts an edge whose service and limits are changed first.
+    /// Starts an edge with `limits`, and with the service's settings adjusted by `change`.
     pub async fn with(
         servers: &[&ScriptedServer],
         change: impl Fn(&mut Service),
@@ -265,14 +265,14 @@
         }
     }
 
-    /// Connects a caller.
+    /// Opens a caller's connection.
     pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address)
             .await
-            .expect("the edge accepts")
+            .expect("the edge accepts the connection")
     }
 
-    /// Sends `request` on a connection of its own and returns all that comes back.
+    /// Sends `request` on a new connection and returns the answer.
     pub async fn call(&self, request: &str) -> Answer {
         let mut stream = self.connect().await;
         stream
@@ -289,19 +289,19 @@
     }
 }
 
-/// What a caller received until its connection ended.
+/// What a caller received until its connection was closed.
 #[derive(Debug)]
 pub struct Answer {
     /// The status line and the header fields.
     pub head: String,
-    /// All after it.
+    /// All bytes after the head.
     pub body: Vec<u8>,
     /// Whether the connection was reset.
     pub reset: bool,
 }
 
 impl Answer {
-    /// Reads until the connection ends.
+    /// Reads until the connection is closed.
     pub async fn read(stream: &mut TcpStream) -> Answer {
         let mut bytes = Vec::new();
         let end = tokio::time::timeout(GENEROUS, stream.read_to_end(&mut bytes)).await;
@@ -318,13 +318,13 @@
         }
     }
 
-    /// Returns the status, 0 where there is none.
+    /// Returns the status, or 0 where the head has none.
     pub fn status(&self) -> u16 {
         let status = self.head.split(' ').nth(1);
         status.and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Returns the outcome it states.
+    /// Returns the value of the outcome header, or an empty string where it is missing.
     pub fn outcome(&self) -> String {
         field(&self.head, "cardamomvale-outcome").unwrap_or_default()
     }
@@ -335,19 +335,19 @@
     }
 }
 
-/// Returns a GET of `path` that ends its connection.
+/// Returns a GET of `path` on a connection that is closed afterwards.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n\r\n")
 }
 
-/// Returns a GET of `path` with a deadline, that ends its connection.
+/// Returns a GET of `path` with a deadline, on a connection that is closed afterwards.
 pub fn get_within(path: &str, millis: u64) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nhost: e\r\ncardamomvale-deadline-ms: {millis}\r\nconnection: close\r\n\r\n"
     )
 }
 
-/// Returns a POST of `path` with a body, that ends its connection.
+/// Returns a POST of `path` with a body, on a connection that is closed afterwards.
 pub fn post(path: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -367,7 +367,7 @@
         .expect("the condition comes to hold");
 }
 
-/// Returns the setup of the only entry host: all slots are its own, and no more.
+/// Returns the setup of a single entry host, which owns all slots.
 fn alone() -> DispatcherOptions {
     DispatcherOptions {
         host: HostKey::named("alone"),
