--- a/components/transport/src/claims/entry.rs
+++ b/components/transport/src/claims/client.rs
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-use super::steward::{Steward, home_of};
-use super::worker::{Order, WorkerOptions};
+use super::local_homes::{LocalHomes, home_of};
+use super::worker::{Event, WorkerOptions};
 use super::{CACHED_ANSWER_LIMIT, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 use crate::edge::KeyClaims;
@@ -27,17 +27,17 @@
 
 /// How long a home may take to acknowledge a request. After that, this host acts
 /// as home itself, so that a lost link delays a caller by no more than this.
-const GOT_LIMIT: Duration = Duration::from_millis(100);
+const ACK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Interval at which the end of a call is sent again until the home acknowledges it.
-const TELL_EVERY: Duration = Duration::from_millis(500);
+const END_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Largest number of times that the end of a call is sent.
-const TELLS: usize = 10;
+const MAX_END_SENDS: usize = 10;
 
 /// How long before the call's deadline the verdict is due, so that the answer
 /// still reaches the caller before the caller times out.
-const MARGIN: Duration = Duration::from_millis(20);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
 /// How long a repeated call waits for the first call's answer.
 ///
@@ -47,7 +47,7 @@
 const REPEAT_WAIT: Duration = Duration::from_secs(1);
 
 /// When a caller may retry that got no verdict in time.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The dependencies of [`Claims`].
 pub struct ClaimsOptions {
@@ -63,18 +63,18 @@
 pub struct Claims {
     me: HostKey,
     links: Arc<Links>,
-    steward: Steward,
-    asked: Mutex<BTreeMap<ClaimId, UnboundedSender<Word>>>,
+    local_homes: LocalHomes,
+    pending: Mutex<BTreeMap<ClaimId, UnboundedSender<HomeMessage>>>,
     /// The claims whose end no home has acknowledged yet.
-    untold: Mutex<BTreeSet<ClaimId>>,
+    unacked_ends: Mutex<BTreeSet<ClaimId>>,
     this: Weak<Claims>,
     runtime: tokio::runtime::Handle,
 }
 
 /// A message from a home about a request.
-enum Word {
+enum HomeMessage {
     /// The home has received the request.
-    Got,
+    Acknowledged,
     /// The home's answer.
     Answer(Answer),
 }
@@ -82,12 +82,12 @@
 /// A claim under way, which is given up when dropped unless it has been granted.
 struct Claim<'a> {
     claims: &'a Claims,
-    ask: KeyRequest,
+    key_request: KeyRequest,
     /// The homes that the request was sent to.
     homes: Vec<HostKey>,
-    words: UnboundedReceiver<Word>,
+    messages: UnboundedReceiver<HomeMessage>,
     /// Whether a home has answered that the first call with the key is running.
-    waits: bool,
+    in_progress: bool,
     /// Whether the claim needs no giving up: it was granted, or no home can grant it later.
     decided: bool,
 }
@@ -100,13 +100,13 @@
         let claims = Arc::new_cyclic(|this| Claims {
             me,
             links: options.links,
-            steward: Steward::new(options.client, options.worker),
-            asked: Mutex::default(),
-            untold: Mutex::default(),
+            local_homes: LocalHomes::new(options.client, options.worker),
+            pending: Mutex::default(),
+            unacked_ends: Mutex::default(),
             this: Weak::clone(this),
             runtime: tokio::runtime::Handle::current(),
         });
-        tokio::spawn(follow(Arc::downgrade(&claims), view));
+        tokio::spawn(follow_view(Arc::downgrade(&claims), view));
         claims
     }
 
@@ -116,26 +116,26 @@
     /// with [`Claims::end`]. Dropping the future gives the claim up.
     pub async fn claim(&self, request: ClaimRequest) -> Verdict {
         let started = clock::now();
-        let ask = KeyRequest {
+        let key_request = KeyRequest {
             id: ClaimId(rand::rng().random()),
             key: claim_key(&request),
-            digest: narrow(&request.digest),
+            digest: truncate(&request.digest),
             ttl: key_ttl(request.ttl, started.until(request.deadline)),
         };
-        let until = request.deadline - MARGIN;
+        let until = request.deadline - DEADLINE_MARGIN;
         let deadline = Instant::now() + started.until(until);
-        let (sender, words) = unbounded_channel();
-        lock(&self.asked).insert(ask.id, sender);
+        let (sender, messages) = unbounded_channel();
+        lock(&self.pending).insert(key_request.id, sender);
         let mut claim = Claim {
             claims: self,
-            ask,
+            key_request,
             homes: Vec::new(),
-            words,
-            waits: false,
+            messages,
+            in_progress: false,
             decided: false,
         };
-        let home = self.home(claim.ask.key);
-        claim.ask_at(home, until);
+        let home = self.home(claim.key_request.key);
+        claim.request_from(home, until);
         let answer = claim.wait(deadline, until).await;
         claim.decide(answer, started, until)
     }
@@ -143,57 +143,59 @@
     /// Reports to the key's home how a call with a granted claim ended. Never blocks.
     pub fn end(&self, ticket: ClaimTicket, ending: ClaimEnding) {
         let ending = match ending {
-            ClaimEnding::Answered(kept) if kept.size() > CACHED_ANSWER_LIMIT => {
+            ClaimEnding::Answered(cached) if cached.size() > CACHED_ANSWER_LIMIT => {
                 ClaimEnding::AnsweredLarge
             }
             ending => ending,
         };
-        self.tell(ticket.id, ticket.key, ending);
+        self.send_end(ticket.id, ticket.key, ending);
     }
 
     /// Handles a message from another host.
     pub fn receive(&self, from: HostKey, message: ClaimMessage) {
         match message {
-            ClaimMessage::Request(ask, wait) => {
-                self.links
-                    .send(from, &PeerMessage::Claim(ClaimMessage::RequestAck(ask.id)));
+            ClaimMessage::Request(key_request, wait) => {
+                self.links.send(
+                    from,
+                    &PeerMessage::Claim(ClaimMessage::RequestAck(key_request.id)),
+                );
                 let until = clock::now() + wait;
-                let key = ask.key;
-                self.steward
-                    .order(&self.this, key, Order::Ask(from, ask, until));
+                let key = key_request.key;
+                self.local_homes
+                    .send(&self.this, key, Event::Request(from, key_request, until));
             }
-            ClaimMessage::RequestAck(id) => self.say(id, Word::Got),
-            ClaimMessage::Answer(id, answer) => self.say(id, Word::Answer(answer)),
+            ClaimMessage::RequestAck(id) => self.notify(id, HomeMessage::Acknowledged),
+            ClaimMessage::Answer(id, answer) => self.notify(id, HomeMessage::Answer(answer)),
             ClaimMessage::End(id, key, ending) => {
                 self.links
                     .send(from, &PeerMessage::Claim(ClaimMessage::EndAck(id)));
-                self.steward
-                    .order(&self.this, key, Order::End(id, key, ending));
+                self.local_homes
+                    .send(&self.this, key, Event::CallEnded(id, key, ending));
             }
             ClaimMessage::EndAck(id) => {
-                lock(&self.untold).remove(&id);
+                lock(&self.unacked_ends).remove(&id);
             }
         }
     }
 
     /// Stops the homes on this host.
     pub fn stop(&self) {
-        self.steward.stop();
+        self.local_homes.stop();
     }
 
     /// Sends a home's answer to the host that made the request.
-    pub(super) fn pass_on(&self, reply: Reply) {
+    pub(super) fn deliver(&self, reply: Reply) {
         if reply.to == self.me {
-            self.say(reply.id, Word::Answer(reply.answer));
+            self.notify(reply.id, HomeMessage::Answer(reply.answer));
             return;
         }
         let message = ClaimMessage::Answer(reply.id, reply.answer);
         self.links.send(reply.to, &PeerMessage::Claim(message));
     }
 
-    fn say(&self, id: ClaimId, word: Word) {
-        if let Some(claim) = lock(&self.asked).get(&id) {
-            let _ = claim.send(word);
+    fn notify(&self, id: ClaimId, message: HomeMessage) {
+        if let Some(claim) = lock(&self.pending).get(&id) {
+            let _ = claim.send(message);
         }
     }
 
@@ -203,41 +205,41 @@
         home_of(key.stream(), &view).unwrap_or(self.me)
     }
 
-    fn tell(&self, id: ClaimId, key: ClaimKey, ending: ClaimEnding) {
+    fn send_end(&self, id: ClaimId, key: ClaimKey, ending: ClaimEnding) {
         let home = self.home(key);
         if home == self.me {
-            self.steward
-                .order(&self.this, key, Order::End(id, key, ending));
+            self.local_homes
+                .send(&self.this, key, Event::CallEnded(id, key, ending));
             return;
         }
-        lock(&self.untold).insert(id);
+        lock(&self.unacked_ends).insert(id);
         let this = Weak::clone(&self.this);
         self.runtime.spawn(async move {
-            for _ in 0..TELLS {
+            for _ in 0..MAX_END_SENDS {
                 let Some(claims) = this.upgrade() else { return };
-                if !lock(&claims.untold).contains(&id) {
+                if !lock(&claims.unacked_ends).contains(&id) {
                     return;
                 }
-                claims.tell_once(id, key, &ending);
+                claims.send_end_once(id, key, &ending);
                 drop(claims);
-                tokio::time::sleep(TELL_EVERY).await;
+                tokio::time::sleep(END_RESEND_INTERVAL).await;
             }
             if let Some(claims) = this.upgrade()
-                && lock(&claims.untold).remove(&id)
+                && lock(&claims.unacked_ends).remove(&id)
             {
                 claims
-                    .steward
-                    .order(&claims.this, key, Order::End(id, key, ending));
+                    .local_homes
+                    .send(&claims.this, key, Event::CallEnded(id, key, ending));
             }
         });
     }
 
-    fn tell_once(&self, id: ClaimId, key: ClaimKey, ending: &ClaimEnding) {
+    fn send_end_once(&self, id: ClaimId, key: ClaimKey, ending: &ClaimEnding) {
         let home = self.home(key);
         if home == self.me {
-            lock(&self.untold).remove(&id);
-            self.steward
-                .order(&self.this, key, Order::End(id, key, ending.clone()));
+            lock(&self.unacked_ends).remove(&id);
+            self.local_homes
+                .send(&self.this, key, Event::CallEnded(id, key, ending.clone()));
             return;
         }
         let message = ClaimMessage::End(id, key, ending.clone());
@@ -256,21 +258,23 @@
 }
 
 impl Claim<'_> {
-    fn ask_at(&mut self, home: HostKey, until: Moment) {
+    fn request_from(&mut self, home: HostKey, until: Moment) {
         if self.homes.contains(&home) {
             return;
         }
         self.homes.push(home);
         let claims = self.claims;
         if home == claims.me {
-            let order = Order::Ask(home, self.ask.clone(), until);
-            claims.steward.order(&claims.this, self.ask.key, order);
+            let event = Event::Request(home, self.key_request.clone(), until);
+            claims
+                .local_homes
+                .send(&claims.this, self.key_request.key, event);
             return;
         }
         let wait = clock::now().until(until);
-        let message = ClaimMessage::Request(self.ask.clone(), wait);
+        let message = ClaimMessage::Request(self.key_request.clone(), wait);
         if !claims.links.send(home, &PeerMessage::Claim(message)) {
-            self.ask_at(claims.me, until);
+            self.request_from(claims.me, until);
         }
     }
 
@@ -281,33 +285,33 @@
     /// that have the request are lost.
     async fn wait(&mut self, mut deadline: Instant, until: Moment) -> Option<Answer> {
         let mut view = self.claims.links.view();
-        let mut quick = Some(Instant::now() + GOT_LIMIT);
+        let mut ack_deadline = Some(Instant::now() + ACK_TIMEOUT);
         loop {
-            let limit = quick.map_or(deadline, |q| q.min(deadline));
+            let limit = ack_deadline.map_or(deadline, |q| q.min(deadline));
             tokio::select! {
                 biased;
-                word = timeout_at(limit, self.words.recv()) => match word {
-                    Ok(Some(Word::Got)) => quick = None,
-                    Ok(Some(Word::Answer(Answer::InProgress))) => {
-                        quick = None;
-                        self.waits = true;
+                message = timeout_at(limit, self.messages.recv()) => match message {
+                    Ok(Some(HomeMessage::Acknowledged)) => ack_deadline = None,
+                    Ok(Some(HomeMessage::Answer(Answer::InProgress))) => {
+                        ack_deadline = None;
+                        self.in_progress = true;
                         deadline = deadline.min(Instant::now() + REPEAT_WAIT);
                     }
-                    Ok(Some(Word::Answer(answer))) => return Some(answer),
+                    Ok(Some(HomeMessage::Answer(answer))) => return Some(answer),
                     Ok(None) => return None,
                     Err(_) if limit == deadline => return None,
                     Err(_) => {
-                        quick = None;
+                        ack_deadline = None;
                         metrics::counter!("cardamomvale_claims_home_silent_total").increment(1);
-                        self.ask_at(self.claims.me, until);
+                        self.request_from(self.claims.me, until);
                     }
                 },
                 changed = view.changed() => {
                     changed.ok()?;
                     let lost = |h: &HostKey| *h != self.claims.me && !view.borrow().is_alive(*h);
                     if self.homes.iter().all(lost) {
-                        let home = self.claims.home(self.ask.key);
-                        self.ask_at(home, until);
+                        let home = self.claims.home(self.key_request.key);
+                        self.request_from(home, until);
                     }
                 }
             }
@@ -319,25 +323,25 @@
         let taken = now.since(started);
         metrics::histogram!("cardamomvale_claims_seconds").record(taken.as_secs_f64());
         let verdict = match answer {
-            Some(Answer::Granted) if !may_start(now, until) => Verdict::NotRun(RETRY),
+            Some(Answer::Granted) if !may_start(now, until) => Verdict::NotRun(RETRY_DELAY),
             Some(Answer::Granted) => Verdict::Granted(ClaimTicket {
-                id: self.ask.id,
-                key: self.ask.key,
+                id: self.key_request.id,
+                key: self.key_request.key,
             }),
-            Some(Answer::Known(kept)) => Verdict::Known(kept),
+            Some(Answer::Known(cached)) => Verdict::Known(cached),
             Some(Answer::Started) => Verdict::Started,
             Some(Answer::Mismatch) => Verdict::Mismatch,
             Some(Answer::NotRun(retry)) => Verdict::NotRun(retry),
             // The first call with the key may have run meanwhile.
-            Some(Answer::InProgress) | None if self.waits => Verdict::Started,
-            Some(Answer::InProgress) | None => Verdict::NotRun(RETRY),
+            Some(Answer::InProgress) | None if self.in_progress => Verdict::Started,
+            Some(Answer::InProgress) | None => Verdict::NotRun(RETRY_DELAY),
         };
         self.decided = match verdict {
             Verdict::Granted(_) => true,
             // Only one home has the request, and it has decided that this claim
             // does not get the key.
             Verdict::Known(_) | Verdict::Started | Verdict::Mismatch => {
-                self.homes.len() == 1 && !self.waits
+                self.homes.len() == 1 && !self.in_progress
             }
             Verdict::NotRun(_) => false,
         };
@@ -356,22 +360,22 @@
     /// that is never sent.
     fn drop(&mut self) {
         let claims = self.claims;
-        lock(&claims.asked).remove(&self.ask.id);
+        lock(&claims.pending).remove(&self.key_request.id);
         if self.decided {
             return;
         }
-        let (id, key) = (self.ask.id, self.ask.key);
-        claims.tell(id, key, ClaimEnding::GivenUp);
+        let (id, key) = (self.key_request.id, self.key_request.key);
+        claims.send_end(id, key, ClaimEnding::GivenUp);
         let mine = claims.home(key) != claims.me && self.homes.contains(&claims.me);
         if mine {
-            let order = Order::End(id, key, ClaimEnding::GivenUp);
-            claims.steward.order(&claims.this, key, order);
+            let event = Event::CallEnded(id, key, ClaimEnding::GivenUp);
+            claims.local_homes.send(&claims.this, key, event);
         }
     }
 }
 
 /// Notifies the homes on this host of changes in which members are alive.
-async fn follow(claims: Weak<Claims>, mut view: watch::Receiver<Arc<LiveView>>) {
+async fn follow_view(claims: Weak<Claims>, mut view: watch::Receiver<Arc<LiveView>>) {
     let mut alive: BTreeSet<HostKey> = BTreeSet::new();
     loop {
         let now = Arc::clone(&view.borrow_and_update());
@@ -380,7 +384,9 @@
         };
         let current: BTreeSet<HostKey> = now.alive().collect();
         let lost: Vec<HostKey> = alive.difference(&current).copied().collect();
-        claims.steward.take(&claims.this, claims.me, &now, &lost);
+        claims
+            .local_homes
+            .update_view(&claims.this, claims.me, &now, &lost);
         alive = current;
         drop(claims);
         if view.changed().await.is_err() {
@@ -394,11 +400,11 @@
     let mut hash = Sha256::new();
     hash.update(request.service.0.to_le_bytes());
     hash.update(request.key.as_bytes());
-    ClaimKey(narrow(&hash.finalize().into()))
+    ClaimKey(truncate(&hash.finalize().into()))
 }
 
 /// Returns the first half of a SHA-256 hash, which is long enough to avoid collisions.
-fn narrow(digest: &[u8; 32]) -> u128 {
+fn truncate(digest: &[u8; 32]) -> u128 {
     let mut half = [0; 16];
     half.copy_from_slice(&digest[..16]);
     u128::from_le_bytes(half)
--- a/components/transport/src/claims/steward.rs
+++ b/components/transport/src/claims/local_homes.rs
@@ -8,8 +8,8 @@
 use state::HostKey;
 use state::keys::rendezvous;
 
-use super::entry::Claims;
-use super::worker::{Order, Worker, WorkerOptions, WorkerSetup};
+use super::client::Claims;
+use super::worker::{Event, Worker, WorkerOptions, WorkerSetup};
 use crate::log::BlockingStoreClient;
 
 /// Returns the home of `stream`, chosen among the members that are alive by rendezvous hashing.
@@ -21,33 +21,33 @@
 }
 
 /// The workers that run homes on this host.
-pub struct Steward {
+pub struct LocalHomes {
     client: BlockingStoreClient,
     options: WorkerOptions,
     workers: Mutex<BTreeMap<u64, Worker>>,
     /// The streams that have this host as their home.
-    mine: Arc<Mutex<BTreeSet<u64>>>,
+    own_streams: Arc<Mutex<BTreeSet<u64>>>,
 }
 
-impl Steward {
+impl LocalHomes {
     /// Returns an instance without workers.
-    pub fn new(client: BlockingStoreClient, options: WorkerOptions) -> Steward {
-        Steward {
+    pub fn new(client: BlockingStoreClient, options: WorkerOptions) -> LocalHomes {
+        LocalHomes {
             client,
             options,
             workers: Mutex::default(),
-            mine: Arc::default(),
+            own_streams: Arc::default(),
         }
     }
 
     /// Sends an order to the worker of the key's stream, which is started where it is missing.
-    pub fn order(&self, claims: &Weak<Claims>, key: ClaimKey, order: Order) {
+    pub fn send(&self, claims: &Weak<Claims>, key: ClaimKey, event: Event) {
         let stream = key.stream();
         let mut workers = lock(&self.workers);
         let worker = workers
             .entry(stream)
             .or_insert_with(|| self.start(claims, stream));
-        worker.order(order);
+        worker.send(event);
     }
 
     /// Applies a changed view of the members, in which the hosts in `lost` are no longer alive.
@@ -55,20 +55,26 @@
     /// Starts the workers of the streams that have this host as their home now,
     /// so that they have read their stream before the first claim arrives, and
     /// notifies all workers of the lost hosts.
-    pub fn take(&self, claims: &Weak<Claims>, me: HostKey, view: &LiveView, lost: &[HostKey]) {
-        let mine: BTreeSet<u64> = (0..STREAMS)
+    pub fn update_view(
+        &self,
+        claims: &Weak<Claims>,
+        me: HostKey,
+        view: &LiveView,
+        lost: &[HostKey],
+    ) {
+        let own_streams: BTreeSet<u64> = (0..STREAMS)
             .filter(|stream| home_of(*stream, view) == Some(me))
             .collect();
-        lock(&self.mine).clone_from(&mine);
+        lock(&self.own_streams).clone_from(&own_streams);
         let mut workers = lock(&self.workers);
-        for stream in mine {
+        for stream in own_streams {
             workers
                 .entry(stream)
                 .or_insert_with(|| self.start(claims, stream));
         }
         for worker in workers.values() {
             for host in lost {
-                worker.order(Order::Lost(*host));
+                worker.send(Event::HostLost(*host));
             }
         }
     }
@@ -80,17 +86,17 @@
 
     fn start(&self, claims: &Weak<Claims>, stream: u64) -> Worker {
         let claims = Weak::clone(claims);
-        let mine = Arc::clone(&self.mine);
+        let own_streams = Arc::clone(&self.own_streams);
         Worker::start(WorkerSetup {
             client: self.client.clone(),
             stream,
             options: self.options,
-            answers: Arc::new(move |reply: Reply| {
+            send_reply: Arc::new(move |reply: Reply| {
                 if let Some(claims) = claims.upgrade() {
-                    claims.pass_on(reply);
+                    claims.deliver(reply);
                 }
             }),
-            is_home: Arc::new(move |stream| lock(&mine).contains(&stream)),
+            is_home: Arc::new(move |stream| lock(&own_streams).contains(&stream)),
         })
     }
 }
--- a/components/transport/src/claims/mod.rs
+++ b/components/transport/src/claims/mod.rs
@@ -7,8 +7,8 @@
 //! stream do no harm, since the order of the stream's records decides which
 //! claim has the key.
 
-mod entry;
-mod steward;
+mod client;
+mod local_homes;
 mod worker;
 
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use derives::{tag, value};
 use state::{Moment, ServiceKey};
 
+pub use client::{Claims, ClaimsOptions, claim_key};
 pub use coordination::claims::{CACHED_ANSWER_LIMIT, CachedAnswer, Ending as ClaimEnding};
-pub use entry::{Claims, ClaimsOptions, claim_key};
-pub use steward::home_of;
+pub use local_homes::home_of;
 pub use worker::WorkerOptions;
 
 /// The claim of a key for a non-idempotent call, which must be granted before the call is sent.
--- a/components/transport/src/claims/worker.rs
+++ b/components/transport/src/claims/worker.rs
@@ -20,17 +20,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerOptions {
     /// Appends a second that the home of one stream may make, as the rate of a token bucket.
-    pub rate: f64,
+    pub append_rate: f64,
     /// Largest number of appends at once: the token bucket's capacity.
-    pub burst: f64,
+    pub append_burst: f64,
     /// Age after which a key's record is appended again, before the store may trim it.
     pub carry_after: Duration,
     /// How long ended calls wait for new claims to share an append with.
     pub linger: Duration,
     /// The pause after the store failed, during which keyed calls are refused at once.
-    pub pause: Duration,
+    pub failure_pause: Duration,
     /// How long a home that is not needed keeps the state read from its stream.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for WorkerOptions {
@@ -38,32 +38,32 @@
         WorkerOptions {
             // 8 streams with 30 appends a second each leave enough of the several
             // hundred that the store takes to the `config` stream.
-            rate: 30.0,
-            burst: 10.0,
+            append_rate: 30.0,
+            append_burst: 10.0,
             carry_after: CARRY_AFTER,
             linger: Duration::from_millis(500),
-            pause: Duration::from_millis(500),
-            idle: Duration::from_secs(60),
+            failure_pause: Duration::from_millis(500),
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
 
 /// An input to a worker.
-pub enum Order {
+pub enum Event {
     /// A host requests a key and waits for the answer until this moment.
-    Ask(HostKey, KeyRequest, Moment),
+    Request(HostKey, KeyRequest, Moment),
     /// A call with a granted claim has ended.
-    End(ClaimId, ClaimKey, Ending),
+    CallEnded(ClaimId, ClaimKey, Ending),
     /// An entry host is no longer alive.
-    Lost(HostKey),
+    HostLost(HostKey),
 }
 
 /// Takes the answers of a worker.
-pub type Answers = Arc<dyn Fn(Reply) + Send + Sync>;
+pub type ReplySender = Arc<dyn Fn(Reply) + Send + Sync>;
 
 /// Runs the home of one stream on a thread of its own, since the store's client blocks.
 pub struct Worker {
-    orders: Mutex<Sender<Order>>,
+    events: Mutex<Sender<Event>>,
 }
 
 /// The dependencies and options of a worker.
@@ -76,7 +76,7 @@
     /// The options of the home.
     pub options: WorkerOptions,
     /// Takes the home's answers.
-    pub answers: Answers,
+    pub send_reply: ReplySender,
     /// Returns whether this host is the home of a stream in its own view of the
     /// members. Only then does the worker append old keys again.
     pub is_home: Arc<dyn Fn(u64) -> bool + Send + Sync>,
@@ -89,114 +89,114 @@
     ///
     /// Panics if the system can't start a thread.
     pub fn start(setup: WorkerSetup) -> Worker {
-        let (orders, receiver) = channel();
+        let (events, receiver) = channel();
         let name = format!("claims-{}", setup.stream);
         std::thread::Builder::new()
             .name(name)
-            .spawn(move || Run::new(setup).run(&receiver))
+            .spawn(move || HomeLoop::new(setup).run(&receiver))
             .expect("a thread can be started");
         Worker {
-            orders: Mutex::new(orders),
+            events: Mutex::new(events),
         }
     }
 
     /// Sends an order to the thread without waiting.
-    pub fn order(&self, order: Order) {
-        let orders = self.orders.lock().unwrap_or_else(PoisonError::into_inner);
-        let _ = orders.send(order);
+    pub fn send(&self, event: Event) {
+        let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
+        let _ = events.send(event);
     }
 }
 
 /// Why the stream could not be read to its end.
 #[value]
-enum Trouble {
+enum CatchUpError {
     /// The store can't be read now.
-    Unread(String),
+    Unreadable(String),
     /// The stream holds a record of a newer format version, which this release can't decode.
-    Newer(u32),
+    NewerVersion(u32),
 }
 
-struct Run {
+struct HomeLoop {
     setup: WorkerSetup,
     stream: String,
     home: Home,
     budget: AppendBudget,
-    used: Moment,
-    written: Moment,
-    read: Moment,
+    last_event: Moment,
+    last_append: Moment,
+    last_read: Moment,
     /// Whether the last access to the store failed.
     failing: bool,
     /// Until when the store counts as unavailable.
-    out_until: Option<Moment>,
+    unavailable_until: Option<Moment>,
 }
 
-impl Run {
-    fn new(setup: WorkerSetup) -> Run {
+impl HomeLoop {
+    fn new(setup: WorkerSetup) -> HomeLoop {
         let now = clock::now();
-        Run {
+        HomeLoop {
             stream: format!("claims-{}", setup.stream),
             home: Home::new(setup.options.carry_after),
-            budget: AppendBudget::new(setup.options.rate, setup.options.burst, now),
-            used: now,
-            written: now,
-            read: now,
+            budget: AppendBudget::new(setup.options.append_rate, setup.options.append_burst, now),
+            last_event: now,
+            last_append: now,
+            last_read: now,
             failing: false,
-            out_until: None,
+            unavailable_until: None,
             setup,
         }
     }
 
-    fn run(mut self, orders: &Receiver<Order>) {
+    fn run(mut self, events: &Receiver<Event>) {
         loop {
-            match orders.recv_timeout(self.patience()) {
-                Ok(order) => self.take(order),
+            match events.recv_timeout(self.receive_timeout()) {
+                Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             // All orders that arrived during the last append share the next one.
-            while let Ok(order) = orders.try_recv() {
-                self.take(order);
+            while let Ok(event) = events.try_recv() {
+                self.handle(event);
             }
-            self.answer();
-            self.work();
-            self.answer();
+            self.send_replies();
+            self.advance();
+            self.send_replies();
         }
     }
 
     /// Returns how long to wait for the next order.
-    fn patience(&self) -> Duration {
-        match self.out_until {
+    fn receive_timeout(&self) -> Duration {
+        match self.unavailable_until {
             Some(until) => clock::now().until(until).min(self.setup.options.linger),
             None if self.home.has_claims() => Duration::ZERO,
             None => self.setup.options.linger,
         }
     }
 
-    fn take(&mut self, order: Order) {
+    fn handle(&mut self, event: Event) {
         let now = clock::now();
-        self.used = now;
-        match order {
+        self.last_event = now;
+        match event {
             // While the store is unavailable, a request is refused at once: waiting
             // would only delay the caller's "not run" answer.
-            Order::Ask(from, ask, until) if self.is_out(now) => {
-                self.home.request_offline(from, ask, until, now);
+            Event::Request(from, request, until) if self.is_unavailable(now) => {
+                self.home.request_offline(from, request, until, now);
             }
-            Order::Ask(from, ask, until) => self.home.request(from, ask, until, now),
-            Order::End(id, key, ending) => self.home.end_call(id, key, ending, now),
-            Order::Lost(host) => self.home.host_lost(host),
+            Event::Request(from, request, until) => self.home.request(from, request, until, now),
+            Event::CallEnded(id, key, ending) => self.home.end_call(id, key, ending, now),
+            Event::HostLost(host) => self.home.host_lost(host),
         }
     }
 
-    fn work(&mut self) {
+    fn advance(&mut self) {
         let now = clock::now();
         self.home.expire(now);
-        if self.is_out(now) {
+        if self.is_unavailable(now) {
             return;
         }
-        self.out_until = None;
+        self.unavailable_until = None;
         let is_home = (self.setup.is_home)(self.setup.stream);
         if !is_home
-            && now.since(self.used) >= self.setup.options.idle
+            && now.since(self.last_event) >= self.setup.options.idle_timeout
             && !self.home.table().is_empty()
             && !self.home.has_work(false, now)
         {
@@ -204,16 +204,16 @@
             return;
         }
         // Regular reads show the claims that other hosts appended as home of this stream.
-        let stale = is_home && now.since(self.read) >= READ_EVERY;
+        let stale = is_home && now.since(self.last_read) >= READ_INTERVAL;
         let unread = !self.home.is_ready() && (is_home || self.home.has_claims());
         if (stale || unread)
-            && let Err(trouble) = self.catch_up()
+            && let Err(error) = self.catch_up()
         {
-            self.give_up(&trouble);
+            self.fail_read(&error);
             return;
         }
         let urgent = self.home.has_claims();
-        let due = now.since(self.written) >= self.setup.options.linger;
+        let due = now.since(self.last_append) >= self.setup.options.linger;
         if urgent || due && self.home.has_work(is_home, now) {
             self.append(is_home);
             self.count_keys();
@@ -230,7 +230,7 @@
         let Some(batch) = self.home.next_batch(is_home, now) else {
             return;
         };
-        self.written = now;
+        self.last_append = now;
         metrics::counter!("cardamomvale_claims_appends_total", "stream" => self.stream.clone())
             .increment(1);
         metrics::histogram!("cardamomvale_claims_batch_entries").record(batch.entries.len() as f64);
@@ -243,7 +243,7 @@
                 self.home.complete_append(true, now);
                 self.note_success();
             }
-            Ok(offset) => self.settle(Some(offset)),
+            Ok(offset) => self.resolve_append(Some(offset)),
             Err(AppendError::Refused(reason)) => {
                 self.fail(&reason, true);
             }
@@ -254,32 +254,32 @@
                     "E0452 claims-append-unanswered stream={} reason={reason:?}",
                     self.stream
                 );
-                self.settle(None);
+                self.resolve_append(None);
             }
         }
     }
 
-    fn settle(&mut self, offset: Option<u64>) {
+    fn resolve_append(&mut self, offset: Option<u64>) {
         match self.catch_up() {
             Ok(()) => {
                 let landed = offset.is_some_and(|o| o < self.home.table().next());
                 self.home.complete_append(landed, clock::now());
             }
-            Err(trouble) => self.give_up(&trouble),
+            Err(error) => self.fail_read(&error),
         }
     }
 
     /// Reads the stream to its end and applies its records.
-    fn catch_up(&mut self) -> Result<(), Trouble> {
+    fn catch_up(&mut self) -> Result<(), CatchUpError> {
         loop {
             let from = self.home.table().next();
             let read = self
                 .setup
                 .client
                 .read(&self.stream, from, None, Duration::ZERO);
-            let page = read.map_err(|e| Trouble::Unread(e.0))?;
+            let page = read.map_err(|e| CatchUpError::Unreadable(e.0))?;
             if page.end < from {
-                return Err(Trouble::Unread(format!(
+                return Err(CatchUpError::Unreadable(format!(
                     "the stream ends at offset {}, but this host has already read up to {from}",
                     page.end
                 )));
@@ -291,22 +291,22 @@
             }
             let now = clock::now();
             for (offset, record) in (page.from..).zip(&page.records) {
-                let batch = self.read(offset, record)?;
+                let batch = self.decode(offset, record)?;
                 self.home.fold(offset, batch.as_ref(), now);
             }
             if self.home.table().next() >= page.end {
                 self.home.caught_up();
-                self.read = now;
+                self.last_read = now;
                 self.note_success();
                 return Ok(());
             }
         }
     }
 
-    fn read(&self, offset: u64, data: &Bytes) -> Result<Option<Batch>, Trouble> {
+    fn decode(&self, offset: u64, data: &Bytes) -> Result<Option<Batch>, CatchUpError> {
         match decode_batch(data) {
             Ok(batch) => Ok(Some(batch)),
-            Err(ProtocolError::Version(version)) => Err(Trouble::Newer(version)),
+            Err(ProtocolError::Version(version)) => Err(CatchUpError::NewerVersion(version)),
             Err(error) => {
                 log::error!(
                     "E0453 claims-record-skipped stream={} offset={offset} reason={error:?}",
@@ -317,10 +317,10 @@
         }
     }
 
-    fn give_up(&mut self, trouble: &Trouble) {
-        let reason = match trouble {
-            Trouble::Unread(reason) => reason.clone(),
-            Trouble::Newer(version) => {
+    fn fail_read(&mut self, error: &CatchUpError) {
+        let reason = match error {
+            CatchUpError::Unreadable(reason) => reason.clone(),
+            CatchUpError::NewerVersion(version) => {
                 format!("a record is of version {version}: update this host")
             }
         };
@@ -337,7 +337,7 @@
             );
         }
         self.home.fail_append(refused);
-        self.out_until = Some(clock::now() + self.setup.options.pause);
+        self.unavailable_until = Some(clock::now() + self.setup.options.failure_pause);
     }
 
     fn note_success(&mut self) {
@@ -346,8 +346,8 @@
         }
     }
 
-    fn is_out(&self, now: Moment) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+    fn is_unavailable(&self, now: Moment) -> bool {
+        self.unavailable_until.is_some_and(|until| now < until)
     }
 
     fn count_keys(&self) {
@@ -355,12 +355,12 @@
             .set(self.home.table().len() as f64);
     }
 
-    fn answer(&mut self) {
+    fn send_replies(&mut self) {
         for reply in self.home.replies() {
-            (self.setup.answers)(reply);
+            (self.setup.send_reply)(reply);
         }
     }
 }
 
 /// Interval at which an idle home reads its stream.
-const READ_EVERY: Duration = Duration::from_secs(5);
+const READ_INTERVAL: Duration = Duration::from_secs(5);
--- a/components/transport/src/log/remote.rs
+++ b/components/transport/src/log/admin_client.rs
@@ -11,7 +11,7 @@
 use super::submit::{CommandRequest, Outcome};
 
 /// The largest configuration that is accepted, in bytes.
-const CONFIG_LIMIT: u64 = 16 * 1024 * 1024;
+const MAX_CONFIG_SIZE: u64 = 16 * 1024 * 1024;
 
 /// Returns the configuration in force at the entry host with this admin address. Blocks.
 ///
@@ -27,7 +27,7 @@
         200 => {}
         status => return Err(format!("the entry host answers with status {status}")),
     }
-    let body = response.body_mut().with_config().limit(CONFIG_LIMIT);
+    let body = response.body_mut().with_config().limit(MAX_CONFIG_SIZE);
     let bytes = body.read_to_vec().map_err(|e| e.to_string())?;
     serde_json::from_slice(&bytes).map_err(|e| e.to_string())
 }
@@ -47,13 +47,13 @@
     let id = request
         .id
         .unwrap_or_else(|| CommandId::new(config.offset, rand::rng().random()));
-    let named = CommandRequest {
+    let with_id = CommandRequest {
         id: Some(id),
         decided_on: request.decided_on,
         change: request.change.clone(),
     };
     let repeated = request.id.is_some();
-    let body = serde_json::to_vec(&named).unwrap_or_default();
+    let body = serde_json::to_vec(&with_id).unwrap_or_default();
     let posted = agent(limit)
         .post(format!("http://{address}/commands"))
         .send(&body[..]);
--- a/components/transport/src/log/client.rs
+++ b/components/transport/src/log/client.rs
@@ -45,7 +45,7 @@
     Append {
         topic: String,
         record: Bytes,
-        limit: Duration,
+        timeout: Duration,
         answer: SyncSender<Result<u64, StoreError>>,
     },
     Read {
@@ -53,7 +53,7 @@
         from: u64,
         max_kilobytes: Option<u32>,
         wait: Duration,
-        limit: Duration,
+        timeout: Duration,
         answer: SyncSender<Result<ReadAnswer, StoreError>>,
     },
 }
@@ -65,16 +65,16 @@
 #[derive(Clone, Debug)]
 pub struct BlockingStoreClient {
     calls: UnboundedSender<Call>,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl BlockingStoreClient {
-    /// Returns a client of the store at `address`, with `limit` as the time-out for answers.
+    /// Returns a client of the store at `address`, with `timeout` as the time-out for answers.
     ///
     /// # Panics
     ///
     /// Panics if the system can't start a thread.
-    pub fn new(address: SocketAddr, limit: Duration) -> BlockingStoreClient {
+    pub fn new(address: SocketAddr, timeout: Duration) -> BlockingStoreClient {
         let (sender, calls) = unbounded_channel();
         std::thread::Builder::new()
             .name("log-client".to_owned())
@@ -82,14 +82,14 @@
             .expect("a thread can be started");
         BlockingStoreClient {
             calls: sender,
-            limit,
+            timeout,
         }
     }
 
     /// Returns a clone of this client with another time-out for answers.
-    pub fn waiting(&self, limit: Duration) -> BlockingStoreClient {
+    pub fn with_timeout(&self, timeout: Duration) -> BlockingStoreClient {
         let mut client = self.clone();
-        client.limit = limit;
+        client.timeout = timeout;
         client
     }
 
@@ -105,19 +105,19 @@
         let call = Call::Append {
             topic: topic.to_owned(),
             record: record.clone(),
-            limit: self.limit,
+            timeout: self.timeout,
             answer,
         };
         self.calls
             .send(call)
-            .map_err(|_| AppendError::Refused(GONE.to_owned()))?;
+            .map_err(|_| AppendError::Refused(CLIENT_STOPPED.to_owned()))?;
         match answered.recv() {
             Ok(Ok(offset)) => Ok(offset),
             Ok(Err(error)) if error.is_not_applied() => {
                 Err(AppendError::Refused(error.to_string()))
             }
             Ok(Err(error)) => Err(AppendError::Unanswered(error.to_string())),
-            Err(_) => Err(AppendError::Unanswered(GONE.to_owned())),
+            Err(_) => Err(AppendError::Unanswered(CLIENT_STOPPED.to_owned())),
         }
     }
 
@@ -142,21 +142,21 @@
             from,
             max_kilobytes,
             wait,
-            limit: self.limit,
+            timeout: self.timeout,
             answer,
         };
         self.calls
             .send(call)
-            .map_err(|_| ReadError(GONE.to_owned()))?;
+            .map_err(|_| ReadError(CLIENT_STOPPED.to_owned()))?;
         match answered.recv() {
             Ok(result) => result.map_err(|e| ReadError(e.to_string())),
-            Err(_) => Err(ReadError(GONE.to_owned())),
+            Err(_) => Err(ReadError(CLIENT_STOPPED.to_owned())),
         }
     }
 }
 
 /// The error text after the client's thread has ended.
-const GONE: &str = "the log's client has stopped";
+const CLIENT_STOPPED: &str = "the log's client has stopped";
 
 /// The idle connections of one client.
 type Idle = Rc<RefCell<Vec<StoreClient>>>;
@@ -164,33 +164,33 @@
 fn run(address: SocketAddr, calls: UnboundedReceiver<Call>) {
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return report(&error),
+        Err(error) => return log_failure(&error),
     };
-    LocalSet::new().block_on(&runtime, take_calls(address, calls));
+    LocalSet::new().block_on(&runtime, serve_calls(address, calls));
 }
 
-fn report(error: &io::Error) {
+fn log_failure(error: &io::Error) {
     log::error!("E0318 log-client-failed error={error:?}");
 }
 
-async fn take_calls(address: SocketAddr, mut calls: UnboundedReceiver<Call>) {
+async fn serve_calls(address: SocketAddr, mut calls: UnboundedReceiver<Call>) {
     let idle = Idle::default();
     while let Some(call) = calls.recv().await {
-        let kept = idle.borrow_mut().pop();
-        let store = kept.unwrap_or_else(|| StoreClient::new(address));
-        spawn_local(carry_out(call, store, Rc::clone(&idle)));
+        let idle_store = idle.borrow_mut().pop();
+        let store = idle_store.unwrap_or_else(|| StoreClient::new(address));
+        spawn_local(run_call(call, store, Rc::clone(&idle)));
     }
 }
 
-async fn carry_out(call: Call, mut store: StoreClient, idle: Idle) {
+async fn run_call(call: Call, mut store: StoreClient, idle: Idle) {
     let silent = match call {
         Call::Append {
             topic,
             record,
-            limit,
+            timeout,
             answer,
         } => {
-            store.set_timeout(limit);
+            store.set_timeout(timeout);
             let result = store.append(&topic, &record).await;
             let silent = is_silent(&result);
             // The caller blocks on this answer, so the receiver still exists.
@@ -202,10 +202,10 @@
             from,
             max_kilobytes,
             wait,
-            limit,
+            timeout,
             answer,
         } => {
-            store.set_timeout(limit);
+            store.set_timeout(timeout);
             let mut result = store.read(&topic, from, wait, max_kilobytes).await;
             if let Err(StoreError::Forgotten(Some(first))) = result {
                 result = store.read(&topic, first, wait, max_kilobytes).await;
--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -96,7 +96,7 @@
 }
 
 /// Number of changes buffered for a slow receiver before it misses some.
-const CHANGES: usize = 64;
+const CHANGE_BUFFER: usize = 64;
 
 impl Follower {
     /// Starts to follow the stream from its first record.
@@ -114,7 +114,7 @@
             folded: Condvar::new(),
             config: config_sender,
             progress: progress_sender,
-            changes: broadcast::channel(CHANGES).0,
+            changes: broadcast::channel(CHANGE_BUFFER).0,
         });
         let events = Reader::start(Arc::clone(&shared));
         Follower {
@@ -167,7 +167,7 @@
 
     /// Returns whether the store has trimmed records that this host needs, and
     /// the stream holds no snapshot in their place before offset `end`.
-    pub fn is_lost(&self, end: u64) -> bool {
+    pub fn is_log_lost(&self, end: u64) -> bool {
         let fold = lock(&self.shared.fold);
         fold.is_behind() && fold.read_offset() >= end
     }
@@ -195,7 +195,7 @@
 
     /// Replaces the folded state by a peer's snapshot where that is newer, and returns whether it
     /// was.
-    pub fn take(&self, snapshot: Snapshot) -> bool {
+    pub fn install_snapshot(&self, snapshot: Snapshot) -> bool {
         let mut fold = lock(&self.shared.fold);
         let taken = fold.take_snapshot(snapshot);
         if taken {
@@ -220,7 +220,7 @@
     /// Applies an encoded snapshot record received from a peer, and returns whether it was newer.
     pub fn install_record(&self, record: &Bytes) -> bool {
         match decode_record(record) {
-            Ok(Record::Snapshot(snapshot)) => self.take(*snapshot),
+            Ok(Record::Snapshot(snapshot)) => self.install_snapshot(*snapshot),
             Ok(Record::Command(_) | Record::Begin(_)) => false,
             Err(unreadable) => {
                 log::warn!("E0309 peer-config-unreadable reason=\"{unreadable}\"");
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -16,16 +16,16 @@
 use crate::clock;
 
 /// Time-out of a read. A store that takes longer can't be followed.
-const READ_LIMIT: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Largest number of reads in flight at once: one more is sent after every
-/// [`FollowerOptions::hedge_delay`](super::FollowerOptions::patience), for as long as [`READ_LIMIT`].
-const READS_AT_ONCE: usize = 10;
+/// [`FollowerOptions::hedge_delay`](super::FollowerOptions::hedge_delay), for as long as [`READ_TIMEOUT`].
+const MAX_READS_IN_FLIGHT: usize = 10;
 
 /// An input to the reader's thread.
 pub(super) enum Event {
     /// A read has ended.
-    Read(ReadEnd),
+    Read(ReadResult),
     /// The store may be available again, so the next read is due at once.
     Resume,
     /// The follower was dropped.
@@ -33,7 +33,7 @@
 }
 
 /// A read that has ended, and its result.
-pub(super) struct ReadEnd {
+pub(super) struct ReadResult {
     from: u64,
     sent: Moment,
     page: Result<ReadAnswer, ReadError>,
@@ -54,7 +54,7 @@
     failures: u32,
     in_flight: usize,
     next_read: Moment,
-    last_page: Option<Moment>,
+    last_success: Option<Moment>,
 }
 
 impl Reader {
@@ -70,7 +70,7 @@
             failures: 0,
             in_flight: 0,
             next_read: now,
-            last_page: None,
+            last_success: None,
         };
         std::thread::Builder::new()
             .name("config-follower".to_owned())
@@ -82,15 +82,15 @@
     fn run(mut self, events: &Receiver<Event>) {
         loop {
             let now = clock::now();
-            if now >= self.next_read && self.in_flight < READS_AT_ONCE {
+            if now >= self.next_read && self.in_flight < MAX_READS_IN_FLIGHT {
                 self.send_read(now);
             }
             let wait = match self.in_flight {
-                READS_AT_ONCE.. => READ_LIMIT,
+                MAX_READS_IN_FLIGHT.. => READ_TIMEOUT,
                 _ => now.until(self.next_read),
             };
             match events.recv_timeout(wait) {
-                Ok(Event::Read(read)) => self.end_read(read),
+                Ok(Event::Read(read)) => self.handle_read(read),
                 Ok(Event::Resume) => self.next_read = clock::now(),
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
@@ -100,14 +100,14 @@
 
     fn send_read(&mut self, now: Moment) {
         if self.in_flight > 0 {
-            self.stale_reason("the log is late with its answer");
+            self.set_stale_reason("the log is late with its answer");
         }
         self.in_flight += 1;
         let options = &self.shared.options;
         self.next_read = now + options.wait + options.hedge_delay;
         let from = lock(&self.shared.fold).read_offset();
         let (wait, max_kilobytes) = (options.wait, options.max_kilobytes);
-        let client = self.shared.client.waiting(READ_LIMIT);
+        let client = self.shared.client.with_timeout(READ_TIMEOUT);
         let events = self.events.clone();
         std::thread::Builder::new()
             .name("config-read".to_owned())
@@ -115,16 +115,16 @@
                 let page = client.read(CONFIG_STREAM, from, max_kilobytes, wait);
                 let sent = now;
                 // Sending fails where the follower was dropped meanwhile.
-                let _ = events.send(Event::Read(ReadEnd { from, sent, page }));
+                let _ = events.send(Event::Read(ReadResult { from, sent, page }));
             })
             .expect("a thread can be started");
     }
 
-    fn end_read(&mut self, read: ReadEnd) {
+    fn handle_read(&mut self, read: ReadResult) {
         self.in_flight -= 1;
         let from = read.from;
         match read.page {
-            Ok(page) if page.end < from => self.fail(
+            Ok(page) if page.end < from => self.read_failed(
                 &format!(
                     "the log ends at offset {}, but this host has already read up to {from}",
                     page.end
@@ -132,10 +132,10 @@
                 read.sent,
             ),
             Ok(page) => {
-                self.recover(read.sent);
+                self.read_succeeded(read.sent);
                 self.fold(&page, read.sent);
             }
-            Err(error) => self.fail(&error.to_string(), read.sent),
+            Err(error) => self.read_failed(&error.to_string(), read.sent),
         }
     }
 
@@ -146,7 +146,7 @@
             let decoded = decode_record(record);
             note_snapshot(&mut self.timer, offset, &decoded);
             let step = fold.apply(offset, decoded);
-            report(offset, &step);
+            log_step(offset, &step);
             if let Applied::Decided(_, Answer::Accepted { .. }) = step {
                 self.shared.announce(&fold);
             }
@@ -207,17 +207,17 @@
     /// Records a successful read and sets when the next one is due.
     ///
     /// While other reads are in flight, the next read waits until they have
-    /// ended or [`FollowerOptions::hedge_delay`](super::FollowerOptions::patience)
+    /// ended or [`FollowerOptions::hedge_delay`](super::FollowerOptions::hedge_delay)
     /// has passed. Otherwise the parallel reads that a slow store has
     /// accumulated would never get fewer.
-    fn recover(&mut self, sent: Moment) {
+    fn read_succeeded(&mut self, sent: Moment) {
         if self.failures > 0 {
             let failures = self.failures;
             log::info!("E0310 log-readable-again failures={failures}");
         }
         self.failures = 0;
         self.retry_delay = self.shared.options.retry_delay;
-        self.last_page = self.last_page.max(Some(sent));
+        self.last_success = self.last_success.max(Some(sent));
         if self.in_flight == 0 {
             self.next_read = clock::now();
         }
@@ -225,9 +225,9 @@
 
     /// Records a failed read and delays the next one. The delay has jitter, so
     /// that the hosts don't all read at once from a store that has just recovered.
-    fn fail(&mut self, error: &str, sent: Moment) {
+    fn read_failed(&mut self, error: &str, sent: Moment) {
         metrics::counter!("cardamomvale_log_read_failures_total").increment(1);
-        if self.last_page > Some(sent) {
+        if self.last_success > Some(sent) {
             // A later read succeeded, so only the connection of this one failed.
             return;
         }
@@ -236,13 +236,13 @@
             log::warn!("E0301 log-unreadable error=\"{error}\"");
         }
         self.failures += 1;
-        self.stale_reason(error);
+        self.set_stale_reason(error);
         let jitter = rand::rng().random_range(0.5..1.0);
         self.next_read = clock::now() + self.retry_delay.mul_f64(jitter);
         self.retry_delay = (self.retry_delay * 2).min(self.shared.options.max_retry_delay);
     }
 
-    fn stale_reason(&self, error: &str) {
+    fn set_stale_reason(&self, error: &str) {
         let stale_reason = format!("the log can't be followed: {error}");
         self.shared
             .progress
@@ -275,7 +275,7 @@
     }
 }
 
-fn report(offset: u64, step: &Applied) {
+fn log_step(offset: u64, step: &Applied) {
     match step {
         Applied::Decided(id, Answer::Accepted { revision }) => {
             log::info!("E0302 command-accepted id={id} offset={offset} revision={revision}");
--- a/components/transport/src/log/submit.rs
+++ b/components/transport/src/log/submit.rs
@@ -17,10 +17,10 @@
 use super::follower::{Follower, FollowerOptions};
 
 /// How long to wait for a record to be read back after the answer to its append was lost.
-const SETTLE: Duration = Duration::from_millis(300);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The delay before a retry after the store has refused a request.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A request to submit a command, or to repeat an earlier one under its id.
 #[value]
@@ -65,7 +65,7 @@
 }
 
 /// Kilobytes requested by a read that only needs the end of the stream.
-const LEAST: Option<u32> = Some(1);
+const MIN_PAGE_KILOBYTES: Option<u32> = Some(1);
 
 /// Submits commands to the `config` stream, from an entry host or an operator's command.
 #[derive(Clone)]
@@ -150,7 +150,9 @@
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             let from = self.follower.position().next;
-            let end = self.client.read(CONFIG_STREAM, from, LEAST, Duration::ZERO);
+            let end = self
+                .client
+                .read(CONFIG_STREAM, from, MIN_PAGE_KILOBYTES, Duration::ZERO);
             if end.as_ref().is_ok_and(|page| page.end > from) {
                 // The store answers, so a follower that delays its next read can read now.
                 self.follower.resume();
@@ -163,30 +165,30 @@
             if Instant::now() >= deadline {
                 return Err(reason);
             }
-            std::thread::sleep(RETRY.min(left));
+            std::thread::sleep(RETRY_DELAY.min(left));
         }
     }
 
-    fn append(&self, command: &Command, mut may_stand: bool, deadline: Instant) -> Outcome {
+    fn append(&self, command: &Command, mut may_be_appended: bool, deadline: Instant) -> Outcome {
         let id = command.id;
         let record: Bytes = encode_command(command);
         loop {
             let (wait, reason) = match self.client.append(CONFIG_STREAM, &record) {
                 Ok(_) => {
-                    may_stand = true;
+                    may_be_appended = true;
                     let left = deadline.saturating_duration_since(Instant::now());
                     (left, String::new())
                 }
                 Err(AppendError::Unanswered(reason)) => {
-                    may_stand = true;
-                    (SETTLE, reason)
+                    may_be_appended = true;
+                    (SETTLE_TIMEOUT, reason)
                 }
-                Err(AppendError::Refused(reason)) => (RETRY, reason),
+                Err(AppendError::Refused(reason)) => (RETRY_DELAY, reason),
             };
             if let Some(answer) = self.follower.wait_answer(id, wait) {
                 return outcome(answer);
             }
-            match may_stand {
+            match may_be_appended {
                 _ if Instant::now() < deadline => {}
                 true => return Outcome::Unknown { id },
                 false => return Outcome::Unreachable { reason },
@@ -206,32 +208,32 @@
 ///
 /// Works only where the store has trimmed the old configuration and no host
 /// supplies a snapshot. A host that has the configuration appends a snapshot
-/// within seconds, so the stream is watched for `quiet` first. The record is
+/// within seconds, so the stream is watched for `quiet_period` first. The record is
 /// never appended a second time, since each such record starts a new
 /// configuration.
 pub fn begin_in_store(
     address: SocketAddr,
     text: &str,
-    quiet: Duration,
+    quiet_period: Duration,
     limit: Duration,
 ) -> Outcome {
     let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     let follower = Follower::start(client.clone(), reader_options());
     let start = Instant::now();
     loop {
-        let end = client.read(CONFIG_STREAM, 0, LEAST, Duration::ZERO);
+        let end = client.read(CONFIG_STREAM, 0, MIN_PAGE_KILOBYTES, Duration::ZERO);
         match end {
-            Ok(page) if follower.is_lost(page.end) && start.elapsed() >= quiet => break,
-            Ok(page) if follower.wait_folded(page.end, RETRY) => {
+            Ok(page) if follower.is_log_lost(page.end) && start.elapsed() >= quiet_period => break,
+            Ok(page) if follower.wait_folded(page.end, RETRY_DELAY) => {
                 return Outcome::Refused {
                     reason: "the log still gives the configuration: use put and choose".to_owned(),
                 };
             }
-            Err(error) if start.elapsed() >= quiet + limit => {
+            Err(error) if start.elapsed() >= quiet_period + limit => {
                 let reason = error.to_string();
                 return Outcome::Unreachable { reason };
             }
-            _ => std::thread::sleep(RETRY),
+            _ => std::thread::sleep(RETRY_DELAY),
         }
     }
     match client.append(CONFIG_STREAM, &encode_begin(text)) {
--- a/components/transport/src/peers/counters.rs
+++ b/components/transport/src/peers/counters.rs
@@ -5,19 +5,19 @@
 use crate::clock;
 
 /// Counts one sent message and its bytes on the link.
-pub fn sent(bytes: usize) {
+pub fn count_sent(bytes: usize) {
     metrics::counter!("cardamomvale_peer_messages_sent_total").increment(1);
     metrics::counter!("cardamomvale_peer_bytes_sent_total").increment(bytes as u64);
 }
 
 /// Counts one received message and its bytes on the link.
-pub fn received(bytes: usize) {
+pub fn count_received(bytes: usize) {
     metrics::counter!("cardamomvale_peer_messages_received_total").increment(1);
     metrics::counter!("cardamomvale_peer_bytes_received_total").increment(bytes as u64);
 }
 
 /// Counts dropped messages, labelled with the `reason`.
-pub fn dropped(reason: &'static str, count: usize) {
+pub fn count_dropped(reason: &'static str, count: usize) {
     if count > 0 {
         metrics::counter!("cardamomvale_peer_messages_dropped_total", "reason" => reason)
             .increment(count as u64);
@@ -25,7 +25,7 @@
 }
 
 /// Counts a refused peer, labelled with the `reason`.
-pub fn refused(reason: &'static str) {
+pub fn count_refusal(reason: &'static str) {
     metrics::counter!("cardamomvale_peer_refused_total", "reason" => reason).increment(1);
 }
 
--- a/components/transport/src/peers/handshake.rs
+++ b/components/transport/src/peers/handshake.rs
@@ -19,13 +19,13 @@
 
 use super::links::MessageHandler;
 use super::outbox::frame;
-use super::{HELLO_TIMEOUT, counters};
+use super::{HANDSHAKE_TIMEOUT, counters};
 
 /// Reads the frames of one link.
 pub type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
 /// A link whose handshake is complete.
-pub struct Met {
+pub struct PeerConnection {
     /// The peer's key.
     pub peer: HostKey,
     /// The peer's hello message.
@@ -38,7 +38,7 @@
 
 /// Why a handshake failed.
 #[derive(Debug, Error)]
-pub enum MeetError {
+pub enum HandshakeError {
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
@@ -59,12 +59,12 @@
     RefusedBy(Refused),
 }
 
-impl MeetError {
+impl HandshakeError {
     /// Returns whether one of the two hosts does not know the other one as a member.
-    pub fn is_no_member(&self) -> bool {
+    pub fn is_membership_error(&self) -> bool {
         match self {
-            MeetError::Refused(reason) => *reason == RefusedReason::NoMember,
-            MeetError::RefusedBy(refused) => refused.reason == RefusedReason::NoMember,
+            HandshakeError::Refused(reason) => *reason == RefusedReason::NoMember,
+            HandshakeError::RefusedBy(refused) => refused.reason == RefusedReason::NoMember,
             _ => false,
         }
     }
@@ -72,15 +72,15 @@
     /// Returns the reason as the metrics' label.
     pub fn label(&self) -> &'static str {
         match self {
-            MeetError::Io(e) if e.kind() == io::ErrorKind::InvalidData => "oversized",
-            MeetError::Io(_) => "broken",
-            MeetError::Silent => "silent",
-            MeetError::Protocol(ProtocolError::Version(_)) => "version",
-            MeetError::Protocol(_) => "damaged",
-            MeetError::Asked => "asked",
-            MeetError::Refused(RefusedReason::NoMember) => "no_member",
-            MeetError::Refused(_) => "no_hello",
-            MeetError::RefusedBy(_) => "refused_by_peer",
+            HandshakeError::Io(e) if e.kind() == io::ErrorKind::InvalidData => "oversized",
+            HandshakeError::Io(_) => "broken",
+            HandshakeError::Silent => "silent",
+            HandshakeError::Protocol(ProtocolError::Version(_)) => "version",
+            HandshakeError::Protocol(_) => "damaged",
+            HandshakeError::Asked => "asked",
+            HandshakeError::Refused(RefusedReason::NoMember) => "no_member",
+            HandshakeError::Refused(_) => "no_hello",
+            HandshakeError::RefusedBy(_) => "refused_by_peer",
         }
     }
 }
@@ -90,21 +90,21 @@
 /// # Errors
 ///
 /// Returns why the handshake failed.
-pub async fn greet(
+pub async fn initiate(
     stream: TcpStream,
     hello: &Hello,
     config: impl Fn() -> Arc<Config>,
-) -> Result<Met, MeetError> {
+) -> Result<PeerConnection, HandshakeError> {
     let (reader, mut writer) = stream.into_split();
-    let mut reader = limited(reader);
+    let mut reader = limited_reader(reader);
     write(&mut writer, &PeerMessage::Hello(hello.clone())).await?;
     match read(&mut reader).await? {
         PeerMessage::Hello(theirs) => {
-            check(&theirs, &hello.name, &config()).map_err(MeetError::Refused)?;
-            Ok(met(theirs, reader, writer))
+            check_hello(&theirs, &hello.name, &config()).map_err(HandshakeError::Refused)?;
+            Ok(connection(theirs, reader, writer))
         }
-        PeerMessage::Refused(refused) => Err(MeetError::RefusedBy(refused)),
-        _ => Err(MeetError::Refused(RefusedReason::NoHello)),
+        PeerMessage::Refused(refused) => Err(HandshakeError::RefusedBy(refused)),
+        _ => Err(HandshakeError::Refused(RefusedReason::NoHello)),
     }
 }
 
@@ -115,27 +115,27 @@
 /// # Errors
 ///
 /// Returns why the handshake failed.
-pub async fn answer(
+pub async fn accept(
     stream: TcpStream,
     mut hello: Hello,
     config: impl Fn() -> Arc<Config>,
-    receive: &Arc<dyn MessageHandler>,
-) -> Result<Met, MeetError> {
+    handler: &Arc<dyn MessageHandler>,
+) -> Result<PeerConnection, HandshakeError> {
     let (reader, mut writer) = stream.into_split();
-    let mut reader = limited(reader);
+    let mut reader = limited_reader(reader);
     let checked = match read(&mut reader).await? {
         PeerMessage::AskConfig => {
-            hand_over(&mut writer, receive).await?;
-            return Err(MeetError::Asked);
+            send_config(&mut writer, handler).await?;
+            return Err(HandshakeError::Asked);
         }
-        PeerMessage::Hello(theirs) => check(&theirs, &hello.name, &config()).map(|()| theirs),
+        PeerMessage::Hello(theirs) => check_hello(&theirs, &hello.name, &config()).map(|()| theirs),
         _ => Err(RefusedReason::NoHello),
     };
     match checked {
         Ok(theirs) => {
             hello.to.clone_from(&theirs.name);
             write(&mut writer, &PeerMessage::Hello(hello)).await?;
-            Ok(met(theirs, reader, writer))
+            Ok(connection(theirs, reader, writer))
         }
         Err(reason) => {
             let refused = Refused {
@@ -144,21 +144,21 @@
                 offset: hello.offset,
             };
             write(&mut writer, &PeerMessage::Refused(refused)).await?;
-            Err(MeetError::Refused(reason))
+            Err(HandshakeError::Refused(reason))
         }
     }
 }
 
 /// Sends the configuration to a host that starts while the store is down.
-async fn hand_over(
+async fn send_config(
     writer: &mut OwnedWriteHalf,
-    receive: &Arc<dyn MessageHandler>,
-) -> Result<(), MeetError> {
-    let receive = Arc::clone(receive);
-    let offer = tokio::task::spawn_blocking(move || receive.offer()).await;
+    handler: &Arc<dyn MessageHandler>,
+) -> Result<(), HandshakeError> {
+    let handler = Arc::clone(handler);
+    let offer = tokio::task::spawn_blocking(move || handler.config_offer()).await;
     match offer {
         Ok(Some(offer)) => write(writer, &PeerMessage::Config(offer)).await,
-        _ => Err(MeetError::Silent),
+        _ => Err(HandshakeError::Silent),
     }
 }
 
@@ -167,18 +167,18 @@
 /// # Errors
 ///
 /// Returns why no configuration was received.
-pub async fn fetch_config(address: SocketAddr) -> Result<ConfigOffer, MeetError> {
-    let stream = timeout(HELLO_TIMEOUT, TcpStream::connect(address))
+pub async fn fetch_config(address: SocketAddr) -> Result<ConfigOffer, HandshakeError> {
+    let stream = timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| MeetError::Silent)??;
+        .map_err(|_| HandshakeError::Silent)??;
     let (reader, mut writer) = stream.into_split();
-    let mut reader = limited(reader);
+    let mut reader = limited_reader(reader);
     reader.decoder_mut().set_max_frame_length(MESSAGE_LIMIT);
     write(&mut writer, &PeerMessage::AskConfig).await?;
     match read(&mut reader).await? {
         PeerMessage::Config(offer) => Ok(offer),
-        PeerMessage::Refused(refused) => Err(MeetError::RefusedBy(refused)),
-        _ => Err(MeetError::Refused(RefusedReason::NoHello)),
+        PeerMessage::Refused(refused) => Err(HandshakeError::RefusedBy(refused)),
+        _ => Err(HandshakeError::Refused(RefusedReason::NoHello)),
     }
 }
 
@@ -186,7 +186,7 @@
 ///
 /// A host that was removed while it was paused still takes itself for a member;
 /// its messages about slots that it no longer owns must be refused.
-fn check(hello: &Hello, me: &str, config: &Config) -> Result<(), RefusedReason> {
+fn check_hello(hello: &Hello, me: &str, config: &Config) -> Result<(), RefusedReason> {
     let member = config.members.get(&HostKey::named(&hello.name));
     match member {
         _ if hello.to != me || hello.name == me => Err(RefusedReason::OtherHost),
@@ -198,16 +198,16 @@
 /// Returns a reader that limits frames to a hello's size.
 ///
 /// An unknown peer could otherwise make this host allocate memory for a large frame.
-fn limited(reader: OwnedReadHalf) -> Reader {
+fn limited_reader(reader: OwnedReadHalf) -> Reader {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(HELLO_LIMIT)
         .new_codec();
     FramedRead::with_capacity(reader, codec, HELLO_LIMIT)
 }
 
-fn met(hello: Hello, mut reader: Reader, writer: OwnedWriteHalf) -> Met {
+fn connection(hello: Hello, mut reader: Reader, writer: OwnedWriteHalf) -> PeerConnection {
     reader.decoder_mut().set_max_frame_length(MESSAGE_LIMIT);
-    Met {
+    PeerConnection {
         peer: HostKey::named(&hello.name),
         hello,
         reader,
@@ -215,28 +215,30 @@
     }
 }
 
-async fn read(reader: &mut Reader) -> Result<PeerMessage, MeetError> {
-    let frame = timeout(HELLO_TIMEOUT, reader.next())
+async fn read(reader: &mut Reader) -> Result<PeerMessage, HandshakeError> {
+    let frame = timeout(HANDSHAKE_TIMEOUT, reader.next())
         .await
         .ok()
         .flatten()
-        .ok_or(MeetError::Silent)??;
-    counters::received(frame.len());
+        .ok_or(HandshakeError::Silent)??;
+    counters::count_received(frame.len());
     Ok(PeerMessage::decode(frame.freeze())?)
 }
 
-async fn write(writer: &mut OwnedWriteHalf, message: &PeerMessage) -> Result<(), MeetError> {
+async fn write(writer: &mut OwnedWriteHalf, message: &PeerMessage) -> Result<(), HandshakeError> {
     let bytes: Bytes = message.encode();
     let mut buffer = BytesMut::new();
     frame(&mut buffer, &bytes);
-    counters::sent(buffer.len());
-    within(HELLO_TIMEOUT, writer.write_all(&buffer)).await
+    counters::count_sent(buffer.len());
+    within(HANDSHAKE_TIMEOUT, writer.write_all(&buffer)).await
 }
 
 async fn within(
     limit: Duration,
     write: impl Future<Output = io::Result<()>>,
-) -> Result<(), MeetError> {
-    let written = timeout(limit, write).await.map_err(|_| MeetError::Silent)?;
+) -> Result<(), HandshakeError> {
+    let written = timeout(limit, write)
+        .await
+        .map_err(|_| HandshakeError::Silent)?;
     Ok(written?)
 }
--- a/components/transport/src/peers/host_list.rs
+++ b/components/transport/src/peers/host_list.rs
@@ -8,7 +8,7 @@
 use ureq::Agent;
 
 /// Time-out of a request for the list.
-const LIMIT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One entry of the list.
 #[value]
@@ -58,7 +58,7 @@
     let config = Agent::config_builder()
         .max_redirects(0)
         .proxy(None)
-        .timeout_global(Some(LIMIT))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build();
     let mut response = Agent::new_with_config(config)
         .get(format!("http://{address}/hosts"))
--- a/components/transport/src/peers/links.rs
+++ b/components/transport/src/peers/links.rs
@@ -20,19 +20,19 @@
 use tokio_util::sync::CancellationToken;
 
 use super::counters::{self, Throttle};
-use super::handshake::{self, MeetError, Met, Reader};
-use super::table::{Opened, Table};
-use super::{FULL_MESH_LIMIT, IDLE_LIMIT, STRANGERS, socket};
+use super::handshake::{self, HandshakeError, PeerConnection, Reader};
+use super::table::{LinkTable, OpenLink};
+use super::{FULL_MESH_LIMIT, LINK_IDLE_TIMEOUT, MAX_PENDING_HANDSHAKES, socket};
 use crate::clock;
 
 /// Time-out of a TCP connect to a peer.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Interval at which missing links are dialled and unwanted ones are closed.
-const UPKEEP: Duration = Duration::from_millis(100);
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a replaced link stays open to deliver the messages already sent on it.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Receives the messages of peers.
 pub trait MessageHandler: Send + Sync {
@@ -40,7 +40,7 @@
     fn handle(&self, from: HostKey, message: PeerMessage);
 
     /// Returns the configuration to send to a host that requests it. May block.
-    fn offer(&self) -> Option<ConfigOffer> {
+    fn config_offer(&self) -> Option<ConfigOffer> {
         None
     }
 }
@@ -61,8 +61,8 @@
     me: HostKey,
     identity: Mutex<Identity>,
     config: watch::Receiver<Arc<Config>>,
-    table: Mutex<Table>,
-    strangers: Arc<Semaphore>,
+    table: Mutex<LinkTable>,
+    handshake_permits: Arc<Semaphore>,
     throttle: Throttle,
     dial_now: Notify,
     view: watch::Sender<Arc<LiveView>>,
@@ -84,8 +84,8 @@
             me,
             identity: Mutex::new(identity),
             config,
-            table: Mutex::new(Table::new(me)),
-            strangers: Arc::new(Semaphore::new(STRANGERS)),
+            table: Mutex::new(LinkTable::new(me)),
+            handshake_permits: Arc::new(Semaphore::new(MAX_PENDING_HANDSHAKES)),
             throttle: Throttle::default(),
             dial_now: Notify::new(),
             view: watch::channel(Arc::default()).0,
@@ -94,9 +94,9 @@
     }
 
     /// Starts to accept and dial links on the current runtime.
-    pub fn run(self: &Arc<Self>, listener: TcpListener, receive: Arc<dyn MessageHandler>) {
-        tokio::spawn(Arc::clone(self).accept(listener, Arc::clone(&receive)));
-        tokio::spawn(Arc::clone(self).keep_up(receive));
+    pub fn run(self: &Arc<Self>, listener: TcpListener, handler: Arc<dyn MessageHandler>) {
+        tokio::spawn(Arc::clone(self).accept(listener, Arc::clone(&handler)));
+        tokio::spawn(Arc::clone(self).run_upkeep(handler));
     }
 
     /// Closes all links.
@@ -116,7 +116,7 @@
     }
 
     /// Sets a new incarnation, under which this host will join again, and closes all links.
-    pub fn renew(&self, incarnation: u64) {
+    pub fn set_incarnation(&self, incarnation: u64) {
         lock(&self.identity).incarnation = incarnation;
         self.table().retain(|_, _| false);
     }
@@ -160,11 +160,11 @@
     /// Senders repeat the messages that must arrive.
     pub fn send(&self, to: HostKey, message: &PeerMessage) -> bool {
         if !self.config.borrow().members.contains_key(&to) {
-            counters::dropped("no_member", 1);
+            counters::count_dropped("no_member", 1);
             return false;
         }
         let Some(route) = self.table().route(to, clock::now()) else {
-            counters::dropped("no_link", 1);
+            counters::count_dropped("no_link", 1);
             return false;
         };
         let queued = route.outbox.push(message.encode(), message.is_bulk());
@@ -174,11 +174,11 @@
         queued
     }
 
-    async fn accept(self: Arc<Self>, listener: TcpListener, receive: Arc<dyn MessageHandler>) {
+    async fn accept(self: Arc<Self>, listener: TcpListener, handler: Arc<dyn MessageHandler>) {
         loop {
             // Takes the permit before accepting: past the limit, new connections
             // wait in the kernel's queue.
-            let Ok(permit) = Arc::clone(&self.strangers).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(&self.handshake_permits).acquire_owned().await else {
                 return;
             };
             let accepted = tokio::select! {
@@ -189,41 +189,41 @@
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     log::error!("E0407 peer-accept-failed error={e:?}");
-                    tokio::time::sleep(UPKEEP).await;
+                    tokio::time::sleep(UPKEEP_INTERVAL).await;
                     continue;
                 }
             };
             let links = Arc::clone(&self);
-            let receive = Arc::clone(&receive);
+            let handler = Arc::clone(&handler);
             tokio::spawn(async move {
-                let met = links.admit(stream, &receive).await;
+                let connection = links.accept_peer(stream, &handler).await;
                 drop(permit);
-                match met {
-                    Ok(met) => {
-                        let dialer = met.peer;
-                        links.serve(met, dialer, receive).await;
+                match connection {
+                    Ok(connection) => {
+                        let dialer = connection.peer;
+                        links.run_link(connection, dialer, handler).await;
                     }
-                    Err(MeetError::Asked) => {}
-                    Err(e) => links.report("", &e),
+                    Err(HandshakeError::Asked) => {}
+                    Err(e) => links.log_refusal("", &e),
                 }
             });
         }
     }
 
-    async fn admit(
+    async fn accept_peer(
         &self,
         stream: TcpStream,
-        receive: &Arc<dyn MessageHandler>,
-    ) -> Result<Met, MeetError> {
+        handler: &Arc<dyn MessageHandler>,
+    ) -> Result<PeerConnection, HandshakeError> {
         socket::prepare(&stream)?;
         let hello = self.hello(String::new());
-        handshake::answer(stream, hello, || self.config(), receive).await
+        handshake::accept(stream, hello, || self.config(), handler).await
     }
 
     /// Dials missing links and closes those that are no longer wanted, until stopped.
-    async fn keep_up(self: Arc<Self>, receive: Arc<dyn MessageHandler>) {
+    async fn run_upkeep(self: Arc<Self>, handler: Arc<dyn MessageHandler>) {
         let mut config = self.config.clone();
-        let mut tick = interval(UPKEEP);
+        let mut tick = interval(UPKEEP_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -232,11 +232,11 @@
                 () = self.dial_now.notified() => {}
                 changed = config.changed() => if changed.is_err() { return },
             }
-            self.upkeep(&receive);
+            self.upkeep(&handler);
         }
     }
 
-    fn upkeep(self: &Arc<Self>, receive: &Arc<dyn MessageHandler>) {
+    fn upkeep(self: &Arc<Self>, handler: &Arc<dyn MessageHandler>) {
         let config = self.config();
         let now = clock::now();
         let mut table = self.table();
@@ -248,19 +248,19 @@
         if !config.members.contains_key(&self.me) {
             return;
         }
-        let mut wanted = table.wanted();
+        let mut wanted = table.dial_wanted();
         if config.members.len() <= FULL_MESH_LIMIT {
             // The host with the smaller key dials, so that a pair opens one link, not two.
             wanted.extend(config.members.range(self.me..).skip(1).map(|(h, _)| *h));
         } else {
-            for host in table.idle(now - IDLE_LIMIT) {
+            for host in table.idle(now - LINK_IDLE_TIMEOUT) {
                 table.close_link(host);
             }
         }
         wanted.retain(|host| table.start_dial(*host, now));
         drop(table);
         for host in wanted {
-            self.spawn_dial(&config, host, receive);
+            self.spawn_dial(&config, host, handler);
         }
     }
 
@@ -268,52 +268,57 @@
         self: &Arc<Self>,
         config: &Config,
         host: HostKey,
-        receive: &Arc<dyn MessageHandler>,
+        handler: &Arc<dyn MessageHandler>,
     ) {
         let Some(member) = config.members.get(&host).cloned() else {
             self.table().fail_dial(host, clock::now(), 0.0);
             return;
         };
         let links = Arc::clone(self);
-        let receive = Arc::clone(receive);
-        tokio::spawn(async move { links.dial(host, member, receive).await });
+        let handler = Arc::clone(handler);
+        tokio::spawn(async move { links.dial(host, member, handler).await });
     }
 
     async fn dial(
         self: Arc<Self>,
         host: HostKey,
         member: Member,
-        receive: Arc<dyn MessageHandler>,
+        handler: Arc<dyn MessageHandler>,
     ) {
-        let error = match self.meet(&member).await {
-            Ok(met) => return self.serve(met, self.me, receive).await,
+        let error = match self.connect(&member).await {
+            Ok(connection) => return self.run_link(connection, self.me, handler).await,
             Err(error) => error,
         };
         let jitter = rand::rng().random();
         self.table().fail_dial(host, clock::now(), jitter);
-        self.report(&member.name, &error);
-        if let MeetError::RefusedBy(refused) = error {
-            receive.handle(host, PeerMessage::Refused(refused));
+        self.log_refusal(&member.name, &error);
+        if let HandshakeError::RefusedBy(refused) = error {
+            handler.handle(host, PeerMessage::Refused(refused));
         }
     }
 
-    async fn meet(&self, member: &Member) -> Result<Met, MeetError> {
+    async fn connect(&self, member: &Member) -> Result<PeerConnection, HandshakeError> {
         let stream = timeout(DIAL_TIMEOUT, TcpStream::connect(member.peer))
             .await
-            .map_err(|_| MeetError::Silent)??;
+            .map_err(|_| HandshakeError::Silent)??;
         socket::prepare(&stream)?;
         let hello = self.hello(member.name.clone());
-        handshake::greet(stream, &hello, || self.config()).await
+        handshake::initiate(stream, &hello, || self.config()).await
     }
 
     /// Runs one link until it is closed.
-    async fn serve(&self, met: Met, dialer: HostKey, receive: Arc<dyn MessageHandler>) {
-        let Met {
+    async fn run_link(
+        &self,
+        connection: PeerConnection,
+        dialer: HostKey,
+        handler: Arc<dyn MessageHandler>,
+    ) {
+        let PeerConnection {
             peer,
             hello,
             reader,
             writer,
-        } = met;
+        } = connection;
         let Some(opened) = self
             .table()
             .open(peer, hello.incarnation, dialer, clock::now())
@@ -325,12 +330,12 @@
             hello.name,
             hello.incarnation
         );
-        receive.handle(peer, PeerMessage::Hello(hello.clone()));
+        handler.handle(peer, PeerMessage::Hello(hello.clone()));
         let stop = opened.stop.clone();
         let error = tokio::select! {
-            error = self.read_all(peer, reader, &receive) => error,
-            error = write_all(writer, &opened) => error,
-            () = drained(&stop) => None,
+            error = self.read_messages(peer, reader, &handler) => error,
+            error = write_messages(writer, &opened) => error,
+            () = wait_drained(&stop) => None,
         };
         if self.table().close(peer, opened.serial) {
             let why = error.unwrap_or_else(|| "closed".into());
@@ -338,27 +343,27 @@
         }
     }
 
-    async fn read_all(
+    async fn read_messages(
         &self,
         peer: HostKey,
         mut reader: Reader,
-        receive: &Arc<dyn MessageHandler>,
+        handler: &Arc<dyn MessageHandler>,
     ) -> Option<String> {
         while let Some(frame) = reader.next().await {
             let frame = match frame {
                 Ok(frame) => frame.freeze(),
                 Err(e) => {
-                    let error = MeetError::Io(e);
-                    self.report("", &error);
+                    let error = HandshakeError::Io(e);
+                    self.log_refusal("", &error);
                     return Some(error.to_string());
                 }
             };
-            counters::received(frame.len() + super::outbox::LENGTH_FIELD);
+            counters::count_received(frame.len() + super::outbox::LENGTH_FIELD);
             match PeerMessage::decode(frame) {
-                Ok(message) => receive.handle(peer, message),
+                Ok(message) => handler.handle(peer, message),
                 Err(e) => {
-                    let error = MeetError::Protocol(e);
-                    self.report("", &error);
+                    let error = HandshakeError::Protocol(e);
+                    self.log_refusal("", &error);
                     return Some(error.to_string());
                 }
             }
@@ -366,11 +371,11 @@
         None
     }
 
-    fn report(&self, host: &str, error: &MeetError) {
-        counters::refused(error.label());
+    fn log_refusal(&self, host: &str, error: &HandshakeError) {
+        counters::count_refusal(error.label());
         // Members learn of a new host at different times, so this refusal is
         // expected during a join and no reason for a warning.
-        let level = match error.is_no_member() {
+        let level = match error.is_membership_error() {
             true => log::Level::Info,
             false => log::Level::Warn,
         };
@@ -399,12 +404,12 @@
         Arc::clone(&self.config.borrow())
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, LinkTable> {
         lock(&self.table)
     }
 }
 
-async fn write_all(mut writer: OwnedWriteHalf, opened: &Opened) -> Option<String> {
+async fn write_messages(mut writer: OwnedWriteHalf, opened: &OpenLink) -> Option<String> {
     let mut buffer = BytesMut::new();
     loop {
         tokio::select! {
@@ -423,9 +428,9 @@
     std::future::pending().await
 }
 
-async fn drained(stop: &CancellationToken) {
+async fn wait_drained(stop: &CancellationToken) {
     stop.cancelled().await;
-    tokio::time::sleep(DRAIN).await;
+    tokio::time::sleep(DRAIN_TIMEOUT).await;
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -23,13 +23,13 @@
 use crate::clock;
 use crate::log::{CommandRequest, Follower, Outcome, Submission};
 
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval at which the platform's list of hosts is read.
-const LIST_EVERY: Duration = Duration::from_secs(5);
+const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long ago a joining host may have last seen the end of the `config` stream.
-const CURRENT: Duration = Duration::from_secs(3);
+const MAX_LOG_AGE: Duration = Duration::from_secs(3);
 
 /// The dependencies of [`Members`].
 pub struct MembersOptions {
@@ -49,9 +49,9 @@
 pub struct Members {
     links: Arc<Links>,
     detector: Mutex<Detector>,
-    joining: Mutex<Membership>,
+    membership: Mutex<Membership>,
     options: MembersOptions,
-    receive: Arc<dyn MessageHandler>,
+    handler: Arc<dyn MessageHandler>,
     stop: CancellationToken,
 }
 
@@ -61,16 +61,16 @@
         options: MembersOptions,
         listener: TcpListener,
         links: Arc<Links>,
-        receive: Arc<dyn MessageHandler>,
+        handler: Arc<dyn MessageHandler>,
     ) -> Arc<Members> {
         let now = clock::now();
         let id = member_id(&links.identity());
         let members = Arc::new(Members {
             links,
             detector: Mutex::new(Detector::new(id, now)),
-            joining: Mutex::new(Membership::new(now)),
+            membership: Mutex::new(Membership::new(now)),
             options,
-            receive,
+            handler,
             stop: CancellationToken::new(),
         });
         let changes = members.options.follower.changes();
@@ -78,9 +78,9 @@
         members
             .links
             .run(listener, Arc::clone(&members) as Arc<dyn MessageHandler>);
-        tokio::spawn(Arc::clone(&members).follow(changes));
-        tokio::spawn(Arc::clone(&members).tick_on());
-        tokio::spawn(Arc::clone(&members).read_list());
+        tokio::spawn(Arc::clone(&members).follow_config(changes));
+        tokio::spawn(Arc::clone(&members).run_ticks());
+        tokio::spawn(Arc::clone(&members).poll_host_list());
         members
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Returns what is known of the previous `owner` after the change at offset `change`.
-    pub fn settled(&self, owner: MemberId, change: u64) -> OwnerStatus {
+    pub fn owner_status(&self, owner: MemberId, change: u64) -> OwnerStatus {
         self.detector().owner_status(owner, change)
     }
 
@@ -133,10 +133,10 @@
     /// Returns false where that did not happen within `limit`; the others then
     /// remove this host after they have stopped receiving its heartbeats.
     pub async fn leave(&self, limit: Duration) -> bool {
-        lock(&self.joining).leave();
+        lock(&self.membership).leave();
         let left = async {
             while self.detector().is_member() {
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
             }
         };
         tokio::time::timeout(limit, left).await.is_ok()
@@ -148,7 +148,7 @@
         self.links.stop();
     }
 
-    async fn follow(self: Arc<Self>, mut changes: broadcast::Receiver<Arc<Config>>) {
+    async fn follow_config(self: Arc<Self>, mut changes: broadcast::Receiver<Arc<Config>>) {
         loop {
             let changed = tokio::select! {
                 () = self.stop.cancelled() => return,
@@ -162,9 +162,9 @@
         }
     }
 
-    async fn tick_on(self: Arc<Self>) {
+    async fn run_ticks(self: Arc<Self>) {
         let mut progress = self.options.follower.progress();
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -191,8 +191,8 @@
         let id = member_id(&identity);
         let member = is_member(&self.config(), id);
         let progress = self.options.follower.progress();
-        let current = progress.borrow().is_fresh(now, CURRENT);
-        let step = lock(&self.joining).step(member, current, now);
+        let current = progress.borrow().is_fresh(now, MAX_LOG_AGE);
+        let step = lock(&self.membership).step(member, current, now);
         match step {
             Step::Wait => {}
             Step::Join => self.submit(Change::Join {
@@ -205,7 +205,7 @@
                 host: id.host,
                 incarnation: id.incarnation,
             }),
-            Step::Renew => self.renew(),
+            Step::Renew => self.renew_incarnation(),
         }
     }
 
@@ -213,10 +213,10 @@
     ///
     /// The slots of the old incarnation may have other owners by now, and the
     /// other members refuse its messages.
-    fn renew(&self) {
+    fn renew_incarnation(&self) {
         let incarnation = rand::rng().random();
         log::warn!("E0414 removed-by-others new-incarnation={incarnation}");
-        self.links.renew(incarnation);
+        self.links.set_incarnation(incarnation);
         *self.detector() = Detector::new(self.own_id(), clock::now());
         self.configure(&self.config());
     }
@@ -241,8 +241,8 @@
         });
     }
 
-    async fn read_list(self: Arc<Self>) {
-        let mut tick = interval(LIST_EVERY);
+    async fn poll_host_list(self: Arc<Self>) {
+        let mut tick = interval(LIST_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -272,7 +272,7 @@
 
     fn configure(&self, config: &Config) {
         if is_member(config, self.own_id()) {
-            lock(&self.joining).joined(clock::now());
+            lock(&self.membership).joined(clock::now());
         }
         self.with_detector(|d| d.configure(config, clock::now()));
         let view = self.detector().view();
@@ -284,20 +284,20 @@
         let mut detector = self.detector();
         work(&mut detector);
         let actions = detector.actions();
-        let news = actions
+        let changed = actions
             .iter()
             .any(|a| matches!(a, Action::Suspected(_) | Action::Refuted(_)));
-        let view = news.then(|| detector.view());
+        let view = changed.then(|| detector.view());
         drop(detector);
         if let Some(view) = view {
             self.links.publish(view);
         }
         for action in actions {
-            self.act(action);
+            self.run_action(action);
         }
     }
 
-    fn act(&self, action: Action) {
+    fn run_action(&self, action: Action) {
         match action {
             Action::Send(to, message) => {
                 self.links.send(to, &PeerMessage::Member(message));
@@ -323,11 +323,11 @@
         }
     }
 
-    fn hand_over(&self, to: HostKey) {
+    fn send_config(&self, to: HostKey) {
         let follower = Arc::clone(&self.options.follower);
         let links = Arc::clone(&self.links);
         tokio::task::spawn_blocking(move || {
-            if let Some(offer) = offer(&follower) {
+            if let Some(offer) = config_offer(&follower) {
                 links.send(to, &PeerMessage::Config(offer));
             }
         });
@@ -358,20 +358,20 @@
             PeerMessage::Member(m) => self.with_detector(|d| d.receive(from, &m, now)),
             // The refusing host may know of a removal that this host does not.
             PeerMessage::Refused(_) => self.options.follower.resume(),
-            PeerMessage::AskConfig => self.hand_over(from),
+            PeerMessage::AskConfig => self.send_config(from),
             PeerMessage::Config(offer) => {
                 self.options.follower.install_record(&offer.body);
             }
-            other => self.receive.handle(from, other),
+            other => self.handler.handle(from, other),
         }
     }
 
-    fn offer(&self) -> Option<ConfigOffer> {
-        offer(&self.options.follower)
+    fn config_offer(&self) -> Option<ConfigOffer> {
+        config_offer(&self.options.follower)
     }
 }
 
-fn offer(follower: &Follower) -> Option<ConfigOffer> {
+fn config_offer(follower: &Follower) -> Option<ConfigOffer> {
     let snapshot = follower.snapshot()?;
     let body = encode_snapshot(&snapshot);
     if body.len() + 64 > MESSAGE_LIMIT {
--- a/components/transport/src/peers/mod.rs
+++ b/components/transport/src/peers/mod.rs
@@ -15,7 +15,7 @@
 mod table;
 
 pub use coordination::members::LiveView;
-pub use handshake::{MeetError, fetch_config};
+pub use handshake::{HandshakeError, fetch_config};
 pub use links::{Identity, Links, MessageHandler};
 pub use members::{Members, MembersOptions};
 
@@ -29,7 +29,7 @@
 pub const FULL_MESH_LIMIT: usize = 34;
 
 /// How long a link may be unused before it is closed, with more than [`FULL_MESH_LIMIT`] members.
-pub const IDLE_LIMIT: Duration = Duration::from_secs(60);
+pub const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Idle time after which the kernel sends TCP keep-alive probes on a link.
 pub const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
@@ -39,10 +39,10 @@
 /// A device between two hosts can lose the state of a connection and then
 /// silently drop all packets. Two seconds later the link is closed and a new
 /// one is dialled.
-pub const USER_TIMEOUT: Duration = Duration::from_secs(2);
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a peer may take to send its hello message.
-pub const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Largest number of accepted connections whose handshake is not complete.
-pub const STRANGERS: usize = 64;
+pub const MAX_PENDING_HANDSHAKES: usize = 64;
--- a/components/transport/src/peers/outbox.rs
+++ b/components/transport/src/peers/outbox.rs
@@ -43,7 +43,7 @@
             false => queues.control.len() < CONTROL_LIMIT,
         };
         if !fits {
-            counters::dropped("full", 1);
+            counters::count_dropped("full", 1);
             return false;
         }
         if bulk {
@@ -70,7 +70,7 @@
     /// Drops all queued messages, after their link was closed.
     pub fn clear(&self) {
         let mut queues = self.queues();
-        counters::dropped("no_link", queues.control.len() + queues.bulk.len());
+        counters::count_dropped("no_link", queues.control.len() + queues.bulk.len());
         *queues = Queues::default();
     }
 
@@ -80,7 +80,7 @@
             let Some(message) = queues.next() else {
                 break;
             };
-            counters::sent(message.len() + LENGTH_FIELD);
+            counters::count_sent(message.len() + LENGTH_FIELD);
             frame(buffer, &message);
         }
         !buffer.is_empty()
--- a/components/transport/src/peers/socket.rs
+++ b/components/transport/src/peers/socket.rs
@@ -6,7 +6,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-use super::{KEEPALIVE_IDLE, USER_TIMEOUT};
+use super::{KEEPALIVE_IDLE, TCP_USER_TIMEOUT};
 
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -22,5 +22,5 @@
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/components/transport/src/peers/table.rs
+++ b/components/transport/src/peers/table.rs
@@ -9,14 +9,14 @@
 
 use super::outbox::Outbox;
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// How far apart two links of a pair may open and still count as dialled at the same time.
-const DOUBLE_DIAL: Duration = Duration::from_secs(1);
+const DOUBLE_DIAL_WINDOW: Duration = Duration::from_secs(1);
 
-const LAST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// The peers that this host has a link to or messages for.
-pub struct Table {
+pub struct LinkTable {
     me: HostKey,
     peers: BTreeMap<HostKey, Peer>,
     serial: u64,
@@ -27,16 +27,16 @@
     /// The messages queued for the peer.
     pub outbox: Arc<Outbox>,
     /// When the link was opened or a message was last queued for the peer.
-    pub used: Moment,
-    active: Option<Active>,
-    wanted: bool,
+    pub last_used: Moment,
+    active: Option<ActiveLink>,
+    dial_wanted: bool,
     dialing: bool,
     failures: u32,
     retry_at: Moment,
 }
 
 /// The link in use between this host and a peer.
-struct Active {
+struct ActiveLink {
     serial: u64,
     incarnation: u64,
     dialer: HostKey,
@@ -45,7 +45,7 @@
 }
 
 /// A link that was added to the table.
-pub struct Opened {
+pub struct OpenLink {
     /// Identifies the link until it is closed.
     pub serial: u64,
     /// The messages to write on the link.
@@ -62,10 +62,10 @@
     pub dial: bool,
 }
 
-impl Table {
+impl LinkTable {
     /// Returns a table without links.
-    pub fn new(me: HostKey) -> Table {
-        Table {
+    pub fn new(me: HostKey) -> LinkTable {
+        LinkTable {
             me,
             peers: BTreeMap::new(),
             serial: 0,
@@ -101,7 +101,7 @@
         incarnation: u64,
         dialer: HostKey,
         now: Moment,
-    ) -> Option<Opened> {
+    ) -> Option<OpenLink> {
         self.serial += 1;
         let serial = self.serial;
         let peer = self.peer(host);
@@ -110,7 +110,7 @@
             Some(old)
                 if old.incarnation == incarnation
                     && old.dialer < dialer
-                    && now.since(old.opened) < DOUBLE_DIAL =>
+                    && now.since(old.opened) < DOUBLE_DIAL_WINDOW =>
             {
                 return None;
             }
@@ -118,7 +118,7 @@
             None => {}
         }
         let stop = CancellationToken::new();
-        peer.active = Some(Active {
+        peer.active = Some(ActiveLink {
             serial,
             incarnation,
             dialer,
@@ -126,8 +126,8 @@
             stop: stop.clone(),
         });
         peer.failures = 0;
-        peer.used = now;
-        Some(Opened {
+        peer.last_used = now;
+        Some(OpenLink {
             serial,
             outbox: Arc::clone(&peer.outbox),
             stop,
@@ -161,7 +161,7 @@
         let peer = self.peer(host);
         let due = host != me && peer.active.is_none() && !peer.dialing && peer.retry_at <= now;
         peer.dialing |= due;
-        peer.wanted &= !due;
+        peer.dial_wanted &= !due;
         due
     }
 
@@ -172,9 +172,9 @@
     pub fn fail_dial(&mut self, host: HostKey, now: Moment, jitter: f64) {
         let peer = self.peer(host);
         peer.dialing = false;
-        let pause = FIRST_BACKOFF
+        let pause = MIN_BACKOFF
             .saturating_mul(1 << peer.failures.min(8))
-            .min(LAST_BACKOFF);
+            .min(MAX_BACKOFF);
         peer.failures += 1;
         peer.retry_at = now + pause.mul_f64(0.5 + 0.5 * jitter);
         if peer.active.is_none() {
@@ -193,8 +193,8 @@
         if host == me || (!underway && now < peer.retry_at) {
             return None;
         }
-        peer.used = now;
-        peer.wanted |= !underway;
+        peer.last_used = now;
+        peer.dial_wanted |= !underway;
         Some(Route {
             outbox: Arc::clone(&peer.outbox),
             dial: !underway,
@@ -202,8 +202,8 @@
     }
 
     /// Returns the peers that have queued messages but no link.
-    pub fn wanted(&self) -> Vec<HostKey> {
-        let peers = self.peers.iter().filter(|(_, p)| p.wanted);
+    pub fn dial_wanted(&self) -> Vec<HostKey> {
+        let peers = self.peers.iter().filter(|(_, p)| p.dial_wanted);
         peers.map(|(host, _)| *host).collect()
     }
 
@@ -224,7 +224,7 @@
 
     /// Returns the linked peers that were last used before `limit`.
     pub fn idle(&self, limit: Moment) -> Vec<HostKey> {
-        let idle = |p: &Peer| p.active.is_some() && p.used < limit;
+        let idle = |p: &Peer| p.active.is_some() && p.last_used < limit;
         let peers = self.peers.iter().filter(|(_, p)| idle(p));
         peers.map(|(host, _)| *host).collect()
     }
@@ -234,9 +234,9 @@
     fn new() -> Peer {
         Peer {
             outbox: Arc::default(),
-            used: Moment(0),
+            last_used: Moment(0),
             active: None,
-            wanted: false,
+            dial_wanted: false,
             dialing: false,
             failures: 0,
             retry_at: Moment(0),
--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -10,7 +10,7 @@
 use stand_ins::store::{Loss, Outage};
 use transport::claims::{CachedAnswer, ClaimEnding, ClaimTicket, Verdict, WorkerOptions};
 
-const PATIENCE: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn answer() -> CachedAnswer {
     CachedAnswer {
@@ -21,11 +21,11 @@
 }
 
 async fn claim(host: &Host, key: &str) -> Verdict {
-    host.claims.claim(request(key, 0, PATIENCE)).await
+    host.claims.claim(request(key, 0, CALL_TIMEOUT)).await
 }
 
 /// Claims until the verdict is not "not run", like a caller that retries.
-async fn claim_at_last(host: &Host, key: &str) -> Verdict {
+async fn claim_with_retries(host: &Host, key: &str) -> Verdict {
     for _ in 0..200 {
         match claim(host, key).await {
             Verdict::NotRun(_) => tokio::time::sleep(Duration::from_millis(50)).await,
@@ -68,8 +68,8 @@
             host.claims.end(ticket, ClaimEnding::Answered(answer()));
             true
         }
-        Verdict::Known(kept) => {
-            assert_eq!(kept, answer());
+        Verdict::Known(cached) => {
+            assert_eq!(cached, answer());
             false
         }
         other => panic!("{other:?}"),
@@ -87,7 +87,7 @@
         .end(ran, ClaimEnding::Answered(answer()));
     for host in &site.hosts {
         assert_eq!(claim(host, "deposit").await, Verdict::Known(answer()));
-        let other = host.claims.claim(request("deposit", 1, PATIENCE)).await;
+        let other = host.claims.claim(request("deposit", 1, CALL_TIMEOUT)).await;
         assert_eq!(other, Verdict::Mismatch);
     }
 }
@@ -99,8 +99,8 @@
 async fn hung_first_call() {
     let site = Site::start(2, WorkerOptions::default()).await;
     ticket(&claim(&site.hosts[0], "deposit").await);
-    let patience = Duration::from_secs(600);
-    let repeat = site.hosts[1].claims.claim(request("deposit", 0, patience));
+    let timeout = Duration::from_secs(600);
+    let repeat = site.hosts[1].claims.claim(request("deposit", 0, timeout));
     let verdict = tokio::time::timeout(Duration::from_secs(30), repeat).await;
     assert_eq!(
         verdict.expect("the verdict is returned before the deadline"),
@@ -114,7 +114,7 @@
     let site = Site::start(2, WorkerOptions::default()).await;
     let shed = ticket(&claim(&site.hosts[0], "deposit").await);
     site.hosts[0].claims.end(shed, ClaimEnding::NotRun);
-    ticket(&claim_at_last(&site.hosts[0], "deposit").await);
+    ticket(&claim_with_retries(&site.hosts[0], "deposit").await);
     let repeat = site.hosts[1]
         .claims
         .claim(request("deposit", 0, Duration::from_millis(500)));
@@ -133,7 +133,7 @@
     let dead = site.kill(runner);
     for host in &site.hosts {
         until(|| !host.links.view().borrow().is_alive(dead)).await;
-        assert_eq!(claim_at_last(host, "deposit").await, Verdict::Started);
+        assert_eq!(claim_with_retries(host, "deposit").await, Verdict::Started);
     }
 }
 
@@ -148,14 +148,14 @@
     ticket(&claim(&site.hosts[runner], "deposit").await);
     site.kill(index);
     for host in &site.hosts {
-        assert_eq!(claim_at_last(host, "deposit").await, Verdict::Started);
+        assert_eq!(claim_with_retries(host, "deposit").await, Verdict::Started);
     }
-    ticket(&claim_at_last(&site.hosts[0], "another").await);
+    ticket(&claim_with_retries(&site.hosts[0], "another").await);
 }
 
 fn home(site: &Site, key: &str) -> state::HostKey {
     let view = site.hosts[0].links.view().borrow().clone();
-    let key: ClaimKey = transport::claims::claim_key(&request(key, 0, PATIENCE));
+    let key: ClaimKey = transport::claims::claim_key(&request(key, 0, CALL_TIMEOUT));
     transport::claims::home_of(key.stream(), &view).unwrap()
 }
 
@@ -164,7 +164,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_lost() {
     let site = Site::start(2, WorkerOptions::default()).await;
-    ticket(&claim_at_last(&site.hosts[0], "before").await);
+    ticket(&claim_with_retries(&site.hosts[0], "before").await);
     site.log.change(|b| {
         b.loss = Some(Loss::Gateway);
         b.losses = 1;
@@ -186,10 +186,10 @@
         assert!(matches!(claim(host, "deposit").await, Verdict::NotRun(_)));
     }
     site.log.change(|b| b.outage = None);
-    let ran = ticket(&claim_at_last(&site.hosts[0], "deposit").await);
+    let ran = ticket(&claim_with_retries(&site.hosts[0], "deposit").await);
     site.hosts[0].claims.end(ran, ClaimEnding::Unknown);
     assert_eq!(
-        claim_at_last(&site.hosts[1], "deposit").await,
+        claim_with_retries(&site.hosts[1], "deposit").await,
         Verdict::Started
     );
 }
@@ -206,7 +206,7 @@
         .claim(request("deposit", 0, Duration::from_millis(300)));
     assert!(matches!(refused.await, Verdict::NotRun(_)));
     site.log.change(|b| b.outage = None);
-    ticket(&claim_at_last(&site.hosts[1], "deposit").await);
+    ticket(&claim_with_retries(&site.hosts[1], "deposit").await);
 }
 
 // The store is slower than the home's time-out, so claims are appended without
@@ -220,7 +220,7 @@
         .claim(request("deposit", 0, Duration::from_secs(4)));
     assert!(matches!(refused.await, Verdict::NotRun(_)));
     site.log.change(|b| b.slow_ms = 0);
-    ticket(&claim_at_last(&site.hosts[1], "deposit").await);
+    ticket(&claim_with_retries(&site.hosts[1], "deposit").await);
 }
 
 // The caller closes its connection while its key is being claimed. The claim
@@ -237,7 +237,7 @@
                 ticket(&verdict);
             }
             Err(_) => {
-                ticket(&claim_at_last(&site.hosts[1], &key).await);
+                ticket(&claim_with_retries(&site.hosts[1], &key).await);
             }
         }
     }
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -85,7 +85,7 @@
 }
 
 /// Submits the ordinary preset and puts it in force.
-fn open(operator: &Submission) {
+fn choose_ordinary(operator: &Submission) {
     accepted(&operator.submit(&put(ORDINARY)));
     accepted(&operator.submit(&choose("ordinary")));
 }
@@ -188,7 +188,7 @@
     let proxy = Proxy::start(log.address()).unwrap();
     let (keeper, cut_off) = (host_at(log.address()), host_at(proxy.address()));
     let operator = operator(&log);
-    open(&operator);
+    choose_ordinary(&operator);
     wait_config(&cut_off, |c| c.revision == 2);
     proxy.set(Fault::LoseRequests);
     for n in 0..100 {
@@ -214,22 +214,22 @@
     let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let operator = operator(&log);
     let peer = host_at(log.address());
-    open(&operator);
+    choose_ordinary(&operator);
     wait_config(&peer, |c| c.revision == 2);
-    let (old_mark, old_word) = peer.snapshot_record().unwrap();
+    let (old_position, old_snapshot) = peer.snapshot_record().unwrap();
     accepted(&operator.submit(&put(PEAK)));
     accepted(&operator.submit(&choose("peak")));
     wait_config(&peer, |c| c.revision == 4);
-    let (mark, word) = peer.snapshot_record().unwrap();
-    assert!((old_mark.revision, mark.revision) == (2, 4));
+    let (position, snapshot) = peer.snapshot_record().unwrap();
+    assert!((old_position.revision, position.revision) == (2, 4));
     log.change(|b| b.outage = Some(Outage::Refusing));
     let new = host_at(log.address());
     wait_for("no reason given", || {
         new.ready()
             .is_err_and(|reason| reason.contains("status 503"))
     });
-    assert!(new.install_record(&word));
-    assert!(!new.install_record(&old_word));
+    assert!(new.install_record(&snapshot));
+    assert!(!new.install_record(&old_snapshot));
     assert!(!new.install_record(&Bytes::from_static(b"noise")));
     assert_eq!(new.ready(), Ok(()));
     assert_eq!(new.config().borrow().chosen.as_deref(), Some("peak"));
@@ -248,7 +248,7 @@
     let proxy = Proxy::start(log.address()).unwrap();
     let host = host_at(proxy.address());
     let operator = operator(&log);
-    open(&operator);
+    choose_ordinary(&operator);
     wait_config(&host, |c| c.revision == 2);
     for revision in 3..6 {
         proxy.silence();
@@ -264,7 +264,7 @@
     let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
     let host = host_at(log.address());
     let operator = operator(&log);
-    open(&operator);
+    choose_ordinary(&operator);
     log.change(|b| b.slow_ms = 1_000);
     let command = coordination::config::Command {
         id: CommandId::new(2, 1),
@@ -284,7 +284,7 @@
     log.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
     let host = host_at(log.address());
     let operator = operator(&log);
-    open(&operator);
+    choose_ordinary(&operator);
     log.append(CONFIG_STREAM, Bytes::new());
     accepted(&operator.submit(&join("trent-1")));
     wait_config(&host, |c| c.revision == 3);
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -60,7 +60,7 @@
 pub struct ScriptedServer {
     /// The listening address.
     pub address: SocketAddr,
-    journal: Arc<Mutex<ServerRecord>>,
+    record: Arc<Mutex<ServerRecord>>,
     task: JoinHandle<()>,
 }
 
@@ -71,17 +71,17 @@
     ) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let journal = Arc::new(Mutex::new(ServerRecord::default()));
-        let shared = Arc::clone(&journal);
+        let record = Arc::new(Mutex::new(ServerRecord::default()));
+        let shared = Arc::clone(&record);
         let script = Arc::new(script);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let number = {
-                    let mut journal = shared.lock().expect("the journal");
-                    journal.accepted += 1;
-                    journal.accepted - 1
+                    let mut record = shared.lock().expect("the journal");
+                    record.accepted += 1;
+                    record.accepted - 1
                 };
-                tokio::spawn(converse(
+                tokio::spawn(serve_connection(
                     stream,
                     number,
                     Arc::clone(&shared),
@@ -91,7 +91,7 @@
         });
         ScriptedServer {
             address,
-            journal,
+            record,
             task,
         }
     }
@@ -103,17 +103,17 @@
 
     /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<RecordedRequest> {
-        self.journal.lock().expect("the journal").requests.clone()
+        self.record.lock().expect("the journal").requests.clone()
     }
 
     /// Returns the number of hanging replies whose connection the other end closed.
     pub fn cancelled(&self) -> usize {
-        self.journal.lock().expect("the journal").cancelled
+        self.record.lock().expect("the journal").cancelled
     }
 
     /// Returns the number of accepted connections.
     pub fn accepted(&self) -> usize {
-        self.journal.lock().expect("the journal").accepted
+        self.record.lock().expect("the journal").accepted
     }
 }
 
@@ -123,17 +123,17 @@
     }
 }
 
-async fn converse(
+async fn serve_connection(
     mut stream: TcpStream,
     connection: usize,
-    journal: Arc<Mutex<ServerRecord>>,
+    record: Arc<Mutex<ServerRecord>>,
     script: Arc<impl Fn(usize, &RecordedRequest) -> Reply + Send + Sync + 'static>,
 ) {
     while let Some(request) = read_request(&mut stream, connection).await {
         let number = {
-            let mut journal = journal.lock().expect("the journal");
-            journal.requests.push(request.clone());
-            journal.requests.len() - 1
+            let mut record = record.lock().expect("the journal");
+            record.requests.push(request.clone());
+            record.requests.len() - 1
         };
         let (text, more) = match script(number, &request) {
             Reply::Ignore => return std::future::pending().await,
@@ -150,7 +150,7 @@
             Some(true) => {
                 let mut sink = [0; 1024];
                 while let Ok(1..) = stream.read(&mut sink).await {}
-                journal.lock().expect("the journal").cancelled += 1;
+                record.lock().expect("the journal").cancelled += 1;
                 return;
             }
         }
@@ -250,7 +250,7 @@
         let mut service = hallboard(&addresses);
         change(&mut service);
         let config = Arc::new(config(service));
-        let dispatcher = Dispatcher::new(&alone(), Arc::new(|_, _| {}));
+        let dispatcher = Dispatcher::new(&single_host(), Arc::new(|_, _| {}));
         dispatcher.configure(&config);
         let (sender, receiver) = watch::channel(config);
         let edge = Edge::with_tracing(limits, dispatcher, receiver, tracing);
@@ -368,7 +368,7 @@
 }
 
 /// Returns the setup of a single entry host, which owns all slots.
-fn alone() -> DispatcherOptions {
+fn single_host() -> DispatcherOptions {
     DispatcherOptions {
         host: HostKey::named("alone"),
         incarnation: 1,
