--- a/components/transport/src/claims/client.rs
+++ b/components/transport/src/claims/client.rs
@@ -42,8 +42,8 @@
 /// How long a repeated call waits for the first call's answer.
 ///
 /// This is long enough to return the answer to a double click. Where the first
-/// call hangs, the caller is told right after this wait, and not only near its
-/// deadline, that the call was started.
+/// call hangs, the repeated call gets the verdict that it was started right
+/// after this wait, and not only near its deadline.
 const REPEAT_WAIT: Duration = Duration::from_secs(1);
 
 /// When a caller may retry that got no verdict in time.
@@ -93,7 +93,7 @@
 }
 
 impl Claims {
-    /// Starts on the current runtime.
+    /// Starts the claims of this host on the current runtime.
     pub fn start(options: ClaimsOptions) -> Arc<Claims> {
         let me = options.links.own_key();
         let view = options.links.view();
@@ -355,9 +355,9 @@
     /// Gives the claim up, unless it was granted.
     ///
     /// A claim without a verdict may still be granted later: the caller closed
-    /// its connection, or the store was slow. The homes are told that the claim
-    /// is given up; otherwise repeated calls with the key would wait for a call
-    /// that is never sent.
+    /// its connection, or the store was slow. The homes are notified that the
+    /// claim is given up; otherwise repeated calls with the key would wait for a
+    /// call that is never sent.
     fn drop(&mut self) {
         let claims = self.claims;
         lock(&claims.pending).remove(&self.key_request.id);
--- a/components/transport/src/claims/worker.rs
+++ b/components/transport/src/claims/worker.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sends an order to the thread without waiting.
+    /// Sends an event to the thread without waiting.
     pub fn send(&self, event: Event) {
         let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         let _ = events.send(event);
@@ -153,7 +153,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // All orders that arrived during the last append share the next one.
+            // All requests that arrived during the last append share the next one.
             while let Ok(event) = events.try_recv() {
                 self.handle(event);
             }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Returns how long to wait for the next order.
+    /// Returns how long to wait for the next event.
     fn receive_timeout(&self) -> Duration {
         match self.unavailable_until {
             Some(until) => clock::now().until(until).min(self.setup.options.linger),
@@ -332,7 +332,7 @@
             .increment(1);
         if !std::mem::replace(&mut self.failing, true) {
             log::warn!(
-                "E0451 claims-log-out stream={} reason={reason:?}",
+                "E0451 claims-log-unavailable stream={} reason={reason:?}",
                 self.stream
             );
         }
@@ -342,7 +342,7 @@
 
     fn note_success(&mut self) {
         if std::mem::replace(&mut self.failing, false) {
-            log::info!("E0454 claims-log-back stream={}", self.stream);
+            log::info!("E0454 claims-log-available stream={}", self.stream);
         }
     }
 
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -18,8 +18,10 @@
 /// Time-out of a read. A store that takes longer can't be followed.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest number of reads in flight at once: one more is sent after every
-/// [`FollowerOptions::hedge_delay`](super::FollowerOptions::hedge_delay), for as long as [`READ_TIMEOUT`].
+/// Largest number of reads in flight at once.
+///
+/// While no answer arrives, another read is sent each time the hedge delay has
+/// passed. This is enough for all that are sent within [`READ_TIMEOUT`].
 const MAX_READS_IN_FLIGHT: usize = 10;
 
 /// An input to the reader's thread.
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -56,7 +56,9 @@
 }
 
 impl Members {
-    /// Starts on the current runtime. Messages that don't concern membership go to `receive`.
+    /// Starts the links and the failure detector on the current runtime.
+    ///
+    /// Messages that don't concern membership are passed to `handler`.
     pub fn start(
         options: MembersOptions,
         listener: TcpListener,
@@ -255,11 +257,11 @@
                 Ok(Ok(list)) => list,
                 // A failed read is no sign that a host is gone.
                 Ok(Err(error)) => {
-                    log::debug!("E0416 host-list-unread error={error:?}");
+                    log::debug!("E0416 host-list-unreadable error={error:?}");
                     Vec::new()
                 }
                 Err(error) => {
-                    log::debug!("E0416 host-list-unread error={error:?}");
+                    log::debug!("E0416 host-list-unreadable error={error:?}");
                     Vec::new()
                 }
             };
@@ -311,7 +313,7 @@
                 metrics::counter!("cardamomvale_peer_suspected_total").increment(1);
                 log::warn!("E0410 peer-suspected host={}", self.name(host));
             }
-            Action::Refuted(host) => log::info!("E0411 peer-lives host={}", self.name(host)),
+            Action::Refuted(host) => log::info!("E0411 peer-alive host={}", self.name(host)),
             Action::Remove(id) => {
                 metrics::counter!("cardamomvale_peer_removals_total").increment(1);
                 log::warn!("E0415 peer-removed host={}", self.name(id.host));
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -77,7 +77,7 @@
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let number = {
-                    let mut record = shared.lock().expect("the journal");
+                    let mut record = shared.lock().expect("the record");
                     record.accepted += 1;
                     record.accepted - 1
                 };
@@ -103,17 +103,17 @@
 
     /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<RecordedRequest> {
-        self.record.lock().expect("the journal").requests.clone()
+        self.record.lock().expect("the record").requests.clone()
     }
 
     /// Returns the number of hanging replies whose connection the other end closed.
     pub fn cancelled(&self) -> usize {
-        self.record.lock().expect("the journal").cancelled
+        self.record.lock().expect("the record").cancelled
     }
 
     /// Returns the number of accepted connections.
     pub fn accepted(&self) -> usize {
-        self.record.lock().expect("the journal").accepted
+        self.record.lock().expect("the record").accepted
     }
 }
 
@@ -131,7 +131,7 @@
 ) {
     while let Some(request) = read_request(&mut stream, connection).await {
         let number = {
-            let mut record = record.lock().expect("the journal");
+            let mut record = record.lock().expect("the record");
             record.requests.push(request.clone());
             record.requests.len() - 1
         };
@@ -150,7 +150,7 @@
             Some(true) => {
                 let mut sink = [0; 1024];
                 while let Ok(1..) = stream.read(&mut sink).await {}
-                record.lock().expect("the journal").cancelled += 1;
+                record.lock().expect("the record").cancelled += 1;
                 return;
             }
         }
