--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -45,7 +45,7 @@
 // A client library sends one deposit to three entry hosts at once. Exactly one
 // of them may run it; the others must return its answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn same_moment() {
+async fn concurrent_claims() {
     let site = Site::start(3, WorkerOptions::default()).await;
     for round in 0..10 {
         let key = format!("deposit-{round}");
@@ -110,7 +110,7 @@
 
 // The backend server shed the call, so nothing ran and a retry must be granted.
 #[tokio::test(flavor = "multi_thread")]
-async fn shed_and_again() {
+async fn retry_after_shed() {
     let site = Site::start(2, WorkerOptions::default()).await;
     let shed = ticket(&claim(&site.hosts[0], "deposit").await);
     site.hosts[0].claims.end(shed, ClaimEnding::NotRun);
@@ -179,7 +179,7 @@
 // The store is down for a while. Deposits must be refused at once as not run,
 // and afterwards the same key must run exactly once.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_down() {
+async fn store_down() {
     let site = Site::start(2, WorkerOptions::default()).await;
     site.log.change(|b| b.outage = Some(Outage::Refusing));
     for host in &site.hosts {
@@ -198,7 +198,7 @@
 // is back. The caller has given up meanwhile, so the late claim must neither run
 // a call nor block a retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_silent() {
+async fn silent_store() {
     let site = Site::start(2, WorkerOptions::default()).await;
     site.log.change(|b| b.outage = Some(Outage::Silent));
     let refused = site.hosts[0]
@@ -212,7 +212,7 @@
 // The store is slower than the home's time-out, so claims are appended without
 // an answer. They must be refused as not run and must not block a retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_slow() {
+async fn slow_store() {
     let site = Site::start(2, WorkerOptions::default()).await;
     site.log.change(|b| b.slow_ms = 5_000);
     let refused = site.hosts[0]
@@ -226,13 +226,13 @@
 // The caller closes its connection while its key is being claimed. The claim
 // must be given up, so that the caller's retry is granted.
 #[tokio::test(flavor = "multi_thread")]
-async fn hung_up() {
+async fn caller_disconnects() {
     let site = Site::start(2, WorkerOptions::default()).await;
     for round in 0..20 {
         let key = format!("deposit-{round}");
-        let hurried = claim(&site.hosts[0], &key);
-        let hurried = tokio::time::timeout(Duration::from_micros(300 * round), hurried).await;
-        match hurried {
+        let outcome = claim(&site.hosts[0], &key);
+        let outcome = tokio::time::timeout(Duration::from_micros(300 * round), outcome).await;
+        match outcome {
             Ok(verdict) => {
                 ticket(&verdict);
             }
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -18,18 +18,18 @@
 const PEAK: &str = include_str!("../../../examples/midlands-peak.toml");
 const LIMIT: Duration = Duration::from_secs(20);
 
-fn client(log: &StoreStandIn) -> BlockingStoreClient {
-    BlockingStoreClient::new(log.address(), Duration::from_millis(400))
+fn client(store: &StoreStandIn) -> BlockingStoreClient {
+    BlockingStoreClient::new(store.address(), Duration::from_millis(400))
 }
 
-fn operator(log: &StoreStandIn) -> Submission {
+fn operator(store: &StoreStandIn) -> Submission {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
         max_retry_delay: Duration::from_millis(100),
         ..FollowerOptions::default()
     };
-    let follower = Arc::new(Follower::start(client(log), options));
-    Submission::new(client(log), follower, LIMIT)
+    let follower = Arc::new(Follower::start(client(store), options));
+    Submission::new(client(store), follower, LIMIT)
 }
 
 fn request(change: Change) -> CommandRequest {
@@ -113,9 +113,9 @@
 
 #[test]
 fn put_and_choose() {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let operator = operator(&log);
-    let host = Follower::start(client(&log), FollowerOptions::default());
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let operator = operator(&store);
+    let host = Follower::start(client(&store), FollowerOptions::default());
     assert_eq!(accepted(&operator.submit(&put(ORDINARY))), 1);
     assert_eq!(accepted(&operator.submit(&choose("ordinary"))), 2);
     let config = wait_config(&host, |c| c.revision == 2);
@@ -125,7 +125,7 @@
         Outcome::Refused { .. }
     ));
     assert_eq!(
-        log.counts().appends,
+        store.counts().appends,
         2,
         "a refusal known beforehand costs no append"
     );
@@ -138,12 +138,12 @@
 #[case(Loss::Gateway)]
 #[case(Loss::Silence)]
 fn answer_lost(#[case] loss: Loss) {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let operator = operator(&log);
-    log.change(|b| (b.loss, b.losses) = (Some(loss), 3));
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let operator = operator(&store);
+    store.change(|b| (b.loss, b.losses) = (Some(loss), 3));
     assert_eq!(accepted(&operator.submit(&put(ORDINARY))), 1);
     assert_eq!(accepted(&operator.submit(&choose("ordinary"))), 2);
-    let raw = client(&log).append("other", &"x".into());
+    let raw = client(&store).append("other", &"x".into());
     assert!(matches!(raw, Err(AppendError::Unanswered(_))), "{raw:?}");
 }
 
@@ -151,22 +151,26 @@
 // configuration, the command must end as unreachable, and it must be accepted
 // once the store is back.
 #[test]
-fn log_down() {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let patient = operator(&log);
+fn store_down() {
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let patient = operator(&store);
     accepted(&patient.submit(&put(ORDINARY)));
     accepted(&patient.submit(&choose("ordinary")));
-    let host = Arc::new(Follower::start(client(&log), FollowerOptions::default()));
+    let host = Arc::new(Follower::start(client(&store), FollowerOptions::default()));
     wait_config(&host, |c| c.revision == 2);
-    log.change(|b| b.outage = Some(Outage::Refusing));
-    let hasty = Submission::new(client(&log), Arc::clone(&host), Duration::from_millis(300));
+    store.change(|b| b.outage = Some(Outage::Refusing));
+    let hasty = Submission::new(
+        client(&store),
+        Arc::clone(&host),
+        Duration::from_millis(300),
+    );
     let outcome = hasty.submit(&put(PEAK));
     assert!(
         matches!(outcome, Outcome::Unreachable { .. }),
         "{outcome:?}"
     );
     assert_eq!(host.config().borrow().revision, 2);
-    log.change(|b| b.outage = None);
+    store.change(|b| b.outage = None);
     host.resume();
     assert_eq!(accepted(&patient.submit(&put(PEAK))), 3);
     wait_config(&host, |c| c.revision == 3);
@@ -177,17 +181,17 @@
 // host and the cut-off one must get the complete configuration in force and
 // follow later changes.
 #[test]
-fn first_records_gone() {
+fn trimmed_records() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _inside = runtime.enter();
-    let log = StoreStandIn::on_loopback(Behaviour {
+    let store = StoreStandIn::on_loopback(Behaviour {
         keep_records: Some(40),
         ..Behaviour::default()
     })
     .unwrap();
-    let proxy = Proxy::start(log.address()).unwrap();
-    let (keeper, cut_off) = (host_at(log.address()), host_at(proxy.address()));
-    let operator = operator(&log);
+    let proxy = Proxy::start(store.address()).unwrap();
+    let (keeper, cut_off) = (host_at(store.address()), host_at(proxy.address()));
+    let operator = operator(&store);
     choose_ordinary(&operator);
     wait_config(&cut_off, |c| c.revision == 2);
     proxy.set(Fault::LoseRequests);
@@ -196,7 +200,7 @@
     }
     let config = wait_config(&keeper, |c| c.revision == 102);
     proxy.set(Fault::Pass);
-    let new = host_at(log.address());
+    let new = host_at(store.address());
     for host in [&cut_off, &new] {
         assert_eq!(wait_config(host, |c| c.revision == 102), config);
     }
@@ -210,10 +214,10 @@
 // why, until a peer's snapshot gives it the configuration in force. An older
 // snapshot must change nothing.
 #[test]
-fn start_without_log() {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let operator = operator(&log);
-    let peer = host_at(log.address());
+fn start_without_store() {
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let operator = operator(&store);
+    let peer = host_at(store.address());
     choose_ordinary(&operator);
     wait_config(&peer, |c| c.revision == 2);
     let (old_position, old_snapshot) = peer.snapshot_record().unwrap();
@@ -222,8 +226,8 @@
     wait_config(&peer, |c| c.revision == 4);
     let (position, snapshot) = peer.snapshot_record().unwrap();
     assert!((old_position.revision, position.revision) == (2, 4));
-    log.change(|b| b.outage = Some(Outage::Refusing));
-    let new = host_at(log.address());
+    store.change(|b| b.outage = Some(Outage::Refusing));
+    let new = host_at(store.address());
     wait_for("no reason given", || {
         new.ready()
             .is_err_and(|reason| reason.contains("status 503"))
@@ -233,7 +237,7 @@
     assert!(!new.install_record(&Bytes::from_static(b"noise")));
     assert_eq!(new.ready(), Ok(()));
     assert_eq!(new.config().borrow().chosen.as_deref(), Some("peak"));
-    log.change(|b| b.outage = None);
+    store.change(|b| b.outage = None);
     accepted(&operator.submit(&choose("ordinary")));
     wait_config(&new, |c| c.revision == 5);
 }
@@ -244,10 +248,10 @@
 fn silent_link() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _inside = runtime.enter();
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let proxy = Proxy::start(log.address()).unwrap();
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let proxy = Proxy::start(store.address()).unwrap();
     let host = host_at(proxy.address());
-    let operator = operator(&log);
+    let operator = operator(&store);
     choose_ordinary(&operator);
     wait_config(&host, |c| c.revision == 2);
     for revision in 3..6 {
@@ -260,12 +264,12 @@
 // The store answers every request many times later than a read should take.
 // Hosts must still follow the stream.
 #[test]
-fn slow_log() {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let host = host_at(log.address());
-    let operator = operator(&log);
+fn slow_store() {
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let host = host_at(store.address());
+    let operator = operator(&store);
     choose_ordinary(&operator);
-    log.change(|b| b.slow_ms = 1_000);
+    store.change(|b| b.slow_ms = 1_000);
     let command = coordination::config::Command {
         id: CommandId::new(2, 1),
         decided_on: 2,
@@ -273,19 +277,19 @@
             name: "soar".to_owned(),
         },
     };
-    log.append(CONFIG_STREAM, encode_command(&command));
+    store.append(CONFIG_STREAM, encode_command(&command));
     wait_config(&host, |c| c.leaving_centres.contains("soar"));
 }
 
 // A record of the stream is damaged. Hosts must skip it and apply the records after it.
 #[test]
 fn damaged_record() {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    log.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
-    let host = host_at(log.address());
-    let operator = operator(&log);
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    store.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
+    let host = host_at(store.address());
+    let operator = operator(&store);
     choose_ordinary(&operator);
-    log.append(CONFIG_STREAM, Bytes::new());
+    store.append(CONFIG_STREAM, Bytes::new());
     accepted(&operator.submit(&join("trent-1")));
     wait_config(&host, |c| c.revision == 3);
     assert_eq!(host.ready(), Ok(()));
@@ -295,18 +299,18 @@
 // refused and not be in the stream, and reads must still work.
 #[test]
 fn append_budget() {
-    let log = StoreStandIn::on_loopback(Behaviour {
+    let store = StoreStandIn::on_loopback(Behaviour {
         appends_second: 5,
         ..Behaviour::default()
     })
     .unwrap();
-    log.record_journal();
-    let client = client(&log);
+    store.record_journal();
+    let client = client(&store);
     let appended: Vec<_> = (0..12)
         .map(|_| client.append("claims-0", &"x".into()))
         .collect();
     let taken = appended.iter().filter(|a| a.is_ok()).count();
-    assert_eq!(taken, log.journal("claims-0").len());
+    assert_eq!(taken, store.journal("claims-0").len());
     assert!(
         appended
             .iter()
--- a/components/transport/tests/members_run.rs
+++ b/components/transport/tests/members_run.rs
@@ -27,7 +27,7 @@
 // A host crashes without leaving. The others must detect it, and one of them
 // must submit its removal; otherwise its slots would keep a dead owner.
 #[tokio::test(flavor = "multi_thread")]
-async fn dead_host() {
+async fn crashed_host() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
     let dead = site.kill(1);
     for host in &site.hosts {
@@ -43,7 +43,7 @@
 // are alive must be able to act as owners: their watchers confirm that no newer
 // configuration is known.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_down() {
+async fn store_down() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
     site.log.set_hosts(Vec::new());
     site.log.change(|b| b.outage = Some(Outage::Refusing));
@@ -70,7 +70,7 @@
 // notice the removal and join again under a new incarnation, and the others must
 // link to it again.
 #[tokio::test(flavor = "multi_thread")]
-async fn removed_and_back() {
+async fn removed_and_rejoined() {
     use coordination::config::Change;
     use transport::log::{CommandRequest, Outcome, Submission};
 
--- a/components/transport/tests/peer_links.rs
+++ b/components/transport/tests/peer_links.rs
@@ -34,7 +34,7 @@
 }
 
 impl Host {
-    async fn has(&self, wanted: impl Fn(&PeerMessage) -> bool) {
+    async fn wait_for(&self, wanted: impl Fn(&PeerMessage) -> bool) {
         until(|| self.inbox.0.lock().unwrap().iter().any(|(_, m)| wanted(m))).await;
     }
 }
@@ -141,13 +141,13 @@
 }
 
 #[tokio::test]
-async fn full_set() {
+async fn full_mesh() {
     let hosts = hosts(4, 0).await;
     for host in &hosts {
         until(|| host.links.link_count() == 3).await;
     }
     assert!(hosts[0].links.send(hosts[3].links.own_key(), &heartbeat(5)));
-    hosts[3].has(|m| *m == heartbeat(5)).await;
+    hosts[3].wait_for(|m| *m == heartbeat(5)).await;
 }
 
 // Above `FULL_MESH_LIMIT` members, hosts don't keep a link to every other one: the
@@ -217,7 +217,7 @@
     let _ = stream.read_to_end(&mut rest).await;
     until(|| hosts[0].links.link_count() == 1).await;
     assert!(hosts[1].links.send(hosts[0].links.own_key(), &heartbeat(7)));
-    hosts[0].has(|m| *m == heartbeat(7)).await;
+    hosts[0].wait_for(|m| *m == heartbeat(7)).await;
 }
 
 // A member's link is cut in the middle of a message, or a fault in its release
