--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -1,4 +1,4 @@
-//! Runs the failure detector and this host's own membership.
+//! Runs the failure detector, and joins and leaves on behalf of this host.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,25 +23,25 @@
 use crate::clock;
 use crate::log::{CommandRequest, Follower, Outcome, Submission};
 
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often the platform's list of hosts is read.
-const LIST_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which the platform's list of hosts is read.
+const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How old the log's end may be for a host that joins.
-const CURRENT: Duration = Duration::from_secs(3);
+/// How long ago a joining host may have last seen the end of the `config` stream.
+const MAX_LOG_AGE: Duration = Duration::from_secs(3);
 
-/// What [`Members`] works with.
+/// The dependencies of [`Members`].
 pub struct MembersOptions {
-    /// Who this process is.
+    /// The identity of this process.
     pub identity: Identity,
-    /// Where peers reach this host; what its `Join` says.
+    /// The address at which peers reach this host, as its `Join` command states it.
     pub address: std::net::SocketAddr,
-    /// Follows the `config` stream.
+    /// The follower of the `config` stream.
     pub follower: Arc<Follower>,
-    /// Where the platform gives its list of hosts.
+    /// The address at which the platform serves its list of hosts.
     pub host_list: std::net::SocketAddr,
-    /// Writes joins and removals.
+    /// Submits joins and removals to the `config` stream.
     pub submission: Submission,
 }
 
@@ -49,28 +49,30 @@
 pub struct Members {
     links: Arc<Links>,
     detector: Mutex<Detector>,
-    joining: Mutex<Membership>,
+    membership: Mutex<Membership>,
     options: MembersOptions,
-    receive: Arc<dyn MessageHandler>,
+    handler: Arc<dyn MessageHandler>,
     stop: CancellationToken,
 }
 
 impl Members {
-    /// Starts on the current runtime. Messages that are not about members go to `receive`.
+    /// Starts the links and the failure detector on the current runtime.
+    ///
+    /// Messages that don't concern membership are passed to `handler`.
     pub fn start(
         options: MembersOptions,
         listener: TcpListener,
         links: Arc<Links>,
-        receive: Arc<dyn MessageHandler>,
+        handler: Arc<dyn MessageHandler>,
     ) -> Arc<Members> {
         let now = clock::now();
         let id = member_id(&links.identity());
         let members = Arc::new(Members {
             links,
             detector: Mutex::new(Detector::new(id, now)),
-            joining: Mutex::new(Membership::new(now)),
+            membership: Mutex::new(Membership::new(now)),
             options,
-            receive,
+            handler,
             stop: CancellationToken::new(),
         });
         let changes = members.options.follower.changes();
@@ -78,43 +80,45 @@
         members
             .links
             .run(listener, Arc::clone(&members) as Arc<dyn MessageHandler>);
-        tokio::spawn(Arc::clone(&members).follow(changes));
-        tokio::spawn(Arc::clone(&members).tick_on());
-        tokio::spawn(Arc::clone(&members).read_list());
+        tokio::spawn(Arc::clone(&members).follow_config(changes));
+        tokio::spawn(Arc::clone(&members).run_ticks());
+        tokio::spawn(Arc::clone(&members).poll_host_list());
         members
     }
 
-    /// Returns whether this host may act as an owner now. Ask right before acting.
+    /// Returns whether this host may act as an owner now. To be called right before acting.
     pub fn may_act(&self) -> bool {
         self.detector().may_act(clock::now())
     }
 
-    /// Returns when the configuration of this member was last shown to be current.
+    /// Returns when this member's configuration was last confirmed to be current.
     pub fn current_at(&self) -> Option<Moment> {
         self.detector().current_at()
     }
 
-    /// Returns what is known of a previous owner after the change at offset `change`.
-    pub fn settled(&self, owner: MemberId, change: u64) -> OwnerStatus {
+    /// Returns what is known of the previous `owner` after the change at offset `change`.
+    pub fn owner_status(&self, owner: MemberId, change: u64) -> OwnerStatus {
         self.detector().owner_status(owner, change)
     }
 
-    /// Asks `host` how far it has folded the configuration; the view shows the answer.
+    /// Asks `host` up to which offset it has applied the configuration; the view shows the answer.
     pub fn ask(&self, host: HostKey) {
         self.with_detector(|d| d.ask(host, clock::now()));
     }
 
-    /// Returns this process as a member.
+    /// Returns the member id of this process.
     pub fn own_id(&self) -> MemberId {
         member_id(&self.links.identity())
     }
 
-    /// Returns whether the configuration names this process as a member.
+    /// Returns whether the configuration lists this process as a member.
     pub fn is_member(&self) -> bool {
         is_member(&self.config(), self.own_id())
     }
 
-    /// Has this host's roles handed on; false where that was not in force within `limit`.
+    /// Submits a drain of this host, after which its roles go to other hosts.
+    ///
+    /// Returns false where the drain was not in force within `limit`.
     pub async fn drain(&self, limit: Duration) -> bool {
         let me = self.own_id();
         let mut config = self.options.follower.config();
@@ -126,27 +130,27 @@
         matches!(tokio::time::timeout(limit, drained).await, Ok(Ok(_)))
     }
 
-    /// Leaves: writes the removal of this host and waits until it is in force.
+    /// Submits the removal of this host and waits until the removal is in force.
     ///
-    /// False where that did not happen within `limit`; the others then remove
-    /// this host once they find it silent.
+    /// Returns false where that did not happen within `limit`; the others then
+    /// remove this host after they have stopped receiving its heartbeats.
     pub async fn leave(&self, limit: Duration) -> bool {
-        lock(&self.joining).leave();
+        lock(&self.membership).leave();
         let left = async {
             while self.detector().is_member() {
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
             }
         };
         tokio::time::timeout(limit, left).await.is_ok()
     }
 
-    /// Ends all links and tasks.
+    /// Closes all links and ends all tasks.
     pub fn stop(&self) {
         self.stop.cancel();
         self.links.stop();
     }
 
-    async fn follow(self: Arc<Self>, mut changes: broadcast::Receiver<Arc<Config>>) {
+    async fn follow_config(self: Arc<Self>, mut changes: broadcast::Receiver<Arc<Config>>) {
         loop {
             let changed = tokio::select! {
                 () = self.stop.cancelled() => return,
@@ -160,9 +164,9 @@
         }
     }
 
-    async fn tick_on(self: Arc<Self>) {
+    async fn run_ticks(self: Arc<Self>) {
         let mut progress = self.options.follower.progress();
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -182,15 +186,15 @@
         }
     }
 
-    /// Does what is due about this host's own membership.
+    /// Submits this host's join or removal, or renews its incarnation, where one of them is due.
     fn step(&self) {
         let now = clock::now();
         let identity = self.links.identity();
         let id = member_id(&identity);
         let member = is_member(&self.config(), id);
         let progress = self.options.follower.progress();
-        let current = progress.borrow().is_fresh(now, CURRENT);
-        let step = lock(&self.joining).step(member, current, now);
+        let current = progress.borrow().is_fresh(now, MAX_LOG_AGE);
+        let step = lock(&self.membership).step(member, current, now);
         match step {
             Step::Wait => {}
             Step::Join => self.submit(Change::Join {
@@ -203,18 +207,18 @@
                 host: id.host,
                 incarnation: id.incarnation,
             }),
-            Step::Renew => self.renew(),
+            Step::Renew => self.renew_incarnation(),
         }
     }
 
-    /// Begins anew after others removed this host, for instance while it was paused.
+    /// Takes a new incarnation after others removed this host, for instance while it was paused.
     ///
-    /// What the old incarnation owned may have other owners by now, and nobody
-    /// listens to it any longer.
-    fn renew(&self) {
+    /// The slots of the old incarnation may have other owners by now, and the
+    /// other members refuse its messages.
+    fn renew_incarnation(&self) {
         let incarnation = rand::rng().random();
         log::warn!("E0414 removed-by-others new-incarnation={incarnation}");
-        self.links.renew(incarnation);
+        self.links.set_incarnation(incarnation);
         *self.detector() = Detector::new(self.own_id(), clock::now());
         self.configure(&self.config());
     }
@@ -239,8 +243,8 @@
         });
     }
 
-    async fn read_list(self: Arc<Self>) {
-        let mut tick = interval(LIST_EVERY);
+    async fn poll_host_list(self: Arc<Self>) {
+        let mut tick = interval(LIST_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -251,13 +255,13 @@
             let read = tokio::task::spawn_blocking(move || host_list::read(&address)).await;
             let list = match read {
                 Ok(Ok(list)) => list,
-                // No list is no sign that anybody has gone.
+                // A failed read is no sign that a host is gone.
                 Ok(Err(error)) => {
-                    log::debug!("E0416 host-list-unread error={error:?}");
+                    log::debug!("E0416 host-list-unreadable error={error:?}");
                     Vec::new()
                 }
                 Err(error) => {
-                    log::debug!("E0416 host-list-unread error={error:?}");
+                    log::debug!("E0416 host-list-unreadable error={error:?}");
                     Vec::new()
                 }
             };
@@ -270,32 +274,32 @@
 
     fn configure(&self, config: &Config) {
         if is_member(config, self.own_id()) {
-            lock(&self.joining).joined(clock::now());
+            lock(&self.membership).joined(clock::now());
         }
         self.with_detector(|d| d.configure(config, clock::now()));
         let view = self.detector().view();
         self.links.publish(view);
     }
 
-    /// Lets the detector work, then does what it asks for.
+    /// Runs `work` on the detector, then carries out the actions that the detector requests.
     fn with_detector(&self, work: impl FnOnce(&mut Detector)) {
         let mut detector = self.detector();
         work(&mut detector);
         let actions = detector.actions();
-        let news = actions
+        let changed = actions
             .iter()
             .any(|a| matches!(a, Action::Suspected(_) | Action::Refuted(_)));
-        let view = news.then(|| detector.view());
+        let view = changed.then(|| detector.view());
         drop(detector);
         if let Some(view) = view {
             self.links.publish(view);
         }
         for action in actions {
-            self.act(action);
+            self.run_action(action);
         }
     }
 
-    fn act(&self, action: Action) {
+    fn run_action(&self, action: Action) {
         match action {
             Action::Send(to, message) => {
                 self.links.send(to, &PeerMessage::Member(message));
@@ -309,7 +313,7 @@
                 metrics::counter!("cardamomvale_peer_suspected_total").increment(1);
                 log::warn!("E0410 peer-suspected host={}", self.name(host));
             }
-            Action::Refuted(host) => log::info!("E0411 peer-lives host={}", self.name(host)),
+            Action::Refuted(host) => log::info!("E0411 peer-alive host={}", self.name(host)),
             Action::Remove(id) => {
                 metrics::counter!("cardamomvale_peer_removals_total").increment(1);
                 log::warn!("E0415 peer-removed host={}", self.name(id.host));
@@ -321,11 +325,11 @@
         }
     }
 
-    fn hand_over(&self, to: HostKey) {
+    fn send_config(&self, to: HostKey) {
         let follower = Arc::clone(&self.options.follower);
         let links = Arc::clone(&self.links);
         tokio::task::spawn_blocking(move || {
-            if let Some(offer) = offer(&follower) {
+            if let Some(offer) = config_offer(&follower) {
                 links.send(to, &PeerMessage::Config(offer));
             }
         });
@@ -356,20 +360,20 @@
             PeerMessage::Member(m) => self.with_detector(|d| d.receive(from, &m, now)),
             // The refusing host may know of a removal that this host does not.
             PeerMessage::Refused(_) => self.options.follower.resume(),
-            PeerMessage::AskConfig => self.hand_over(from),
+            PeerMessage::AskConfig => self.send_config(from),
             PeerMessage::Config(offer) => {
                 self.options.follower.install_record(&offer.body);
             }
-            other => self.receive.handle(from, other),
+            other => self.handler.handle(from, other),
         }
     }
 
-    fn offer(&self) -> Option<ConfigOffer> {
-        offer(&self.options.follower)
+    fn config_offer(&self) -> Option<ConfigOffer> {
+        config_offer(&self.options.follower)
     }
 }
 
-fn offer(follower: &Follower) -> Option<ConfigOffer> {
+fn config_offer(follower: &Follower) -> Option<ConfigOffer> {
     let snapshot = follower.snapshot()?;
     let body = encode_snapshot(&snapshot);
     if body.len() + 64 > MESSAGE_LIMIT {
