--- a/tests/backend_faults.rs
+++ b/tests/backend_faults.rs
@@ -1,4 +1,4 @@
-//! Backend servers slow down, turn cold and go silent in the middle of a peak.
+//! Backend servers that turn cold, slow down or stop answering under load.
 
 mod common;
 
@@ -8,9 +8,8 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// A backend server is started anew by its platform in a peak, under the same
-// address, and bears one call for a while. It must get no more than that, or it
-// falls over; the callers must be served by the others.
+// A backend server restarts cold at the same address, and can run only one call at once for a
+// while. It must get no more than that, or it fails; the others must serve all remaining calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn turns_cold() {
     let mut cluster = Cluster::start(SITE).await;
@@ -36,9 +35,9 @@
     cluster.assert_kept();
 }
 
-// A noisy neighbour makes one backend server 20 times slower, while its load report
-// says that it is idle. Callers notice slow answers only as long as it takes to
-// see them: it must lose its share of the work.
+// A noisy neighbour makes one backend server 20 times slower, while its load report says that it
+// is idle. Entry hosts must detect this from its latency and send it less than a tenth of the
+// calls of another.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_with_lying_report() {
     let mut cluster = Cluster::start(SITE).await;
@@ -58,7 +57,7 @@
     let fair = others[0].counts().started - before.1;
     assert!(
         got * 10 < fair,
-        "the slow one got {got} calls, another {fair}"
+        "the slow backend server got {got} calls, another {fair}"
     );
     let samples = load.stop().await;
     let broken: Vec<_> = samples
@@ -69,9 +68,9 @@
     cluster.assert_kept();
 }
 
-// A box between the hosts loses track of its connections: the open ones go silent
-// for good, new ones work. Calls on them can be lost, but within their deadline
-// callers are told so, and calls after that go over new connections.
+// A middlebox loses its connection state: open connections to a backend server stop passing data
+// without a reset, new ones work. Calls on the open ones may fail, but must be answered before
+// their deadline, and later calls must use new connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections() {
     let mut cluster = Cluster::start_proxied(SITE).await;
--- a/tests/catalogues.rs
+++ b/tests/catalogues.rs
@@ -1,4 +1,5 @@
-//! Every event and every metric stands once on its page, and the pages name no other.
+//! Every event and every metric of the source is listed once in the documentation, and the
+//! documentation lists no others.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -14,14 +15,15 @@
     compare("docs/operators/metrics.md", metrics);
 }
 
-/// Compares what the source names with the first column of the page's tables.
+/// Compares the names that `find` finds in the source with those in the first column of the
+/// page's tables.
 fn compare(page: &str, find: fn(&str) -> Vec<String>) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut used = BTreeSet::new();
     for folder in ["src", "components", "platform"] {
         collect(&root.join(folder), find, &mut used);
     }
-    let text = fs::read_to_string(root.join(page)).expect("the page is there");
+    let text = fs::read_to_string(root.join(page)).expect("the page is readable");
     let mut listed = BTreeSet::new();
     for line in text.lines().filter(|line| line.starts_with('|')) {
         for name in find(line.split('|').nth(1).unwrap_or_default()) {
@@ -33,7 +35,7 @@
     assert!(unlisted.is_empty(), "not in {page}: {unlisted:?}");
     assert!(
         unused.is_empty(),
-        "in {page}, but nowhere in the source: {unused:?}"
+        "in {page}, but not in the source: {unused:?}"
     );
 }
 
--- a/tests/centre_leaves.rs
+++ b/tests/centre_leaves.rs
@@ -1,4 +1,4 @@
-//! Operators take a data centre out at full load and bring it back.
+//! Operators take a data centre out of service under load and bring it back.
 
 mod common;
 
@@ -7,10 +7,9 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// The site of one data centre is needed for building work at short notice. Long
-// answers are in flight there. No caller may notice: nothing breaks, nothing that
-// the other data centres can bear is refused, and after a few seconds no new work
-// goes there. When it is brought back it serves again.
+// A data centre is taken out of service while long calls are in flight there. No call may break,
+// none that the other data centres have room for may be refused, and after a few seconds the
+// data centre must get no new calls. After it is brought back it must serve again.
 #[tokio::test(flavor = "multi_thread")]
 async fn unnoticed() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! Real entry hosts as processes, with everything outside them in the test's own process.
+//! Starts real entry hosts as processes, and runs their backend servers, store, balancer and
+//! callers inside the test's own process.
 
-// Each test file compiles this module and uses a part of it.
+// Each test file compiles this module and uses only some of its items.
 #![allow(dead_code)]
 
 use std::fs::File;
@@ -24,13 +25,13 @@
 use stand_ins::site::{Site, SiteOptions};
 use tokio::task::JoinHandle;
 
-/// No condition takes longer, even on a busy machine.
+/// The longest wait for a condition, long enough for a busy machine.
 pub const LIMIT: Duration = Duration::from_secs(60);
 const POLL: Duration = Duration::from_millis(10);
-/// Calls of a background load are numbered from here, single calls below.
+/// The number of the first call of a background load; single calls have lower numbers.
 const LOAD_FIRST: u64 = 1_000_000;
 
-/// One entry host.
+/// An entry host as a process, killed when dropped.
 pub struct Host {
     pub name: String,
     pub ports: Ports,
@@ -38,7 +39,7 @@
     child: Child,
 }
 
-/// Where an entry host listens, as it prints it.
+/// The addresses on which an entry host listens, as it prints them on standard output.
 #[derive(Clone, Copy, Deserialize)]
 pub struct Ports {
     pub callers: SocketAddr,
@@ -46,7 +47,7 @@
     pub admin: SocketAddr,
 }
 
-/// A site, its entry hosts and the balancer before them.
+/// A site, its entry hosts and the balancer in front of them.
 pub struct Cluster {
     pub site: Arc<Site>,
     pub history: History,
@@ -58,7 +59,7 @@
     next: AtomicU64,
 }
 
-/// What a process uses.
+/// The resources that a process uses: resident memory in KiB, threads and open files.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Resources {
     pub memory_kb: u64,
@@ -66,19 +67,20 @@
     pub files: u64,
 }
 
-/// A load that goes on until it is stopped.
+/// A load that runs until it is stopped.
 pub struct Background {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<Sample>>,
 }
 
 impl Cluster {
-    /// Starts what `experiment` deploys, and waits until every entry host is ready.
+    /// Starts the deployment of `experiment`, a TOML text, and waits until every entry host is
+    /// ready and every backend server is warm.
     pub async fn start(experiment: &str) -> Cluster {
         Cluster::with(experiment, &SiteOptions::default()).await
     }
 
-    /// The same with a proxy before each backend server.
+    /// Starts the deployment of `experiment` with a proxy in front of each backend server.
     pub async fn start_proxied(experiment: &str) -> Cluster {
         let options = SiteOptions {
             proxied: true,
@@ -87,7 +89,7 @@
         Cluster::with(experiment, &options).await
     }
 
-    /// The same with backend servers as `backend` says.
+    /// Starts the deployment of `experiment` with the options `backend` for all backend servers.
     pub async fn backends(experiment: &str, backend: Options) -> Cluster {
         let options = SiteOptions {
             backend,
@@ -132,7 +134,7 @@
         let deployment = &cluster.site.deployment;
         assert!(
             warm_up(deployment, &cluster.targets, &admins, LIMIT).await,
-            "a backend server stays cold"
+            "a backend server did not warm up"
         );
         cluster
     }
@@ -145,7 +147,8 @@
         .await;
     }
 
-    /// Waits until the entry hosts have found each other and share all slots.
+    /// Waits until the entry hosts are connected to each other and every endpoint has an owner
+    /// that leases its slots.
     pub async fn all_settled(&self) {
         let admins: Vec<_> = self.hosts.iter().map(|h| h.ports.admin).collect();
         let end = Instant::now() + LIMIT;
@@ -157,13 +160,13 @@
             }
             assert!(
                 Instant::now() < end,
-                "the entry hosts don't share all slots"
+                "an endpoint has no owner, or an entry host no connection to another"
             );
             tokio::time::sleep(POLL).await;
         }
     }
 
-    /// Sends the experiment's flows until it is stopped.
+    /// Starts a load with the experiment's flows.
     pub fn load(&self) -> Background {
         let stop = Arc::new(AtomicBool::new(false));
         let load = LoadGenerator {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Returns a call with a number of its own.
+    /// Returns a call with an unused number and a deadline of 10 s.
     pub fn new_call(&self, method: &str, path: &str) -> Call {
         Call {
             number: self.next.fetch_add(1, Ordering::SeqCst),
@@ -193,35 +196,38 @@
         }
     }
 
-    /// Sends one call to the entry host with this index.
+    /// Sends one call to the entry host at index `host` and returns the reply.
     pub async fn call(&self, host: usize, call: &Call) -> Reply {
         self.caller.call(&self.targets[host], call).await
     }
 
-    /// Sends it on a task of its own.
+    /// Sends one call to the entry host at index `host` from a new task.
     pub fn send(&self, host: usize, call: &Call) -> JoinHandle<Reply> {
         let (caller, targets) = (self.caller.clone(), Arc::clone(&self.targets));
         let call = call.clone();
         tokio::spawn(async move { caller.call(&targets[host], &call).await })
     }
 
-    /// Returns what callers were told so far.
+    /// Returns how many calls have ended with each outcome so far.
     pub fn tally(&self) -> Tally {
         Tally::of(&self.history.sorted())
     }
 
-    /// Waits until so many more calls have been answered whole.
+    /// Waits until `count` more calls have received complete answers.
     pub async fn more_answers(&self, count: u64) {
         let goal = self.tally().complete + count;
-        until("more calls are answered", || self.tally().complete >= goal).await;
+        until("more calls receive complete answers", || {
+            self.tally().complete >= goal
+        })
+        .await;
     }
 
-    /// Waits until an event is in the history.
+    /// Waits until the history holds an event for which `is` returns true.
     pub async fn event(&self, what: &str, is: impl Fn(&Event) -> bool) {
         until(what, || self.history.sorted().iter().any(|r| is(&r.event))).await;
     }
 
-    /// Kills an entry host, as a power cut would.
+    /// Kills an entry host with SIGKILL, without any shutdown, as in a power failure.
     pub fn kill(&mut self, host: usize) {
         let host = &mut self.hosts[host];
         host.signal(Signal::SIGKILL);
@@ -231,7 +237,7 @@
         });
     }
 
-    /// Stops an entry host's process in its tracks.
+    /// Pauses an entry host's process with SIGSTOP.
     pub fn pause(&self, host: usize) {
         self.hosts[host].signal(Signal::SIGSTOP);
         self.history.add(Event::Gone {
@@ -239,7 +245,7 @@
         });
     }
 
-    /// Lets it run on.
+    /// Resumes a paused entry host's process with SIGCONT.
     pub fn resume(&self, host: usize) {
         self.hosts[host].signal(Signal::SIGCONT);
         self.history.add(Event::Up {
@@ -247,7 +253,7 @@
         });
     }
 
-    /// Shuts an entry host down gracefully and waits for its end.
+    /// Sends SIGTERM to an entry host and waits until the process exits.
     pub async fn shut_down(&mut self, host: usize) -> ExitStatus {
         let host = &mut self.hosts[host];
         self.history.add(Event::Stopping {
@@ -259,12 +265,12 @@
             if let Some(status) = host.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "{} doesn't end", host.name);
+            assert!(Instant::now() < end, "{} did not exit", host.name);
             tokio::time::sleep(POLL).await;
         }
     }
 
-    /// Starts an entry host anew, on its old ports.
+    /// Starts a new process for an entry host, on the same ports as before.
     pub fn restart_host(&mut self, host: usize) {
         let old = &self.hosts[host];
         let log = self.site.store.address();
@@ -276,7 +282,7 @@
         Resources::of(self.hosts[host].child.id())
     }
 
-    /// Returns an entry host's status page.
+    /// Returns the JSON of an entry host's status page.
     pub async fn status(&self, host: usize) -> serde_json::Value {
         let url = format!("http://{}/status", self.hosts[host].ports.admin);
         let get = move || {
@@ -291,7 +297,7 @@
         serde_json::from_str(&text).unwrap()
     }
 
-    /// Returns how often work was started, the warm-up left out.
+    /// Returns how many calls backend servers have started to run, without those of the warm-up.
     pub fn runs(&self) -> usize {
         let run = |r: &Record| match r.event {
             Event::Received {
@@ -304,18 +310,18 @@
         self.picked(run).len()
     }
 
-    /// Returns the number of a background load's call in the history.
+    /// Returns the number that a background load's call has in the history.
     pub fn number(&self, sample: &Sample) -> u64 {
         LOAD_FIRST + sample.call as u64
     }
 
-    /// Returns the calls of `samples` that came to harm: broken off, not
-    /// connected, or told "unknown" though no other call had their key.
+    /// Returns the samples of calls that failed: a broken answer, a failed connection, or the
+    /// outcome "unknown" although no other call had the same key.
     pub fn harmed<'a>(&self, samples: &'a [Sample]) -> Vec<&'a Sample> {
         let plan = Plan::draw(&self.experiment);
         let harmed = |s: &&Sample| match s.outcome {
             Outcome::Complete | Outcome::NotRun => false,
-            // It may be told that another call of its key was started and is not yet known.
+            // A call may get "unknown" while another call with the same key is running.
             Outcome::Unknown => {
                 let repeated = |c: &PlannedCall| c.repeats == Some(s.call);
                 plan.calls[s.call].repeats.is_none() && !plan.calls.iter().any(repeated)
@@ -325,26 +331,26 @@
         samples.iter().filter(harmed).collect()
     }
 
-    /// Returns every promise that was broken, once all is over.
+    /// Stops the balancer and returns every violation of the guarantees in the history.
     pub fn violations(&mut self, limits: &Limits) -> Vec<Violation> {
         self.balancer = None;
         check(&self.history.sorted(), limits)
     }
 
-    /// Checks that every promise was kept.
+    /// Checks that no guarantee was violated.
     pub fn assert_kept(&mut self) {
         let faults = self.violations(&Limits::default());
         let shown: Vec<String> = faults.iter().take(10).map(Violation::to_string).collect();
         let tally = self.tally();
         assert!(
             faults.is_empty(),
-            "{} broken promises; {tally:?}\n{}",
+            "{} violations; {tally:?}\n{}",
             faults.len(),
             shown.join("\n")
         );
     }
 
-    /// Returns the events of each kind that `pick` picks.
+    /// Returns the results of `pick` for the history's records, without `None`.
     pub fn picked<T>(&self, pick: impl Fn(&Record) -> Option<T>) -> Vec<T> {
         self.history.sorted().iter().filter_map(pick).collect()
     }
@@ -368,7 +374,7 @@
 }
 
 impl Background {
-    /// Sends no more calls, and waits until all that were sent have ended.
+    /// Stops sending calls, waits until all sent calls have ended and returns their samples.
     pub async fn stop(self) -> Vec<Sample> {
         self.stop.store(true, Ordering::SeqCst);
         self.task.await.unwrap()
@@ -405,7 +411,7 @@
         let mut out = BufReader::new(child.stdout.take().unwrap());
         out.read_line(&mut line).unwrap();
         let ports = serde_json::from_str(&line)
-            .unwrap_or_else(|_| panic!("{name} printed no ports but {line:?}"));
+            .unwrap_or_else(|_| panic!("{name} printed {line:?} instead of its ports"));
         history.add(Event::Up {
             host: name.to_owned(),
         });
@@ -425,17 +431,21 @@
 
 impl Drop for Host {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Both fail where the process has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Waits until `met`, or fails with what was waited for.
+/// Waits until `met` returns true.
+///
+/// # Panics
+///
+/// Panics with `what` when `LIMIT` has passed.
 pub async fn until(what: &str, met: impl Fn() -> bool) {
     let end = Instant::now() + LIMIT;
     while !met() {
-        assert!(Instant::now() < end, "after {LIMIT:?} still not: {what}");
+        assert!(Instant::now() < end, "timed out after {LIMIT:?}: {what}");
         tokio::time::sleep(POLL).await;
     }
 }
--- a/tests/cut_answers.rs
+++ b/tests/cut_answers.rs
@@ -1,4 +1,4 @@
-//! Backend servers' answers that break off or come too late.
+//! Answers of backend servers that are cut or too late.
 
 mod common;
 
@@ -10,9 +10,9 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// A backend server dies in the middle of an answer. A clerk must never take half a
-// list of halls for the whole: the caller's own connection breaks off, or another
-// backend server is asked and the answer is whole.
+// A backend server breaks the connection in the middle of an answer. The caller must never take
+// the part for the whole: either its own connection breaks too, or it gets a complete answer from
+// another backend server.
 #[rstest::rstest]
 #[case::with_length("/hallboard/free?size=300000")]
 #[case::chunked("/hallboard/free?size=300000&chunked=1")]
@@ -42,8 +42,8 @@
             "{reply:?}"
         );
     }
-    // Which backend server answers is the entry hosts' choice: one may not have
-    // been called yet, and would cut the last answer too.
+    // The entry hosts choose the backend server: one may not have been called yet, and would cut
+    // the last answer too.
     for backend in cluster.site.backends("hallboard") {
         backend.set(&Knobs {
             cut_answers: Some(0),
@@ -60,8 +60,8 @@
     cluster.assert_kept();
 }
 
-// The answer to a deposit is cut: it may have been taken. The caller must not be
-// told "not run", and it must not be sent again.
+// The answer to a POST is cut, so the call may have run. It must not be answered "not run" and
+// must not be retried.
 #[tokio::test(flavor = "multi_thread")]
 async fn deposit_not_repeated() {
     let mut cluster = Cluster::start(SITE).await;
@@ -83,9 +83,8 @@
     cluster.assert_kept();
 }
 
-// Callers give up on slow look-ups while the answers are still on their way. Each
-// is told in time, and those who call next over the same hosts must get their own
-// answers and never the late ones.
+// Calls reach their deadline while their answers are still on the way. The next calls through the
+// same hosts must get their own answers and never the late ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answer_reaches_nobody() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/host_killed.rs
+++ b/tests/host_killed.rs
@@ -1,4 +1,4 @@
-//! An entry host dies without a word.
+//! An entry host's process is killed without a shutdown.
 
 mod common;
 
@@ -7,9 +7,9 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// A power cut takes an entry host that holds slots and has calls in flight. Its
-// own callers see their connections break; everyone else must notice nothing,
-// and its slots must serve again without any backend server getting too much.
+// An entry host is killed while it holds slots and has calls in flight. Only its own callers may
+// see broken connections. The other hosts must take over its slots, and no backend server may
+// get more calls than it has slots.
 #[tokio::test(flavor = "multi_thread")]
 async fn others_unhurt() {
     let mut cluster = Cluster::start(SITE).await;
@@ -29,14 +29,14 @@
         .collect();
     assert!(
         hurt.is_empty(),
-        "calls of other entry hosts were hurt: {hurt:?}"
+        "calls through other entry hosts failed: {hurt:?}"
     );
     cluster.assert_kept();
 }
 
-// The host dies between sending a deposit and passing its answer on. The
-// secretary asks again through another host with the same key: the deposit must
-// not be taken twice, and "not run" would be a lie.
+// An entry host is killed after it has sent a call with a key and before it has forwarded the
+// answer. The caller retries with the same key through the other hosts: the call must not run
+// twice, and must not be answered "not run", since it ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn deposit_once() {
     let mut cluster = Cluster::start(SITE).await;
@@ -45,7 +45,7 @@
     let sending = cluster.send(0, &first);
     let number = first.number;
     let started = move |e: &Event| matches!(e, Event::Received { call, started: true, .. } if *call == number);
-    cluster.event("the deposit is being taken", started).await;
+    cluster.event("the first call is running", started).await;
     cluster.kill(0);
     assert_eq!(sending.await.unwrap().outcome, Outcome::Broken);
     for host in [1, 2] {
--- a/tests/host_settings.rs
+++ b/tests/host_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of `serve`, checked whole before anything starts.
+//! The settings file of `serve`, validated as a whole before anything starts.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -16,24 +16,24 @@
 fn check(name: &str, text: &str) -> Output {
     let path: PathBuf =
         std::env::temp_dir().join(format!("settings-{name}-{}.toml", std::process::id()));
-    std::fs::write(&path, text).expect("it is written");
+    std::fs::write(&path, text).expect("the settings file is written");
     let output = Command::new(env!("CARGO_BIN_EXE_cardamomvale"))
         .arg("check-settings")
         .arg(&path)
         .output()
-        .expect("it runs");
-    std::fs::remove_file(&path).expect("it is removed");
+        .expect("the command runs");
+    std::fs::remove_file(&path).expect("the settings file is removed");
     output
 }
 
-/// The platform adds fields at times: an unknown one is no fault.
+/// The platform may add fields, so an unknown key is no error.
 #[test]
 fn whole_file() {
     let output = check("whole", WHOLE);
     assert!(output.status.success());
 }
 
-/// All faults are told at once, each with what to mend, and nothing starts.
+/// All errors of a file must be reported at once, each with its key.
 #[test]
 fn all_faults() {
     let text = WHOLE
@@ -53,7 +53,7 @@
         "probes_per_second:",
         "grace_seconds:",
     ] {
-        assert!(told.contains(key), "{key} is missing in {told}");
+        assert!(told.contains(key), "{key} is missing in the output: {told}");
     }
 }
 
@@ -62,6 +62,6 @@
     let output = Command::new(env!("CARGO_BIN_EXE_cardamomvale"))
         .args(["serve", "--settings", "/nowhere/host.toml"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     assert_eq!(output.status.code(), Some(2));
 }
--- a/tests/host_starts.rs
+++ b/tests/host_starts.rs
@@ -1,4 +1,4 @@
-//! Hosts that start again, beside others and all at once.
+//! Hosts that start, one by one beside running neighbours and all at once.
 
 mod site;
 
@@ -7,8 +7,8 @@
 use site::{Endpoint, Host, ROUTES, Store, config, until};
 use tokio::time::sleep;
 
-/// Hosts are started again in turn, and each reads all from the store though its
-/// neighbours know it: hundreds of hosts make thousands of calls.
+/// A host that starts must load routes and endpoints from its neighbours. With hundreds of hosts,
+/// reading everything from the store would make thousands of calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn neighbours_asked() {
     let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
@@ -22,17 +22,17 @@
     let mut others = Vec::new();
     for (n, address) in peers.iter().enumerate().skip(1) {
         let host = Host::start_beside(&format!("h-{n}"), &store, *address, Some(peers[0])).await;
-        until("it is ready", async || host.readiness().await == 200).await;
+        until("the host is ready", async || host.readiness().await == 200).await;
         others.push(host);
     }
     let read = store.listings() - before;
-    // Two pages a host where it reads all by itself.
+    // A host that reads everything from the store reads two pages.
     assert!(read <= 4, "{} hosts read {read} pages", others.len());
     assert_eq!(others[0].request("GET", "/read/x", "r1").await.status, 200);
 }
 
-/// All hosts have just started. A caller who is rejected comes back to another that knows
-/// as little, and gives up; one whose request waits a moment is served.
+/// While no host has a configuration yet, a rejected caller would retry at another host that
+/// rejects it too, and give up. Requests must wait a moment for the configuration instead.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_waits() {
     let store = Store::start().await;
@@ -42,7 +42,10 @@
     let first = Host::start_beside("first", &store, peers[0], None).await;
     let second = Host::start_beside("second", &store, peers[1], Some(peers[0])).await;
     let calls = store.calls();
-    until("one reads for both", async || store.calls() > calls + 4).await;
+    until("one host reads the store for both", async || {
+        store.calls() > calls + 4
+    })
+    .await;
     let request = "GET /read/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: r1\r\nTime-Remaining: 8000\r\nConnection: close\r\n\r\n";
     let served = async {
         let answers = tokio::join!(
@@ -61,7 +64,7 @@
     }
 }
 
-/// A host that learns nothing rejects what waits, and says truly that it was not run.
+/// A host that gets no configuration must reject waiting requests with 503 and `Retry-After`.
 #[tokio::test(flavor = "multi_thread")]
 async fn wait_ends() {
     let store = Store::start().await;
--- a/tests/large_changes.rs
+++ b/tests/large_changes.rs
@@ -1,13 +1,13 @@
-//! Changes of the configuration too large for a datagram.
+//! Configurations that are too large for a datagram.
 
 mod site;
 
 use site::{Host, ROUTES, Store, config, until};
 
-/// Routes that operators add at once: 290 KB of configuration.
+/// How many routes operators add at once: 290 KB of configuration.
 const MANY: usize = 4_200;
 
-/// Hosts of the data centre.
+/// How many hosts the data centre has.
 const HOSTS: usize = 6;
 
 fn many_routes() -> String {
@@ -31,7 +31,7 @@
     hosts
 }
 
-/// Returns whether a host serves a route that only the large change has.
+/// Returns whether a host serves the last route of the large configuration.
 async fn serves_last(host: &Host) -> bool {
     let path = format!("/bulk{}/x", MANY - 1);
     let request = format!(
@@ -41,12 +41,11 @@
     answer.is_some_and(|a| a.status == 200)
 }
 
-/// Operators added 1,400 routes, the third time in a row. Some hosts went on answering
-/// 404 for them, or used the routes of before, a second longer than was promised. Such
-/// a change fits into no datagram, so hosts could not tell it to each other: all came to
-/// read it from the store in the same quarter second and shared what the store gives.
-/// Each datagram was refused as too long, and all hosts together received a hundred
-/// times their usual in two seconds.
+/// Operators added 1,400 routes for the third time, so that the configuration did not fit into one
+/// datagram. Hosts could not gossip it: each datagram was refused as too long, and all hosts read
+/// the change from the store within the same quarter second and shared its throughput. Some
+/// answered 404 or used the old routes a second longer than allowed, and all hosts together
+/// received a hundred times their usual traffic in two seconds.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_change_told() {
     let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
@@ -58,13 +57,14 @@
         until("the change is in force", async || serves_last(host).await).await;
     }
     let copies = (store.bytes_read() - before) / change.len() as u64;
-    // One reader a data centre; two where a second one began at the same moment.
+    // One host a data centre reads the change; two where another one started reading at the same
+    // moment.
     assert!(copies <= 2, "{HOSTS} hosts read the change {copies} times");
 }
 
-/// A host starts while the store is down, in a site with thousands of routes. It
-/// refused every caller, though its neighbours knew all routes: what they handed over
-/// went in datagrams too, and no datagram held it.
+/// A host starts during an outage of the store, in a site with thousands of routes. Its neighbours
+/// know all routes, but a snapshot of the topic fits into no datagram: without fragments the host
+/// would refuse every caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_topic_handed_over() {
     let (store, _endpoint) = site::served(&config(2, &many_routes())).await;
--- a/tests/log_down.rs
+++ b/tests/log_down.rs
@@ -1,4 +1,4 @@
-//! The platform's log is down for a while.
+//! Entry hosts during an outage of the platform's store.
 
 mod common;
 
@@ -8,9 +8,9 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// The log answers nothing. Calls without a key must go on as if nothing had
-// happened; a new deposit can't be claimed, so it is refused as not run, in time,
-// and is taken once the log is back.
+// While the store is down, calls without a key must be served as usual. A call with a new key
+// can't be claimed: it must be refused as not run before its deadline, and succeed after the
+// outage.
 #[rstest::rstest]
 #[case::silent(Outage::Silent)]
 #[case::refusing(Outage::Refusing)]
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands as processes: what they print and how they end.
+//! The operators' commands as processes: their output and exit codes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
@@ -12,7 +12,7 @@
 const ORDINARY: &str = "examples/midlands.toml";
 const PEAK: &str = "examples/midlands-peak.toml";
 
-/// What a command came to.
+/// The exit code and output of a command.
 struct Ended {
     code: i32,
     out: String,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs a command against a log and returns its exit code and all it printed.
+/// Runs a command against a store and returns the exit code and the whole output.
 fn at(log: &StoreStandIn, arguments: &[&str]) -> (i32, String) {
     let address = log.address().to_string();
     let ended = operate(&[arguments, &["--log-address", &address]].concat());
@@ -43,7 +43,7 @@
     StoreStandIn::on_loopback(Behaviour::default()).unwrap()
 }
 
-/// Puts both presets and brings the ordinary one into force.
+/// Starts a store that holds both presets, with the ordinary one in force.
 fn opened() -> StoreStandIn {
     let log = log();
     for arguments in [
@@ -96,8 +96,7 @@
     assert!(code == 0 && text.contains("\"hallboard\""), "{text}");
 }
 
-// A file has faults in two places. Nothing of it is taken, and one message
-// names both with their lines.
+// A preset file with two errors must be rejected as a whole, with one message that names both.
 #[test]
 fn faulty_file() {
     let path = std::env::temp_dir().join(format!("faulty-{}.toml", std::process::id()));
@@ -139,12 +138,12 @@
     let log = opened();
     let (ended, text) = at(&log, arguments);
     assert!(ended == code && text.contains(message), "{ended} {text}");
-    assert_eq!(log.counts().appends, 3, "nothing was written");
+    assert_eq!(log.counts().appends, 3, "the command wrote to the store");
 }
 
-// The log takes an operator's choice, and is gone before it can say so. The
-// operator is told that it may have been done and how to ask again; asking
-// again finds the first one's answer, and the choice stands once.
+// The store accepts an operator's command and fails before it answers. The command must report
+// that it may have been applied and how to retry it. The retry with the same ID must return the
+// first outcome and must not apply the command again.
 #[test]
 fn lost_answer() {
     let log = opened();
@@ -167,9 +166,9 @@
     assert!(at(&log, &["preset", "list"]).1.contains("revision 5"));
 }
 
-// Every entry host was gone while the log dropped its records. Putting a preset
-// can't work any more, and says so; beginning anew does, once, and a new entry
-// host is ready with that preset. Where the log still knows, it is refused.
+// The store has trimmed records while no entry host was running to write a snapshot. `preset put`
+// must fail with a clear message, and `preset begin` must work, so that a new entry host is ready
+// with its preset. `preset begin` is refused while the store still holds all records.
 #[test]
 fn forgotten_log() {
     let log = opened();
@@ -221,7 +220,7 @@
     assert!(ended.code == 2 && ended.err.contains("--log-address IP:port, --entry IP:port"));
 }
 
-/// An entry host as a process, ended when dropped.
+/// An entry host as a process, killed when dropped.
 struct EntryHost {
     child: Child,
     admin: String,
@@ -267,7 +266,7 @@
     let host = EntryHost::start(&log);
     let entry = |arguments: &[&str]| operate(&[arguments, &["--entry", &host.admin]].concat());
     let chosen = entry(&["preset", "choose", "peak"]);
-    // The host's own joining is a change too, before the choice or after it.
+    // The host's own joining also takes a revision, before or after the command's.
     let revision = match chosen.out.as_str() {
         "accepted, revision 4: preset peak is in force\n" => 4,
         "accepted, revision 5: preset peak is in force\n" => 5,
--- a/tests/operators_race.rs
+++ b/tests/operators_race.rs
@@ -1,4 +1,4 @@
-//! Operators race one another, and repeat commands.
+//! Concurrent and repeated commands of operators.
 
 mod common;
 
@@ -9,9 +9,8 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// In a flood, two operators choose the peak and the maintenance preset at the same
-// moment, each having looked at the same revision. One of them must be told that
-// the other was first, and every entry host must act on the same choice.
+// Two operators choose different presets at the same moment, both based on the same revision. One
+// command must be refused, and every entry host must apply the other one.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_choice() {
     let mut cluster = Cluster::start(SITE).await;
@@ -43,9 +42,9 @@
     cluster.assert_kept();
 }
 
-// A data centre is taken out and brought back twice within seconds, at once with a
-// change of the preset, by operators who can't agree. Calls go on, and the last
-// word is in force everywhere.
+// A data centre is taken out of service and brought back twice within seconds, at the same time as
+// presets are chosen. No call may fail to connect or break, and the last revision must reach every
+// entry host.
 #[tokio::test(flavor = "multi_thread")]
 async fn twice_in_a_row() {
     let mut cluster = Cluster::start(SITE).await;
@@ -79,7 +78,7 @@
         });
         seen.last().is_some_and(|r| *r >= last)
     };
-    until("the last word is in force", || {
+    until("the last revision is in force", || {
         cluster.hosts.iter().all(|h| shown(&h.name))
     })
     .await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More calls than all slots can bear.
+//! More calls than all slots can serve.
 
 mod common;
 
@@ -7,9 +7,9 @@
 
 const SITE: &str = include_str!("common/overload.toml");
 
-// On the morning when the hall calendar opens, twice as many calls come as all
-// slots can serve. Half must be refused, truly not run and at once, with a hint when
-// to come back; the other half must be served; no backend server gets a seventh call.
+// The load is twice what all slots can serve, as when a booking calendar opens. About half of the
+// calls must be served. The others must be refused immediately, without having run and with
+// `Retry-After`. No backend server may get more calls at once than its six slots.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_is_served() {
     let mut cluster = Cluster::start(SITE).await;
@@ -23,16 +23,16 @@
     let samples = load.stop().await;
     let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count();
     let (complete, refused) = (count(Outcome::Complete), count(Outcome::NotRun));
-    // A call whose deadline passes while its work runs is truly "unknown"; few may be.
+    // A call whose deadline passes while it runs is rightly answered "unknown"; there may be few.
     let expired = count(Outcome::Unknown);
     assert_eq!(complete + refused + expired, samples.len());
     assert!(
         expired * 50 < samples.len(),
-        "{expired} started too late to end in time"
+        "{expired} calls started too late to end before their deadline"
     );
     assert!(
         refused > 0 && complete * 5 > samples.len() * 2,
-        "{complete} of {}",
+        "{complete} of {} calls complete",
         samples.len()
     );
     let told = |r: &stand_ins::load::Reply| r.outcome != Outcome::NotRun || r.retry_after.is_some();
--- a/tests/paused_holder.rs
+++ b/tests/paused_holder.rs
@@ -1,4 +1,4 @@
-//! An entry host is paused past its leases.
+//! An entry host is paused until its leases have expired.
 
 mod common;
 
@@ -6,9 +6,9 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// A noisy neighbour starves an entry host of processor time for longer than its
-// slots are leased to it, with calls queued. When it runs on it must not use the
-// slots that others hold by now: no backend server may ever get a seventh call.
+// A noisy neighbour starves an entry host with queued calls of processor time until its leases have
+// expired and other hosts have taken over its slots. After it resumes it must not use these slots:
+// no backend server may get more calls at once than its six slots.
 #[tokio::test(flavor = "multi_thread")]
 async fn never_a_seventh_call() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -1,4 +1,4 @@
-//! An entry host that was away while the configuration changed.
+//! An entry host is paused while the configuration changes.
 
 mod common;
 
@@ -16,17 +16,18 @@
     cluster.status(host).await["revision"].as_u64().unwrap()
 }
 
-/// Waits until the hosts that run show a revision, before their next record falls off.
+/// Waits until the hosts that are not paused show a revision, before the store drops the next
+/// record that they need.
 async fn follow(cluster: &Cluster, made: u64) {
     let limit = Instant::now() + common::LIMIT;
     for host in [1, 2] {
         while revision(cluster, host).await < made {
-            assert!(Instant::now() < limit, "{made} is not in force");
+            assert!(Instant::now() < limit, "revision {made} is not in force");
         }
     }
 }
 
-/// Returns whether the log holds a snapshot for those who missed records.
+/// Returns whether the store holds a snapshot for hosts that missed records.
 fn has_snapshot(cluster: &Cluster) -> bool {
     let client = BlockingStoreClient::new(cluster.site.store.address(), STORE_TIMEOUT);
     let page = client.read(CONFIG_STREAM, 0, None, Duration::ZERO).unwrap();
@@ -34,11 +35,10 @@
     records.any(|r| matches!(r, Ok(Record::Snapshot(_))))
 }
 
-// An entry host's process is paused (a virtual machine is moved, say) while
-// operators take a data centre out and the log drops the record of it. Calls
-// that reach it meanwhile wait in its sockets. It runs on: no call is sent to
-// the data centre that has left, the revision it shows never goes down, and it
-// catches up though the records are gone.
+// An entry host's process is paused (by a migration of its virtual machine, for instance) while
+// operators take a data centre out of service and the store drops the record of that. Calls that
+// reach the host wait in its sockets. After it resumes, it must send no call to that data centre,
+// its revision must never go down, and it must catch up although the records are gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn missed_leaving() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/platform_answers.rs
+++ b/tests/platform_answers.rs
@@ -1,4 +1,4 @@
-//! What callers get of endpoints' answers, through a real entry host.
+//! How a real entry host forwards, retries or replaces the answers of endpoints.
 
 mod site;
 
@@ -38,10 +38,9 @@
     assert_eq!(host.request("GET", "/none/x", "r1").await.status, 404);
 }
 
-/// An endpoint's answer is spoiled: cut, another request's, unsigned, encoded,
-/// or a 503 that doesn't say that the request was not run. A caller that took
-/// it for its own would read another's booking or half of one; a deposit sent
-/// again would be taken twice.
+/// An endpoint's answer to an unsafe request is invalid: cut, another request's, unsigned, encoded,
+/// or a 503 without `Not-Executed`. Forwarded, it would give the caller partial data or another
+/// caller's; retried, the request would run twice. The host must answer 502 instead.
 #[rstest]
 #[case(Behaviour::Cut)]
 #[case(Behaviour::Foreign)]
@@ -59,8 +58,8 @@
     assert_eq!(runs, ["w1"]);
 }
 
-/// The same answers to a request that may run twice: another endpoint is asked,
-/// and the caller notices nothing.
+/// An endpoint's answer to a safe request is invalid or failed. The host must retry at another
+/// endpoint, whose answer the caller gets.
 #[rstest]
 #[case(Behaviour::Cut)]
 #[case(Behaviour::Foreign)]
@@ -69,7 +68,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn spoiled_repeated(#[case] behaviour: Behaviour) {
     let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
-    // The budget of repeats is a share of what was served before.
+    // The retry budget is a fraction of the requests served before.
     for n in 0..10 {
         host.request("GET", "/read/x", &format!("before-{n}")).await;
     }
@@ -80,8 +79,8 @@
     }
 }
 
-/// All endpoints reject: the caller hears that its deposit was not taken, and
-/// that is true.
+/// All endpoints reject a request without running it. The caller must get 503 with `Retry-After`,
+/// and no endpoint may have run the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn rejected_truly() {
     let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
@@ -92,22 +91,21 @@
     assert!(endpoints.iter().all(|e| e.runs().is_empty()));
 }
 
-/// An endpoint never answers: the caller has its final answer at the route's
-/// timeout, and it doesn't say "not run".
+/// An endpoint never answers. The caller must get 504 at the route's timeout, and not "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_endpoint() {
     let (_store, endpoints, host) = started(&["i-1"]).await;
     endpoints[0].set(Behaviour::Hang);
     let answer = host.request("POST", "/write/x", "w1").await;
     assert_eq!(answer.status, 504);
-    until("the endpoint was told", async || {
+    until("the endpoint's request is cancelled", async || {
         endpoints[0].given_up() == 1
     })
     .await;
 }
 
-/// One endpoint fails a request, and the one that gets it then never answers.
-/// The first one's answer is there: the caller gets it rather than nothing.
+/// One endpoint fails a request, and the endpoint that gets the retry never answers. The caller
+/// must get the first endpoint's answer instead of a timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_then_silent() {
     let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
@@ -121,8 +119,8 @@
     assert!(answer.has("server-signature"));
 }
 
-/// The address of an endpoint that ended was given to another one. A request
-/// sent there would run at the wrong service.
+/// The address of an endpoint that has ended was reassigned to another instance. A request sent
+/// there could run at the wrong service.
 #[tokio::test(flavor = "multi_thread")]
 async fn reused_address() {
     let (store, endpoints, host) = started(&["i-1"]).await;
@@ -138,31 +136,33 @@
     .await;
 }
 
-/// A caller hangs up while its endpoint is at work. Work for nobody would keep
-/// the slot from others.
+/// A caller closes its connection while its request runs. The host must cancel the request, or the
+/// slot would stay taken by work that nobody waits for.
 #[tokio::test(flavor = "multi_thread")]
 async fn hang_up() {
     let (_store, endpoints, host) = started(&["i-1"]).await;
     endpoints[0].set(Behaviour::Hang);
-    let mut stream = TcpStream::connect(host.callers).await.expect("it accepts");
+    let mut stream = TcpStream::connect(host.callers)
+        .await
+        .expect("the host accepts");
     let request = "GET /read/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: r1\r\nTime-Remaining: 60000\r\n\r\n";
     stream
         .write_all(request.as_bytes())
         .await
-        .expect("it reads");
-    until("the endpoint is at work", async || {
+        .expect("the host reads");
+    until("the endpoint runs the request", async || {
         endpoints[0].runs().len() == 1
     })
     .await;
     drop(stream);
-    until("the endpoint was told", async || {
+    until("the endpoint's request is cancelled", async || {
         endpoints[0].given_up() == 1
     })
     .await;
 }
 
-/// One of three endpoints stands on a disturbed machine and says so. Callers
-/// who met it would wait four times as long.
+/// One of three endpoints, on an overloaded machine, reports four times the usual latency. The host
+/// must send its requests to the other two.
 #[tokio::test(flavor = "multi_thread")]
 async fn disturbed_endpoint() {
     let (_store, endpoints, host) = started(&["i-1", "i-2", "i-3"]).await;
@@ -173,8 +173,8 @@
     assert!(endpoints[1].runs().is_empty());
 }
 
-/// SIGTERM while a request is at its endpoint and others still come: the
-/// running one is answered, the host is no longer ready, and it ends in time.
+/// SIGTERM arrives while a request runs and new ones still arrive. The host must answer the running
+/// request, report that it is not ready, still serve new requests, and exit in time with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop() {
     let (_store, endpoints, mut host) = started(&["i-1"]).await;
@@ -184,7 +184,7 @@
         let request = "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w1\r\nTime-Remaining: 2000\r\nContent-Length: 0\r\n\r\n";
         site::exchange(callers, request).await
     });
-    until("the endpoint is at work", async || {
+    until("the endpoint runs the request", async || {
         endpoints[0].runs().len() == 1
     })
     .await;
@@ -193,7 +193,10 @@
         host.readiness().await == 503
     })
     .await;
-    let answer = running.await.expect("it ends").expect("it is answered");
+    let answer = running
+        .await
+        .expect("the task ends")
+        .expect("the request is answered");
     assert_eq!(answer.status, 200);
     assert!(answer.has("connection"));
     endpoints[0].set(Behaviour::Serve);
@@ -207,9 +210,8 @@
     assert_eq!(host.ended_well(), Some(true));
 }
 
-/// Operators grant a host fewer open files, and it goes on serving. Were that
-/// taken over at the next start only, callers above the new limit would hold the
-/// files that the host needs for endpoints.
+/// Operators lower a running host's limit of open files. If the limit were applied only at the next
+/// start, callers above it would hold the file descriptors that the host needs for endpoints.
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_settings() {
     let (_store, _endpoints, host) = started(&["i-1"]).await;
@@ -217,14 +219,24 @@
         let answer = host.try_request("GET", "/read/x", "r1").await;
         answer.map(|a| a.status)
     };
-    // As many as 601 open files leave to callers.
+    // As many connections as `open_files = 601` leaves for callers.
     let mut held = Vec::new();
     for _ in 0..150 {
-        held.push(TcpStream::connect(host.callers).await.expect("it accepts"));
+        held.push(
+            TcpStream::connect(host.callers)
+                .await
+                .expect("the host accepts"),
+        );
     }
     assert_eq!(status().await, Some(200));
     host.change_settings("grace_seconds", "open_files = 601\ngrace_seconds");
-    until("one more is turned away", async || status().await.is_none()).await;
+    until("one more connection is refused", async || {
+        status().await.is_none()
+    })
+    .await;
     drop(held);
-    until("there is room again", async || status().await == Some(200)).await;
+    until("a connection is accepted again", async || {
+        status().await == Some(200)
+    })
+    .await;
 }
--- a/tests/platform_framing.rs
+++ b/tests/platform_framing.rs
@@ -1,4 +1,5 @@
-//! What callers and endpoints get where bytes come early, late, chunked or without an end.
+//! HTTP framing between callers, entry hosts and endpoints: bodies that are early, late, chunked
+//! or without a length.
 
 mod site;
 
@@ -11,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Bytes of a body that is passed on before all of it has come.
+/// The length, in bytes, of a body that the host forwards before it has received all of it.
 const LONG: usize = 600_000;
 
 async fn started(
@@ -25,7 +26,7 @@
     (store, endpoint, host)
 }
 
-/// Returns a signed answer to the attempt `id`.
+/// Returns a signed answer to the attempt `id` with the body `text`.
 fn signed(id: &str, text: &str) -> String {
     let length = text.len();
     format!(
@@ -33,7 +34,7 @@
     )
 }
 
-/// Returns a signed answer without a length, which ends with its connection.
+/// Returns a signed answer without a length, which the end of the connection delimits.
 fn unframed(id: &str, text: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Signature: s\r\n\r\n{text}")
 }
@@ -43,9 +44,8 @@
     seen.iter().map(|s| s.id().to_owned()).collect()
 }
 
-/// An endpoint writes a second answer behind a whole one. On a kept connection
-/// it would be taken for the answer to the next caller's request, who would read
-/// another's booking.
+/// An endpoint writes a second answer after a complete one. On a reused connection the host would
+/// take it for the answer to the next request, and send a caller another caller's data.
 #[tokio::test(flavor = "multi_thread")]
 async fn extra_answers() {
     let (_store, endpoint, host) = started(|seen| {
@@ -61,9 +61,8 @@
     assert_eq!(ids(&endpoint), ["w0", "w1", "w2", "w3", "w4", "w5"]);
 }
 
-/// An endpoint says late, of a request that it had given up on, that it did not
-/// run it. Taken for the word on the next deposit, that one would be sent again
-/// although it runs, and be taken twice.
+/// An endpoint answers that it did not run an earlier attempt. Were that taken for the answer to
+/// the present request, the host would send a running request again, and it would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_rejection() {
     let (_store, endpoint, host) = started(|_| {
@@ -72,12 +71,12 @@
     })
     .await;
     let answer = host.request("POST", "/write/x", "w1").await;
-    assert_eq!(answer.status, 502, "it may have run: {answer:?}");
+    assert_eq!(answer.status, 502, "the request may have run: {answer:?}");
     assert_eq!(ids(&endpoint), ["w1"]);
 }
 
-/// An answer has no length and ends with its connection. It is whole where the
-/// connection ends in order, and half of a booking where it is reset.
+/// An answer without a length ends with its connection. It is complete where the connection is
+/// closed with FIN, and must count as cut where the connection is reset.
 #[tokio::test(flavor = "multi_thread")]
 async fn unframed_answers() {
     let (_store, _endpoint, host) = started(|seen| match seen.id() {
@@ -88,27 +87,35 @@
     let whole = host.request("POST", "/write/x", "whole").await;
     assert_eq!((whole.status, whole.body.as_str()), (200, "all of it"));
     let cut = host.request("POST", "/write/x", "cut").await;
-    assert_eq!(cut.status, 502, "half an answer was passed on: {cut:?}");
+    assert_eq!(cut.status, 502, "a cut answer was forwarded: {cut:?}");
 }
 
-/// A long answer without a length is reset after the caller has got the first
-/// part of it. It must not look whole to the caller.
+/// The connection of a long answer without a length is reset after the caller has received a part
+/// of it. The answer must not look complete to the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_unframed_cut() {
     let (_store, _endpoint, host) =
         started(|seen| Reply::Reset(unframed(seen.id(), &"x".repeat(LONG)))).await;
     let head = "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w1\r\nTime-Remaining: 2000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    let mut stream = TcpStream::connect(host.callers).await.expect("it accepts");
-    stream.write_all(head.as_bytes()).await.expect("it reads");
+    let mut stream = TcpStream::connect(host.callers)
+        .await
+        .expect("the host accepts");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("the host reads");
     let mut bytes = Vec::new();
-    // A reset is as good a sign of a broken answer as a missing last chunk.
+    // A reset, too, shows the caller that the answer is cut, as a missing last chunk does.
     let _ = stream.read_to_end(&mut bytes).await;
     let text = String::from_utf8_lossy(&bytes);
     let fails = text.starts_with("HTTP/1.1 502");
-    assert!(fails || !text.ends_with("0\r\n\r\n"), "it looks whole");
+    assert!(
+        fails || !text.ends_with("0\r\n\r\n"),
+        "the answer looks complete"
+    );
 }
 
-/// Bodies in chunks both ways arrive as they were sent.
+/// Chunked bodies must arrive unchanged in both directions.
 #[rstest]
 #[case(10)]
 #[case(LONG)]
@@ -133,31 +140,40 @@
     assert_eq!(seen[0].body, format!("abc{body}").as_bytes());
 }
 
-/// An endpoint answers before it has read a long body, keeps the connection and
-/// reads on. The next request would be taken for the rest of that body, and its
-/// caller would never hear of it. A caller that still sends its body when the
-/// answer comes would see its connection reset, often before it read the answer.
+/// An endpoint answers before it has read a long body, and reads the rest afterwards. Were its
+/// connection reused at once, the endpoint would take the next request for the rest of that body.
+/// Were the caller's connection closed while the caller still sends its body, the caller would get
+/// a reset, often before it has read the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn early_answers() {
     let (_store, endpoint, host) = started(|seen| Reply::Early(signed(seen.id(), "early"))).await;
     let body = "b".repeat(LONG);
     let (start, rest) = body.split_at(LONG / 2);
-    let mut stream = TcpStream::connect(host.callers).await.expect("it accepts");
+    let mut stream = TcpStream::connect(host.callers)
+        .await
+        .expect("the host accepts");
     for n in 0..4 {
         let head = format!(
             "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w{n}\r\nTime-Remaining: 2000\r\nContent-Length: {LONG}\r\n\r\n{start}"
         );
-        stream.write_all(head.as_bytes()).await.expect("it reads");
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the host reads");
         let answer = timeout(Duration::from_secs(10), first_line(&mut stream)).await;
         let line = answer.expect("an answer in time");
         assert!(line.starts_with("HTTP/1.1 200"), "{line}");
         let sent = stream.write_all(rest.as_bytes()).await;
         sent.expect("the rest of the body is read too");
     }
-    // The host may pass the rest on or close; what comes is never another's.
+    // The host may forward the rest or close; whatever arrives must belong to the same request.
     for seen in endpoint.seen() {
         assert!(seen.head.starts_with("POST /write/x HTTP/1.1\r\n"));
-        assert_eq!(seen.body, body.as_bytes(), "bytes of another");
+        assert_eq!(
+            seen.body,
+            body.as_bytes(),
+            "the body has bytes of another request"
+        );
     }
 }
 
@@ -167,8 +183,8 @@
     String::from_utf8_lossy(&bytes[..count]).into_owned()
 }
 
-/// A kept connection to an endpoint goes silent for good, without a reset. A
-/// deposit sent on it would be lost, and nobody could say whether it was taken.
+/// A reused connection to an endpoint stops passing data without a reset. Requests sent on it
+/// would be lost, and whether they ran would stay unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections() {
     let (_store, endpoint, host) = started(|seen| match seen.id() {
@@ -180,9 +196,9 @@
         host.request("POST", "/write/x", &format!("before-{n}"))
             .await;
     }
-    // It takes the connection along, and the host may not use it again.
+    // The timeout must close the connection, so that no later request uses it.
     assert_eq!(host.request("GET", "/read/x", "mute").await.status, 504);
-    until("the endpoint is used again", async || {
+    until("the endpoint serves again", async || {
         let answer = host.request("POST", "/write/x", "after").await;
         answer.status == 200
     })
@@ -196,8 +212,8 @@
     assert_ne!(after, muted);
 }
 
-/// A caller sends its head too slowly, or one that is too large. Held for ever,
-/// a thousand of them would take all of the host's files.
+/// The host must close the connection of a caller that sends its head too slowly, or one that is
+/// too large. Otherwise a thousand such callers would use up the host's file descriptors.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_heads() {
     let (_store, endpoint, host) = started(|seen| Reply::Keep(signed(seen.id(), "whole"))).await;
@@ -207,20 +223,22 @@
     );
     let status = exchange(host.callers, &large).await.map(|a| a.status);
     assert!(matches!(status, None | Some(431)), "{status:?}");
-    let mut slow = TcpStream::connect(host.callers).await.expect("it accepts");
+    let mut slow = TcpStream::connect(host.callers)
+        .await
+        .expect("the host accepts");
     slow.write_all(b"GET /read/x HTTP/1.1\r\nHost:")
         .await
-        .expect("it reads");
+        .expect("the host reads");
     let mut rest = Vec::new();
     timeout(Duration::from_secs(10), slow.read_to_end(&mut rest))
         .await
-        .expect("the host ends it")
+        .expect("the host closes the connection")
         .ok();
     assert!(endpoint.seen().is_empty());
 }
 
-/// A caller comes back on its connection after four fifths of the idle time that
-/// operators grant. Closed earlier, its deposit would cross the close and be lost.
+/// A caller reuses its connection after four fifths of the configured idle timeout. If the host
+/// closed the connection earlier, the caller's next request could cross the close and be lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_callers() {
     let store = Store::start().await;
@@ -229,7 +247,9 @@
     let endpoint = RawEndpoint::start(|seen| Reply::Keep(signed(seen.id(), "whole"))).await;
     endpoint.register(&store, "svc");
     let host = Host::ready("entry", &store).await;
-    let mut stream = TcpStream::connect(host.callers).await.expect("it accepts");
+    let mut stream = TcpStream::connect(host.callers)
+        .await
+        .expect("the host accepts");
     for n in 0..2 {
         let request = format!(
             "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w{n}\r\nTime-Remaining: 2000\r\nContent-Length: 0\r\n\r\n"
@@ -237,7 +257,7 @@
         stream
             .write_all(request.as_bytes())
             .await
-            .expect("it is open");
+            .expect("the connection is open");
         let line = first_line(&mut stream).await;
         assert!(line.starts_with("HTTP/1.1 200"), "{line}");
         if n == 0 {
@@ -247,8 +267,8 @@
     assert_eq!(ids(&endpoint), ["w0", "w1"]);
 }
 
-/// One part of a route has no endpoint that takes work. Its callers are told to
-/// come back; sent to the other part, that one would get more than operators gave it.
+/// One weighted service of a route has no endpoints. Its fraction of the requests must be refused
+/// with `Retry-After`: sent to the other service, they would exceed the weight set by operators.
 #[tokio::test(flavor = "multi_thread")]
 async fn short_part() {
     let store = Store::start().await;
@@ -264,7 +284,7 @@
         answers.push(host.request("GET", "/read/x", &format!("r{n}")).await);
     }
     let served = answers.iter().filter(|a| a.status == 200).count();
-    // Half of 200, with five standard deviations of a fair coin to either side.
+    // Half of 200, with five standard deviations of a fair coin on either side.
     assert!((65..=135).contains(&served), "{served} of 200");
     let rejected: Vec<&Answer> = answers.iter().filter(|a| a.status != 200).collect();
     for answer in rejected {
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! What entry hosts make of the store's records and its faults.
+//! How entry hosts handle the store's records and its outages.
 
 mod site;
 
@@ -7,8 +7,8 @@
 
 const ONE_ROUTE: &str = r#"["other","a.example","/other/","safe",2.0,0.5,2,null,2,"svc"]"#;
 
-/// A host that knows no configuration can't know that a route is missing. A 404
-/// would tell the caller never to come back.
+/// A host without a configuration can't tell which routes exist. It must answer 503 with
+/// `Retry-After`: a 404 would stop the caller from retrying.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_catalogue() {
     let store = Store::start().await;
@@ -19,8 +19,8 @@
     assert!(answer.has("retry-after"));
 }
 
-/// A configuration comes that can't be read, then an older one. Callers would
-/// lose routes that their operators have put in force.
+/// The store holds a configuration with an unknown service, a truncated one and one with an older
+/// version. The host must ignore all three, or callers would lose routes in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_catalogues() {
     let (store, _endpoint) = site::served(&config(5, ROUTES)).await;
@@ -47,8 +47,7 @@
     assert_eq!(host.request("GET", "/other/x", "r2").await.status, 404);
 }
 
-/// An entry of an endpoint that can't be read stands beside good ones, and must
-/// not cost them.
+/// Unreadable endpoint records must not keep the host from using the valid ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_entries() {
     let store = Store::start().await;
@@ -65,7 +64,7 @@
     assert_eq!(host.request("GET", "/read/x", "r1").await.status, 200);
 }
 
-/// An endpoint says that it is leaving: it gets nothing more.
+/// An endpoint that registers as draining must get no more requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_endpoint() {
     let store = Store::start().await;
@@ -74,35 +73,38 @@
     endpoints.iter().for_each(|e| e.register(&store, "ready"));
     let host = Host::ready("entry", &store).await;
     endpoints[0].register(&store, "draining");
-    until("the other gets ten in a row", async || {
-        let before = endpoints[0].runs().len();
-        for _ in 0..10 {
-            host.request("GET", "/read/x", "r").await;
-        }
-        endpoints[0].runs().len() == before
-    })
+    until(
+        "ten requests in a row go to the other endpoint",
+        async || {
+            let before = endpoints[0].runs().len();
+            for _ in 0..10 {
+                host.request("GET", "/read/x", "r").await;
+            }
+            endpoints[0].runs().len() == before
+        },
+    )
     .await;
 }
 
-/// Operators empty a data centre, and take it back.
+/// Requests are refused with 503 while a data centre is evacuated, and served afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn emptied_centre() {
     let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
     store.put("keyed.op", "evacuate/here", Some("{}"));
-    until("nothing is run", async || {
+    until("requests are refused", async || {
         host.request("GET", "/read/x", "r").await.status == 503
     })
     .await;
     store.put("keyed.op", "evacuate/here", None);
-    until("it is back", async || {
+    until("requests are served again", async || {
         host.request("GET", "/read/x", "r").await.status == 200
     })
     .await;
 }
 
-/// The store is away, silent or refusing, and the host goes on with what it
-/// knows; what is written after its return is in force soon.
+/// During an outage of the store, silent or refusing, the host must serve with the configuration
+/// that it has, and must apply a new version soon after the outage.
 #[rstest::rstest]
 #[case(Mode::Silent)]
 #[case(Mode::Refusing)]
@@ -112,7 +114,7 @@
     let host = Host::ready("entry", &store).await;
     store.set(mode);
     let calls = store.calls();
-    until("the store was asked in vain", async || {
+    until("the store receives a call during the outage", async || {
         store.calls() > calls
     })
     .await;
@@ -125,9 +127,8 @@
     .await;
 }
 
-/// A host is started anew while the store is away. Its neighbour knows routes and
-/// endpoints, yet callers who come to the new one are refused until the store
-/// is back.
+/// A host that starts during an outage of the store must load routes and endpoints from its
+/// neighbour. Otherwise it refuses all callers until the store is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn started_while_away() {
     let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
@@ -135,8 +136,8 @@
     assert_eq!(new.request("GET", "/read/x", "r1").await.status, 200);
 }
 
-/// The store forgets its history while a host follows it: the host begins anew
-/// with the newest record of each key and misses no endpoint's leaving.
+/// The store drops old records that a host has not read yet. The host must start over from the
+/// newest record of each key, and must notice that an endpoint has been removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn forgotten_history() {
     let store = Store::start().await;
@@ -150,7 +151,7 @@
     store.forget("keyed.servers");
     store.forget("keyed.op");
     store.set(Mode::Up);
-    until("the rest serves alone", async || {
+    until("only the other endpoint serves, by version 2", async || {
         let before = endpoints[0].runs().len();
         let mut served = true;
         for _ in 0..10 {
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -1,4 +1,4 @@
-//! A request that crashes the endpoints that run it, through real entry hosts.
+//! Requests that crash the endpoints that run them, through real entry hosts.
 
 mod site;
 
@@ -10,15 +10,15 @@
 /// The path whose requests crash endpoints.
 const FATAL: &str = "/read/fatal";
 
-/// Arrivals of the request after all hosts reject it, before it is a fault.
+/// The most times that the request may reach endpoints after all hosts reject it.
 const REPEATS: usize = 3;
 
-/// A store, endpoints that `FATAL` crashes, and hosts that know each other.
+/// A store, endpoints that crash on `FATAL`, and connected hosts.
 struct Site {
     store: Store,
     endpoints: Vec<Endpoint>,
     hosts: Vec<Host>,
-    /// Where hosts hear each other, for those still to be started as well.
+    /// The peer addresses of the hosts, also of the one that starts later.
     addresses: Vec<SocketAddr>,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Starts one more host, which greets the first.
+    /// Starts one more host, which joins through the first.
     async fn add_host(&mut self) {
         let seed = Some(self.addresses[0]);
         let host = Host::start_beside("late", &self.store, self.addresses[3], seed).await;
@@ -44,13 +44,14 @@
         self.hosts.push(host);
     }
 
-    /// Returns how often an endpoint has begun to run the request.
+    /// Returns how often endpoints have started to run the request.
     fn crashes(&self) -> usize {
         let runs = self.endpoints.iter().flat_map(Endpoint::runs);
         runs.filter(|id| id.starts_with("fatal")).count()
     }
 
-    /// Sends the request to each host in turn; true where all reject it unrun.
+    /// Sends the request to each host in turn, and returns whether all reject it without running
+    /// it and serve other requests.
     async fn all_reject(&self) -> bool {
         let before = self.crashes();
         let mut all = true;
@@ -61,7 +62,7 @@
         all && self.crashes() == before && self.serves().await
     }
 
-    /// Returns whether every host serves other requests, and those beside them.
+    /// Returns whether every host serves another request.
     async fn serves(&self) -> bool {
         for host in &self.hosts {
             let answer: Answer = host.request("GET", "/read/popular", "popular").await;
@@ -73,18 +74,19 @@
     }
 }
 
-/// A request that crashes every endpoint that runs it must not reach one endpoint after
-/// the other, sent again by its caller to another host each time.
+/// A request that crashes every endpoint must not reach one endpoint after the other while its
+/// caller retries it at all hosts.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request() {
     let site = Site::start().await;
-    until("all hosts reject it and serve the rest", async || {
-        site.all_reject().await
-    })
+    until(
+        "all hosts reject the request and serve others",
+        async || site.all_reject().await,
+    )
     .await;
     let before = site.crashes();
     for _ in 0..10 {
-        until("the rest is served", async || site.serves().await).await;
+        until("other requests are served", async || site.serves().await).await;
         for host in &site.hosts {
             host.request("GET", FATAL, "fatal").await;
         }
@@ -92,33 +94,33 @@
     let repeats = site.crashes() - before;
     assert!(
         repeats <= REPEATS,
-        "it reached endpoints {repeats} times more"
+        "the request reached endpoints {repeats} times more"
     );
 }
 
-/// A host that starts after a request was quarantined must not let it crash endpoints anew.
+/// A host that starts after a request was quarantined must reject the request too.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_host() {
     let mut site = Site::start().await;
-    until("all hosts reject it and serve the rest", async || {
-        site.all_reject().await
-    })
+    until(
+        "all hosts reject the request and serve others",
+        async || site.all_reject().await,
+    )
     .await;
     site.add_host().await;
     let before = site.crashes();
-    until("the new host rejects it too", async || {
+    until("the new host rejects the request too", async || {
         site.all_reject().await
     })
     .await;
     let repeats = site.crashes() - before;
     assert!(
         repeats <= REPEATS,
-        "it reached endpoints {repeats} times more"
+        "the request reached endpoints {repeats} times more"
     );
 }
 
-/// A popular request must not be quarantined because connections are reset under it while
-/// its endpoints live.
+/// A request whose connections are reset while its endpoints keep running must not be quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn reset_connections() {
     let site = Site::start().await;
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -9,27 +9,28 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Requests a second that an endpoint in need takes from all hosts together.
+/// The rate that a limited endpoint advertises, in requests a second from all hosts together.
 const LIMIT: f64 = 1.5;
 
 /// The window in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Arrivals granted in a window at an endpoint that advertises the limit.
+/// The most arrivals allowed in a window at a limited endpoint.
 const GRANTED: usize = 14;
 
-/// How long after an endpoint first named its limit all hosts have to act on it.
+/// The time from an endpoint's first request, whose answer advertises the limit, until all
+/// hosts must apply the limit.
 const TOLD: Duration = Duration::from_millis(500);
 
-/// Endpoints in need, of eight.
+/// How many of the eight endpoints are limited.
 const LIMITED: usize = 4;
 
 const HOSTS: usize = 5;
 
-/// The pause between two requests of the load.
+/// The time between two requests of the load.
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Requests of the load.
+/// How many requests the load has.
 const REQUESTS: usize = 650;
 
 struct Site {
@@ -49,7 +50,7 @@
         &self.endpoints[..LIMITED]
     }
 
-    /// Sends so many requests to all hosts in turn, and returns how many were served.
+    /// Sends `requests` requests to all hosts in turn, and returns how many were served.
     async fn load(&self, requests: usize) -> usize {
         let mut ticks = interval(PAUSE);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -66,7 +67,7 @@
     }
 }
 
-/// Returns the most arrivals in one window that begins once all hosts have to know.
+/// Returns the most arrivals in any window that starts after all hosts must apply the limit.
 fn busiest(endpoint: &Endpoint) -> usize {
     let arrivals: Vec<Instant> = endpoint.arrivals().into_iter().map(|(_, at)| at).collect();
     let known = arrivals.first().map(|first| *first + TOLD);
@@ -84,8 +85,9 @@
     windows.max().unwrap_or_default()
 }
 
-/// An endpoint that takes a few requests a second from all hosts together must not get
-/// as many from each, while the others have room.
+/// An endpoint's advertised rate limit holds for all hosts together. Without coordination each
+/// host would send as many requests as the limit allows. All requests must still be served, by the
+/// endpoints without a limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn advertised_limit() {
     let site = Site::start().await;
--- a/tests/rolling_restart.rs
+++ b/tests/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Every entry host is replaced in turn.
+//! A rolling restart of all entry hosts.
 
 mod common;
 
@@ -6,9 +6,9 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// Operators replace the entry hosts one by one on a working day, each by SIGTERM
-// and a new process. A secretary must not notice: no call may break, none may be
-// answered "unknown" (but for repeats of a key that is still in flight), and the process must end by itself with 0.
+// Each entry host in turn gets SIGTERM and is replaced by a new process under load. No call may
+// break, none may be answered "unknown" (except a retry whose key is still in flight), and each
+// process must exit by itself with status 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_call_breaks() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/same_key.rs
+++ b/tests/same_key.rs
@@ -1,4 +1,4 @@
-//! One idempotency key at several entry hosts.
+//! Calls with the same idempotency key at several entry hosts.
 
 mod common;
 
@@ -7,8 +7,8 @@
 
 const SITE: &str = include_str!("common/small.toml");
 
-// A secretary clicks twice, and the platform's balancer sends the two requests to
-// two entry hosts at the same moment. The deposit must be taken once.
+// A user submits a form twice, and the balancer sends the two calls with the same key to two entry
+// hosts at the same moment. Only one may run.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_once() {
     let mut cluster = Cluster::start(SITE).await;
@@ -32,8 +32,8 @@
     cluster.assert_kept();
 }
 
-// The secretary asks again a little later, through another host, since the page
-// was closed before the answer came. The kept answer of the first must come.
+// A caller that missed the first call's answer retries with the same key, through each host. Each
+// retry must get the cached answer of the first call.
 #[tokio::test(flavor = "multi_thread")]
 async fn later() {
     let mut cluster = Cluster::start(SITE).await;
@@ -50,8 +50,8 @@
     cluster.assert_kept();
 }
 
-// A form is sent with the key of another deposit by mistake. It must be refused
-// as not run: neither a second deposit nor the other's receipt.
+// A different request that carries the key of an earlier call by mistake must be refused as not
+// run (422). It may neither run nor get the earlier call's answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn other_request() {
     let cluster = Cluster::start(SITE).await;
--- a/tests/site/endpoint.rs
+++ b/tests/site/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint in small, which behaves as a test says.
+//! An endpoint that handles requests as a test sets it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,34 +21,34 @@
 
 use super::store::Store;
 
-/// How an endpoint treats requests.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It runs them.
+    /// Runs requests and answers at once.
     Serve,
-    /// It runs them and takes this many milliseconds.
+    /// Runs requests and answers after this many milliseconds.
     Take(u64),
-    /// It says that it did not run them.
+    /// Answers 503 with `Not-Executed: 1`, without running the request.
     Reject,
-    /// It runs them and fails.
+    /// Runs requests and answers 500.
     Fail,
-    /// It runs them and says 503, without saying that it did not.
+    /// Runs requests and answers 503 without `Not-Executed`.
     FailAsFull,
-    /// It runs them and breaks its answers off.
+    /// Runs requests and breaks the connection before the answer is complete.
     Cut,
-    /// It runs them and answers as if to another request.
+    /// Runs requests and answers with another request's `Attempt-Id`.
     Foreign,
-    /// It runs them and doesn't sign.
+    /// Runs requests and answers without `Server-Signature`.
     Unsigned,
-    /// It runs them and encodes the body.
+    /// Runs requests and answers with `Content-Encoding: gzip`.
     Encoded,
-    /// It runs them and never answers.
+    /// Runs requests and never answers (within a test's time).
     Hang,
-    /// It runs them and closes the connection.
+    /// Runs requests and closes the connection without an answer.
     Reset,
 }
 
-/// A path whose requests crash the endpoint, after it has begun to run them.
+/// A path whose requests crash the endpoint while it runs them.
 struct Crash {
     path: &'static str,
     store: Store,
@@ -57,21 +57,23 @@
 /// How long an endpoint runs a request that crashes it.
 const CRASH_AFTER: Duration = Duration::from_millis(60);
 
-/// How long a crashed endpoint is down.
+/// The time from a crash to the endpoint's restart.
 const DOWN: Duration = Duration::from_millis(500);
 
 struct Inner {
     id: String,
-    /// How often it has crashed.
+    /// How often the endpoint has crashed; names the present instance.
     life: Mutex<u64>,
     crash: Mutex<Option<Crash>>,
-    /// Wakes the task that ends this life.
+    /// Notified when a request crashes the endpoint.
     crashed: Notify,
     behaviour: Mutex<Behaviour>,
+    /// The latency factor that health checks report, in percent.
     slowness: Mutex<u32>,
-    /// The rate limit that it advertises in its answers to requests.
+    /// The rate limit, in requests a second, that answers to requests advertise.
     limit: Mutex<Option<f64>>,
     runs: Mutex<Vec<(String, Instant)>>,
+    /// How many requests were cancelled while they ran.
     gone: Mutex<u32>,
 }
 
@@ -87,7 +89,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let address = listener.local_addr().expect("it has an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let inner = Arc::new(Inner {
             id: id.to_owned(),
             life: Mutex::default(),
@@ -110,51 +112,76 @@
         Endpoint { address, inner }
     }
 
-    /// Writes its entry into the store.
+    /// Writes the endpoint's record into the store.
     pub fn register(&self, store: &Store, state: &str) {
         self.inner.register(self.address, store, state);
     }
 
-    /// Has requests of this path crash it; it is back after a moment, in another life.
+    /// Sets a path whose requests crash the endpoint; it restarts as a new instance.
     pub fn crash_on(&self, path: &'static str, store: &Store) {
         let store = store.clone();
-        *self.inner.crash.lock().expect("no test panics here") = Some(Crash { path, store });
+        *self
+            .inner
+            .crash
+            .lock()
+            .expect("no test panics with the lock held") = Some(Crash { path, store });
     }
 
     pub fn set(&self, behaviour: Behaviour) {
-        *self.inner.behaviour.lock().expect("no test panics here") = behaviour;
+        *self
+            .inner
+            .behaviour
+            .lock()
+            .expect("no test panics with the lock held") = behaviour;
     }
 
-    /// Sets how long work takes on its machine, in hundredths of the usual.
+    /// Sets the reported latency factor, in percent of the usual latency.
     pub fn slow(&self, slowness: u32) {
-        *self.inner.slowness.lock().expect("no test panics here") = slowness;
+        *self
+            .inner
+            .slowness
+            .lock()
+            .expect("no test panics with the lock held") = slowness;
     }
 
-    /// Returns the ids of the requests that it ran.
+    /// Returns the attempt IDs of the requests that the endpoint has started to run.
     pub fn runs(&self) -> Vec<String> {
         self.arrivals().into_iter().map(|(id, _)| id).collect()
     }
 
-    /// Returns the ids of the requests that it ran, and when each came.
+    /// Returns the attempt IDs of the requests that the endpoint has started to run, and when
+    /// each arrived.
     pub fn arrivals(&self) -> Vec<(String, Instant)> {
-        self.inner.runs.lock().expect("no test panics here").clone()
+        self.inner
+            .runs
+            .lock()
+            .expect("no test panics with the lock held")
+            .clone()
     }
 
-    /// Has it advertise a limit of requests a second, or none.
+    /// Sets the advertised rate limit in requests a second, or none.
     pub fn limit(&self, rate: Option<f64>) {
-        *self.inner.limit.lock().expect("no test panics here") = rate;
+        *self
+            .inner
+            .limit
+            .lock()
+            .expect("no test panics with the lock held") = rate;
     }
 
-    /// Returns how many requests were given up while it was at work.
+    /// Returns how many requests were cancelled while the endpoint ran them.
     pub fn given_up(&self) -> u32 {
-        *self.inner.gone.lock().expect("no test panics here")
+        *self
+            .inner
+            .gone
+            .lock()
+            .expect("no test panics with the lock held")
     }
 }
 
 impl Inner {
-    /// Returns the name of its present life.
+    /// Returns the ID of the present instance.
     fn instance(&self) -> String {
-        match *self.life.lock().expect("no test panics here") {
+        match *self.life.lock().expect("no test panics with the lock held") {
             0 => self.id.clone(),
             life => format!("{}-{life}", self.id),
         }
@@ -167,33 +194,41 @@
         store.put("keyed.servers", &self.instance(), Some(&entry));
     }
 
-    /// Returns whether requests of this path crash it.
+    /// Returns whether requests of this path crash the endpoint.
     fn crashes_on(&self, path: &str) -> bool {
-        let crash = self.crash.lock().expect("no test panics here");
+        let crash = self
+            .crash
+            .lock()
+            .expect("no test panics with the lock held");
         crash.as_ref().is_some_and(|c| c.path == path)
     }
 
-    /// Begins another life at the same address.
+    /// Starts a new instance at the same address.
     async fn restart(&self, address: SocketAddr) -> TcpListener {
         let store = {
-            let crash = self.crash.lock().expect("no test panics here");
-            crash.as_ref().expect("it has crashed").store.clone()
+            let crash = self
+                .crash
+                .lock()
+                .expect("no test panics with the lock held");
+            crash.as_ref().expect("a crash is set").store.clone()
         };
         store.put("keyed.servers", &self.instance(), None);
         sleep(DOWN).await;
-        let listener = TcpListener::bind(address).await.expect("it is free again");
-        *self.life.lock().expect("no test panics here") += 1;
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("the port is free again");
+        *self.life.lock().expect("no test panics with the lock held") += 1;
         self.register(address, &store, "ready");
         listener
     }
 }
 
-/// Accepts connections until the endpoint crashes, and then breaks them all.
+/// Accepts connections until the endpoint crashes, then closes all of them.
 async fn live(listener: TcpListener, inner: &Arc<Inner>) {
     let mut connections = JoinSet::new();
     loop {
         let stream = tokio::select! {
-            accepted = listener.accept() => accepted.expect("it listens").0,
+            accepted = listener.accept() => accepted.expect("the listener accepts").0,
             () = inner.crashed.notified() => return,
         };
         let inner = Arc::clone(inner);
@@ -206,7 +241,7 @@
     }
 }
 
-/// Counts a request as given up unless it is told that it ended.
+/// Counts a request as cancelled when dropped before `ended` is set.
 struct Work<'a> {
     inner: &'a Inner,
     ended: bool,
@@ -215,7 +250,11 @@
 impl Drop for Work<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            *self.inner.gone.lock().expect("no test panics here") += 1;
+            *self
+                .inner
+                .gone
+                .lock()
+                .expect("no test panics with the lock held") += 1;
         }
     }
 }
@@ -228,7 +267,10 @@
             .unwrap_or_default()
             .to_owned()
     };
-    let slowness = *inner.slowness.lock().expect("no test panics here");
+    let slowness = *inner
+        .slowness
+        .lock()
+        .expect("no test panics with the lock held");
     if request.uri().path() == "/health" {
         let mut response = respond(StatusCode::OK, "", "");
         set(&mut response, "instance-id", &inner.instance());
@@ -239,7 +281,10 @@
     if field("expected-instance") != inner.instance() {
         return Ok(respond(StatusCode::MISDIRECTED_REQUEST, "", &id));
     }
-    let behaviour = *inner.behaviour.lock().expect("no test panics here");
+    let behaviour = *inner
+        .behaviour
+        .lock()
+        .expect("no test panics with the lock held");
     if behaviour == Behaviour::Reject {
         let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "", &id);
         set(&mut response, "not-executed", "1");
@@ -248,7 +293,7 @@
     inner
         .runs
         .lock()
-        .expect("no test panics here")
+        .expect("no test panics with the lock held")
         .push((id.clone(), Instant::now()));
     let mut work = Work {
         inner: &inner,
@@ -285,7 +330,10 @@
         let encoding = HeaderValue::from_static("gzip");
         response.headers_mut().insert(CONTENT_ENCODING, encoding);
     }
-    let limit = *inner.limit.lock().expect("no test panics here");
+    let limit = *inner
+        .limit
+        .lock()
+        .expect("no test panics with the lock held");
     if let Some(rate) = limit {
         set(&mut response, "server-limit", &rate.to_string());
     }
@@ -306,11 +354,11 @@
 }
 
 fn set(response: &mut Response<Part>, name: &'static str, value: &str) {
-    let value = HeaderValue::try_from(value).expect("a plain value");
+    let value = HeaderValue::try_from(value).expect("a valid header value");
     response.headers_mut().insert(name, value);
 }
 
-/// A body that may break off after its first half.
+/// A body that fails with a connection reset where `cut` is set.
 struct Part {
     text: Bytes,
     cut: bool,
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -1,4 +1,6 @@
-//! A small site for tests: the platform's store, endpoints, and entry hosts as processes.
+//! A small site for tests of `cardamomvale serve`: a stand-in of the platform's store,
+//! scripted endpoints, and entry hosts as processes.
+// Each test file compiles this module and uses only some of its items.
 #![allow(dead_code, unused_imports)]
 
 pub mod endpoint;
@@ -18,20 +20,20 @@
 pub use endpoint::Endpoint;
 pub use store::Store;
 
-/// How long a condition is waited for before a test gives up.
+/// The longest wait for a condition or an answer before a test fails.
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// The routes that most tests use: one idempotent, one not.
+/// The routes of most tests: one idempotent (`safe`), one not (`unsafe`).
 pub const ROUTES: &str = r#"["read","a.example","/read/","safe",2.0,0.5,2,null,2,"svc"],["write","a.example","/write/","unsafe",2.0,0.5,1,null,2,"svc"]"#;
 
-/// Returns a configuration with these rows of routes and one service.
+/// Returns the JSON of a configuration with these rows of routes and one service, `svc`.
 pub fn config(version: u64, routes: &str) -> String {
     format!(
         r#"{{"version":{version},"routes":{{"columns":["name","host","pathPrefix","kind","timeoutS","targetLatencyS","priority","weightedServices","maxAttempts","service"],"rows":[{routes}]}},"services":{{"columns":["name","healthCheckPath","maxConnections","protocol","tls","warmupS","coldPerS"],"rows":[["svc","/health",220,"h1",false,3.0,6.0]]}},"limits":{{"maxHeaderBytes":16384,"maxBodyBytes":1048576,"headerTimeoutS":3,"idleTimeoutS":15}},"baseVersion":0}}"#
     )
 }
 
-/// Starts a store with this configuration, and an endpoint that is ready.
+/// Starts a store that holds this configuration, and one endpoint registered as ready.
 pub async fn served(config: &str) -> (Store, Endpoint) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(config));
@@ -40,7 +42,7 @@
     (store, endpoint)
 }
 
-/// An entry host as a process of its own.
+/// An entry host as a process, killed when dropped.
 pub struct Host {
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
@@ -49,12 +51,12 @@
 }
 
 impl Host {
-    /// Starts an entry host and waits until it can be asked.
+    /// Starts an entry host and waits until its readiness port answers.
     pub async fn start(name: &str, store: &Store) -> Host {
         Host::start_beside(name, store, free_port(), None).await
     }
 
-    /// Starts an entry host at this peer address, which greets `seed` first.
+    /// Starts an entry host with the peer address `peers`, which joins through `seed`.
     pub async fn start_beside(
         name: &str,
         store: &Store,
@@ -83,7 +85,10 @@
             process,
             settings,
         };
-        until("the host answers", async || host.readiness().await != 0).await;
+        until("the readiness port answers", async || {
+            host.readiness().await != 0
+        })
+        .await;
         host
     }
 
@@ -94,15 +99,16 @@
         host
     }
 
-    /// Changes the settings file, and tells the process of it.
+    /// Replaces `old` by `new` in the settings file and sends SIGHUP to the process.
     pub fn change_settings(&self, old: &str, new: &str) {
-        let text = std::fs::read_to_string(&self.settings).expect("it is there");
+        let text = std::fs::read_to_string(&self.settings).expect("the settings file is read");
         assert!(text.contains(old), "{old} is not in {text}");
-        std::fs::write(&self.settings, text.replace(old, new)).expect("it is written");
+        std::fs::write(&self.settings, text.replace(old, new))
+            .expect("the settings file is written");
         self.signal(nix::sys::signal::Signal::SIGHUP);
     }
 
-    /// Returns the status of the readiness port, 0 where it can't be reached.
+    /// Returns the HTTP status of the readiness port, 0 where the port can't be reached.
     pub async fn readiness(&self) -> u16 {
         match exchange(
             self.readiness,
@@ -115,14 +121,14 @@
         }
     }
 
-    /// Sends one request and returns the answer.
+    /// Sends one request with the attempt ID `id` and returns the answer.
     pub async fn request(&self, method: &str, path: &str, id: &str) -> Answer {
         self.try_request(method, path, id)
             .await
             .expect("the connection ends with an answer")
     }
 
-    /// Sends one request; nothing where the connection ended without an answer.
+    /// Sends one request and returns the answer, `None` where the connection ends without one.
     pub async fn try_request(&self, method: &str, path: &str, id: &str) -> Option<Answer> {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nTime-Remaining: 2000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -130,21 +136,23 @@
         exchange(self.callers, &head).await
     }
 
-    /// Tells the process to stop.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         self.signal(nix::sys::signal::Signal::SIGTERM);
     }
 
     fn signal(&self, signal: nix::sys::signal::Signal) {
-        let id = nix::unistd::Pid::from_raw(i32::try_from(self.process.id()).expect("an id fits"));
-        nix::sys::signal::kill(id, signal).expect("it is told");
+        let id = nix::unistd::Pid::from_raw(
+            i32::try_from(self.process.id()).expect("the process ID fits"),
+        );
+        nix::sys::signal::kill(id, signal).expect("the signal is sent");
     }
 
-    /// Returns whether the process has ended, and well.
+    /// Returns whether the process exited with success, `None` while it runs.
     pub fn ended_well(&mut self) -> Option<bool> {
         self.process
             .try_wait()
-            .expect("it can be asked")
+            .expect("the exit status is available")
             .map(|status| status.success())
     }
 }
@@ -157,7 +165,7 @@
     }
 }
 
-/// Starts a store with `ROUTES`, and so many endpoints that are ready.
+/// Starts a store that holds `ROUTES`, and `count` endpoints registered as ready.
 pub async fn endpoints(count: usize) -> (Store, Vec<Endpoint>) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
@@ -170,7 +178,8 @@
     (store, endpoints)
 }
 
-/// Starts hosts at these peer addresses, which greet the first, and waits until they are ready.
+/// Starts hosts at these peer addresses, which join through the first, and waits until all are
+/// ready.
 pub async fn hosts(store: &Store, addresses: &[SocketAddr]) -> Vec<Host> {
     let mut hosts = Vec::new();
     for (number, address) in addresses.iter().enumerate() {
@@ -183,9 +192,9 @@
     hosts
 }
 
-/// Starts a host while the store is down, beside one that had started before.
+/// Starts one host, then a second one while the store refuses all calls.
 ///
-/// Returns both, the new one last, once they are ready.
+/// Returns both once they are ready, the second one last.
 pub async fn started_in_outage(store: &Store) -> [Host; 2] {
     let [first, second] = two_peers();
     let old = Host::start_beside("old", store, first, None).await;
@@ -202,7 +211,7 @@
     [old, new]
 }
 
-/// An answer, taken apart as far as tests need it.
+/// An HTTP answer: status, head and body as text.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
@@ -211,7 +220,7 @@
 }
 
 impl Answer {
-    /// Returns whether the head has this field, in any case.
+    /// Returns whether the head has this header; `field` is in lower case.
     pub fn has(&self, field: &str) -> bool {
         self.head
             .to_ascii_lowercase()
@@ -219,7 +228,9 @@
     }
 }
 
-/// Sends bytes and reads until the connection ends.
+/// Sends a request to `address` and reads the answer until the connection ends.
+///
+/// Returns `None` where the connection fails or the bytes read are no whole head.
 pub async fn exchange(address: SocketAddr, request: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
@@ -238,18 +249,22 @@
     })
 }
 
-/// Waits until `holds`, and fails the test where it doesn't in time.
+/// Waits until `holds` returns true.
+///
+/// # Panics
+///
+/// Panics with `what` when `LIMIT` has passed.
 pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
     let last = Instant::now() + LIMIT;
     while !holds().await {
-        assert!(Instant::now() < last, "in vain waited until {what}");
+        assert!(Instant::now() < last, "timed out after {LIMIT:?}: {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Returns the same free peer port at several addresses of this machine.
+/// Returns one free port at `count` loopback addresses.
 ///
-/// Hosts of one site have the same peer port.
+/// All hosts of a site use the same peer port.
 pub fn peers(count: usize) -> Vec<SocketAddr> {
     let port = free_port().port();
     let numbers = (1..=u8::MAX).take(count);
@@ -258,19 +273,19 @@
         .collect()
 }
 
-/// Returns the same free peer port at two addresses of this machine.
+/// Returns one free port at two loopback addresses.
 fn two_peers() -> [SocketAddr; 2] {
     let two: Result<[SocketAddr; 2], _> = peers(2).try_into();
-    two.expect("two were asked for")
+    two.expect("peers returns two addresses")
 }
 
-/// Returns a port that nobody uses.
+/// Returns a loopback address with a port that is free for TCP and UDP.
 ///
-/// It lies below those that the system deals out by itself, so that none of the
-/// tests running beside can be given it before the process opens it.
+/// The port is below the kernel's ephemeral range, so that no concurrent test is assigned it
+/// before the process binds it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let start = u16::try_from(std::process::id() % 10_000).expect("it fits");
+    let start = u16::try_from(std::process::id() % 10_000).expect("a number below 10,000 fits");
     loop {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
         let port = 20_000 + (start + step) % 10_000;
--- a/tests/site/raw.rs
+++ b/tests/site/raw.rs
@@ -1,4 +1,4 @@
-//! An endpoint that writes its answers byte by byte, as no library would let it.
+//! An endpoint that writes its answers as raw bytes, so that they may break HTTP's rules.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,57 +8,57 @@
 
 use super::Store;
 
-/// The answer to a question for its health.
+/// The answer to a health check.
 const HEALTHY: &str =
     "HTTP/1.1 200 OK\r\nInstance-Id: i-raw\r\nServer-Load: 0,0,6,100\r\nContent-Length: 0\r\n\r\n";
 
-/// A request as it came in.
+/// A request as received.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// The connection on which it came, counted from 0.
+    /// The connection of the request, counted from 0.
     pub connection: usize,
-    /// The request line and the fields.
+    /// The request line and the headers.
     pub head: String,
-    /// The body, taken out of its chunks.
+    /// The body, decoded where it is chunked.
     pub body: Vec<u8>,
 }
 
 impl Seen {
-    /// Returns what the client named its attempt.
+    /// Returns the request's `Attempt-Id`, empty where there is none.
     pub fn id(&self) -> &str {
         field(&self.head, "attempt-id").unwrap_or_default()
     }
 }
 
-/// What the endpoint does with one request.
+/// How the endpoint answers one request.
 pub enum Reply {
-    /// It writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Keep(String),
-    /// It writes these bytes and ends the connection in order.
+    /// Writes these bytes and closes the connection with FIN.
     Close(String),
-    /// It writes these bytes and resets the connection.
+    /// Writes these bytes and resets the connection.
     Reset(String),
-    /// It writes these bytes before it has read the body, then reads on.
+    /// Writes these bytes before reading the request's body, then reads the body.
     Early(String),
-    /// It falls silent on this connection, for good.
+    /// Writes nothing, and neither reads nor closes the connection any more.
     Mute,
 }
 
 type Script = dyn Fn(&Seen) -> Reply + Send + Sync;
 
-/// A running endpoint.
+/// A running endpoint, registered as instance `i-raw`.
 pub struct RawEndpoint {
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
 }
 
 impl RawEndpoint {
-    /// Starts an endpoint that asks `script` what to do with each request.
+    /// Starts an endpoint that answers each request as `script` returns.
     pub async fn start(script: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> RawEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let address = listener.local_addr().expect("it has an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let seen = Arc::new(Mutex::new(Vec::new()));
         let shared = Arc::clone(&seen);
         let script: Arc<Script> = Arc::new(script);
@@ -79,7 +79,7 @@
         RawEndpoint { address, seen }
     }
 
-    /// Writes its entry into the store.
+    /// Writes the endpoint's record into the store.
     pub fn register(&self, store: &Store, service: &str) {
         let entry = format!(
             r#"{{"service":"{service}","address":"{}","zone":"here","version":"v1","slots":6,"state":"ready","warmupRemainingS":0,"sequence":1,"born":1}}"#,
@@ -88,13 +88,16 @@
         store.put("keyed.servers", "i-raw", Some(&entry));
     }
 
-    /// Returns the requests that came, without the questions for its health.
+    /// Returns the requests received, without health checks.
     pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no test panics here").clone()
+        self.seen
+            .lock()
+            .expect("no test panics with the lock held")
+            .clone()
     }
 }
 
-/// One connection of an endpoint.
+/// One accepted connection of the endpoint.
 struct Served {
     connection: usize,
     stream: TcpStream,
@@ -104,7 +107,7 @@
 }
 
 impl Served {
-    /// Serves request after request; nothing where the other end has gone.
+    /// Serves requests until the connection ends, with `None` where the peer ended it.
     async fn run(mut self) -> Option<()> {
         loop {
             let head = self.head().await?;
@@ -131,7 +134,7 @@
             | Reply::Reset(bytes)
             | Reply::Early(bytes)) = &reply
             else {
-                // Kept open and never read again.
+                // `Mute`: the connection stays open.
                 std::future::pending::<()>().await;
                 return None;
             };
@@ -148,7 +151,10 @@
     }
 
     fn note(&self, seen: Seen) {
-        self.seen.lock().expect("no test panics here").push(seen);
+        self.seen
+            .lock()
+            .expect("no test panics with the lock held")
+            .push(seen);
     }
 
     async fn head(&mut self) -> Option<String> {
@@ -209,7 +215,7 @@
     }
 }
 
-/// Returns a field of a head, by its name in small letters.
+/// Returns the value of a header of `head`; `name` may be in any case.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (key, value) = line.split_once(':')?;
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as the stand-in of the product gives it.
+//! The platform's store, backed by the log stand-in of `stand_ins`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use stand_ins::store::{Behaviour, Outage, StoreStandIn};
 
-/// How the store behaves.
+/// How the store handles calls.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// Answers all calls normally.
     Up,
-    /// It answers 503 to all.
+    /// Answers 503 to all calls.
     Refusing,
-    /// It answers nothing.
+    /// Accepts calls and never answers them.
     Silent,
 }
 
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Writes under a key, or drops it.
+    /// Writes the record of a key, or a tombstone where `value` is `None`.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let value = value.map(|v| Bytes::copy_from_slice(v.as_bytes()));
         self.log.put(topic, key, value);
     }
 
-    /// Forgets the records of a topic but for the newest of each key.
+    /// Drops the records of a topic except the newest one of each key.
     pub fn forget(&self, topic: &str) {
         self.log.compact(topic);
     }
@@ -54,18 +54,18 @@
         });
     }
 
-    /// Returns how many bytes of records reads have handed out.
+    /// Returns how many bytes of records the store has sent in answer to reads.
     pub fn bytes_read(&self) -> u64 {
         self.log.counts().bytes_read
     }
 
-    /// Returns how many pages of newest records were handed out.
+    /// Returns how many pages of newest records the store has sent.
     pub fn listings(&self) -> u64 {
         self.log.counts().listings
     }
 
-    /// Returns how many calls came.
+    /// Returns how many calls the store has received.
     pub fn calls(&self) -> u32 {
-        u32::try_from(self.log.counts().calls).expect("a test makes few calls")
+        u32::try_from(self.log.counts().calls).expect("the number of calls fits")
     }
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A call goes from its caller through any entry host to a backend server and back.
+//! Calls through each entry host to the backend servers and back.
 
 mod common;
 
