--- a/tests/backend_faults.rs
+++ b/tests/backend_faults.rs
@@ -14,25 +14,25 @@
 async fn turns_cold() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(300).await;
+    cluster.wait_for_answers(300).await;
     cluster.site.backends("hallboard")[0].set(&Knobs {
         turn_cold: true,
         ..Knobs::default()
     });
-    cluster.more_answers(3_000).await;
+    cluster.wait_for_answers(3_000).await;
     let samples = load.stop().await;
-    let hurt: Vec<_> = samples
+    let failed: Vec<_> = samples
         .iter()
         .filter(|s| s.outcome != Outcome::Complete)
         .collect();
     assert!(
-        hurt.is_empty(),
+        failed.is_empty(),
         "{} of {}: {:?}",
-        hurt.len(),
+        failed.len(),
         samples.len(),
-        hurt[0]
+        failed[0]
     );
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 // A noisy neighbour makes one backend server 20 times slower, while its load report says that it
@@ -42,7 +42,7 @@
 async fn slow_with_lying_report() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(500).await;
+    cluster.wait_for_answers(500).await;
     let slow = &cluster.site.backends("hallboard")[0];
     let others: Vec<_> = cluster.site.backends("hallboard")[1..].iter().collect();
     slow.set(&Knobs {
@@ -50,9 +50,9 @@
         report: Some(Report::Idle),
         ..Knobs::default()
     });
-    cluster.more_answers(1_000).await;
+    cluster.wait_for_answers(1_000).await;
     let before = (slow.counts().started, others[0].counts().started);
-    cluster.more_answers(1_500).await;
+    cluster.wait_for_answers(1_500).await;
     let got = slow.counts().started - before.0;
     let fair = others[0].counts().started - before.1;
     assert!(
@@ -65,7 +65,7 @@
         .filter(|s| s.outcome == Outcome::Broken)
         .collect();
     assert_eq!(broken.len(), 0);
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 // A middlebox loses its connection state: open connections to a backend server stop passing data
@@ -75,19 +75,19 @@
 async fn silent_connections() {
     let mut cluster = Cluster::start_proxied(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(300).await;
+    cluster.wait_for_answers(300).await;
     cluster.site.proxies("hallboard")[0].silence();
     let silent = cluster.site.backends("hallboard")[0].address();
-    cluster.more_answers(500).await;
+    cluster.wait_for_answers(500).await;
     let since = cluster.history.sorted().last().unwrap().at;
     let answered = |r: &stand_ins::history::Record| match r.event {
         Event::Received { endpoint, .. } if endpoint == silent && r.at > since => Some(()),
         _ => None,
     };
     common::until("new connections are used", || {
-        !cluster.picked(answered).is_empty()
+        !cluster.select(answered).is_empty()
     })
     .await;
     load.stop().await;
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/centre_leaves.rs
+++ b/tests/centre_leaves.rs
@@ -14,12 +14,12 @@
 async fn unnoticed() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(300).await;
+    cluster.wait_for_answers(300).await;
     let long: Vec<_> = (0..4)
         .map(|_| cluster.new_call("GET", "/hallboard/archive?work-ms=3000"))
         .map(|call| cluster.send(1, &call))
         .collect();
-    cluster.more_answers(50).await;
+    cluster.wait_for_answers(50).await;
     cluster
         .site
         .order(Order::CentreLeaves, "trent")
@@ -28,7 +28,7 @@
     for reply in long {
         assert_eq!(reply.await.unwrap().outcome, Outcome::Complete);
     }
-    cluster.more_answers(1_500).await;
+    cluster.wait_for_answers(1_500).await;
     cluster
         .site
         .order(Order::CentreReturns, "trent")
@@ -40,19 +40,19 @@
         Event::Received { endpoint, .. } if endpoint == trent && r.at > back => Some(()),
         _ => None,
     };
-    until("trent serves again", || !cluster.picked(served).is_empty()).await;
-    cluster.more_answers(500).await;
+    until("trent serves again", || !cluster.select(served).is_empty()).await;
+    cluster.wait_for_answers(500).await;
     let samples = load.stop().await;
-    let hurt: Vec<_> = samples
+    let failed: Vec<_> = samples
         .iter()
         .filter(|s| s.outcome != Outcome::Complete)
         .collect();
     assert!(
-        hurt.is_empty(),
+        failed.is_empty(),
         "{} of {}: {:?}",
-        hurt.len(),
+        failed.len(),
         samples.len(),
-        hurt[0]
+        failed[0]
     );
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,10 +26,10 @@
 use tokio::task::JoinHandle;
 
 /// The longest wait for a condition, long enough for a busy machine.
-pub const LIMIT: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The number of the first call of a background load; single calls have lower numbers.
-const LOAD_FIRST: u64 = 1_000_000;
+const FIRST_LOAD_CALL: u64 = 1_000_000;
 
 /// An entry host as a process, killed when dropped.
 pub struct Host {
@@ -56,7 +56,7 @@
     pub caller: Caller,
     experiment: Arc<Experiment>,
     balancer: Option<Balancer>,
-    next: AtomicU64,
+    next_call: AtomicU64,
 }
 
 /// The resources that a process uses: resident memory in KiB, threads and open files.
@@ -68,7 +68,7 @@
 }
 
 /// A load that runs until it is stopped.
-pub struct Background {
+pub struct BackgroundLoad {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<Sample>>,
 }
@@ -77,7 +77,7 @@
     /// Starts the deployment of `experiment`, a TOML text, and waits until every entry host is
     /// ready and every backend server is warm.
     pub async fn start(experiment: &str) -> Cluster {
-        Cluster::with(experiment, &SiteOptions::default()).await
+        Cluster::start_with(experiment, &SiteOptions::default()).await
     }
 
     /// Starts the deployment of `experiment` with a proxy in front of each backend server.
@@ -86,30 +86,36 @@
             proxied: true,
             ..SiteOptions::default()
         };
-        Cluster::with(experiment, &options).await
+        Cluster::start_with(experiment, &options).await
     }
 
     /// Starts the deployment of `experiment` with the options `backend` for all backend servers.
-    pub async fn backends(experiment: &str, backend: Options) -> Cluster {
+    pub async fn start_with_backends(experiment: &str, backend: Options) -> Cluster {
         let options = SiteOptions {
             backend,
             ..SiteOptions::default()
         };
-        Cluster::with(experiment, &options).await
+        Cluster::start_with(experiment, &options).await
     }
 
-    async fn with(experiment: &str, options: &SiteOptions) -> Cluster {
+    async fn start_with(experiment: &str, options: &SiteOptions) -> Cluster {
         let experiment = Arc::new(Experiment::parse(experiment).unwrap());
         let deployment = experiment.deployment.clone();
         let history = History::default();
         let site = Site::start(deployment, options, history.clone())
             .await
             .unwrap();
-        let log = site.store.address();
+        let store_address = site.store.address();
         let hosts: Vec<Host> = (0..site.deployment.entry_hosts)
             .map(|index| {
                 let name = format!("entry-{}", index + 1);
-                Host::start(&name, site.deployment.centre(index), log, None, &history)
+                Host::start(
+                    &name,
+                    site.deployment.centre(index),
+                    store_address,
+                    None,
+                    &history,
+                )
             })
             .collect();
         let target = |h: &Host| Target::new(&h.name, h.ports.callers);
@@ -127,20 +133,20 @@
             targets,
             experiment,
             balancer: Some(balancer),
-            next: AtomicU64::new(1),
+            next_call: AtomicU64::new(1),
         };
-        cluster.all_ready().await;
-        cluster.all_settled().await;
+        cluster.wait_ready().await;
+        cluster.wait_converged().await;
         let deployment = &cluster.site.deployment;
         assert!(
-            warm_up(deployment, &cluster.targets, &admins, LIMIT).await,
+            warm_up(deployment, &cluster.targets, &admins, WAIT_TIMEOUT).await,
             "a backend server did not warm up"
         );
         cluster
     }
 
     /// Waits until every entry host is ready.
-    pub async fn all_ready(&self) {
+    pub async fn wait_ready(&self) {
         until("every entry host is ready", || {
             self.targets.iter().all(Target::is_up)
         })
@@ -149,35 +155,35 @@
 
     /// Waits until the entry hosts are connected to each other and every endpoint has an owner
     /// that leases its slots.
-    pub async fn all_settled(&self) {
+    pub async fn wait_converged(&self) {
         let admins: Vec<_> = self.hosts.iter().map(|h| h.ports.admin).collect();
-        let end = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let admins = admins.clone();
-            let asked = tokio::task::spawn_blocking(move || is_converged(&admins));
-            if asked.await.unwrap() {
+            let converged = tokio::task::spawn_blocking(move || is_converged(&admins));
+            if converged.await.unwrap() {
                 return;
             }
             assert!(
-                Instant::now() < end,
+                Instant::now() < deadline,
                 "an endpoint has no owner, or an entry host no connection to another"
             );
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Starts a load with the experiment's flows.
-    pub fn load(&self) -> Background {
+    pub fn load(&self) -> BackgroundLoad {
         let stop = Arc::new(AtomicBool::new(false));
         let load = LoadGenerator {
             experiment: Arc::clone(&self.experiment),
             plan: Arc::new(Plan::draw(&self.experiment)),
             targets: Arc::clone(&self.targets),
             caller: self.caller.clone(),
-            first: LOAD_FIRST,
+            first: FIRST_LOAD_CALL,
             stop: Arc::clone(&stop),
         };
-        Background {
+        BackgroundLoad {
             stop,
             task: tokio::spawn(load.run()),
         }
@@ -186,7 +192,7 @@
     /// Returns a call with an unused number and a deadline of 10 s.
     pub fn new_call(&self, method: &str, path: &str) -> Call {
         Call {
-            number: self.next.fetch_add(1, Ordering::SeqCst),
+            number: self.next_call.fetch_add(1, Ordering::SeqCst),
             method: method.to_owned(),
             path: path.to_owned(),
             key: None,
@@ -214,7 +220,7 @@
     }
 
     /// Waits until `count` more calls have received complete answers.
-    pub async fn more_answers(&self, count: u64) {
+    pub async fn wait_for_answers(&self, count: u64) {
         let goal = self.tally().complete + count;
         until("more calls receive complete answers", || {
             self.tally().complete >= goal
@@ -222,9 +228,12 @@
         .await;
     }
 
-    /// Waits until the history holds an event for which `is` returns true.
-    pub async fn event(&self, what: &str, is: impl Fn(&Event) -> bool) {
-        until(what, || self.history.sorted().iter().any(|r| is(&r.event))).await;
+    /// Waits until the history holds an event for which `matches` returns true.
+    pub async fn wait_for_event(&self, what: &str, matches: impl Fn(&Event) -> bool) {
+        until(what, || {
+            self.history.sorted().iter().any(|r| matches(&r.event))
+        })
+        .await;
     }
 
     /// Kills an entry host with SIGKILL, without any shutdown, as in a power failure.
@@ -260,21 +269,27 @@
             host: host.name.clone(),
         });
         host.signal(Signal::SIGTERM);
-        let end = Instant::now() + LIMIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = host.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "{} did not exit", host.name);
-            tokio::time::sleep(POLL).await;
+            assert!(Instant::now() < deadline, "{} did not exit", host.name);
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Starts a new process for an entry host, on the same ports as before.
     pub fn restart_host(&mut self, host: usize) {
         let old = &self.hosts[host];
-        let log = self.site.store.address();
-        self.hosts[host] = Host::start(&old.name, &old.centre, log, Some(old.ports), &self.history);
+        let store_address = self.site.store.address();
+        self.hosts[host] = Host::start(
+            &old.name,
+            &old.centre,
+            store_address,
+            Some(old.ports),
+            &self.history,
+        );
     }
 
     /// Returns the memory, threads and open files of an entry host's process.
@@ -298,8 +313,8 @@
     }
 
     /// Returns how many calls backend servers have started to run, without those of the warm-up.
-    pub fn runs(&self) -> usize {
-        let run = |r: &Record| match r.event {
+    pub fn run_count(&self) -> usize {
+        let started_run = |r: &Record| match r.event {
             Event::Received {
                 call,
                 started: true,
@@ -307,19 +322,19 @@
             } => (call < WARM_UP).then_some(()),
             _ => None,
         };
-        self.picked(run).len()
+        self.select(started_run).len()
     }
 
     /// Returns the number that a background load's call has in the history.
-    pub fn number(&self, sample: &Sample) -> u64 {
-        LOAD_FIRST + sample.call as u64
+    pub fn call_number(&self, sample: &Sample) -> u64 {
+        FIRST_LOAD_CALL + sample.call as u64
     }
 
     /// Returns the samples of calls that failed: a broken answer, a failed connection, or the
     /// outcome "unknown" although no other call had the same key.
-    pub fn harmed<'a>(&self, samples: &'a [Sample]) -> Vec<&'a Sample> {
+    pub fn failed_samples<'a>(&self, samples: &'a [Sample]) -> Vec<&'a Sample> {
         let plan = Plan::draw(&self.experiment);
-        let harmed = |s: &&Sample| match s.outcome {
+        let is_failed = |s: &&Sample| match s.outcome {
             Outcome::Complete | Outcome::NotRun => false,
             // A call may get "unknown" while another call with the same key is running.
             Outcome::Unknown => {
@@ -328,7 +343,7 @@
             }
             Outcome::Broken | Outcome::Unreachable => true,
         };
-        samples.iter().filter(harmed).collect()
+        samples.iter().filter(is_failed).collect()
     }
 
     /// Stops the balancer and returns every violation of the guarantees in the history.
@@ -338,20 +353,24 @@
     }
 
     /// Checks that no guarantee was violated.
-    pub fn assert_kept(&mut self) {
-        let faults = self.violations(&Limits::default());
-        let shown: Vec<String> = faults.iter().take(10).map(Violation::to_string).collect();
+    pub fn assert_no_violations(&mut self) {
+        let violations = self.violations(&Limits::default());
+        let shown: Vec<String> = violations
+            .iter()
+            .take(10)
+            .map(Violation::to_string)
+            .collect();
         let tally = self.tally();
         assert!(
-            faults.is_empty(),
+            violations.is_empty(),
             "{} violations; {tally:?}\n{}",
-            faults.len(),
+            violations.len(),
             shown.join("\n")
         );
     }
 
     /// Returns the results of `pick` for the history's records, without `None`.
-    pub fn picked<T>(&self, pick: impl Fn(&Record) -> Option<T>) -> Vec<T> {
+    pub fn select<T>(&self, pick: impl Fn(&Record) -> Option<T>) -> Vec<T> {
         self.history.sorted().iter().filter_map(pick).collect()
     }
 }
@@ -373,7 +392,7 @@
     }
 }
 
-impl Background {
+impl BackgroundLoad {
     /// Stops sending calls, waits until all sent calls have ended and returns their samples.
     pub async fn stop(self) -> Vec<Sample> {
         self.stop.store(true, Ordering::SeqCst);
@@ -385,31 +404,35 @@
     fn start(
         name: &str,
         centre: &str,
-        log: SocketAddr,
+        store_address: SocketAddr,
         ports: Option<Ports>,
         history: &History,
     ) -> Host {
-        let any = "127.0.0.1:0".parse().unwrap();
+        let any_port = "127.0.0.1:0".parse().unwrap();
         let ports = ports.unwrap_or(Ports {
-            callers: any,
-            peers: any,
-            admin: any,
+            callers: any_port,
+            peers: any_port,
+            admin: any_port,
         });
-        let lines = format!("{}/{}-{name}.log", env!("CARGO_TARGET_TMPDIR"), log.port());
+        let log_file = format!(
+            "{}/{}-{name}.log",
+            env!("CARGO_TARGET_TMPDIR"),
+            store_address.port()
+        );
         let mut child = Command::new(env!("CARGO_BIN_EXE_cardamomvale"))
             .arg("entry")
             .args(["--name", name, "--data-centre", centre])
-            .args(["--log-address", &log.to_string()])
+            .args(["--log-address", &store_address.to_string()])
             .args(["--caller-address", &ports.callers.to_string()])
             .args(["--peer-address", &ports.peers.to_string()])
             .args(["--admin-address", &ports.admin.to_string()])
             .stdout(Stdio::piped())
-            .stderr(File::create(lines).unwrap())
+            .stderr(File::create(log_file).unwrap())
             .spawn()
             .unwrap();
         let mut line = String::new();
-        let mut out = BufReader::new(child.stdout.take().unwrap());
-        out.read_line(&mut line).unwrap();
+        let mut stdout = BufReader::new(child.stdout.take().unwrap());
+        stdout.read_line(&mut line).unwrap();
         let ports = serde_json::from_str(&line)
             .unwrap_or_else(|_| panic!("{name} printed {line:?} instead of its ports"));
         history.add(Event::Up {
@@ -437,15 +460,18 @@
     }
 }
 
-/// Waits until `met` returns true.
+/// Waits until `condition` returns true.
 ///
 /// # Panics
 ///
-/// Panics with `what` when `LIMIT` has passed.
-pub async fn until(what: &str, met: impl Fn() -> bool) {
-    let end = Instant::now() + LIMIT;
-    while !met() {
-        assert!(Instant::now() < end, "timed out after {LIMIT:?}: {what}");
-        tokio::time::sleep(POLL).await;
+/// Panics with `what` when `WAIT_TIMEOUT` has passed.
+pub async fn until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out after {WAIT_TIMEOUT:?}: {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/cut_answers.rs
+++ b/tests/cut_answers.rs
@@ -57,7 +57,7 @@
         300
     };
     assert_eq!(cluster.call(0, &call).await.outcome, Outcome::Complete);
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 // The answer to a POST is cut, so the call may have run. It must not be answered "not run" and
@@ -79,8 +79,8 @@
             "{reply:?}"
         );
     }
-    assert_eq!(cluster.runs(), 3);
-    cluster.assert_kept();
+    assert_eq!(cluster.run_count(), 3);
+    cluster.assert_no_violations();
 }
 
 // Calls reach their deadline while their answers are still on the way. The next calls through the
@@ -102,5 +102,5 @@
             assert_eq!((reply.outcome, reply.own), (Outcome::Complete, true));
         }
     }
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/host_killed.rs
+++ b/tests/host_killed.rs
@@ -14,24 +14,24 @@
 async fn others_unhurt() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(500).await;
+    cluster.wait_for_answers(500).await;
     cluster.kill(0);
-    cluster.more_answers(3_000).await;
+    cluster.wait_for_answers(3_000).await;
     let samples = load.stop().await;
     let dead = cluster.hosts[0].name.clone();
-    let to_dead: Vec<u64> = cluster.picked(|r| match &r.event {
+    let to_dead: Vec<u64> = cluster.select(|r| match &r.event {
         Event::Sent { call, host, .. } if *host == dead => Some(*call),
         _ => None,
     });
-    let harmed = cluster.harmed(&samples).into_iter();
-    let hurt: Vec<_> = harmed
-        .filter(|s| !to_dead.contains(&cluster.number(s)))
+    let failed = cluster.failed_samples(&samples).into_iter();
+    let failed_elsewhere: Vec<_> = failed
+        .filter(|s| !to_dead.contains(&cluster.call_number(s)))
         .collect();
     assert!(
-        hurt.is_empty(),
-        "calls through other entry hosts failed: {hurt:?}"
+        failed_elsewhere.is_empty(),
+        "calls through other entry hosts failed: {failed_elsewhere:?}"
     );
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 // An entry host is killed after it has sent a call with a key and before it has forwarded the
@@ -45,7 +45,9 @@
     let sending = cluster.send(0, &first);
     let number = first.number;
     let started = move |e: &Event| matches!(e, Event::Received { call, started: true, .. } if *call == number);
-    cluster.event("the first call is running", started).await;
+    cluster
+        .wait_for_event("the first call is running", started)
+        .await;
     cluster.kill(0);
     assert_eq!(sending.await.unwrap().outcome, Outcome::Broken);
     for host in [1, 2] {
@@ -58,5 +60,5 @@
             "{reply:?}"
         );
     }
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/log_down.rs
+++ b/tests/log_down.rs
@@ -18,7 +18,7 @@
 async fn deposits_refused(#[case] outage: Outage) {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(300).await;
+    cluster.wait_for_answers(300).await;
     cluster.site.store.change(|b| b.outage = Some(outage));
     let mut deposit = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
     deposit.key = Some("deposit-in-outage".to_owned());
@@ -41,15 +41,17 @@
             }
         }
     };
-    let outcome = tokio::time::timeout(common::LIMIT, taken).await.unwrap();
+    let outcome = tokio::time::timeout(common::WAIT_TIMEOUT, taken)
+        .await
+        .unwrap();
     assert_eq!(outcome, Outcome::Complete);
     load.stop().await;
-    let free_hurt = cluster.picked(|r| match &r.event {
+    let failed = cluster.select(|r| match &r.event {
         Event::Answered { outcome, .. } => {
             matches!(outcome, Outcome::Broken | Outcome::Unreachable).then_some(())
         }
         _ => None,
     });
-    assert_eq!(free_hurt.len(), 0);
-    cluster.assert_kept();
+    assert_eq!(failed.len(), 0);
+    cluster.assert_no_violations();
 }
--- a/tests/operators_race.rs
+++ b/tests/operators_race.rs
@@ -37,9 +37,11 @@
             matches!(e, Event::Seen { host: h, preset, .. }
                 if *h == host && preset.as_deref() == Some(chosen))
         };
-        cluster.event("the choice is in force", shows).await;
+        cluster
+            .wait_for_event("the choice is in force", shows)
+            .await;
     }
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 // A data centre is taken out of service and brought back twice within seconds, at the same time as
@@ -55,22 +57,22 @@
         let choose = cluster.site.order(Order::Choose, "peak");
         let (leave, choose) = tokio::join!(leave, choose);
         assert!(leave.is_ok() && choose.is_ok(), "{leave:?} {choose:?}");
-        cluster.more_answers(100).await;
+        cluster.wait_for_answers(100).await;
         cluster
             .site
             .order(Order::CentreReturns, "severn")
             .await
             .unwrap();
-        cluster.more_answers(100).await;
+        cluster.wait_for_answers(100).await;
     }
     load.stop().await;
-    let revision = cluster.picked(|r| match r.event {
+    let revision = cluster.select(|r| match r.event {
         Event::Ordered { revision, .. } => Some(revision),
         _ => None,
     });
     let last = revision.into_iter().max().unwrap();
     let shown = |host: &str| {
-        let seen = cluster.picked(|r| match &r.event {
+        let seen = cluster.select(|r| match &r.event {
             Event::Seen {
                 host: h, revision, ..
             } if h == host => Some(*revision),
@@ -84,5 +86,5 @@
     .await;
     let tally = cluster.tally();
     assert_eq!((tally.broken, tally.unreachable), (0, 0), "{tally:?}");
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -14,7 +14,7 @@
 async fn half_is_served() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(2_000).await;
+    cluster.wait_for_answers(2_000).await;
     let mut asked = Vec::new();
     for _ in 0..40 {
         let call = cluster.new_call("GET", "/hallboard/free?work-ms=20");
@@ -37,5 +37,5 @@
     );
     let told = |r: &stand_ins::load::Reply| r.outcome != Outcome::NotRun || r.retry_after.is_some();
     assert!(asked.iter().all(told), "a refusal without Retry-After");
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/paused_holder.rs
+++ b/tests/paused_holder.rs
@@ -13,15 +13,15 @@
 async fn never_a_seventh_call() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(300).await;
+    cluster.wait_for_answers(300).await;
     for _ in 0..2 {
         cluster.pause(0);
-        cluster.more_answers(2_500).await;
+        cluster.wait_for_answers(2_500).await;
         cluster.resume(0);
         let target = &cluster.targets[0];
         until("the host is ready again", || target.is_up()).await;
-        cluster.more_answers(500).await;
+        cluster.wait_for_answers(500).await;
     }
     load.stop().await;
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -19,7 +19,7 @@
 /// Waits until the hosts that are not paused show a revision, before the store drops the next
 /// record that they need.
 async fn follow(cluster: &Cluster, made: u64) {
-    let limit = Instant::now() + common::LIMIT;
+    let limit = Instant::now() + common::WAIT_TIMEOUT;
     for host in [1, 2] {
         while revision(cluster, host).await < made {
             assert!(Instant::now() < limit, "revision {made} is not in force");
@@ -61,7 +61,7 @@
             follow(&cluster, made).await;
         }
     }
-    let limit = Instant::now() + common::LIMIT;
+    let limit = Instant::now() + common::WAIT_TIMEOUT;
     while !has_snapshot(&cluster) {
         assert!(Instant::now() < limit, "no host writes a snapshot");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -77,5 +77,5 @@
     for reply in waiting {
         assert_eq!(reply.await.unwrap().outcome, Outcome::Complete);
     }
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/rolling_restart.rs
+++ b/tests/rolling_restart.rs
@@ -13,23 +13,23 @@
 async fn no_call_breaks() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(300).await;
+    cluster.wait_for_answers(300).await;
     for host in 0..cluster.hosts.len() {
         let status = cluster.shut_down(host).await;
         assert_eq!(status.code(), Some(0), "{}", cluster.hosts[host].name);
-        cluster.more_answers(100).await;
+        cluster.wait_for_answers(100).await;
         cluster.restart_host(host);
         let target = &cluster.targets[host];
         until("the new process is ready", || target.is_up()).await;
-        cluster.more_answers(100).await;
+        cluster.wait_for_answers(100).await;
     }
     let samples = load.stop().await;
-    let harmed = cluster.harmed(&samples);
+    let failed = cluster.failed_samples(&samples);
     assert!(
-        harmed.is_empty(),
-        "{} of {}: {harmed:?}",
-        harmed.len(),
+        failed.is_empty(),
+        "{} of {}: {failed:?}",
+        failed.len(),
         samples.len()
     );
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
--- a/tests/same_key.rs
+++ b/tests/same_key.rs
@@ -28,8 +28,8 @@
             );
         }
     }
-    assert_eq!(cluster.runs(), 20);
-    cluster.assert_kept();
+    assert_eq!(cluster.run_count(), 20);
+    cluster.assert_no_violations();
 }
 
 // A caller that missed the first call's answer retries with the same key, through each host. Each
@@ -47,7 +47,7 @@
         let reply = cluster.call(host, &again).await;
         assert_eq!((reply.outcome, reply.own), (Outcome::Complete, true));
     }
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 // A different request that carries the key of an earlier call by mistake must be refused as not
@@ -62,5 +62,5 @@
     other.key.clone_from(&first.key);
     let reply = cluster.call(1, &other).await;
     assert_eq!((reply.outcome, reply.status), (Outcome::NotRun, Some(422)));
-    assert_eq!(cluster.runs(), 1);
+    assert_eq!(cluster.run_count(), 1);
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -19,7 +19,7 @@
         let reply = cluster.call(host, &deposit).await;
         assert_eq!((reply.outcome, reply.own), (Outcome::Complete, true));
     }
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -28,16 +28,16 @@
     let call = cluster.new_call("GET", "/nowhere/free");
     let reply = cluster.call(0, &call).await;
     assert_eq!((reply.outcome, reply.status), (Outcome::NotRun, Some(404)));
-    cluster.assert_kept();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn mixed_load() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
-    cluster.more_answers(1_000).await;
+    cluster.wait_for_answers(1_000).await;
     let samples = load.stop().await;
-    let hurt = samples.iter().filter(|s| s.outcome != Outcome::Complete);
-    assert_eq!(hurt.count(), 0);
-    cluster.assert_kept();
+    let failed = samples.iter().filter(|s| s.outcome != Outcome::Complete);
+    assert_eq!(failed.count(), 0);
+    cluster.assert_no_violations();
 }
