--- a/tests/host_starts.rs
+++ b/tests/host_starts.rs
@@ -11,9 +11,9 @@
 /// reading everything from the store would make thousands of calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn neighbours_asked() {
-    let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
-    let peers = site::peers(6);
-    let first = Host::start_beside("first", &store, peers[0], None).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
+    let peers = site::peer_addresses(6);
+    let first = Host::start_at("first", &store, peers[0], None).await;
     until("the first host is ready", async || {
         first.readiness().await == 200
     })
@@ -21,7 +21,7 @@
     let before = store.listings();
     let mut others = Vec::new();
     for (n, address) in peers.iter().enumerate().skip(1) {
-        let host = Host::start_beside(&format!("h-{n}"), &store, *address, Some(peers[0])).await;
+        let host = Host::start_at(&format!("h-{n}"), &store, *address, Some(peers[0])).await;
         until("the host is ready", async || host.readiness().await == 200).await;
         others.push(host);
     }
@@ -38,9 +38,9 @@
     let store = Store::start().await;
     let endpoint = Endpoint::start("i-1").await;
     endpoint.register(&store, "ready");
-    let peers = site::peers(2);
-    let first = Host::start_beside("first", &store, peers[0], None).await;
-    let second = Host::start_beside("second", &store, peers[1], Some(peers[0])).await;
+    let peers = site::peer_addresses(2);
+    let first = Host::start_at("first", &store, peers[0], None).await;
+    let second = Host::start_at("second", &store, peers[1], Some(peers[0])).await;
     let calls = store.calls();
     until("one host reads the store for both", async || {
         store.calls() > calls + 4
@@ -71,5 +71,5 @@
     let host = Host::start("entry", &store).await;
     let answer = host.request("GET", "/read/x", "r1").await;
     assert_eq!(answer.status, 503);
-    assert!(answer.has("retry-after"));
+    assert!(answer.has_header("retry-after"));
 }
--- a/tests/large_changes.rs
+++ b/tests/large_changes.rs
@@ -19,11 +19,11 @@
 }
 
 async fn site_of(count: usize, store: &Store) -> Vec<Host> {
-    let peers = site::peers(count);
+    let peers = site::peer_addresses(count);
     let mut hosts = Vec::new();
     for (n, address) in peers.iter().enumerate() {
         let seed = (n > 0).then_some(peers[0]);
-        hosts.push(Host::start_beside(&format!("bulk-{n}"), store, *address, seed).await);
+        hosts.push(Host::start_at(&format!("bulk-{n}"), store, *address, seed).await);
     }
     for host in &hosts {
         until("a host is ready", async || host.readiness().await == 200).await;
@@ -48,7 +48,7 @@
 /// received a hundred times their usual traffic in two seconds.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_change_told() {
-    let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let hosts = site_of(HOSTS, &store).await;
     let change = config(2, &many_routes());
     let before = store.bytes_read();
@@ -67,7 +67,7 @@
 /// would refuse every caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_topic_handed_over() {
-    let (store, _endpoint) = site::served(&config(2, &many_routes())).await;
-    let [_old, new] = site::started_in_outage(&store).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(2, &many_routes())).await;
+    let [_old, new] = site::start_in_outage(&store).await;
     assert!(serves_last(&new).await);
 }
--- a/tests/platform_answers.rs
+++ b/tests/platform_answers.rs
@@ -28,7 +28,7 @@
     let (_store, endpoints, host) = started(&["i-1"]).await;
     let answer = host.request("GET", "/read/x", "r1").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "whole"));
-    assert!(answer.has("server-signature") && answer.has("attempt-id"));
+    assert!(answer.has_header("server-signature") && answer.has_header("attempt-id"));
     assert_eq!(endpoints[0].runs(), ["r1"]);
 }
 
@@ -43,17 +43,17 @@
 /// caller's; retried, the request would run twice. The host must answer 502 instead.
 #[rstest]
 #[case(Behaviour::Cut)]
-#[case(Behaviour::Foreign)]
+#[case(Behaviour::WrongAttempt)]
 #[case(Behaviour::Unsigned)]
 #[case(Behaviour::Encoded)]
-#[case(Behaviour::FailAsFull)]
+#[case(Behaviour::Unavailable)]
 #[tokio::test(flavor = "multi_thread")]
 async fn spoiled_once(#[case] behaviour: Behaviour) {
     let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
-    endpoints.iter().for_each(|e| e.set(behaviour));
+    endpoints.iter().for_each(|e| e.set_behaviour(behaviour));
     let answer = host.request("POST", "/write/x", "w1").await;
     assert_eq!(answer.status, 502);
-    assert!(!answer.has("server-signature"));
+    assert!(!answer.has_header("server-signature"));
     let runs: Vec<String> = endpoints.iter().flat_map(Endpoint::runs).collect();
     assert_eq!(runs, ["w1"]);
 }
@@ -62,7 +62,7 @@
 /// endpoint, whose answer the caller gets.
 #[rstest]
 #[case(Behaviour::Cut)]
-#[case(Behaviour::Foreign)]
+#[case(Behaviour::WrongAttempt)]
 #[case(Behaviour::Unsigned)]
 #[case(Behaviour::Fail)]
 #[tokio::test(flavor = "multi_thread")]
@@ -72,7 +72,7 @@
     for n in 0..10 {
         host.request("GET", "/read/x", &format!("before-{n}")).await;
     }
-    endpoints[0].set(behaviour);
+    endpoints[0].set_behaviour(behaviour);
     for n in 0..2 {
         let answer = host.request("GET", "/read/x", &format!("r-{n}")).await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "whole"));
@@ -84,10 +84,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rejected_truly() {
     let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
-    endpoints.iter().for_each(|e| e.set(Behaviour::Reject));
+    endpoints
+        .iter()
+        .for_each(|e| e.set_behaviour(Behaviour::Reject));
     let answer = host.request("POST", "/write/x", "w1").await;
     assert_eq!(answer.status, 503);
-    assert!(answer.has("retry-after"));
+    assert!(answer.has_header("retry-after"));
     assert!(endpoints.iter().all(|e| e.runs().is_empty()));
 }
 
@@ -95,11 +97,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_endpoint() {
     let (_store, endpoints, host) = started(&["i-1"]).await;
-    endpoints[0].set(Behaviour::Hang);
+    endpoints[0].set_behaviour(Behaviour::Hang);
     let answer = host.request("POST", "/write/x", "w1").await;
     assert_eq!(answer.status, 504);
     until("the endpoint's request is cancelled", async || {
-        endpoints[0].given_up() == 1
+        endpoints[0].cancelled() == 1
     })
     .await;
 }
@@ -112,11 +114,11 @@
     for n in 0..10 {
         host.request("GET", "/read/x", &format!("before-{n}")).await;
     }
-    endpoints[0].set(Behaviour::Fail);
-    endpoints[1].set(Behaviour::Hang);
+    endpoints[0].set_behaviour(Behaviour::Fail);
+    endpoints[1].set_behaviour(Behaviour::Hang);
     let answer = host.request("GET", "/read/x", "r1").await;
     assert_eq!((answer.status, answer.body.as_str()), (500, "failed"));
-    assert!(answer.has("server-signature"));
+    assert!(answer.has_header("server-signature"));
 }
 
 /// The address of an endpoint that has ended was reassigned to another instance. A request sent
@@ -141,7 +143,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hang_up() {
     let (_store, endpoints, host) = started(&["i-1"]).await;
-    endpoints[0].set(Behaviour::Hang);
+    endpoints[0].set_behaviour(Behaviour::Hang);
     let mut stream = TcpStream::connect(host.callers)
         .await
         .expect("the host accepts");
@@ -156,7 +158,7 @@
     .await;
     drop(stream);
     until("the endpoint's request is cancelled", async || {
-        endpoints[0].given_up() == 1
+        endpoints[0].cancelled() == 1
     })
     .await;
 }
@@ -166,7 +168,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn disturbed_endpoint() {
     let (_store, endpoints, host) = started(&["i-1", "i-2", "i-3"]).await;
-    endpoints[1].slow(400);
+    endpoints[1].set_latency(400);
     for n in 0..30 {
         host.request("GET", "/read/x", &format!("r-{n}")).await;
     }
@@ -178,7 +180,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop() {
     let (_store, endpoints, mut host) = started(&["i-1"]).await;
-    endpoints[0].set(Behaviour::Take(800));
+    endpoints[0].set_behaviour(Behaviour::Delay(800));
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let request = "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w1\r\nTime-Remaining: 2000\r\nContent-Length: 0\r\n\r\n";
@@ -198,16 +200,16 @@
         .expect("the task ends")
         .expect("the request is answered");
     assert_eq!(answer.status, 200);
-    assert!(answer.has("connection"));
-    endpoints[0].set(Behaviour::Serve);
+    assert!(answer.has_header("connection"));
+    endpoints[0].set_behaviour(Behaviour::Serve);
     assert_eq!(host.request("GET", "/read/x", "r2").await.status, 200);
     for _ in 0..500 {
-        if host.ended_well().is_some() {
+        if host.exit_success().is_some() {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(host.ended_well(), Some(true));
+    assert_eq!(host.exit_success(), Some(true));
 }
 
 /// Operators lower a running host's limit of open files. If the limit were applied only at the next
--- a/tests/platform_framing.rs
+++ b/tests/platform_framing.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use site::raw::{RawEndpoint, Reply, Seen, field};
+use site::raw::{RawEndpoint, ReceivedRequest, Reply, header};
 use site::{Answer, Host, ROUTES, Store, config, exchange, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -16,7 +16,7 @@
 const LONG: usize = 600_000;
 
 async fn started(
-    script: impl Fn(&Seen) -> Reply + Send + Sync + 'static,
+    script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
 ) -> (Store, RawEndpoint, Host) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
@@ -40,7 +40,7 @@
 }
 
 fn ids(endpoint: &RawEndpoint) -> Vec<String> {
-    let seen = endpoint.seen();
+    let seen = endpoint.received();
     seen.iter().map(|s| s.id().to_owned()).collect()
 }
 
@@ -135,7 +135,7 @@
     let answer = exchange(host.callers, &request).await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert!(answer.body.contains("whole"), "{answer:?}");
-    let seen = endpoint.seen();
+    let seen = endpoint.received();
     assert!(seen[0].head.starts_with("POST /write/x?a=1&b=%20 HTTP/1.1"));
     assert_eq!(seen[0].body, format!("abc{body}").as_bytes());
 }
@@ -167,7 +167,7 @@
         sent.expect("the rest of the body is read too");
     }
     // The host may forward the rest or close; whatever arrives must belong to the same request.
-    for seen in endpoint.seen() {
+    for seen in endpoint.received() {
         assert!(seen.head.starts_with("POST /write/x HTTP/1.1\r\n"));
         assert_eq!(
             seen.body,
@@ -188,7 +188,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections() {
     let (_store, endpoint, host) = started(|seen| match seen.id() {
-        "mute" => Reply::Mute,
+        "mute" => Reply::Silent,
         id => Reply::Keep(signed(id, "whole")),
     })
     .await;
@@ -204,11 +204,11 @@
     })
     .await;
     let muted = endpoint
-        .seen()
+        .received()
         .iter()
         .find(|s| s.id() == "mute")
         .map(|s| s.connection);
-    let after = endpoint.seen().last().map(|s| s.connection);
+    let after = endpoint.received().last().map(|s| s.connection);
     assert_ne!(after, muted);
 }
 
@@ -234,7 +234,7 @@
         .await
         .expect("the host closes the connection")
         .ok();
-    assert!(endpoint.seen().is_empty());
+    assert!(endpoint.received().is_empty());
 }
 
 /// A caller reuses its connection after four fifths of the configured idle timeout. If the host
@@ -289,7 +289,7 @@
     let rejected: Vec<&Answer> = answers.iter().filter(|a| a.status != 200).collect();
     for answer in rejected {
         assert_eq!(answer.status, 503);
-        assert!(field(&answer.head, "retry-after").is_some());
+        assert!(header(&answer.head, "retry-after").is_some());
     }
-    assert_eq!(endpoint.seen().len(), served);
+    assert_eq!(endpoint.received().len(), served);
 }
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -16,14 +16,14 @@
     assert_eq!(host.readiness().await, 503);
     let answer = host.request("GET", "/read/x", "r1").await;
     assert_eq!(answer.status, 503);
-    assert!(answer.has("retry-after"));
+    assert!(answer.has_header("retry-after"));
 }
 
 /// The store holds a configuration with an unknown service, a truncated one and one with an older
 /// version. The host must ignore all three, or callers would lose routes in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_catalogues() {
-    let (store, _endpoint) = site::served(&config(5, ROUTES)).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(5, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
     let unknown = ONE_ROUTE.replace("svc", "nowhere");
     store.put("keyed.op", "config", Some(&config(6, &unknown)));
@@ -89,7 +89,7 @@
 /// Requests are refused with 503 while a data centre is evacuated, and served afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn emptied_centre() {
-    let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
     store.put("keyed.op", "evacuate/here", Some("{}"));
     until("requests are refused", async || {
@@ -110,16 +110,16 @@
 #[case(Mode::Refusing)]
 #[tokio::test(flavor = "multi_thread")]
 async fn store_away(#[case] mode: Mode) {
-    let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
-    store.set(mode);
+    store.set_mode(mode);
     let calls = store.calls();
     until("the store receives a call during the outage", async || {
         store.calls() > calls
     })
     .await;
     assert_eq!(host.request("GET", "/read/x", "r1").await.status, 200);
-    store.set(Mode::Up);
+    store.set_mode(Mode::Up);
     store.put("keyed.op", "config", Some(&config(2, ONE_ROUTE)));
     until("version 2 is in force", async || {
         host.request("GET", "/other/x", "r2").await.status == 200
@@ -131,8 +131,8 @@
 /// neighbour. Otherwise it refuses all callers until the store is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn started_while_away() {
-    let (store, _endpoint) = site::served(&config(1, ROUTES)).await;
-    let [_old, new] = site::started_in_outage(&store).await;
+    let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
+    let [_old, new] = site::start_in_outage(&store).await;
     assert_eq!(new.request("GET", "/read/x", "r1").await.status, 200);
 }
 
@@ -145,12 +145,12 @@
     let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
     endpoints.iter().for_each(|e| e.register(&store, "ready"));
     let host = Host::ready("entry", &store).await;
-    store.set(Mode::Refusing);
+    store.set_mode(Mode::Refusing);
     store.put("keyed.servers", "i-1", None);
     store.put("keyed.op", "config", Some(&config(2, ONE_ROUTE)));
-    store.forget("keyed.servers");
-    store.forget("keyed.op");
-    store.set(Mode::Up);
+    store.compact("keyed.servers");
+    store.compact("keyed.op");
+    store.set_mode(Mode::Up);
     until("only the other endpoint serves, by version 2", async || {
         let before = endpoints[0].runs().len();
         let mut served = true;
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use site::endpoint::Behaviour;
-use site::{Answer, Endpoint, Host, Store, peers, until};
+use site::{Answer, Endpoint, Host, Store, peer_addresses, until};
 
 /// The path whose requests crash endpoints.
 const FATAL: &str = "/read/fatal";
@@ -24,10 +24,10 @@
 
 impl Site {
     async fn start() -> Site {
-        let (store, endpoints) = site::endpoints(8).await;
+        let (store, endpoints) = site::store_and_endpoints(8).await;
         endpoints.iter().for_each(|e| e.crash_on(FATAL, &store));
-        let addresses = peers(4);
-        let hosts = site::hosts(&store, &addresses[..3]).await;
+        let addresses = peer_addresses(4);
+        let hosts = site::start_hosts(&store, &addresses[..3]).await;
         Site {
             store,
             endpoints,
@@ -39,7 +39,7 @@
     /// Starts one more host, which joins through the first.
     async fn add_host(&mut self) {
         let seed = Some(self.addresses[0]);
-        let host = Host::start_beside("late", &self.store, self.addresses[3], seed).await;
+        let host = Host::start_at("late", &self.store, self.addresses[3], seed).await;
         until("the host is ready", async || host.readiness().await == 200).await;
         self.hosts.push(host);
     }
@@ -57,7 +57,7 @@
         let mut all = true;
         for host in &self.hosts {
             let answer = host.request("GET", FATAL, "fatal").await;
-            all &= answer.status == 503 && answer.has("retry-after");
+            all &= answer.status == 503 && answer.has_header("retry-after");
         }
         all && self.crashes() == before && self.serves().await
     }
@@ -124,13 +124,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reset_connections() {
     let site = Site::start().await;
-    site.endpoints.iter().for_each(|e| e.set(Behaviour::Reset));
+    site.endpoints
+        .iter()
+        .for_each(|e| e.set_behaviour(Behaviour::Reset));
     for host in &site.hosts {
         for _ in 0..3 {
             let answer = host.request("GET", "/read/popular", "popular").await;
             assert_ne!(answer.status, 200);
         }
     }
-    site.endpoints.iter().for_each(|e| e.set(Behaviour::Serve));
+    site.endpoints
+        .iter()
+        .for_each(|e| e.set_behaviour(Behaviour::Serve));
     assert!(site.serves().await);
 }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use site::{Endpoint, Host, peers};
+use site::{Endpoint, Host, peer_addresses};
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval};
 
@@ -40,8 +40,8 @@
 
 impl Site {
     async fn start() -> Site {
-        let (store, endpoints) = site::endpoints(8).await;
-        let hosts = site::hosts(&store, &peers(HOSTS)).await;
+        let (store, endpoints) = site::store_and_endpoints(8).await;
+        let hosts = site::start_hosts(&store, &peer_addresses(HOSTS)).await;
         let hosts = hosts.into_iter().map(Arc::new).collect();
         Site { endpoints, hosts }
     }
@@ -91,7 +91,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn advertised_limit() {
     let site = Site::start().await;
-    site.limited().iter().for_each(|e| e.limit(Some(LIMIT)));
+    site.limited()
+        .iter()
+        .for_each(|e| e.set_rate_limit(Some(LIMIT)));
     assert_eq!(site.load(REQUESTS).await, REQUESTS);
     for endpoint in site.limited() {
         let most = busiest(endpoint);
--- a/tests/site/endpoint.rs
+++ b/tests/site/endpoint.rs
@@ -27,17 +27,17 @@
     /// Runs requests and answers at once.
     Serve,
     /// Runs requests and answers after this many milliseconds.
-    Take(u64),
+    Delay(u64),
     /// Answers 503 with `Not-Executed: 1`, without running the request.
     Reject,
     /// Runs requests and answers 500.
     Fail,
     /// Runs requests and answers 503 without `Not-Executed`.
-    FailAsFull,
+    Unavailable,
     /// Runs requests and breaks the connection before the answer is complete.
     Cut,
     /// Runs requests and answers with another request's `Attempt-Id`.
-    Foreign,
+    WrongAttempt,
     /// Runs requests and answers without `Server-Signature`.
     Unsigned,
     /// Runs requests and answers with `Content-Encoding: gzip`.
@@ -55,26 +55,26 @@
 }
 
 /// How long an endpoint runs a request that crashes it.
-const CRASH_AFTER: Duration = Duration::from_millis(60);
+const CRASH_DELAY: Duration = Duration::from_millis(60);
 
 /// The time from a crash to the endpoint's restart.
-const DOWN: Duration = Duration::from_millis(500);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 struct Inner {
     id: String,
     /// How often the endpoint has crashed; names the present instance.
-    life: Mutex<u64>,
+    restarts: Mutex<u64>,
     crash: Mutex<Option<Crash>>,
     /// Notified when a request crashes the endpoint.
     crashed: Notify,
     behaviour: Mutex<Behaviour>,
     /// The latency factor that health checks report, in percent.
-    slowness: Mutex<u32>,
+    latency_percent: Mutex<u32>,
     /// The rate limit, in requests a second, that answers to requests advertise.
-    limit: Mutex<Option<f64>>,
+    rate_limit: Mutex<Option<f64>>,
     runs: Mutex<Vec<(String, Instant)>>,
     /// How many requests were cancelled while they ran.
-    gone: Mutex<u32>,
+    cancel_count: Mutex<u32>,
 }
 
 /// A running endpoint.
@@ -92,20 +92,20 @@
         let address = listener.local_addr().expect("the listener has an address");
         let inner = Arc::new(Inner {
             id: id.to_owned(),
-            life: Mutex::default(),
+            restarts: Mutex::default(),
             crash: Mutex::default(),
             crashed: Notify::new(),
             behaviour: Mutex::new(Behaviour::Serve),
-            slowness: Mutex::new(100),
-            limit: Mutex::default(),
+            latency_percent: Mutex::new(100),
+            rate_limit: Mutex::default(),
             runs: Mutex::default(),
-            gone: Mutex::default(),
+            cancel_count: Mutex::default(),
         });
         let shared = Arc::clone(&inner);
         tokio::spawn(async move {
             let mut listener = listener;
             loop {
-                live(listener, &shared).await;
+                accept_until_crash(listener, &shared).await;
                 listener = shared.restart(address).await;
             }
         });
@@ -127,7 +127,7 @@
             .expect("no test panics with the lock held") = Some(Crash { path, store });
     }
 
-    pub fn set(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self
             .inner
             .behaviour
@@ -136,12 +136,12 @@
     }
 
     /// Sets the reported latency factor, in percent of the usual latency.
-    pub fn slow(&self, slowness: u32) {
+    pub fn set_latency(&self, latency_percent: u32) {
         *self
             .inner
-            .slowness
+            .latency_percent
             .lock()
-            .expect("no test panics with the lock held") = slowness;
+            .expect("no test panics with the lock held") = latency_percent;
     }
 
     /// Returns the attempt IDs of the requests that the endpoint has started to run.
@@ -160,19 +160,19 @@
     }
 
     /// Sets the advertised rate limit in requests a second, or none.
-    pub fn limit(&self, rate: Option<f64>) {
+    pub fn set_rate_limit(&self, rate: Option<f64>) {
         *self
             .inner
-            .limit
+            .rate_limit
             .lock()
             .expect("no test panics with the lock held") = rate;
     }
 
     /// Returns how many requests were cancelled while the endpoint ran them.
-    pub fn given_up(&self) -> u32 {
+    pub fn cancelled(&self) -> u32 {
         *self
             .inner
-            .gone
+            .cancel_count
             .lock()
             .expect("no test panics with the lock held")
     }
@@ -181,9 +181,13 @@
 impl Inner {
     /// Returns the ID of the present instance.
     fn instance(&self) -> String {
-        match *self.life.lock().expect("no test panics with the lock held") {
+        match *self
+            .restarts
+            .lock()
+            .expect("no test panics with the lock held")
+        {
             0 => self.id.clone(),
-            life => format!("{}-{life}", self.id),
+            restarts => format!("{}-{restarts}", self.id),
         }
     }
 
@@ -213,18 +217,21 @@
             crash.as_ref().expect("a crash is set").store.clone()
         };
         store.put("keyed.servers", &self.instance(), None);
-        sleep(DOWN).await;
+        sleep(RESTART_DELAY).await;
         let listener = TcpListener::bind(address)
             .await
             .expect("the port is free again");
-        *self.life.lock().expect("no test panics with the lock held") += 1;
+        *self
+            .restarts
+            .lock()
+            .expect("no test panics with the lock held") += 1;
         self.register(address, &store, "ready");
         listener
     }
 }
 
 /// Accepts connections until the endpoint crashes, then closes all of them.
-async fn live(listener: TcpListener, inner: &Arc<Inner>) {
+async fn accept_until_crash(listener: TcpListener, inner: &Arc<Inner>) {
     let mut connections = JoinSet::new();
     loop {
         let stream = tokio::select! {
@@ -241,44 +248,48 @@
     }
 }
 
-/// Counts a request as cancelled when dropped before `ended` is set.
-struct Work<'a> {
+/// Counts a request as cancelled when dropped before `completed` is set.
+struct CancelGuard<'a> {
     inner: &'a Inner,
-    ended: bool,
+    completed: bool,
 }
 
-impl Drop for Work<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.completed {
             *self
                 .inner
-                .gone
+                .cancel_count
                 .lock()
                 .expect("no test panics with the lock held") += 1;
         }
     }
 }
 
-async fn serve(request: Request<Incoming>, inner: Arc<Inner>) -> io::Result<Response<Part>> {
-    let field = |name: &str| {
+async fn serve(request: Request<Incoming>, inner: Arc<Inner>) -> io::Result<Response<AnswerBody>> {
+    let header = |name: &str| {
         let value = request.headers().get(name);
         value
             .and_then(|v| v.to_str().ok())
             .unwrap_or_default()
             .to_owned()
     };
-    let slowness = *inner
-        .slowness
+    let latency_percent = *inner
+        .latency_percent
         .lock()
         .expect("no test panics with the lock held");
     if request.uri().path() == "/health" {
         let mut response = respond(StatusCode::OK, "", "");
-        set(&mut response, "instance-id", &inner.instance());
-        set(&mut response, "server-load", &format!("0,0,6,{slowness}"));
+        set_header(&mut response, "instance-id", &inner.instance());
+        set_header(
+            &mut response,
+            "server-load",
+            &format!("0,0,6,{latency_percent}"),
+        );
         return Ok(response);
     }
-    let id = field("attempt-id");
-    if field("expected-instance") != inner.instance() {
+    let id = header("attempt-id");
+    if header("expected-instance") != inner.instance() {
         return Ok(respond(StatusCode::MISDIRECTED_REQUEST, "", &id));
     }
     let behaviour = *inner
@@ -287,7 +298,7 @@
         .expect("no test panics with the lock held");
     if behaviour == Behaviour::Reject {
         let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "", &id);
-        set(&mut response, "not-executed", "1");
+        set_header(&mut response, "not-executed", "1");
         return Ok(response);
     }
     inner
@@ -295,32 +306,32 @@
         .lock()
         .expect("no test panics with the lock held")
         .push((id.clone(), Instant::now()));
-    let mut work = Work {
+    let mut guard = CancelGuard {
         inner: &inner,
-        ended: false,
+        completed: false,
     };
     if inner.crashes_on(request.uri().path()) {
-        sleep(CRASH_AFTER).await;
+        sleep(CRASH_DELAY).await;
         inner.crashed.notify_one();
         std::future::pending::<()>().await;
     }
     match behaviour {
-        Behaviour::Take(millis) => sleep(Duration::from_millis(millis)).await,
+        Behaviour::Delay(millis) => sleep(Duration::from_millis(millis)).await,
         Behaviour::Hang => sleep(Duration::from_secs(3_600)).await,
         _ => {}
     }
-    work.ended = true;
+    guard.completed = true;
     if behaviour == Behaviour::Reset {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     let mut response = match behaviour {
         Behaviour::Fail => respond(StatusCode::INTERNAL_SERVER_ERROR, "failed", &id),
-        Behaviour::FailAsFull => respond(StatusCode::SERVICE_UNAVAILABLE, "full", &id),
-        Behaviour::Foreign => respond(StatusCode::OK, "whole", "another"),
+        Behaviour::Unavailable => respond(StatusCode::SERVICE_UNAVAILABLE, "full", &id),
+        Behaviour::WrongAttempt => respond(StatusCode::OK, "whole", "another"),
         _ => respond(StatusCode::OK, "whole", &id),
     };
     if behaviour != Behaviour::Unsigned {
-        set(
+        set_header(
             &mut response,
             "server-signature",
             &format!("by-{}", inner.instance()),
@@ -330,41 +341,41 @@
         let encoding = HeaderValue::from_static("gzip");
         response.headers_mut().insert(CONTENT_ENCODING, encoding);
     }
-    let limit = *inner
-        .limit
+    let rate_limit = *inner
+        .rate_limit
         .lock()
         .expect("no test panics with the lock held");
-    if let Some(rate) = limit {
-        set(&mut response, "server-limit", &rate.to_string());
+    if let Some(rate) = rate_limit {
+        set_header(&mut response, "server-limit", &rate.to_string());
     }
     response.body_mut().cut = behaviour == Behaviour::Cut;
     Ok(response)
 }
 
-fn respond(status: StatusCode, text: &'static str, id: &str) -> Response<Part> {
-    let mut response = Response::new(Part {
+fn respond(status: StatusCode, text: &'static str, id: &str) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody {
         text: Bytes::from_static(text.as_bytes()),
         cut: false,
     });
     *response.status_mut() = status;
     if !id.is_empty() {
-        set(&mut response, "attempt-id", id);
+        set_header(&mut response, "attempt-id", id);
     }
     response
 }
 
-fn set(response: &mut Response<Part>, name: &'static str, value: &str) {
+fn set_header(response: &mut Response<AnswerBody>, name: &'static str, value: &str) {
     let value = HeaderValue::try_from(value).expect("a valid header value");
     response.headers_mut().insert(name, value);
 }
 
 /// A body that fails with a connection reset where `cut` is set.
-struct Part {
+struct AnswerBody {
     text: Bytes,
     cut: bool,
 }
 
-impl Body for Part {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -21,7 +21,7 @@
 pub use store::Store;
 
 /// The longest wait for a condition or an answer before a test fails.
-const LIMIT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The routes of most tests: one idempotent (`safe`), one not (`unsafe`).
 pub const ROUTES: &str = r#"["read","a.example","/read/","safe",2.0,0.5,2,null,2,"svc"],["write","a.example","/write/","unsafe",2.0,0.5,1,null,2,"svc"]"#;
@@ -34,7 +34,7 @@
 }
 
 /// Starts a store that holds this configuration, and one endpoint registered as ready.
-pub async fn served(config: &str) -> (Store, Endpoint) {
+pub async fn store_and_endpoint(config: &str) -> (Store, Endpoint) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(config));
     let endpoint = Endpoint::start("i-1").await;
@@ -53,14 +53,14 @@
 impl Host {
     /// Starts an entry host and waits until its readiness port answers.
     pub async fn start(name: &str, store: &Store) -> Host {
-        Host::start_beside(name, store, free_port(), None).await
+        Host::start_at(name, store, free_port(), None).await
     }
 
-    /// Starts an entry host with the peer address `peers`, which joins through `seed`.
-    pub async fn start_beside(
+    /// Starts an entry host with the peer address `peer_address`, which joins through `seed`.
+    pub async fn start_at(
         name: &str,
         store: &Store,
-        peers: SocketAddr,
+        peer_address: SocketAddr,
         seed: Option<SocketAddr>,
     ) -> Host {
         let callers = free_port();
@@ -68,7 +68,7 @@
         let seeds = seed.map_or(String::new(), |s| format!("\"{s}\""));
         let settings = std::env::temp_dir().join(format!("{name}-{}.toml", callers.port()));
         let text = format!(
-            "name = \"{name}\"\ndata_centre = \"here\"\ncaller_address = \"{callers}\"\nreadiness_address = \"{readiness}\"\npeer_address = \"{peers}\"\nseeds = [{seeds}]\nlog_address = \"{}\"\ngrace_seconds = 6\nrepeat_slack = 50\n",
+            "name = \"{name}\"\ndata_centre = \"here\"\ncaller_address = \"{callers}\"\nreadiness_address = \"{readiness}\"\npeer_address = \"{peer_address}\"\nseeds = [{seeds}]\nlog_address = \"{}\"\ngrace_seconds = 6\nrepeat_slack = 50\n",
             store.address
         );
         std::fs::write(&settings, text).expect("the settings file is written");
@@ -149,7 +149,7 @@
     }
 
     /// Returns whether the process exited with success, `None` while it runs.
-    pub fn ended_well(&mut self) -> Option<bool> {
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.process
             .try_wait()
             .expect("the exit status is available")
@@ -166,7 +166,7 @@
 }
 
 /// Starts a store that holds `ROUTES`, and `count` endpoints registered as ready.
-pub async fn endpoints(count: usize) -> (Store, Vec<Endpoint>) {
+pub async fn store_and_endpoints(count: usize) -> (Store, Vec<Endpoint>) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
     let mut endpoints = Vec::new();
@@ -180,11 +180,11 @@
 
 /// Starts hosts at these peer addresses, which join through the first, and waits until all are
 /// ready.
-pub async fn hosts(store: &Store, addresses: &[SocketAddr]) -> Vec<Host> {
+pub async fn start_hosts(store: &Store, addresses: &[SocketAddr]) -> Vec<Host> {
     let mut hosts = Vec::new();
     for (number, address) in addresses.iter().enumerate() {
         let name = format!("host-{number}");
-        hosts.push(Host::start_beside(&name, store, *address, Some(addresses[0])).await);
+        hosts.push(Host::start_at(&name, store, *address, Some(addresses[0])).await);
     }
     for host in &hosts {
         until("the host is ready", async || host.readiness().await == 200).await;
@@ -195,15 +195,15 @@
 /// Starts one host, then a second one while the store refuses all calls.
 ///
 /// Returns both once they are ready, the second one last.
-pub async fn started_in_outage(store: &Store) -> [Host; 2] {
-    let [first, second] = two_peers();
-    let old = Host::start_beside("old", store, first, None).await;
+pub async fn start_in_outage(store: &Store) -> [Host; 2] {
+    let [first, second] = two_addresses();
+    let old = Host::start_at("old", store, first, None).await;
     until("the old host is ready", async || {
         old.readiness().await == 200
     })
     .await;
-    store.set(store::Mode::Refusing);
-    let new = Host::start_beside("new", store, second, Some(first)).await;
+    store.set_mode(store::Mode::Refusing);
+    let new = Host::start_at("new", store, second, Some(first)).await;
     until("the new host is ready", async || {
         new.readiness().await == 200
     })
@@ -221,7 +221,7 @@
 
 impl Answer {
     /// Returns whether the head has this header; `field` is in lower case.
-    pub fn has(&self, field: &str) -> bool {
+    pub fn has_header(&self, field: &str) -> bool {
         self.head
             .to_ascii_lowercase()
             .contains(&format!("\r\n{field}:"))
@@ -235,7 +235,7 @@
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut bytes = Vec::new();
-    timeout(LIMIT, stream.read_to_end(&mut bytes))
+    timeout(WAIT_TIMEOUT, stream.read_to_end(&mut bytes))
         .await
         .ok()?
         .ok()?;
@@ -249,15 +249,18 @@
     })
 }
 
-/// Waits until `holds` returns true.
+/// Waits until `condition` returns true.
 ///
 /// # Panics
 ///
-/// Panics with `what` when `LIMIT` has passed.
-pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
-    let last = Instant::now() + LIMIT;
-    while !holds().await {
-        assert!(Instant::now() < last, "timed out after {LIMIT:?}: {what}");
+/// Panics with `what` when `WAIT_TIMEOUT` has passed.
+pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(
+            Instant::now() < deadline,
+            "timed out after {WAIT_TIMEOUT:?}: {what}"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -265,7 +268,7 @@
 /// Returns one free port at `count` loopback addresses.
 ///
 /// All hosts of a site use the same peer port.
-pub fn peers(count: usize) -> Vec<SocketAddr> {
+pub fn peer_addresses(count: usize) -> Vec<SocketAddr> {
     let port = free_port().port();
     let numbers = (1..=u8::MAX).take(count);
     numbers
@@ -274,8 +277,8 @@
 }
 
 /// Returns one free port at two loopback addresses.
-fn two_peers() -> [SocketAddr; 2] {
-    let two: Result<[SocketAddr; 2], _> = peers(2).try_into();
+fn two_addresses() -> [SocketAddr; 2] {
+    let two: Result<[SocketAddr; 2], _> = peer_addresses(2).try_into();
     two.expect("peers returns two addresses")
 }
 
--- a/tests/site/raw.rs
+++ b/tests/site/raw.rs
@@ -14,7 +14,7 @@
 
 /// A request as received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The connection of the request, counted from 0.
     pub connection: usize,
     /// The request line and the headers.
@@ -23,10 +23,10 @@
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// Returns the request's `Attempt-Id`, empty where there is none.
     pub fn id(&self) -> &str {
-        field(&self.head, "attempt-id").unwrap_or_default()
+        header(&self.head, "attempt-id").unwrap_or_default()
     }
 }
 
@@ -41,42 +41,44 @@
     /// Writes these bytes before reading the request's body, then reads the body.
     Early(String),
     /// Writes nothing, and neither reads nor closes the connection any more.
-    Mute,
+    Silent,
 }
 
-type Script = dyn Fn(&Seen) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 /// A running endpoint, registered as instance `i-raw`.
 pub struct RawEndpoint {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl RawEndpoint {
     /// Starts an endpoint that answers each request as `script` returns.
-    pub async fn start(script: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> RawEndpoint {
+    pub async fn start(
+        script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+    ) -> RawEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = Arc::clone(&seen);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let shared = Arc::clone(&received);
         let script: Arc<Script> = Arc::new(script);
         tokio::spawn(async move {
             let mut connection = 0;
             while let Ok((stream, _)) = listener.accept().await {
-                let served = Served {
+                let opened = Connection {
                     connection,
                     stream,
                     buffer: Vec::new(),
                     script: Arc::clone(&script),
-                    seen: Arc::clone(&shared),
+                    received: Arc::clone(&shared),
                 };
-                tokio::spawn(served.run());
+                tokio::spawn(opened.run());
                 connection += 1;
             }
         });
-        RawEndpoint { address, seen }
+        RawEndpoint { address, received }
     }
 
     /// Writes the endpoint's record into the store.
@@ -89,8 +91,8 @@
     }
 
     /// Returns the requests received, without health checks.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received
             .lock()
             .expect("no test panics with the lock held")
             .clone()
@@ -98,37 +100,37 @@
 }
 
 /// One accepted connection of the endpoint.
-struct Served {
+struct Connection {
     connection: usize,
     stream: TcpStream,
     buffer: Vec<u8>,
     script: Arc<Script>,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Served {
+impl Connection {
     /// Serves requests until the connection ends, with `None` where the peer ended it.
     async fn run(mut self) -> Option<()> {
         loop {
-            let head = self.head().await?;
+            let head = self.read_head().await?;
             if head.starts_with("GET /health ") {
                 self.stream.write_all(HEALTHY.as_bytes()).await.ok()?;
                 continue;
             }
-            let mut seen = Seen {
+            let mut received = ReceivedRequest {
                 connection: self.connection,
                 head,
                 body: Vec::new(),
             };
-            if let Reply::Early(bytes) = (self.script)(&seen) {
+            if let Reply::Early(bytes) = (self.script)(&received) {
                 self.stream.write_all(bytes.as_bytes()).await.ok()?;
-                seen.body = self.body(&seen.head).await?;
-                self.note(seen);
+                received.body = self.read_body(&received.head).await?;
+                self.record(received);
                 continue;
             }
-            seen.body = self.body(&seen.head).await?;
-            let reply = (self.script)(&seen);
-            self.note(seen);
+            received.body = self.read_body(&received.head).await?;
+            let reply = (self.script)(&received);
+            self.record(received);
             let (Reply::Keep(bytes)
             | Reply::Close(bytes)
             | Reply::Reset(bytes)
@@ -150,39 +152,39 @@
         }
     }
 
-    fn note(&self, seen: Seen) {
-        self.seen
+    fn record(&self, received: ReceivedRequest) {
+        self.received
             .lock()
             .expect("no test panics with the lock held")
-            .push(seen);
+            .push(received);
     }
 
-    async fn head(&mut self) -> Option<String> {
+    async fn read_head(&mut self) -> Option<String> {
         loop {
             let end = self.buffer.windows(4).position(|w| w == b"\r\n\r\n");
             if let Some(end) = end {
                 let head: Vec<u8> = self.buffer.drain(..end + 4).collect();
                 return String::from_utf8(head).ok();
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn body(&mut self, head: &str) -> Option<Vec<u8>> {
-        if field(head, "transfer-encoding").is_some() {
-            return self.chunks().await;
+    async fn read_body(&mut self, head: &str) -> Option<Vec<u8>> {
+        if header(head, "transfer-encoding").is_some() {
+            return self.read_chunks().await;
         }
-        let length: usize = field(head, "content-length").map_or(Some(0), |l| l.parse().ok())?;
-        self.take(length).await
+        let length: usize = header(head, "content-length").map_or(Some(0), |l| l.parse().ok())?;
+        self.read_bytes(length).await
     }
 
-    async fn chunks(&mut self) -> Option<Vec<u8>> {
+    async fn read_chunks(&mut self) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let length = usize::from_str_radix(line.trim(), 16).ok()?;
-            let chunk = self.take(length).await?;
-            self.line().await?;
+            let chunk = self.read_bytes(length).await?;
+            self.read_line().await?;
             if length == 0 {
                 return Some(body);
             }
@@ -190,24 +192,24 @@
         }
     }
 
-    async fn line(&mut self) -> Option<String> {
+    async fn read_line(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 return String::from_utf8(line).ok();
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn take(&mut self, length: usize) -> Option<Vec<u8>> {
+    async fn read_bytes(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.buffer.len() < length {
-            self.more().await?;
+            self.read_more().await?;
         }
         Some(self.buffer.drain(..length).collect())
     }
 
-    async fn more(&mut self) -> Option<()> {
+    async fn read_more(&mut self) -> Option<()> {
         let mut piece = [0; 16 * 1024];
         let count = self.stream.read(&mut piece).await.ok()?;
         self.buffer.extend_from_slice(&piece[..count]);
@@ -216,7 +218,7 @@
 }
 
 /// Returns the value of a header of `head`; `name` may be in any case.
-pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (key, value) = line.split_once(':')?;
         key.eq_ignore_ascii_case(name).then(|| value.trim())
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -21,31 +21,31 @@
 #[derive(Clone)]
 pub struct Store {
     pub address: SocketAddr,
-    log: Arc<StoreStandIn>,
+    stand_in: Arc<StoreStandIn>,
 }
 
 impl Store {
     pub async fn start() -> Store {
-        let log = StoreStandIn::on_loopback(Behaviour::default()).expect("a port is free");
+        let stand_in = StoreStandIn::on_loopback(Behaviour::default()).expect("a port is free");
         Store {
-            address: log.address(),
-            log: Arc::new(log),
+            address: stand_in.address(),
+            stand_in: Arc::new(stand_in),
         }
     }
 
     /// Writes the record of a key, or a tombstone where `value` is `None`.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let value = value.map(|v| Bytes::copy_from_slice(v.as_bytes()));
-        self.log.put(topic, key, value);
+        self.stand_in.put(topic, key, value);
     }
 
     /// Drops the records of a topic except the newest one of each key.
-    pub fn forget(&self, topic: &str) {
-        self.log.compact(topic);
+    pub fn compact(&self, topic: &str) {
+        self.stand_in.compact(topic);
     }
 
-    pub fn set(&self, mode: Mode) {
-        self.log.change(|b| {
+    pub fn set_mode(&self, mode: Mode) {
+        self.stand_in.change(|b| {
             b.outage = match mode {
                 Mode::Up => None,
                 Mode::Refusing => Some(Outage::Refusing),
@@ -56,16 +56,16 @@
 
     /// Returns how many bytes of records the store has sent in answer to reads.
     pub fn bytes_read(&self) -> u64 {
-        self.log.counts().bytes_read
+        self.stand_in.counts().bytes_read
     }
 
     /// Returns how many pages of newest records the store has sent.
     pub fn listings(&self) -> u64 {
-        self.log.counts().listings
+        self.stand_in.counts().listings
     }
 
     /// Returns how many calls the store has received.
     pub fn calls(&self) -> u32 {
-        u32::try_from(self.log.counts().calls).expect("the number of calls fits")
+        u32::try_from(self.stand_in.counts().calls).expect("the number of calls fits")
     }
 }
