--- a/tests/backend_faults.rs
+++ b/tests/backend_faults.rs
@@ -39,7 +39,7 @@
 // is idle. Entry hosts must detect this from its latency and send it less than a tenth of the
 // calls of another.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_with_lying_report() {
+async fn false_load_report() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.wait_for_answers(500).await;
--- a/tests/centre_leaves.rs
+++ b/tests/centre_leaves.rs
@@ -11,7 +11,7 @@
 // none that the other data centres have room for may be refused, and after a few seconds the
 // data centre must get no new calls. After it is brought back it must serve again.
 #[tokio::test(flavor = "multi_thread")]
-async fn unnoticed() {
+async fn no_call_fails() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.wait_for_answers(300).await;
--- a/tests/cut_answers.rs
+++ b/tests/cut_answers.rs
@@ -18,7 +18,7 @@
 #[case::chunked("/hallboard/free?size=300000&chunked=1")]
 #[case::small("/hallboard/free?size=300")]
 #[tokio::test(flavor = "multi_thread")]
-async fn never_taken_for_whole(#[case] path: &str) {
+async fn cut_answer_detected(#[case] path: &str) {
     let mut cluster = Cluster::start(SITE).await;
     for backend in cluster.site.backends("hallboard") {
         backend.set(&Knobs {
@@ -63,7 +63,7 @@
 // The answer to a POST is cut, so the call may have run. It must not be answered "not run" and
 // must not be retried.
 #[tokio::test(flavor = "multi_thread")]
-async fn deposit_not_repeated() {
+async fn post_not_retried() {
     let mut cluster = Cluster::start(SITE).await;
     for backend in cluster.site.backends("ledgerhouse") {
         backend.set(&Knobs {
@@ -86,7 +86,7 @@
 // Calls reach their deadline while their answers are still on the way. The next calls through the
 // same hosts must get their own answers and never the late ones.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answer_reaches_nobody() {
+async fn late_answers_dropped() {
     let mut cluster = Cluster::start(SITE).await;
     for round in 0..12 {
         let mut slow = cluster.new_call("GET", "/hallboard/free?work-ms=150");
--- a/tests/host_killed.rs
+++ b/tests/host_killed.rs
@@ -11,7 +11,7 @@
 // see broken connections. The other hosts must take over its slots, and no backend server may
 // get more calls than it has slots.
 #[tokio::test(flavor = "multi_thread")]
-async fn others_unhurt() {
+async fn other_hosts_unaffected() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.wait_for_answers(500).await;
@@ -38,7 +38,7 @@
 // answer. The caller retries with the same key through the other hosts: the call must not run
 // twice, and must not be answered "not run", since it ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn deposit_once() {
+async fn key_runs_once() {
     let mut cluster = Cluster::start(SITE).await;
     let mut first = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=400");
     first.key = Some("deposit-of-the-hall".to_owned());
--- a/tests/host_settings.rs
+++ b/tests/host_settings.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-const WHOLE: &str = r#"
+const VALID: &str = r#"
 name = "edge-1"
 data_centre = "here"
 caller_address = "127.0.0.1:8000"
@@ -28,15 +28,15 @@
 
 /// The platform may add fields, so an unknown key is no error.
 #[test]
-fn whole_file() {
-    let output = check("whole", WHOLE);
+fn valid_file() {
+    let output = check("whole", VALID);
     assert!(output.status.success());
 }
 
 /// All errors of a file must be reported at once, each with its key.
 #[test]
-fn all_faults() {
-    let text = WHOLE
+fn all_errors() {
+    let text = VALID
         .replace("edge-1", "")
         .replace("127.0.0.1:8000", "somewhere")
         .replace(
@@ -45,7 +45,7 @@
         );
     let output = check("faults", &text);
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     for key in [
         "name:",
         "caller_address:",
@@ -53,7 +53,10 @@
         "probes_per_second:",
         "grace_seconds:",
     ] {
-        assert!(told.contains(key), "{key} is missing in the output: {told}");
+        assert!(
+            stderr.contains(key),
+            "{key} is missing in the output: {stderr}"
+        );
     }
 }
 
--- a/tests/host_starts.rs
+++ b/tests/host_starts.rs
@@ -10,7 +10,7 @@
 /// A host that starts must load routes and endpoints from its neighbours. With hundreds of hosts,
 /// reading everything from the store would make thousands of calls.
 #[tokio::test(flavor = "multi_thread")]
-async fn neighbours_asked() {
+async fn loads_from_neighbours() {
     let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let peers = site::peer_addresses(6);
     let first = Host::start_at("first", &store, peers[0], None).await;
--- a/tests/large_changes.rs
+++ b/tests/large_changes.rs
@@ -5,20 +5,20 @@
 use site::{Host, ROUTES, Store, config, until};
 
 /// How many routes operators add at once: 290 KB of configuration.
-const MANY: usize = 4_200;
+const ROUTE_COUNT: usize = 4_200;
 
 /// How many hosts the data centre has.
-const HOSTS: usize = 6;
+const HOST_COUNT: usize = 6;
 
 fn many_routes() -> String {
     let mut rows = ROUTES.to_owned();
-    for n in 0..MANY {
+    for n in 0..ROUTE_COUNT {
         rows += &format!(r#",["bulk-{n}","b.example","/bulk{n}/","safe",2.0,0.5,2,null,2,"svc"]"#);
     }
     rows
 }
 
-async fn site_of(count: usize, store: &Store) -> Vec<Host> {
+async fn start_site(count: usize, store: &Store) -> Vec<Host> {
     let peers = site::peer_addresses(count);
     let mut hosts = Vec::new();
     for (n, address) in peers.iter().enumerate() {
@@ -32,8 +32,8 @@
 }
 
 /// Returns whether a host serves the last route of the large configuration.
-async fn serves_last(host: &Host) -> bool {
-    let path = format!("/bulk{}/x", MANY - 1);
+async fn serves_last_route(host: &Host) -> bool {
+    let path = format!("/bulk{}/x", ROUTE_COUNT - 1);
     let request = format!(
         "GET {path} HTTP/1.1\r\nHost: b.example\r\nAttempt-Id: b\r\nTime-Remaining: 2000\r\nConnection: close\r\n\r\n"
     );
@@ -47,27 +47,33 @@
 /// answered 404 or used the old routes a second longer than allowed, and all hosts together
 /// received a hundred times their usual traffic in two seconds.
 #[tokio::test(flavor = "multi_thread")]
-async fn large_change_told() {
+async fn large_change_gossiped() {
     let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
-    let hosts = site_of(HOSTS, &store).await;
+    let hosts = start_site(HOST_COUNT, &store).await;
     let change = config(2, &many_routes());
     let before = store.bytes_read();
     store.put("keyed.op", "config", Some(&change));
     for host in &hosts {
-        until("the change is in force", async || serves_last(host).await).await;
+        until("the change is in force", async || {
+            serves_last_route(host).await
+        })
+        .await;
     }
-    let copies = (store.bytes_read() - before) / change.len() as u64;
+    let reads = (store.bytes_read() - before) / change.len() as u64;
     // One host a data centre reads the change; two where another one started reading at the same
     // moment.
-    assert!(copies <= 2, "{HOSTS} hosts read the change {copies} times");
+    assert!(
+        reads <= 2,
+        "{HOST_COUNT} hosts read the change {reads} times"
+    );
 }
 
 /// A host starts during an outage of the store, in a site with thousands of routes. Its neighbours
 /// know all routes, but a snapshot of the topic fits into no datagram: without fragments the host
 /// would refuse every caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn large_topic_handed_over() {
+async fn large_snapshot_sent() {
     let (store, _endpoint) = site::store_and_endpoint(&config(2, &many_routes())).await;
     let [_old, new] = site::start_in_outage(&store).await;
-    assert!(serves_last(&new).await);
+    assert!(serves_last_route(&new).await);
 }
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -13,19 +13,19 @@
 const PEAK: &str = "examples/midlands-peak.toml";
 
 /// The exit code and output of a command.
-struct Ended {
+struct CommandResult {
     code: i32,
     out: String,
     err: String,
 }
 
-fn operate(arguments: &[&str]) -> Ended {
+fn run_command(arguments: &[&str]) -> CommandResult {
     let output: Output = Command::new(BINARY)
         .args(arguments)
         .env_remove("CARDAMOMVALE_LOG_ADDRESS")
         .output()
         .unwrap();
-    Ended {
+    CommandResult {
         code: output.status.code().unwrap(),
         out: String::from_utf8(output.stdout).unwrap(),
         err: String::from_utf8(output.stderr).unwrap(),
@@ -33,43 +33,43 @@
 }
 
 /// Runs a command against a store and returns the exit code and the whole output.
-fn at(log: &StoreStandIn, arguments: &[&str]) -> (i32, String) {
-    let address = log.address().to_string();
-    let ended = operate(&[arguments, &["--log-address", &address]].concat());
+fn run_with_store(store: &StoreStandIn, arguments: &[&str]) -> (i32, String) {
+    let address = store.address().to_string();
+    let ended = run_command(&[arguments, &["--log-address", &address]].concat());
     (ended.code, ended.out + &ended.err)
 }
 
-fn log() -> StoreStandIn {
+fn start_store() -> StoreStandIn {
     StoreStandIn::on_loopback(Behaviour::default()).unwrap()
 }
 
 /// Starts a store that holds both presets, with the ordinary one in force.
-fn opened() -> StoreStandIn {
-    let log = log();
+fn store_with_presets() -> StoreStandIn {
+    let store = start_store();
     for arguments in [
         ["preset", "put", ORDINARY],
         ["preset", "put", PEAK],
         ["preset", "choose", "ordinary"],
     ] {
-        assert_eq!(at(&log, &arguments).0, 0);
+        assert_eq!(run_with_store(&store, &arguments).0, 0);
     }
-    log
+    store
 }
 
 #[test]
-fn first_day() {
-    let log = log();
-    let (code, text) = at(&log, &["preset", "put", ORDINARY]);
+fn first_commands() {
+    let store = start_store();
+    let (code, text) = run_with_store(&store, &["preset", "put", ORDINARY]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 1: preset ordinary is put\n")
     );
-    let (code, text) = at(&log, &["preset", "choose", "ordinary"]);
+    let (code, text) = run_with_store(&store, &["preset", "choose", "ordinary"]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 2: preset ordinary is in force\n")
     );
-    let (code, text) = at(&log, &["data-centre", "leave", "soar"]);
+    let (code, text) = run_with_store(&store, &["data-centre", "leave", "soar"]);
     assert_eq!(
         (code, text.as_str()),
         (
@@ -77,12 +77,12 @@
             "accepted, revision 3: data centre soar gets no new work\n"
         )
     );
-    let (code, text) = at(&log, &["host", "leave", "127.1.1.1"]);
+    let (code, text) = run_with_store(&store, &["host", "leave", "127.1.1.1"]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 4: host 127.1.1.1 gets no new work\n")
     );
-    let (code, text) = at(&log, &["preset", "list"]);
+    let (code, text) = run_with_store(&store, &["preset", "list"]);
     assert_eq!(code, 0);
     for line in [
         "revision 4",
@@ -92,13 +92,13 @@
     ] {
         assert!(text.contains(line), "{text}");
     }
-    let (code, text) = at(&log, &["preset", "show", "--json"]);
+    let (code, text) = run_with_store(&store, &["preset", "show", "--json"]);
     assert!(code == 0 && text.contains("\"hallboard\""), "{text}");
 }
 
 // A preset file with two errors must be rejected as a whole, with one message that names both.
 #[test]
-fn faulty_file() {
+fn invalid_file() {
     let path = std::env::temp_dir().join(format!("faulty-{}.toml", std::process::id()));
     let text = std::fs::read_to_string(ORDINARY).unwrap();
     let text = text.replacen("slots = 6", "slot = 6", 1) + "\n[extra]\n";
@@ -107,9 +107,9 @@
         .write_all(text.as_bytes())
         .unwrap();
     let file = path.to_str().unwrap();
-    let log = log();
-    let checked = operate(&["preset", "check", file]);
-    let (code, put) = at(&log, &["preset", "put", file]);
+    let store = start_store();
+    let checked = run_command(&["preset", "check", file]);
+    let (code, put) = run_with_store(&store, &["preset", "put", file]);
     std::fs::remove_file(&path).unwrap();
     assert_eq!((checked.code, code), (2, 2));
     assert_eq!(checked.err, put);
@@ -120,8 +120,8 @@
     ] {
         assert!(put.contains(part), "{put}");
     }
-    assert_eq!(log.counts().appends, 0);
-    assert_eq!(operate(&["preset", "check", ORDINARY]).code, 0);
+    assert_eq!(store.counts().appends, 0);
+    assert_eq!(run_command(&["preset", "check", ORDINARY]).code, 0);
 }
 
 #[rstest]
@@ -134,11 +134,11 @@
 #[case(&["preset", "choose", "peak", "--id", "yes"], 2, "--id is no id")]
 #[case(&["preset", "show", "summer"], 2, "see `preset list`")]
 #[case(&["preset", "put", "no-such-file.toml"], 2, "no-such-file.toml")]
-fn told_why(#[case] arguments: &[&str], #[case] code: i32, #[case] message: &str) {
-    let log = opened();
-    let (ended, text) = at(&log, arguments);
+fn refusal_reasons(#[case] arguments: &[&str], #[case] code: i32, #[case] message: &str) {
+    let store = store_with_presets();
+    let (ended, text) = run_with_store(&store, arguments);
     assert!(ended == code && text.contains(message), "{ended} {text}");
-    assert_eq!(log.counts().appends, 3, "the command wrote to the store");
+    assert_eq!(store.counts().appends, 3, "the command wrote to the store");
 }
 
 // The store accepts an operator's command and fails before it answers. The command must report
@@ -146,47 +146,54 @@
 // first outcome and must not apply the command again.
 #[test]
 fn lost_answer() {
-    let log = opened();
-    log.change(|b| {
+    let store = store_with_presets();
+    store.change(|b| {
         (b.loss, b.losses, b.down_after_loss) = (Some(Loss::Gateway), 1, true);
     });
-    let (code, text) = at(&log, &["preset", "choose", "peak"]);
+    let (code, text) = run_with_store(&store, &["preset", "choose", "peak"]);
     assert!(
         code == 3 && text.contains("ask again with --id "),
         "{code} {text}"
     );
     let id = text.trim().rsplit(' ').next().unwrap();
-    log.change(|b| b.outage = None);
-    assert_eq!(at(&log, &["preset", "choose", "ordinary"]).0, 0);
-    let (code, text) = at(&log, &["preset", "choose", "peak", "--id", id]);
+    store.change(|b| b.outage = None);
+    assert_eq!(
+        run_with_store(&store, &["preset", "choose", "ordinary"]).0,
+        0
+    );
+    let (code, text) = run_with_store(&store, &["preset", "choose", "peak", "--id", id]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 4: preset peak is in force\n")
     );
-    assert!(at(&log, &["preset", "list"]).1.contains("revision 5"));
+    assert!(
+        run_with_store(&store, &["preset", "list"])
+            .1
+            .contains("revision 5")
+    );
 }
 
 // The store has trimmed records while no entry host was running to write a snapshot. `preset put`
 // must fail with a clear message, and `preset begin` must work, so that a new entry host is ready
 // with its preset. `preset begin` is refused while the store still holds all records.
 #[test]
-fn forgotten_log() {
-    let log = opened();
-    let (code, text) = at(&log, &["preset", "begin", PEAK]);
+fn trimmed_records() {
+    let store = store_with_presets();
+    let (code, text) = run_with_store(&store, &["preset", "begin", PEAK]);
     assert!(
         code == 1 && text.contains("use put and choose"),
         "{code} {text}"
     );
-    log.change(|b| b.keep_records = Some(1));
+    store.change(|b| b.keep_records = Some(1));
     for _ in 0..2 {
-        log.append("config", "noise".into());
+        store.append("config", "noise".into());
     }
-    let (code, text) = at(&log, &["preset", "put", PEAK]);
+    let (code, text) = run_with_store(&store, &["preset", "put", PEAK]);
     assert!(
         code == 4 && text.contains("no snapshot has come yet"),
         "{code} {text}"
     );
-    let (code, text) = at(&log, &["preset", "begin", PEAK]);
+    let (code, text) = run_with_store(&store, &["preset", "begin", PEAK]);
     assert_eq!(
         (code, text.as_str()),
         (
@@ -194,21 +201,21 @@
             "accepted, revision 6: all begins anew with preset peak in force\n"
         )
     );
-    let host = EntryHost::start(&log);
+    let host = EntryHost::start(&store);
     let start = Instant::now();
-    let listed = || operate(&["preset", "list", "--entry", &host.admin]).out;
+    let listed = || run_command(&["preset", "list", "--entry", &host.admin]).out;
     while !listed().contains("endpoints  in force") {
         assert!(start.elapsed() < Duration::from_secs(20), "{}", listed());
     }
 }
 
 #[test]
-fn nobody_there() {
+fn unreachable_address() {
     let free = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = free.local_addr().unwrap().to_string();
     drop(free);
     for flag in ["--log-address", "--entry"] {
-        let ended = operate(&["preset", "choose", "peak", flag, &address]);
+        let ended = run_command(&["preset", "choose", "peak", flag, &address]);
         assert_eq!(ended.code, 4, "{}", ended.err);
         assert!(
             ended.err.starts_with("unreachable, nothing was done: "),
@@ -216,7 +223,7 @@
             ended.err
         );
     }
-    let ended = operate(&["preset", "list"]);
+    let ended = run_command(&["preset", "list"]);
     assert!(ended.code == 2 && ended.err.contains("--log-address IP:port, --entry IP:port"));
 }
 
@@ -227,8 +234,8 @@
 }
 
 impl EntryHost {
-    fn start(log: &StoreStandIn) -> EntryHost {
-        let address = log.address().to_string();
+    fn start(store: &StoreStandIn) -> EntryHost {
+        let address = store.address().to_string();
         let mut child = Command::new(BINARY)
             .args(["entry", "--name", "trent-1", "--data-centre", "trent"])
             .args([
@@ -261,10 +268,10 @@
 }
 
 #[test]
-fn through_entry() {
-    let log = opened();
-    let host = EntryHost::start(&log);
-    let entry = |arguments: &[&str]| operate(&[arguments, &["--entry", &host.admin]].concat());
+fn through_host() {
+    let store = store_with_presets();
+    let host = EntryHost::start(&store);
+    let entry = |arguments: &[&str]| run_command(&[arguments, &["--entry", &host.admin]].concat());
     let chosen = entry(&["preset", "choose", "peak"]);
     // The host's own joining also takes a revision, before or after the command's.
     let revision = match chosen.out.as_str() {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -15,10 +15,10 @@
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.wait_for_answers(2_000).await;
-    let mut asked = Vec::new();
+    let mut replies = Vec::new();
     for _ in 0..40 {
         let call = cluster.new_call("GET", "/hallboard/free?work-ms=20");
-        asked.push(cluster.call(1, &call).await);
+        replies.push(cluster.call(1, &call).await);
     }
     let samples = load.stop().await;
     let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count();
@@ -35,7 +35,11 @@
         "{complete} of {} calls complete",
         samples.len()
     );
-    let told = |r: &stand_ins::load::Reply| r.outcome != Outcome::NotRun || r.retry_after.is_some();
-    assert!(asked.iter().all(told), "a refusal without Retry-After");
+    let has_retry_after =
+        |r: &stand_ins::load::Reply| r.outcome != Outcome::NotRun || r.retry_after.is_some();
+    assert!(
+        replies.iter().all(has_retry_after),
+        "a refusal without Retry-After"
+    );
     cluster.assert_no_violations();
 }
--- a/tests/paused_holder.rs
+++ b/tests/paused_holder.rs
@@ -10,7 +10,7 @@
 // expired and other hosts have taken over its slots. After it resumes it must not use these slots:
 // no backend server may get more calls at once than its six slots.
 #[tokio::test(flavor = "multi_thread")]
-async fn never_a_seventh_call() {
+async fn slot_limit_kept() {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.wait_for_answers(300).await;
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -18,11 +18,14 @@
 
 /// Waits until the hosts that are not paused show a revision, before the store drops the next
 /// record that they need.
-async fn follow(cluster: &Cluster, made: u64) {
+async fn wait_for_revision(cluster: &Cluster, expected: u64) {
     let limit = Instant::now() + common::WAIT_TIMEOUT;
     for host in [1, 2] {
-        while revision(cluster, host).await < made {
-            assert!(Instant::now() < limit, "revision {made} is not in force");
+        while revision(cluster, host).await < expected {
+            assert!(
+                Instant::now() < limit,
+                "revision {expected} is not in force"
+            );
         }
     }
 }
@@ -40,7 +43,7 @@
 // reach the host wait in its sockets. After it resumes, it must send no call to that data centre,
 // its revision must never go down, and it must catch up although the records are gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn missed_leaving() {
+async fn missed_records() {
     let mut cluster = Cluster::start(SITE).await;
     let before = revision(&cluster, 0).await;
     cluster.pause(0);
@@ -49,7 +52,7 @@
         .order(Order::CentreLeaves, "trent")
         .await
         .unwrap();
-    follow(&cluster, left).await;
+    wait_for_revision(&cluster, left).await;
     cluster.site.store.change(|b| b.keep_records = Some(8));
     let waiting: Vec<_> = (0..12)
         .map(|_| cluster.new_call("GET", "/hallboard/free?work-ms=5"))
@@ -57,8 +60,8 @@
         .collect();
     for _ in 0..6 {
         for order in [Order::CentreLeaves, Order::CentreReturns] {
-            let made = cluster.site.order(order, "soar").await.unwrap();
-            follow(&cluster, made).await;
+            let expected = cluster.site.order(order, "soar").await.unwrap();
+            wait_for_revision(&cluster, expected).await;
         }
     }
     let limit = Instant::now() + common::WAIT_TIMEOUT;
--- a/tests/platform_answers.rs
+++ b/tests/platform_answers.rs
@@ -10,7 +10,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-async fn started(names: &[&str]) -> (Store, Vec<Endpoint>, Host) {
+async fn start(names: &[&str]) -> (Store, Vec<Endpoint>, Host) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
     let mut endpoints = Vec::new();
@@ -24,8 +24,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn passed_unchanged() {
-    let (_store, endpoints, host) = started(&["i-1"]).await;
+async fn answer_forwarded() {
+    let (_store, endpoints, host) = start(&["i-1"]).await;
     let answer = host.request("GET", "/read/x", "r1").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "whole"));
     assert!(answer.has_header("server-signature") && answer.has_header("attempt-id"));
@@ -34,7 +34,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_routes() {
-    let (_store, _endpoints, host) = started(&["i-1"]).await;
+    let (_store, _endpoints, host) = start(&["i-1"]).await;
     assert_eq!(host.request("GET", "/none/x", "r1").await.status, 404);
 }
 
@@ -48,8 +48,8 @@
 #[case(Behaviour::Encoded)]
 #[case(Behaviour::Unavailable)]
 #[tokio::test(flavor = "multi_thread")]
-async fn spoiled_once(#[case] behaviour: Behaviour) {
-    let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
+async fn invalid_answer_unsafe(#[case] behaviour: Behaviour) {
+    let (_store, endpoints, host) = start(&["i-1", "i-2"]).await;
     endpoints.iter().for_each(|e| e.set_behaviour(behaviour));
     let answer = host.request("POST", "/write/x", "w1").await;
     assert_eq!(answer.status, 502);
@@ -66,8 +66,8 @@
 #[case(Behaviour::Unsigned)]
 #[case(Behaviour::Fail)]
 #[tokio::test(flavor = "multi_thread")]
-async fn spoiled_repeated(#[case] behaviour: Behaviour) {
-    let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
+async fn invalid_answer_retried(#[case] behaviour: Behaviour) {
+    let (_store, endpoints, host) = start(&["i-1", "i-2"]).await;
     // The retry budget is a fraction of the requests served before.
     for n in 0..10 {
         host.request("GET", "/read/x", &format!("before-{n}")).await;
@@ -82,8 +82,8 @@
 /// All endpoints reject a request without running it. The caller must get 503 with `Retry-After`,
 /// and no endpoint may have run the request.
 #[tokio::test(flavor = "multi_thread")]
-async fn rejected_truly() {
-    let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
+async fn all_reject() {
+    let (_store, endpoints, host) = start(&["i-1", "i-2"]).await;
     endpoints
         .iter()
         .for_each(|e| e.set_behaviour(Behaviour::Reject));
@@ -96,7 +96,7 @@
 /// An endpoint never answers. The caller must get 504 at the route's timeout, and not "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_endpoint() {
-    let (_store, endpoints, host) = started(&["i-1"]).await;
+    let (_store, endpoints, host) = start(&["i-1"]).await;
     endpoints[0].set_behaviour(Behaviour::Hang);
     let answer = host.request("POST", "/write/x", "w1").await;
     assert_eq!(answer.status, 504);
@@ -110,7 +110,7 @@
 /// must get the first endpoint's answer instead of a timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_then_silent() {
-    let (_store, endpoints, host) = started(&["i-1", "i-2"]).await;
+    let (_store, endpoints, host) = start(&["i-1", "i-2"]).await;
     for n in 0..10 {
         host.request("GET", "/read/x", &format!("before-{n}")).await;
     }
@@ -125,7 +125,7 @@
 /// there could run at the wrong service.
 #[tokio::test(flavor = "multi_thread")]
 async fn reused_address() {
-    let (store, endpoints, host) = started(&["i-1"]).await;
+    let (store, endpoints, host) = start(&["i-1"]).await;
     let entry = format!(
         r#"{{"service":"svc","address":"{}","zone":"here","version":"v1","slots":6,"state":"ready","warmupRemainingS":0,"sequence":1,"born":2}}"#,
         endpoints[0].address
@@ -141,8 +141,8 @@
 /// A caller closes its connection while its request runs. The host must cancel the request, or the
 /// slot would stay taken by work that nobody waits for.
 #[tokio::test(flavor = "multi_thread")]
-async fn hang_up() {
-    let (_store, endpoints, host) = started(&["i-1"]).await;
+async fn caller_disconnects() {
+    let (_store, endpoints, host) = start(&["i-1"]).await;
     endpoints[0].set_behaviour(Behaviour::Hang);
     let mut stream = TcpStream::connect(host.callers)
         .await
@@ -166,8 +166,8 @@
 /// One of three endpoints, on an overloaded machine, reports four times the usual latency. The host
 /// must send its requests to the other two.
 #[tokio::test(flavor = "multi_thread")]
-async fn disturbed_endpoint() {
-    let (_store, endpoints, host) = started(&["i-1", "i-2", "i-3"]).await;
+async fn slow_endpoint() {
+    let (_store, endpoints, host) = start(&["i-1", "i-2", "i-3"]).await;
     endpoints[1].set_latency(400);
     for n in 0..30 {
         host.request("GET", "/read/x", &format!("r-{n}")).await;
@@ -179,7 +179,7 @@
 /// request, report that it is not ready, still serve new requests, and exit in time with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop() {
-    let (_store, endpoints, mut host) = started(&["i-1"]).await;
+    let (_store, endpoints, mut host) = start(&["i-1"]).await;
     endpoints[0].set_behaviour(Behaviour::Delay(800));
     let callers = host.callers;
     let running = tokio::spawn(async move {
@@ -216,7 +216,7 @@
 /// start, callers above it would hold the file descriptors that the host needs for endpoints.
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_settings() {
-    let (_store, _endpoints, host) = started(&["i-1"]).await;
+    let (_store, _endpoints, host) = start(&["i-1"]).await;
     let status = async || {
         let answer = host.try_request("GET", "/read/x", "r1").await;
         answer.map(|a| a.status)
--- a/tests/platform_framing.rs
+++ b/tests/platform_framing.rs
@@ -13,9 +13,9 @@
 use tokio::time::{sleep, timeout};
 
 /// The length, in bytes, of a body that the host forwards before it has received all of it.
-const LONG: usize = 600_000;
+const LONG_BODY: usize = 600_000;
 
-async fn started(
+async fn start(
     script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
 ) -> (Store, RawEndpoint, Host) {
     let store = Store::start().await;
@@ -48,7 +48,7 @@
 /// take it for the answer to the next request, and send a caller another caller's data.
 #[tokio::test(flavor = "multi_thread")]
 async fn extra_answers() {
-    let (_store, endpoint, host) = started(|seen| {
+    let (_store, endpoint, host) = start(|seen| {
         let answer = signed(seen.id(), &format!("for {}", seen.id()));
         Reply::Keep(format!("{answer}{}", signed("stray", "stray")))
     })
@@ -65,7 +65,7 @@
 /// the present request, the host would send a running request again, and it would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_rejection() {
-    let (_store, endpoint, host) = started(|_| {
+    let (_store, endpoint, host) = start(|_| {
         let stray = "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: earlier\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
         Reply::Keep(stray.to_owned())
     })
@@ -79,7 +79,7 @@
 /// closed with FIN, and must count as cut where the connection is reset.
 #[tokio::test(flavor = "multi_thread")]
 async fn unframed_answers() {
-    let (_store, _endpoint, host) = started(|seen| match seen.id() {
+    let (_store, _endpoint, host) = start(|seen| match seen.id() {
         "whole" => Reply::Close(unframed("whole", "all of it")),
         id => Reply::Reset(unframed(id, "half")),
     })
@@ -95,7 +95,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn long_unframed_cut() {
     let (_store, _endpoint, host) =
-        started(|seen| Reply::Reset(unframed(seen.id(), &"x".repeat(LONG)))).await;
+        start(|seen| Reply::Reset(unframed(seen.id(), &"x".repeat(LONG_BODY)))).await;
     let head = "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w1\r\nTime-Remaining: 2000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     let mut stream = TcpStream::connect(host.callers)
         .await
@@ -118,10 +118,10 @@
 /// Chunked bodies must arrive unchanged in both directions.
 #[rstest]
 #[case(10)]
-#[case(LONG)]
+#[case(LONG_BODY)]
 #[tokio::test(flavor = "multi_thread")]
-async fn chunks_pass(#[case] size: usize) {
-    let (_store, endpoint, host) = started(|seen| {
+async fn chunked_bodies(#[case] size: usize) {
+    let (_store, endpoint, host) = start(|seen| {
         Reply::Keep(format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: {}\r\nServer-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n",
             seen.id()
@@ -146,15 +146,15 @@
 /// a reset, often before it has read the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn early_answers() {
-    let (_store, endpoint, host) = started(|seen| Reply::Early(signed(seen.id(), "early"))).await;
-    let body = "b".repeat(LONG);
-    let (start, rest) = body.split_at(LONG / 2);
+    let (_store, endpoint, host) = start(|seen| Reply::Early(signed(seen.id(), "early"))).await;
+    let body = "b".repeat(LONG_BODY);
+    let (start, rest) = body.split_at(LONG_BODY / 2);
     let mut stream = TcpStream::connect(host.callers)
         .await
         .expect("the host accepts");
     for n in 0..4 {
         let head = format!(
-            "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w{n}\r\nTime-Remaining: 2000\r\nContent-Length: {LONG}\r\n\r\n{start}"
+            "POST /write/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: w{n}\r\nTime-Remaining: 2000\r\nContent-Length: {LONG_BODY}\r\n\r\n{start}"
         );
         stream
             .write_all(head.as_bytes())
@@ -187,7 +187,7 @@
 /// would be lost, and whether they ran would stay unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections() {
-    let (_store, endpoint, host) = started(|seen| match seen.id() {
+    let (_store, endpoint, host) = start(|seen| match seen.id() {
         "mute" => Reply::Silent,
         id => Reply::Keep(signed(id, "whole")),
     })
@@ -203,20 +203,20 @@
         answer.status == 200
     })
     .await;
-    let muted = endpoint
+    let silent = endpoint
         .received()
         .iter()
         .find(|s| s.id() == "mute")
         .map(|s| s.connection);
     let after = endpoint.received().last().map(|s| s.connection);
-    assert_ne!(after, muted);
+    assert_ne!(after, silent);
 }
 
 /// The host must close the connection of a caller that sends its head too slowly, or one that is
 /// too large. Otherwise a thousand such callers would use up the host's file descriptors.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_heads() {
-    let (_store, endpoint, host) = started(|seen| Reply::Keep(signed(seen.id(), "whole"))).await;
+async fn invalid_heads() {
+    let (_store, endpoint, host) = start(|seen| Reply::Keep(signed(seen.id(), "whole"))).await;
     let large = format!(
         "GET /read/x HTTP/1.1\r\nHost: a.example\r\nBig: {}\r\n\r\n",
         "x".repeat(64 * 1024)
@@ -270,7 +270,7 @@
 /// One weighted service of a route has no endpoints. Its fraction of the requests must be refused
 /// with `Retry-After`: sent to the other service, they would exceed the weight set by operators.
 #[tokio::test(flavor = "multi_thread")]
-async fn short_part() {
+async fn empty_service() {
     let store = Store::start().await;
     let weighted = r#"["read","a.example","/read/","safe",2.0,0.5,2,[{"service":"svc","weight":50},{"service":"none","weight":50}],2,null]"#;
     let short = r#",["none","/health",220,"h1",false,3.0,6.0]]},"limits""#;
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -10,7 +10,7 @@
 /// A host without a configuration can't tell which routes exist. It must answer 503 with
 /// `Retry-After`: a 404 would stop the caller from retrying.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_catalogue() {
+async fn no_configuration() {
     let store = Store::start().await;
     let host = Host::start("entry", &store).await;
     assert_eq!(host.readiness().await, 503);
@@ -22,7 +22,7 @@
 /// The store holds a configuration with an unknown service, a truncated one and one with an older
 /// version. The host must ignore all three, or callers would lose routes in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_catalogues() {
+async fn invalid_configurations() {
     let (store, _endpoint) = site::store_and_endpoint(&config(5, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
     let unknown = ONE_ROUTE.replace("svc", "nowhere");
@@ -49,7 +49,7 @@
 
 /// Unreadable endpoint records must not keep the host from using the valid ones.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_entries() {
+async fn invalid_endpoints() {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
     store.put("keyed.servers", "i-0", Some("\u{1}not json"));
@@ -66,7 +66,7 @@
 
 /// An endpoint that registers as draining must get no more requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_endpoint() {
+async fn draining_endpoint() {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
     let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
@@ -88,7 +88,7 @@
 
 /// Requests are refused with 503 while a data centre is evacuated, and served afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn emptied_centre() {
+async fn evacuated_centre() {
     let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
     store.put("keyed.op", "evacuate/here", Some("{}"));
@@ -109,7 +109,7 @@
 #[case(Mode::Silent)]
 #[case(Mode::Refusing)]
 #[tokio::test(flavor = "multi_thread")]
-async fn store_away(#[case] mode: Mode) {
+async fn store_outage(#[case] mode: Mode) {
     let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let host = Host::ready("entry", &store).await;
     store.set_mode(mode);
@@ -130,7 +130,7 @@
 /// A host that starts during an outage of the store must load routes and endpoints from its
 /// neighbour. Otherwise it refuses all callers until the store is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn started_while_away() {
+async fn outage_start() {
     let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
     let [_old, new] = site::start_in_outage(&store).await;
     assert_eq!(new.request("GET", "/read/x", "r1").await.status, 200);
@@ -139,7 +139,7 @@
 /// The store drops old records that a host has not read yet. The host must start over from the
 /// newest record of each key, and must notice that an endpoint has been removed.
 #[tokio::test(flavor = "multi_thread")]
-async fn forgotten_history() {
+async fn compacted_topics() {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
     let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -8,12 +8,12 @@
 use site::{Answer, Endpoint, Host, Store, peer_addresses, until};
 
 /// The path whose requests crash endpoints.
-const FATAL: &str = "/read/fatal";
+const CRASHING_PATH: &str = "/read/fatal";
 
 /// The most times that the request may reach endpoints after all hosts reject it.
-const REPEATS: usize = 3;
+const MAX_ARRIVALS: usize = 3;
 
-/// A store, endpoints that crash on `FATAL`, and connected hosts.
+/// A store, endpoints that crash on `CRASHING_PATH`, and connected hosts.
 struct Site {
     store: Store,
     endpoints: Vec<Endpoint>,
@@ -25,7 +25,9 @@
 impl Site {
     async fn start() -> Site {
         let (store, endpoints) = site::store_and_endpoints(8).await;
-        endpoints.iter().for_each(|e| e.crash_on(FATAL, &store));
+        endpoints
+            .iter()
+            .for_each(|e| e.crash_on(CRASHING_PATH, &store));
         let addresses = peer_addresses(4);
         let hosts = site::start_hosts(&store, &addresses[..3]).await;
         Site {
@@ -56,7 +58,7 @@
         let before = self.crashes();
         let mut all = true;
         for host in &self.hosts {
-            let answer = host.request("GET", FATAL, "fatal").await;
+            let answer = host.request("GET", CRASHING_PATH, "fatal").await;
             all &= answer.status == 503 && answer.has_header("retry-after");
         }
         all && self.crashes() == before && self.serves().await
@@ -88,13 +90,13 @@
     for _ in 0..10 {
         until("other requests are served", async || site.serves().await).await;
         for host in &site.hosts {
-            host.request("GET", FATAL, "fatal").await;
+            host.request("GET", CRASHING_PATH, "fatal").await;
         }
     }
-    let repeats = site.crashes() - before;
+    let arrivals = site.crashes() - before;
     assert!(
-        repeats <= REPEATS,
-        "the request reached endpoints {repeats} times more"
+        arrivals <= MAX_ARRIVALS,
+        "the request reached endpoints {arrivals} times more"
     );
 }
 
@@ -113,10 +115,10 @@
         site.all_reject().await
     })
     .await;
-    let repeats = site.crashes() - before;
+    let arrivals = site.crashes() - before;
     assert!(
-        repeats <= REPEATS,
-        "the request reached endpoints {repeats} times more"
+        arrivals <= MAX_ARRIVALS,
+        "the request reached endpoints {arrivals} times more"
     );
 }
 
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -10,28 +10,28 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// The rate that a limited endpoint advertises, in requests a second from all hosts together.
-const LIMIT: f64 = 1.5;
+const RATE_LIMIT: f64 = 1.5;
 
 /// The window in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// The most arrivals allowed in a window at a limited endpoint.
-const GRANTED: usize = 14;
+const MAX_ARRIVALS: usize = 14;
 
 /// The time from an endpoint's first request, whose answer advertises the limit, until all
 /// hosts must apply the limit.
-const TOLD: Duration = Duration::from_millis(500);
+const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How many of the eight endpoints are limited.
-const LIMITED: usize = 4;
+const LIMITED_COUNT: usize = 4;
 
-const HOSTS: usize = 5;
+const HOST_COUNT: usize = 5;
 
 /// The time between two requests of the load.
-const PAUSE: Duration = Duration::from_millis(10);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How many requests the load has.
-const REQUESTS: usize = 650;
+const REQUEST_COUNT: usize = 650;
 
 struct Site {
     endpoints: Vec<Endpoint>,
@@ -41,23 +41,23 @@
 impl Site {
     async fn start() -> Site {
         let (store, endpoints) = site::store_and_endpoints(8).await;
-        let hosts = site::start_hosts(&store, &peer_addresses(HOSTS)).await;
+        let hosts = site::start_hosts(&store, &peer_addresses(HOST_COUNT)).await;
         let hosts = hosts.into_iter().map(Arc::new).collect();
         Site { endpoints, hosts }
     }
 
     fn limited(&self) -> &[Endpoint] {
-        &self.endpoints[..LIMITED]
+        &self.endpoints[..LIMITED_COUNT]
     }
 
     /// Sends `requests` requests to all hosts in turn, and returns how many were served.
-    async fn load(&self, requests: usize) -> usize {
-        let mut ticks = interval(PAUSE);
+    async fn send_load(&self, requests: usize) -> usize {
+        let mut ticks = interval(REQUEST_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut running = JoinSet::new();
         for number in 0..requests {
             ticks.tick().await;
-            let at = number % HOSTS;
+            let at = number % HOST_COUNT;
             let host = Arc::clone(&self.hosts[at]);
             let id = format!("{at}");
             running.spawn(async move { host.request("GET", "/read/x", &id).await.status });
@@ -68,9 +68,9 @@
 }
 
 /// Returns the most arrivals in any window that starts after all hosts must apply the limit.
-fn busiest(endpoint: &Endpoint) -> usize {
+fn max_arrivals(endpoint: &Endpoint) -> usize {
     let arrivals: Vec<Instant> = endpoint.arrivals().into_iter().map(|(_, at)| at).collect();
-    let known = arrivals.first().map(|first| *first + TOLD);
+    let known = arrivals.first().map(|first| *first + APPLY_TIMEOUT);
     let counted: Vec<Instant> = arrivals
         .iter()
         .copied()
@@ -93,10 +93,10 @@
     let site = Site::start().await;
     site.limited()
         .iter()
-        .for_each(|e| e.set_rate_limit(Some(LIMIT)));
-    assert_eq!(site.load(REQUESTS).await, REQUESTS);
+        .for_each(|e| e.set_rate_limit(Some(RATE_LIMIT)));
+    assert_eq!(site.send_load(REQUEST_COUNT).await, REQUEST_COUNT);
     for endpoint in site.limited() {
-        let most = busiest(endpoint);
-        assert!(most <= GRANTED, "{most} requests in {WINDOW:?}");
+        let most = max_arrivals(endpoint);
+        assert!(most <= MAX_ARRIVALS, "{most} requests in {WINDOW:?}");
     }
 }
--- a/tests/same_key.rs
+++ b/tests/same_key.rs
@@ -10,7 +10,7 @@
 // A user submits a form twice, and the balancer sends the two calls with the same key to two entry
 // hosts at the same moment. Only one may run.
 #[tokio::test(flavor = "multi_thread")]
-async fn at_once() {
+async fn concurrent_calls() {
     let mut cluster = Cluster::start(SITE).await;
     for round in 0..20 {
         let key = Some(format!("deposit-{round}"));
@@ -35,7 +35,7 @@
 // A caller that missed the first call's answer retries with the same key, through each host. Each
 // retry must get the cached answer of the first call.
 #[tokio::test(flavor = "multi_thread")]
-async fn later() {
+async fn later_retry() {
     let mut cluster = Cluster::start(SITE).await;
     let mut first = cluster.new_call("POST", "/ledgerhouse/deposits?work-ms=5");
     first.key = Some("deposit-later".to_owned());
--- a/tests/log_down.rs
+++ b/tests/store_down.rs
@@ -15,7 +15,7 @@
 #[case::silent(Outage::Silent)]
 #[case::refusing(Outage::Refusing)]
 #[tokio::test(flavor = "multi_thread")]
-async fn deposits_refused(#[case] outage: Outage) {
+async fn new_keys_refused(#[case] outage: Outage) {
     let mut cluster = Cluster::start(SITE).await;
     let load = cluster.load();
     cluster.wait_for_answers(300).await;
