--- a/tests/operators_race.rs
+++ b/tests/operators_race.rs
@@ -15,11 +15,11 @@
 async fn one_choice() {
     let mut cluster = Cluster::start(SITE).await;
     cluster.site.put_preset("peak").await.unwrap();
-    let looked = cluster.site.put_preset("maintenance").await.unwrap();
+    let base_revision = cluster.site.put_preset("maintenance").await.unwrap();
     let choose = |name| {
         cluster
             .site
-            .order_at_revision(Some(looked), Order::Choose, name)
+            .order_at_revision(Some(base_revision), Order::Choose, name)
     };
     let (peak, maintenance) = tokio::join!(choose("peak"), choose("maintenance"));
     let accepted = [&peak, &maintenance].into_iter().flatten().count();
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -19,11 +19,11 @@
 /// Waits until the hosts that are not paused show a revision, before the store drops the next
 /// record that they need.
 async fn wait_for_revision(cluster: &Cluster, expected: u64) {
-    let limit = Instant::now() + common::WAIT_TIMEOUT;
+    let deadline = Instant::now() + common::WAIT_TIMEOUT;
     for host in [1, 2] {
         while revision(cluster, host).await < expected {
             assert!(
-                Instant::now() < limit,
+                Instant::now() < deadline,
                 "revision {expected} is not in force"
             );
         }
@@ -64,15 +64,15 @@
             wait_for_revision(&cluster, expected).await;
         }
     }
-    let limit = Instant::now() + common::WAIT_TIMEOUT;
+    let deadline = Instant::now() + common::WAIT_TIMEOUT;
     while !has_snapshot(&cluster) {
-        assert!(Instant::now() < limit, "no host writes a snapshot");
+        assert!(Instant::now() < deadline, "no host writes a snapshot");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     cluster.resume(0);
     let mut shown = before;
     while shown < left {
-        assert!(Instant::now() < limit, "revision {shown}, not {left}");
+        assert!(Instant::now() < deadline, "revision {shown}, not {left}");
         let now = revision(&cluster, 0).await;
         assert!(now >= shown, "revision {now} after {shown}");
         shown = now;
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -56,7 +56,7 @@
         Host::start_at(name, store, free_port(), None).await
     }
 
-    /// Starts an entry host with the peer address `peer_address`, which joins through `seed`.
+    /// Starts an entry host at this peer address, which joins the others through `seed`.
     pub async fn start_at(
         name: &str,
         store: &Store,
@@ -220,11 +220,11 @@
 }
 
 impl Answer {
-    /// Returns whether the head has this header; `field` is in lower case.
-    pub fn has_header(&self, field: &str) -> bool {
+    /// Returns whether the head has the header `name`, which is in lower case.
+    pub fn has_header(&self, name: &str) -> bool {
         self.head
             .to_ascii_lowercase()
-            .contains(&format!("\r\n{field}:"))
+            .contains(&format!("\r\n{name}:"))
     }
 }
 
--- a/tests/site/raw.rs
+++ b/tests/site/raw.rs
@@ -136,7 +136,7 @@
             | Reply::Reset(bytes)
             | Reply::Early(bytes)) = &reply
             else {
-                // `Mute`: the connection stays open.
+                // `Silent`: the connection stays open.
                 std::future::pending::<()>().await;
                 return None;
             };
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, backed by the log stand-in of `stand_ins`.
+//! The platform's store, backed by the stand-in of `stand_ins`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
