--- a/components/stand_ins/src/backend.rs
+++ b/components/stand_ins/src/backend.rs
@@ -1,6 +1,6 @@
-//! A backend server with every fault the brief names, to be caused at will.
+//! A stand-in for a backend server, with every fault the brief names, injected on demand.
 //!
-//! docs/backend-servers.md describes what it speaks.
+//! docs/backend-servers.md describes its protocol.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -23,34 +23,36 @@
 pub use control::Control;
 pub use knobs::{Knobs, Report};
 
-/// Header field with a call's number, sent by callers and echoed by the backend server.
+/// Request header with the call's number, written into the backend server's history.
 pub const CALL_FIELD: &str = "stand-in-call";
-/// Header field with the number whose text the answer repeats: for repeats of
-/// one idempotency key the number of the first, since each may get any's answer.
+/// Header, in requests and answers, with the call number that the answer's body is made of.
+///
+/// Calls with the same idempotency key carry the number of the first of them, since any of
+/// them may get the answer of any other.
 pub const ANSWER_FIELD: &str = "stand-in-answer";
-/// Header field of an answer with the time the work really took, in microseconds.
+/// Answer header with the time that the work actually took, in microseconds.
 pub const WORK_FIELD: &str = "stand-in-work-us";
 
-/// What a backend server is like.
+/// Configuration of one backend server.
 #[value]
 pub struct Options {
-    /// The data centre it stands in.
+    /// The backend server's data centre.
     pub data_centre: String,
-    /// Calls it bears at once.
+    /// Calls that the backend server can run at once when warm.
     pub slots: u32,
-    /// Calls it bears at once while cold.
+    /// Calls that the backend server can run at once while cold.
     pub cold_slots: u32,
-    /// Whether it starts cold.
+    /// Whether the backend server starts cold.
     pub cold: bool,
-    /// Calls done well after which a cold one is warm.
+    /// Completed calls after which a cold backend server becomes warm.
     pub warm_calls: u32,
-    /// Milliseconds after which a cold one is warm.
+    /// Milliseconds after which a cold backend server becomes warm.
     pub warm_ms: u64,
-    /// Milliseconds for which a cold one sheds all calls after too many came at once.
+    /// Milliseconds for which a cold backend server sheds all calls once it was overloaded.
     pub fall_ms: u64,
-    /// Milliseconds of one slot that a load report costs.
+    /// Milliseconds of one slot's time that a load report costs.
     pub probe_ms: u64,
-    /// Connections it accepts at once.
+    /// The most connections open at once.
     pub connections: u32,
 }
 
@@ -76,7 +78,7 @@
     accepting: JoinHandle<()>,
 }
 
-/// What the connections of one backend server share.
+/// State shared by all connections of one backend server.
 struct Shared {
     address: SocketAddr,
     options: Options,
@@ -91,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the listener can't be used.
+    /// Fails if the listener can't be used.
     ///
     /// # Panics
     ///
@@ -117,17 +119,17 @@
         Ok(Backend { shared, accepting })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the backend server listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Changes its faults.
+    /// Sets the faults that are present in `knobs`; the others stay as they are.
     pub fn set(&self, knobs: &Knobs) {
         self.shared.set(knobs);
     }
 
-    /// Returns what it counted so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
         self.shared.bearing().counts()
     }
--- a/components/stand_ins/src/backend/answer.rs
+++ b/components/stand_ins/src/backend/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: long, chunked or cut in the middle, in bounded memory.
+//! The body of an answer: of any length, chunked or cut off in the middle, in bounded memory.
 
 use std::io;
 use std::pin::Pin;
@@ -10,12 +10,13 @@
 use tokio::time::Sleep;
 
 const PIECE: usize = 16 * 1024;
-/// What is written before the cut has to reach the other end first.
+/// Delay before the connection is closed, so that the bytes before the cut reach the caller.
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
-/// Returns the text that fills the answer to call `call`, over and over.
+/// Returns the text that the answer to call `call` repeats up to its size.
 ///
-/// A caller that compares finds an answer that is another call's, or not whole.
+/// A caller that compares the body with it detects an answer that belongs to another call or
+/// is incomplete.
 pub fn pattern(call: u64) -> String {
     format!("answer to call {call:016x}\n")
 }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns a short text.
+    /// Returns a body with a short text.
     pub(super) fn text(text: impl Into<Bytes>) -> Answer {
         let piece = text.into();
         Answer {
@@ -80,7 +81,9 @@
             .cutting
             .get_or_insert_with(|| Box::pin(tokio::time::sleep(CUT_DELAY)));
         match cutting.as_mut().poll(context) {
-            Poll::Ready(()) => Poll::Ready(Some(Err(io::Error::other("cut as set")))),
+            Poll::Ready(()) => Poll::Ready(Some(Err(io::Error::other(
+                "answer cut off by an injected fault",
+            )))),
             Poll::Pending => Poll::Pending,
         }
     }
--- a/components/stand_ins/src/backend/bearing.rs
+++ b/components/stand_ins/src/backend/bearing.rs
@@ -1,4 +1,4 @@
-//! How much a backend server bears at each moment.
+//! Admission of calls at a backend server, which depends on whether it is cold or warm.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::{Options, Report};
 
-/// Counts the calls at a backend server and says which it bears.
+/// Counts the running calls of a backend server and decides which new calls it starts.
 pub struct Bearing {
     options: Options,
     boot: u64,
@@ -20,21 +20,21 @@
     told: Option<(Moment, Load)>,
 }
 
-/// What a backend server counted since it came up.
+/// Counters of a backend server since its start.
 #[value]
 #[derive(Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls that were started.
+    /// Calls started.
     pub started: u64,
-    /// Calls that were shed.
+    /// Calls shed.
     pub shed: u64,
-    /// Calls whose caller hung up.
+    /// Calls that ended before their work was done: the caller hung up or the deadline passed.
     pub cancelled: u64,
-    /// The most calls at once, those that were shed among them.
+    /// The most calls at once, including those that were shed.
     pub peak: u32,
-    /// Calls that came while as many as it bears were running.
+    /// Calls that arrived while the limit of running calls was reached.
     pub above: u64,
-    /// Load reports given.
+    /// Load reports sent.
     pub probes: u64,
     /// Connections open now.
     pub connections: u32,
@@ -42,43 +42,43 @@
     pub peak_connections: u32,
 }
 
-/// What the load report says.
+/// The body of a load report.
 #[value]
 #[derive(Serialize, Deserialize)]
 pub struct Load {
-    /// Drawn anew at each start.
+    /// A random number drawn at each start, in hexadecimal.
     pub boot: String,
-    /// Whether it is cold, warm or draining.
+    /// Whether the backend server is cold, warm or draining.
     pub state: LoadState,
-    /// Calls running.
+    /// Running calls.
     pub running: u32,
-    /// Calls it bears when warm.
+    /// Calls that the backend server can run at once when warm.
     pub slots: u32,
 }
 
-/// The state that a load report tells.
+/// The state in a load report.
 #[tag]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadState {
-    /// It bears little.
+    /// The backend server can run only a few calls at once.
     Cold,
-    /// It bears as many calls as it has slots.
+    /// The backend server can run as many calls at once as it has slots.
     Warm,
-    /// It takes no new calls.
+    /// The backend server sheds new calls.
     Draining,
 }
 
-/// What becomes of a call that arrives.
+/// The decision on an arriving call.
 #[tag]
 pub struct Arrival {
-    /// Calls there now, this one among them.
+    /// Calls at the backend server, including this one.
     pub running: u32,
-    /// Calls it bears now.
+    /// Calls that the backend server can currently run at once.
     pub bears: u32,
-    /// Whether it is cold.
+    /// Whether the backend server is cold.
     pub cold: bool,
-    /// Whether the work starts.
+    /// Whether the work starts; the call is shed otherwise.
     pub started: bool,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl Bearing {
-    /// Returns the bearing of a server that starts at `now`.
+    /// Returns the admission state of a server that starts at `now`.
     pub fn new(options: Options, now: Moment) -> Bearing {
         let warmth = match options.cold {
             true => Warmth::Cold {
@@ -110,10 +110,10 @@
         }
     }
 
-    /// Takes in a call at `now`, or sheds it.
+    /// Starts or sheds a call that arrives at `now`.
     ///
-    /// A cold server that gets more than it bears falls over: it sheds all for
-    /// a while and has to prove itself anew.
+    /// A cold server that gets more calls than it can run is overloaded: it sheds all calls
+    /// for a while and its warm-up starts from the beginning.
     pub fn arrive(&mut self, now: Moment) -> Arrival {
         self.warm_by_age(now);
         let bears = self.bears();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Ends the work of a call that was started.
+    /// Ends a started call; `done` says whether its work was completed.
     pub fn end(&mut self, done: bool) {
         self.running = self.running.saturating_sub(1);
         match &mut self.warmth {
@@ -155,12 +155,12 @@
         }
     }
 
-    /// Stops or goes on taking calls.
+    /// Starts or stops draining; a draining backend server sheds new calls.
     pub fn drain(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Is cold from `now` on, as a process that was started anew.
+    /// Makes the backend server cold from `now` on, as if its process had been restarted.
     pub fn turn_cold(&mut self, now: Moment) {
         self.boot = rand::random();
         self.warmth = Warmth::Cold {
@@ -169,7 +169,7 @@
         };
     }
 
-    /// Counts a connection that was opened, or says that there are too many.
+    /// Counts a new connection; returns false if too many are open.
     pub fn connect(&mut self) -> bool {
         let open = self.counts.connections + 1;
         self.counts.peak_connections = self.counts.peak_connections.max(open);
@@ -180,12 +180,12 @@
         true
     }
 
-    /// Counts a connection that was closed.
+    /// Counts a closed connection.
     pub fn disconnect(&mut self) {
         self.counts.connections = self.counts.connections.saturating_sub(1);
     }
 
-    /// Returns the load report, as far from the truth as `report` says.
+    /// Returns the load report, falsified as `report` says.
     pub fn load(&mut self, report: Report, now: Moment) -> Load {
         self.counts.probes += 1;
         self.warm_by_age(now);
@@ -207,7 +207,7 @@
         self.told.insert(told).1.clone()
     }
 
-    /// Returns what was counted so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
         self.counts.clone()
     }
--- a/components/stand_ins/src/backend/control.rs
+++ b/components/stand_ins/src/backend/control.rs
@@ -1,4 +1,4 @@
-//! The control port: sets faults and gives the journal.
+//! The control port, which sets faults and serves counters and the history.
 
 use std::io::{self, Cursor};
 use std::net::{SocketAddr, TcpListener};
@@ -10,18 +10,18 @@
 use super::{Backend, Knobs, Shared};
 use crate::history::{self, History};
 
-/// Serves the control port of some backend servers from a thread of its own.
+/// The control port of a set of backend servers, served from its own thread.
 pub struct Control {
     server: Arc<Server>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Control {
-    /// Starts serving `backends` and their common `history` on `listener`.
+    /// Starts serving the control port of `backends` with their shared `history` on `listener`.
     ///
     /// # Errors
     ///
-    /// Fails where the listener can't be used.
+    /// Fails if the listener can't be used.
     pub fn start(
         listener: TcpListener,
         backends: &[Backend],
@@ -52,7 +52,7 @@
     fn drop(&mut self) {
         self.server.unblock();
         if let Some(thread) = self.thread.take() {
-            // A panic there has been printed already.
+            // A panic of the thread has already been printed.
             let _ = thread.join();
         }
     }
@@ -74,7 +74,7 @@
             Method::Post => self.set(&path, &mut request),
             _ => refuse(405, "GET or POST"),
         };
-        // The other end is a test or a person: it sees a broken answer itself.
+        // The client is a test or a person, who notices a failed answer without a log line.
         let _ = request.respond(reply);
     }
 
@@ -91,7 +91,7 @@
             return refuse(404, "no such backend server; use /IP:PORT");
         };
         let counts = shared.bearing().counts();
-        Response::from_data(serde_json::to_vec(&counts).expect("counts are plain JSON"))
+        Response::from_data(serde_json::to_vec(&counts).expect("counters serialize to JSON"))
     }
 
     fn set(&self, path: &str, request: &mut Request) -> Reply {
--- a/components/stand_ins/src/backend/knobs.rs
+++ b/components/stand_ins/src/backend/knobs.rs
@@ -1,54 +1,54 @@
-//! The faults that can be set on a backend server while it runs.
+//! Faults that can be set on a running backend server.
 
 use derives::{tag, value};
 use serde::{Deserialize, Serialize};
 
-/// Changes to a backend server; what is left out stays as it is.
+/// Changes to the faults of a backend server; those left out stay as they are.
 #[value]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Knobs {
-    /// Work takes this many times as long.
+    /// Factor on the duration of all work.
     pub slow: Option<u32>,
-    /// What the load report says.
+    /// How load reports are falsified.
     pub report: Option<Report>,
-    /// The next answers, so many of them, break off in the middle.
+    /// How many of the next answers are cut off in the middle.
     pub cut_answers: Option<u32>,
-    /// Whether it refuses new calls and finishes the running ones.
+    /// Whether the backend server sheds new calls while it finishes the running ones.
     pub draining: Option<bool>,
-    /// It is cold from now on, under the same address and connections.
+    /// Turns the backend server cold; its address and connections stay.
     pub turn_cold: bool,
-    /// It starts anew: all connections are cut, and it is cold.
+    /// Simulates a restart: all connections are closed, and the backend server is cold.
     pub restart: bool,
-    /// All connections open now go silent for good; new ones work.
+    /// Makes all connections that are open now silent for good; new connections work.
     pub silence: bool,
 }
 
-/// What the load report says.
+/// What a load report says.
 #[tag]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Report {
-    /// The truth.
+    /// The actual load.
     #[default]
     Honest,
-    /// What was true up to this many milliseconds ago.
+    /// A load that may be up to this many milliseconds old.
     Lagging(u64),
-    /// What was true when it froze.
+    /// The load in the last report before the freeze, from then on.
     Frozen,
-    /// That nothing is running, always.
+    /// Always zero running calls.
     Idle,
 }
 
 impl Knobs {
-    /// Takes over what `other` sets.
+    /// Takes over the values that `other` sets.
     pub(super) fn take(&mut self, other: &Knobs) {
         self.slow = other.slow.or(self.slow);
         self.report = other.report.or(self.report);
         self.cut_answers = other.cut_answers.or(self.cut_answers);
     }
 
-    /// Returns whether the answer at hand is to be cut, and counts it.
+    /// Returns whether the current answer is to be cut off, and counts it.
     pub(super) fn cut_next(&mut self) -> bool {
         let left = self.cut_answers.unwrap_or(0);
         self.cut_answers = Some(left.saturating_sub(1));
--- a/components/stand_ins/src/backend/line.rs
+++ b/components/stand_ins/src/backend/line.rs
@@ -1,4 +1,4 @@
-//! Connections that can be cut or go silent for good.
+//! Connections that can be closed, or made silent for good, from outside.
 
 use std::io;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The connections of one backend server.
+/// All connections of one backend server, numbered in the order in which they were opened.
 #[derive(Default)]
 pub(super) struct Lines {
     opened: AtomicU64,
@@ -18,7 +18,7 @@
     cut_below: watch::Sender<u64>,
 }
 
-/// One connection.
+/// One connection; it is silent or closed once its number is below the matching bound.
 pub(super) struct Line {
     stream: TcpStream,
     number: u64,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Makes all connections open now silent for good, without closing them.
+    /// Makes all connections that are open now silent for good, without closing them.
     pub(super) fn silence(&self) {
         let next = self.opened.load(Ordering::SeqCst);
         self.silent_below.store(next, Ordering::SeqCst);
     }
 
-    /// Closes all connections open now.
+    /// Closes all connections that are open now.
     pub(super) fn cut(&self) {
         self.cut_below
             .send_replace(self.opened.load(Ordering::SeqCst));
@@ -50,12 +50,12 @@
 }
 
 impl Line {
-    /// Returns what completes when this connection is to be closed.
+    /// Returns a future that completes when this connection has to be closed.
     pub(super) fn cut(&self) -> impl Future<Output = ()> + use<> {
         let mut below = self.cut_below.clone();
         let number = self.number;
         async move {
-            // An error says that the backend server is gone, which closes its connections too.
+            // An error means that the backend server was dropped, which closes its connections too.
             let _ = below.wait_for(|below| number < *below).await;
         }
     }
--- a/components/stand_ins/src/backend/service.rs
+++ b/components/stand_ins/src/backend/service.rs
@@ -1,4 +1,4 @@
-//! Serves calls and load reports over HTTP.
+//! The HTTP service of a backend server: calls and load reports.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -23,8 +23,8 @@
 const NOT_RUN_FIELD: &str = "cardamomvale-not-run";
 const KEY_FIELD: &str = "idempotency-key";
 const DEFAULT_SIZE: u64 = 64;
-/// The runtime's timers wake up to a millisecond late: half of it is taken off,
-/// so that work takes as long as asked on average.
+/// Mean lateness of the runtime's timers, which fire up to 1 ms late. It is subtracted from the
+/// duration of work, so that work takes as long as requested on average.
 const TIMER_LATENESS: Duration = Duration::from_micros(500);
 
 pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
@@ -46,14 +46,14 @@
 }
 
 async fn connection(stream: TcpStream, shared: Arc<Shared>) {
-    // Without it the kernel would hold small answers back for the other end's acknowledgement.
+    // With Nagle's algorithm small answers would wait for the caller's acknowledgement.
     let _ = stream.set_nodelay(true);
     let line = shared.lines.open(stream);
     let cut = line.cut();
     let service = service_fn(|request| serve(request, Arc::clone(&shared)));
     let serving = http1::Builder::new().serve_connection(TokioIo::new(line), service);
     tokio::select! {
-        // A broken connection is the caller's matter: its calls are in the history.
+        // An error needs no log line: the affected calls are in the history.
         _ = serving => {}
         () = cut => {}
     }
@@ -85,7 +85,7 @@
     });
     tokio::time::sleep(cost).await;
     let load = shared.bearing().load(kind, transport::clock::now());
-    let text = serde_json::to_string(&load).expect("a load report is plain JSON");
+    let text = serde_json::to_string(&load).expect("a load report serializes to JSON");
     answer(StatusCode::OK, Answer::text(text))
 }
 
@@ -146,7 +146,7 @@
     response
 }
 
-/// What a call asks of the stand-in.
+/// What a call asks the stand-in to do, from its query and headers.
 struct Wish {
     call: u64,
     answer: u64,
@@ -189,10 +189,10 @@
     }
 }
 
-/// Work in progress, counted as cancelled where it is dropped before its end.
+/// Guard for the work of a call, which is counted as cancelled if dropped before its end.
 ///
 /// hyper drops the future of a call when its connection is closed: without
-/// this guard a caller's hang-up would leave the slot taken for good.
+/// this guard the slot would stay occupied after the caller hung up.
 struct Run<'a> {
     shared: &'a Shared,
     address: SocketAddr,
--- a/components/stand_ins/src/balancer.rs
+++ b/components/stand_ins/src/balancer.rs
@@ -1,7 +1,7 @@
-//! The platform's balancer before the entry hosts, as far as it matters here.
+//! A stand-in for the platform's balancer in front of the entry hosts.
 //!
-//! It asks each entry host whether it is ready and sends new calls only to
-//! those that are. It also notes which configuration each shows.
+//! The balancer polls each entry host's readiness and sends new calls only to ready ones.
+//! It also records which configuration each entry host shows.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 
 const PERIOD: Duration = Duration::from_millis(50);
 const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// The status is asked for once in so many periods.
+/// Periods from one request for the status to the next.
 const STATUS_EACH: u32 = 4;
 
-/// Watches entry hosts, each from a thread of its own, until it is dropped.
+/// Polls entry hosts, each from its own thread, until dropped.
 pub struct Balancer {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// What an entry host's `/status` says, as far as it is used here.
+/// The part of an entry host's `/status` that is used here.
 #[derive(Deserialize)]
 struct Status {
     revision: u64,
@@ -44,8 +44,8 @@
     state: String,
 }
 
-/// Returns whether the entry hosts with these admin ports have found each
-/// other, and each endpoint has an owner that leases its slots. Blocks.
+/// Returns whether the entry hosts with these admin ports are all linked to each other and each
+/// endpoint has an owner that leases its slots. Blocks.
 pub fn is_converged(admins: &[SocketAddr]) -> bool {
     let pages = statuses(admins);
     let linked =
@@ -54,12 +54,13 @@
     pages.len() == admins.len() && pages.iter().all(linked) && all_are(&pages, serves)
 }
 
-/// Returns whether each endpoint's owner takes it for warm. Blocks.
+/// Returns whether the owner of each endpoint considers it warm. Blocks.
 pub fn warm(admins: &[SocketAddr]) -> bool {
     all_are(&statuses(admins), |state| state == "warm")
 }
 
-/// Returns whether each endpoint is `good` in the eyes of one entry host, its owner.
+/// Returns whether the pages show as many `good` states as there are endpoints: one for each
+/// endpoint, by its owner.
 fn all_are(pages: &[Status], good: impl Fn(&str) -> bool) -> bool {
     let endpoints = pages.first().map_or(0, |page| page.endpoints.len());
     let seen = pages.iter().flat_map(|p| &p.endpoints);
@@ -73,7 +74,7 @@
 }
 
 impl Balancer {
-    /// Starts watching `targets`, whose admin ports are `admins`, in the same order.
+    /// Starts polling `targets`, whose admin ports are `admins`, in the same order.
     pub fn start(targets: &Arc<Vec<Target>>, admins: &[SocketAddr], history: &History) -> Balancer {
         let stop = Arc::new(AtomicBool::new(false));
         let watch = |(index, admin): (usize, &SocketAddr)| {
@@ -96,7 +97,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
-            // A panic there has been printed already.
+            // A panic of the thread has already been printed.
             let _ = thread.join();
         }
     }
@@ -140,7 +141,7 @@
     }
 }
 
-/// Returns the text of a good answer.
+/// Returns the body of a successful answer.
 fn get(agent: &ureq::Agent, admin: SocketAddr, path: &str) -> Option<String> {
     let url = format!("http://{admin}/{path}");
     let mut answer = agent.get(url).call().ok()?;
--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -1,4 +1,4 @@
-//! Holds a run's history against what stands on its log.
+//! Checks a run's history against the records of its log.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,57 +14,57 @@
 use super::History;
 use super::operators::IssuedCommand;
 
-/// A promise that a run broke.
+/// A violation of a guarantee in a run.
 #[value]
 pub enum Violation {
     /// A host showed a lower revision than before.
     Reverted {
         /// The host.
         host: usize,
-        /// The revision it had shown.
+        /// The revision that the host had shown before.
         from: u64,
-        /// The revision it showed then.
+        /// The lower revision that the host showed afterwards.
         to: u64,
     },
-    /// A host showed a configuration that the log does not give at its revision.
+    /// A host showed a configuration that differs from the log's at the same revision.
     Differs {
         /// The host.
         host: usize,
         /// The revision.
         revision: u64,
     },
-    /// No preset was in force after the first choice.
+    /// The preset in force is not the last one chosen, or there is one before the first choice.
     NoPreset {
         /// The revision.
         revision: u64,
     },
-    /// A choice was accepted whose author had not seen another one.
+    /// A choice was accepted whose operator had not seen the choice before it.
     LostChoice {
         /// The revision of the choice that was overwritten.
         revision: u64,
     },
-    /// A command was decided again under the same id.
+    /// A command was decided twice under the same id.
     Repeated {
         /// The id.
         id: CommandId,
     },
-    /// An operator was told what is not so.
+    /// An operator got an answer that contradicts the log.
     Untrue {
         /// The command.
         request: Box<CommandRequest>,
-        /// What its author was told.
+        /// The answer that the operator got.
         outcome: Outcome,
     },
-    /// An operator never learnt what came of a command.
+    /// The outcome of a command stayed unknown to its operator.
     Unsettled {
         /// The command's id.
         id: CommandId,
     },
-    /// A host does not have the last revision in force though all faults are over.
+    /// A host doesn't have the last revision in force although all faults are over.
     Behind {
         /// The host.
         host: usize,
-        /// Its revision.
+        /// The revision in force at the host.
         revision: u64,
     },
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// What the log says, folded once from its first record.
+/// The state of the log, folded once from the first record.
 struct Truth {
     configs: BTreeMap<u64, Arc<Config>>,
     answers: BTreeMap<CommandId, Answer>,
@@ -92,7 +92,7 @@
     name: String,
 }
 
-/// Returns every promise that the run broke.
+/// Returns every violation in the run.
 pub fn check(history: &History) -> Vec<Violation> {
     let truth = Truth::of(&history.records);
     let mut broken = Vec::new();
@@ -175,8 +175,8 @@
         truth
     }
 
-    /// Notes a decision. A command that is forgotten may be decided once more,
-    /// if only as too old.
+    /// Records a decision. A command that was dropped from the recent commands may be decided
+    /// once more, but only as too old.
     fn decided(&mut self, id: CommandId, answer: Answer) {
         let refusal = Refusal::TooOld;
         match self.answers.entry(id) {
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Checks by the accepted choices alone which preset has to be in force.
+    /// Derives from the accepted choices alone which preset must be in force, and returns the
+    /// revisions with another one.
     fn missing_presets(&self) -> Vec<Violation> {
         let wanted = |revision: u64| {
             let before = self.choices.iter().take_while(|c| c.revision <= revision);
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Returns whether what a change asks for was so at `revision`.
+    /// Returns whether the effect of a change was in force at `revision`.
     fn is_so(&self, change: &Change, revision: u64) -> bool {
         let Some(config) = self.configs.get(&revision) else {
             return false;
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Returns whether a put or a join, which no other command is like, stands on the log.
+    /// Returns whether a put or a join, each of which is unique, is on the log.
     fn stands(&self, change: &Change) -> bool {
         match change {
             Change::PutPreset { text } => self.texts.contains(text),
--- a/components/stand_ins/src/config_run/faults.rs
+++ b/components/stand_ins/src/config_run/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: one after the other, drawn by its seed.
+//! The faults of a run, injected one after the other and drawn from the run's seed.
 
 use std::time::Duration;
 
@@ -13,29 +13,30 @@
 use crate::proxy::Fault;
 use crate::store::{Loss, Outage, StoreStandIn};
 
-/// How often each kind of fault was caused.
+/// The number of injected faults of each kind.
 #[tag]
 #[derive(Default)]
 pub struct FaultCounts {
-    /// The log was down, refusing or silent.
+    /// Outages of the store, refusing or silent.
     pub outages: u32,
-    /// Answers of the log got lost after the effect.
+    /// Times at which answers of the store got lost after the call had taken effect.
     pub losses: u32,
-    /// The log was slow.
+    /// Times at which the store was slow.
     pub slow: u32,
-    /// A host's link to the log was cut, delayed, one-way or silent for good.
+    /// Links from a host to the store that were cut, delayed, one-way or silent for good.
     pub links: u32,
-    /// A host was replaced by a new one.
+    /// Hosts that were replaced by a new process.
     pub restarts: u32,
-    /// A host was handed a peer's configuration, new or long outdated.
+    /// Snapshots of a peer's configuration, new or outdated, sent to a host.
     pub words: u32,
-    /// A record that nobody can read came to stand on the log.
+    /// Undecodable records appended to the log.
     pub damaged: u32,
-    /// A record came to stand on the log once more: a repeated append landed late.
+    /// Records that were on the log and were appended again, like a retried append that arrives
+    /// late.
     pub repeats: u32,
 }
 
-/// Causes `count` faults and mends what is left of them.
+/// Injects `count` faults and ends those that are left.
 pub(super) fn cause(
     log: &StoreStandIn,
     hosts: &Hosts,
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -1,4 +1,4 @@
-//! Followers in place of entry hosts, each behind a proxy of its own.
+//! Followers in place of entry hosts, each behind its own proxy.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -21,7 +21,7 @@
 pub struct Observation {
     /// The host.
     pub host: usize,
-    /// Counts the host's starts: a new process remembers nothing.
+    /// The number of restarts of the host before; a new process has no state of the old one.
     pub start: usize,
     /// The configuration.
     pub config: Arc<Config>,
@@ -74,7 +74,7 @@
         Arc::clone(&lock(&self.hosts[number].follower))
     }
 
-    /// Returns what an operator at this host hands commands to.
+    /// Returns a submission of commands through this host.
     pub(super) fn submission(&self, number: usize, limit: Duration) -> Submission {
         let client = client(&self.hosts[number].proxy);
         Submission::new(client, self.follower(number), limit)
@@ -88,7 +88,7 @@
         self.hosts[number].proxy.silence();
     }
 
-    /// Replaces a host's process by a new one that knows nothing.
+    /// Replaces a host's process by a new one without state.
     pub(super) fn restart(&self, number: usize) {
         let host = &self.hosts[number];
         let follower = follow(&host.proxy);
@@ -98,14 +98,15 @@
         *lock(&host.follower) = follower;
     }
 
-    /// Returns what a host would hand to a peer.
+    /// Returns the record that a host would send to a peer.
     pub(super) fn word(&self, number: usize) -> Option<Bytes> {
         self.follower(number)
             .snapshot_record()
             .map(|(_, record)| record)
     }
 
-    /// Waits until every host has folded the whole log; returns their revisions.
+    /// Waits until every host has folded the whole log, or until `deadline`; returns the hosts'
+    /// revisions.
     pub(super) fn settle(&self, log: &StoreStandIn, deadline: Instant) -> Vec<u64> {
         let end = |f: &Arc<Follower>| {
             let fold = f.fold();
@@ -145,7 +146,7 @@
     BlockingStoreClient::new(proxy.address(), Duration::from_millis(150))
 }
 
-/// Starts a follower that is as quick to notice and to snapshot as the run is short.
+/// Starts a follower with short timeouts and frequent snapshots, to match the short run.
 fn follow(proxy: &Proxy) -> Arc<Follower> {
     let options = FollowerOptions {
         wait: Duration::from_millis(50),
--- a/components/stand_ins/src/config_run/mod.rs
+++ b/components/stand_ins/src/config_run/mod.rs
@@ -1,7 +1,7 @@
-//! Concurrent runs of the configuration: hosts that follow one log, operators who race, and faults.
+//! Concurrent runs of the configuration: hosts that follow one log, racing operators and faults.
 //!
-//! A run writes down what each host showed and what each operator was told.
-//! [`check`] then holds that against what stands on the log.
+//! A run records what each host showed and which answers each operator got.
+//! [`check`] then compares that with the records on the log.
 
 mod check;
 mod faults;
@@ -26,45 +26,45 @@
 
 use hosts::Hosts;
 
-/// How large a run is.
+/// The size of a run.
 #[tag]
 pub struct RunOptions {
-    /// Decides commands, faults and their order.
+    /// The seed of the commands, the faults and their order.
     pub seed: u64,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub hosts: usize,
-    /// Operators who race.
+    /// The number of operators, who work concurrently.
     pub operators: usize,
-    /// Commands of each operator.
+    /// The number of commands of each operator.
     pub commands: usize,
-    /// Faults, one after the other, while the operators are at work.
+    /// The number of faults, injected one after the other while the operators work.
     pub faults: usize,
 }
 
-/// What was seen in a run.
+/// What was observed in a run.
 #[value]
 #[derive(Default)]
 pub struct History {
-    /// What hosts showed, in each host's own order.
+    /// The configurations that hosts showed, in order for each host.
     pub observations: Vec<Observation>,
-    /// What operators were told.
+    /// The commands of the operators and their answers.
     pub issued: Vec<IssuedCommand>,
-    /// Every record of the log, in its order.
+    /// All records of the log, in order.
     pub records: Vec<bytes::Bytes>,
-    /// The revision in force at each host when all had read to the end.
+    /// The revision in force at each host after all had read to the end of the log.
     pub final_revisions: Vec<u64>,
-    /// The faults that were caused.
+    /// The injected faults.
     pub faults: FaultCounts,
 }
 
-/// How long hosts may take to come to the log's end after the last fault.
+/// How long hosts may take to read to the log's end after the last fault.
 const HEAL_LIMIT: Duration = Duration::from_secs(20);
 
-/// Runs hosts, operators and faults, and returns what was seen.
+/// Runs hosts, operators and faults, and returns what was observed.
 ///
 /// # Errors
 ///
-/// Says why the stand-ins can't be started.
+/// Fails if the stand-ins can't be started.
 pub fn run(options: RunOptions) -> io::Result<History> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/components/stand_ins/src/config_run/operators.rs
+++ b/components/stand_ins/src/config_run/operators.rs
@@ -1,4 +1,5 @@
-//! Operators who race: they choose, put, take out and bring back.
+//! Operators who concurrently put and choose presets and let data centres and hosts leave and
+//! return.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -20,19 +21,19 @@
 /// How long an operator waits for an answer.
 const LIMIT: Duration = Duration::from_millis(250);
 
-/// How often an operator asks again after the faults are over.
+/// How often an operator retries a command with an unknown outcome after the faults are over.
 const TRIES: usize = 100;
 
-/// A command and what its author was told.
+/// A command and the answers that its operator got.
 #[value]
 pub struct IssuedCommand {
-    /// The command, with its id where the author drew one.
+    /// The command, with its id if the operator drew one.
     pub request: CommandRequest,
-    /// The answers, in order: more than one where it was asked again.
+    /// The answers, in order; more than one if the command was retried.
     pub outcomes: Vec<Outcome>,
 }
 
-/// Gives `count` commands, one after the other, each at another host.
+/// Submits `count` commands, one after the other, each through a random host.
 pub(super) fn work(
     hosts: &Hosts,
     operator: usize,
@@ -65,7 +66,7 @@
     }
 }
 
-/// Asks again for every command whose outcome is unknown.
+/// Retries every command with an unknown outcome.
 pub(super) fn ask_again(hosts: &Hosts, mut issued: Vec<IssuedCommand>) -> Vec<IssuedCommand> {
     for one in &mut issued {
         for n in 0..TRIES {
@@ -84,7 +85,7 @@
     issued
 }
 
-/// Draws a change; puts and joins are unlike all others by `unique`.
+/// Draws a change; `unique` makes each put and each join differ from all others.
 fn change(unique: usize, config: &Config, draw: &mut StdRng) -> Change {
     let which = draw.random_range(0..3);
     let centre = CENTRES[which].to_owned();
@@ -112,7 +113,7 @@
     }
 }
 
-/// Returns a small preset; `unique` is in its text and its queue limit.
+/// Returns the text of a small preset with `unique` as its queue limit.
 fn preset(name: &str, unique: usize) -> String {
     let centres: String = CENTRES
         .iter()
--- a/components/stand_ins/src/demo.rs
+++ b/components/stand_ins/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole site in this process, through a data centre's leaving and returning.
+//! The demo: a whole site in this process, of which a data centre leaves and returns.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,44 +19,44 @@
 const FILE: &str = include_str!("../../../experiments/demo.toml");
 const PROGRESS: Duration = Duration::from_secs(1);
 
-/// Why the demo could not run.
+/// The reason why the demo could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// Its experiment is at fault.
-    #[error("the demo's experiment is at fault: {0}")]
+    /// The demo's experiment file is invalid.
+    #[error("the demo's experiment file is invalid: {0}")]
     Experiment(#[from] ExperimentError),
     /// The site could not be started.
     #[error(transparent)]
     Bench(#[from] BenchError),
 }
 
-/// A site that is up, ready to be shown.
+/// A running site with its entry hosts.
 pub struct Demo {
     experiment: Arc<Experiment>,
     site: Arc<Site>,
     fleet: Fleet,
 }
 
-/// What the demo showed.
+/// The result of the demo.
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Shown {
-    /// The figures.
+    /// The figures of the run.
     pub summary: Summary,
-    /// Keys and unkeyed calls of which the work ran more than once.
+    /// Idempotency keys and calls without a key whose work ran more than once.
     pub run_twice: usize,
-    /// Each broken promise, as text.
+    /// Each violated guarantee, as text.
     pub broken_promises: Vec<String>,
-    /// Calls that broke off, were unknown or found no connection.
+    /// Calls that broke off, had an unknown outcome or found no connection.
     pub hurt_calls: u64,
 }
 
 impl Demo {
-    /// Starts the log, the backend servers and three entry hosts on loopback.
+    /// Starts the store, the backend servers and three entry hosts on loopback.
     ///
     /// # Errors
     ///
-    /// Fails where one of them can't be started.
+    /// Fails if one of them can't be started.
     ///
     /// # Panics
     ///
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Returns lines that say where everything listens.
+    /// Returns lines with the address of each process.
     pub fn addresses(&self) -> Vec<String> {
         let mut lines = vec![format!("log        {}", self.site.store.address())];
         for (entry, target) in self.fleet.entries.iter().zip(self.fleet.targets.iter()) {
@@ -96,7 +96,7 @@
         lines
     }
 
-    /// Returns commands that can be tried while it is up.
+    /// Returns shell commands to try while the demo runs.
     pub fn hints(&self) -> Vec<String> {
         let entry = self.fleet.entries.first().map(|e| e.ports());
         let Some(ports) = entry else {
@@ -115,7 +115,7 @@
         ]
     }
 
-    /// Drives the load to its end; `progress` gets a line each second.
+    /// Runs the load to its end; `progress` receives a line each second.
     pub async fn drive(&self, progress: impl Fn(String) + Send + 'static) -> Shown {
         let ticking = tokio::spawn(tick(
             Arc::clone(&self.experiment),
@@ -141,12 +141,12 @@
 }
 
 impl Shown {
-    /// Returns whether no promise was broken and no call hurt.
+    /// Returns whether no guarantee was violated and no call failed.
     pub fn is_good(&self) -> bool {
         self.broken_promises.is_empty() && self.hurt_calls == 0
     }
 
-    /// Returns the table for people.
+    /// Returns the results as a table for people.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:<14} {:>7} {:>8} {:>7} {:>9} {:>8} {:>8} {:>8}",
@@ -162,7 +162,7 @@
             servers.probe_permille, servers.probes
         ));
         lines.push(format!(
-            "calls at once  {} at most at one backend server of 6 slots; {} came above what it bore",
+            "calls at once  {} at most at one backend server of 6 slots; {} came above its limit",
             servers.peak, servers.above
         ));
         for (centre, ms) in &servers.last_call_ms {
@@ -224,7 +224,7 @@
             })
             .collect();
         progress(format!(
-            "{second:>3} s  {} calls sent, {} answered, {} refused, {} hurt{}",
+            "{second:>3} s  {} calls sent, {} answered, {} refused, {} failed{}",
             tally.calls,
             tally.complete,
             tally.refused,
--- a/components/stand_ins/src/fleet.rs
+++ b/components/stand_ins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry hosts in this process, with the platform's balancer before them.
+//! Entry hosts in this process, behind a stand-in for the platform's balancer.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 const BASELINE_WARM_UP: Duration = Duration::from_secs(2);
 const POLL: Duration = Duration::from_millis(20);
 
-/// Why entry hosts could not be started.
+/// The reason why entry hosts could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// One could not start.
+    /// An entry host could not start.
     #[error(transparent)]
     Start(#[from] StartError),
     /// A backend server stayed cold.
-    #[error("a backend server is still taken for cold after {READY_LIMIT:?}: see `status`")]
+    #[error("a backend server is still considered cold after {READY_LIMIT:?}: see `status`")]
     NotWarm,
-    /// One did not become ready.
+    /// An entry host did not become ready.
     #[error("entry host {0} is not ready after {READY_LIMIT:?}: see its log lines")]
     NotReady(String),
 }
 
-/// Running entry hosts of a site.
+/// The running entry hosts of a site.
 pub struct Fleet {
-    /// Where calls are sent, in the order of the hosts.
+    /// The targets of calls, in the order of the entry hosts.
     pub targets: Arc<Vec<Target>>,
-    /// The hosts.
+    /// The entry hosts.
     pub entries: Vec<EntryHost>,
     history: History,
     balancer: Balancer,
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where one doesn't start or doesn't become ready.
+    /// Fails if an entry host doesn't start or doesn't become ready.
     pub async fn start(site: &Site, policy: Policy) -> Result<Fleet, FleetError> {
         let mut entries = Vec::new();
         let mut targets = Vec::new();
@@ -84,7 +84,7 @@
             policy,
         };
         fleet.ready().await?;
-        // A baseline has no notion of warmth: it is driven for a fixed time.
+        // Baseline policies don't track which endpoints are warm: they get a fixed warm-up time.
         let limit = match policy {
             Policy::Shared => READY_LIMIT,
             _ => BASELINE_WARM_UP,
@@ -96,7 +96,7 @@
         Ok(fleet)
     }
 
-    /// Shuts all hosts down gracefully, all at once.
+    /// Shuts all entry hosts down gracefully, in parallel.
     pub async fn stop(self) {
         drop(self.balancer);
         let mut stopping = tokio::task::JoinSet::new();
@@ -117,7 +117,7 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        // A new site serves once its hosts have found each other.
+        // A new site serves calls once its entry hosts are linked to each other.
         while self.policy == Policy::Shared && !self.is_converged().await {
             if Instant::now() > end {
                 return Err(FleetError::NotReady("any".to_owned()));
--- a/components/stand_ins/src/history/check.rs
+++ b/components/stand_ins/src/history/check.rs
@@ -1,4 +1,4 @@
-//! Checks a history against what the brief says must always hold.
+//! Checks a history against the guarantees of the brief.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,26 +11,26 @@
 mod config;
 mod servers;
 
-/// One promise of the brief. The first nine are its lines, in its order.
+/// A guarantee. The first nine are the brief's, in its order.
 #[key]
 pub enum Check {
-    /// Measuring backend servers stays within its budget.
+    /// Probes of backend servers stay within their budget.
     ProbeBudget,
-    /// A cold backend server gets no more work than it can bear.
+    /// A cold backend server gets no more calls than it can run.
     Cold,
-    /// A data centre that was taken out gets no new work.
+    /// A data centre that has left gets no new work.
     CentreOut,
-    /// A caller gets the whole answer to its own request and no other.
+    /// A caller gets the whole answer to its own request, and no other answer.
     OwnAnswer,
-    /// What is refused as "not run" did not run.
+    /// A call refused as "not run" did not run.
     NotRun,
     /// Non-idempotent work runs at most once.
     AtMostOnce,
     /// A backend server that is leaving gets no new work.
     ServerLeaving,
-    /// A graceful shutdown cuts off no request.
+    /// A graceful shutdown breaks no request.
     Shutdown,
-    /// An accepted configuration is in force everywhere and never reverts.
+    /// An accepted configuration comes into force on every entry host and never reverts.
     Configuration,
     /// No backend server gets more calls at once than it has slots.
     Slots,
@@ -52,14 +52,14 @@
     ];
 }
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[value]
 pub struct Violation {
-    /// The promise.
+    /// The guarantee.
     pub check: Check,
-    /// When, in microseconds since 1970.
+    /// The time, in microseconds since 1970.
     pub at: u64,
-    /// What was seen.
+    /// What was observed.
     pub seen: String,
 }
 
@@ -69,20 +69,20 @@
     }
 }
 
-/// The figures that the promises leave open. Times are in microseconds.
+/// The figures that the guarantees leave open. Times are in microseconds.
 #[value]
 pub struct Limits {
-    /// Parts in a thousand of a backend server's slot time that load reports may take.
+    /// Share of a backend server's slot time that load reports may take, in thousandths.
     pub probe_permille: u64,
-    /// Slot time that load reports may take besides, for the first ones after a start.
+    /// Additional slot time that load reports may take, for the first ones after a start.
     pub probe_burst: u64,
-    /// From a server's turning cold without a word until nobody may overload it.
+    /// Time after a server turns cold, unannounced, in which it may still be overloaded.
     pub cold_notice: u64,
-    /// From the acceptance of a leaving until nobody may send new work there.
+    /// Time after a leave is accepted in which new work may still arrive there.
     pub leave_notice: u64,
-    /// From a change's acceptance until it must be in force everywhere.
+    /// Time after a change is accepted by which it must be in force on every entry host.
     pub in_force: u64,
-    /// From a call's deadline until its caller must have been told something.
+    /// Time after a call's deadline by which its caller must have got an answer or an error.
     pub answer_slack: u64,
 }
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns every broken promise in `records`, which are sorted by time.
+/// Returns every violation in `records`, which must be sorted by time.
 pub fn check(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut faults = Vec::new();
     faults.extend(servers::probe_budget(records, limits));
@@ -114,27 +114,27 @@
     faults
 }
 
-/// Returns how many faults each check found, also those that found none.
+/// Returns the number of violations that each check found, including zeros.
 pub fn tally(faults: &[Violation]) -> BTreeMap<Check, usize> {
     let count = |check| faults.iter().filter(|f| f.check == check).count();
     Check::ALL.map(|check| (check, count(check))).into()
 }
 
-/// What the callers' events come to.
+/// Counts of the callers' events.
 #[value]
 #[derive(Default)]
 pub struct Tally {
     /// Calls sent.
     pub calls: u64,
-    /// Answered whole by a backend server.
+    /// Calls with a complete answer of a backend server.
     pub complete: u64,
-    /// Refused as not run.
+    /// Calls refused as not run.
     pub refused: u64,
-    /// Answered as unknown.
+    /// Calls answered with an unknown outcome.
     pub unknown: u64,
-    /// Broken off.
+    /// Calls whose connection broke.
     pub broken: u64,
-    /// Not sent, since no connection could be opened.
+    /// Calls not sent because no connection could be opened.
     pub unreachable: u64,
 }
 
--- a/components/stand_ins/src/history/check/answers.rs
+++ b/components/stand_ins/src/history/check/answers.rs
@@ -1,14 +1,14 @@
-//! Checks of what callers were told.
+//! Checks of the answers that callers got.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Check, Limits, Violation};
 use crate::history::{Event, Outcome, Record};
 
-/// Every call is answered in time, and a whole answer is the call's own.
+/// Checks that every call is answered in time, and that a complete answer belongs to its call.
 ///
-/// Lateness is excused where the call's entry host was gone meanwhile: killed,
-/// or paused by the test.
+/// A late answer is allowed if the call's entry host was gone in the meantime: killed, or
+/// paused by the test.
 pub(super) fn own_answer(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut faults = Vec::new();
     let mut open = BTreeMap::new();
@@ -48,7 +48,8 @@
                     Some(_) => {}
                 }
                 if *outcome == Outcome::Complete && !own {
-                    let seen = format!("call {call} got a part, or another call's answer");
+                    let seen =
+                        format!("call {call} got an incomplete answer or that of another call");
                     faults.push(fault(record.at, seen));
                 }
             }
@@ -67,7 +68,8 @@
         .is_some_and(|(from, to)| *from < answered && *to > sent)
 }
 
-/// A call refused as not run never reached the work, nor had any other call of its key.
+/// Checks that a call refused as not run never started, and that no call with the same key had
+/// started before the refusal.
 pub(super) fn not_run(records: &[Record]) -> Vec<Violation> {
     let keys: BTreeMap<u64, &String> = records.iter().filter_map(key_of).collect();
     let mut started_calls = BTreeSet::new();
@@ -96,7 +98,9 @@
                     faults.push(Violation {
                         check: Check::NotRun,
                         at: record.at,
-                        seen: format!("call {call} told not run, but its key {key} had run"),
+                        seen: format!(
+                            "call {call} was refused as not run, but its key {key} had run"
+                        ),
                     });
                 }
             }
@@ -109,12 +113,13 @@
     faults.extend(lies.map(|(call, at)| Violation {
         check: Check::NotRun,
         at,
-        seen: format!("call {call} told not run, but it was started"),
+        seen: format!("call {call} was refused as not run, but it was started"),
     }));
     faults
 }
 
-/// Non-idempotent calls are started once, and so are all calls of one key together.
+/// Checks that each non-idempotent call starts at most once, and so do all calls with one key
+/// together.
 pub(super) fn at_most_once(records: &[Record]) -> Vec<Violation> {
     let mut once = BTreeSet::new();
     let mut started_calls = BTreeSet::new();
@@ -155,7 +160,7 @@
     faults
 }
 
-/// No call breaks at an entry host between its order to stop and its next start.
+/// Checks that no call breaks at an entry host between its graceful shutdown and its next start.
 pub(super) fn shutdown(records: &[Record]) -> Vec<Violation> {
     let mut sent_to = BTreeMap::new();
     let mut stopping = BTreeSet::new();
@@ -180,7 +185,7 @@
                 faults.extend(host.map(|host| Violation {
                     check: Check::Shutdown,
                     at: record.at,
-                    seen: format!("call {call} was cut off by {host}, which shut down"),
+                    seen: format!("call {call} was cut off by {host}, which was shutting down"),
                 }));
             }
             _ => {}
--- a/components/stand_ins/src/history/check/config.rs
+++ b/components/stand_ins/src/history/check/config.rs
@@ -1,11 +1,12 @@
-//! Checks of the configuration that entry hosts act on.
+//! Checks of the configuration in force on entry hosts.
 
 use std::collections::BTreeMap;
 
 use super::{Check, Limits, Violation};
 use crate::history::{Event, Record};
 
-/// A change is in force everywhere in time, is the same everywhere, and never reverts.
+/// Checks that a change comes into force on every entry host in time, that a revision is the
+/// same on all of them, and that revisions never revert.
 pub(super) fn configuration(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut accepted: Vec<(u64, u64)> = Vec::new();
     let mut up: BTreeMap<&String, u64> = BTreeMap::new();
@@ -41,13 +42,17 @@
             fault(format!("{host} went from revision {before} to {revision}"));
         }
         if presets.entry(revision).or_insert(preset) != &preset {
-            fault(format!("{host} has {preset:?} in force at {revision}"));
+            fault(format!(
+                "{host} has preset {preset:?} in force at revision {revision}, which had another preset before"
+            ));
         }
         let since = up.get(host).copied().unwrap_or(0);
         let due = |at: u64| at.max(since) + limits.in_force < record.at;
         let missing = accepted.iter().find(|(at, r)| *r > revision && due(*at));
         if let Some((_, missing)) = missing {
-            fault(format!("{host} is at {revision}, {missing} was accepted"));
+            fault(format!(
+                "{host} is at revision {revision}, but {missing} was accepted"
+            ));
         }
     }
     faults
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -1,4 +1,4 @@
-//! Checks of what backend servers got.
+//! Checks of the calls and probes that backend servers got.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use super::{Check, Limits, Violation};
 use crate::history::{Event, Order, Record};
 
-/// Load reports take no more than their share of a backend server's slot time.
+/// Checks that load reports take no more than their share of a backend server's slot time.
 pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut slots = BTreeMap::new();
     let mut spent: BTreeMap<SocketAddr, u64> = BTreeMap::new();
@@ -40,7 +40,7 @@
     faults
 }
 
-/// No backend server gets more calls at once than it bears, cold or warm.
+/// Checks that no backend server, cold or warm, gets more calls at once than it can run.
 pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut turned = BTreeMap::new();
     let mut faults = Vec::new();
@@ -67,7 +67,7 @@
                 faults.push(Violation {
                     check,
                     at: record.at,
-                    seen: format!("{endpoint}: {running} calls at once, it bears {bears}"),
+                    seen: format!("{endpoint}: {running} calls at once, its limit is {bears}"),
                 });
             }
             _ => {}
@@ -76,7 +76,8 @@
     faults
 }
 
-/// What is leaving, by data centre, by host or by its own word, gets no new work.
+/// Checks that no new work goes to what is leaving: a data centre, a host, or a backend server
+/// that reports draining.
 pub(super) fn leaving(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut centres = BTreeMap::new();
     let mut out = Out::default();
@@ -116,7 +117,7 @@
                 faults.push(Violation {
                     check,
                     at: record.at,
-                    seen: format!("{endpoint} got call {call} long after it was taken out"),
+                    seen: format!("{endpoint} got call {call} too long after it began to leave"),
                 });
             }
             _ => {}
@@ -125,7 +126,7 @@
     faults
 }
 
-/// What has been taken out, and when.
+/// Data centres and backend servers that are leaving, with the time at which that began.
 #[derive(Default)]
 struct Out {
     centres: BTreeMap<String, u64>,
@@ -133,11 +134,11 @@
 }
 
 impl Out {
-    /// Ends what is out as soon as an operator asks for its return.
+    /// Applies a return as soon as an operator requests it.
     ///
-    /// Entry hosts act on the return before its author has the answer: calls
-    /// that came between the two were once taken for calls to a data centre
-    /// that had left.
+    /// Entry hosts act on the return before the operator gets the answer. If only the accepted
+    /// command counted, calls between the two would be reported as calls to a data centre that
+    /// has left.
     fn asked(&mut self, order: Order, name: &str) {
         match order {
             Order::CentreReturns | Order::HostReturns => self.order(order, name, 0),
--- a/components/stand_ins/src/history/event.rs
+++ b/components/stand_ins/src/history/event.rs
@@ -5,51 +5,51 @@
 use derives::{tag, value};
 use serde::{Deserialize, Serialize};
 
-/// One event and its time.
+/// An event and its time.
 #[value]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
     /// Microseconds since 1970.
     pub at: u64,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What happened, as the one who saw it says.
+/// An event, as its observer recorded it.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
-    /// A backend server came up.
+    /// A backend server started.
     Endpoint {
-        /// Where it listens.
+        /// The backend server's address.
         endpoint: SocketAddr,
-        /// The data centre it stands in.
+        /// The backend server's data centre.
         data_centre: String,
-        /// Calls it bears at once.
+        /// Calls that the backend server can run at once when warm.
         slots: u32,
     },
     /// A caller sent a call.
     Sent {
         /// The call's number, unique in the history.
         call: u64,
-        /// The entry host it was sent to.
+        /// The entry host that the call was sent to.
         host: String,
-        /// Whether its method is idempotent.
+        /// Whether the call's HTTP method is idempotent.
         idempotent: bool,
-        /// Its `Idempotency-Key`.
+        /// The value of the call's `Idempotency-Key` header.
         key: Option<String>,
-        /// When the caller has no more use of an answer, in milliseconds from now.
+        /// The call's deadline, in milliseconds from the time of sending.
         deadline_ms: u64,
     },
     /// A caller's call ended.
     Answered {
         /// The call's number.
         call: u64,
-        /// What the caller was told.
+        /// The outcome that the caller observed.
         outcome: Outcome,
-        /// Whether the answer was whole and the call's own.
+        /// Whether the answer was complete and belonged to this call.
         own: bool,
     },
     /// A call reached a backend server.
@@ -58,15 +58,15 @@
         endpoint: SocketAddr,
         /// The call's number.
         call: u64,
-        /// Its `Idempotency-Key`.
+        /// The value of the call's `Idempotency-Key` header.
         key: Option<String>,
-        /// Calls at the backend server now, this one among them.
+        /// Calls at the backend server, including this one.
         running: u32,
-        /// Calls it bears now.
+        /// Calls that the backend server can currently run at once.
         bears: u32,
-        /// Whether it is cold.
+        /// Whether the backend server is cold.
         cold: bool,
-        /// Whether the work was started; it was shed otherwise.
+        /// Whether the work was started; the call was shed otherwise.
         started: bool,
     },
     /// The work of a call ended.
@@ -75,54 +75,54 @@
         endpoint: SocketAddr,
         /// The call's number.
         call: u64,
-        /// How it ended.
+        /// How the work ended.
         ending: Ending,
     },
-    /// A backend server gave its load report.
+    /// A backend server sent a load report.
     Probed {
         /// The backend server.
         endpoint: SocketAddr,
-        /// What the report cost it, in microseconds of one slot.
+        /// The cost of the report, in microseconds of one slot's time.
         cost_us: u64,
     },
-    /// A backend server turned cold without a word.
+    /// A backend server turned cold without announcing it.
     TurnedCold {
         /// The backend server.
         endpoint: SocketAddr,
     },
-    /// A backend server began to drain, or ended it.
+    /// A backend server started or stopped draining.
     Draining {
         /// The backend server.
         endpoint: SocketAddr,
-        /// Whether it drains.
+        /// Whether the backend server drains.
         draining: bool,
     },
-    /// An operator's command is about to be sent: it may be in force from now on.
+    /// An operator's command is about to be sent; from now on it may be in force.
     Asked {
         /// The command.
         order: Order,
-        /// The data centre, host or preset it names.
+        /// The data centre, host or preset that the command names.
         name: String,
     },
     /// An operator's command was accepted.
     Ordered {
         /// The command.
         order: Order,
-        /// The data centre, host or preset it names.
+        /// The data centre, host or preset that the command names.
         name: String,
-        /// The configuration's revision that it made.
+        /// The revision of the configuration that the command created.
         revision: u64,
     },
-    /// An entry host showed the configuration it acts on.
+    /// An entry host showed the configuration in force there.
     Seen {
         /// The entry host.
         host: String,
-        /// Its configuration's revision.
+        /// The revision of the configuration.
         revision: u64,
         /// The preset in force there.
         preset: Option<String>,
     },
-    /// An entry host was told to shut down gracefully.
+    /// An entry host was asked to shut down gracefully.
     Stopping {
         /// The entry host.
         host: String,
@@ -139,18 +139,18 @@
     },
 }
 
-/// What a caller was told.
+/// The outcome of a call that its caller observed.
 #[tag]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A whole answer of a backend server.
+    /// A complete answer of a backend server arrived.
     Complete,
     /// The work did not run.
     NotRun,
     /// The work may have run.
     Unknown,
-    /// The connection broke, with or without a part of the answer.
+    /// The connection broke, possibly after a part of the answer.
     Broken,
     /// No connection could be opened; nothing was sent.
     Unreachable,
@@ -161,11 +161,11 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// It was done.
+    /// The work was completed.
     Done,
-    /// Its connection was closed.
+    /// The call's connection was closed.
     Cancelled,
-    /// Its deadline passed.
+    /// The call's deadline passed.
     Expired,
 }
 
@@ -174,14 +174,14 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Order {
-    /// A data centre was taken out.
+    /// A data centre leaves.
     CentreLeaves,
-    /// A data centre was brought back.
+    /// A data centre returns.
     CentreReturns,
-    /// A host was taken out.
+    /// A host leaves.
     HostLeaves,
-    /// A host was brought back.
+    /// A host returns.
     HostReturns,
-    /// A preset was chosen.
+    /// A preset is chosen.
     Choose,
 }
--- a/components/stand_ins/src/lib.rs
+++ b/components/stand_ins/src/lib.rs
@@ -1,6 +1,7 @@
-//! Small fakes of the platform and of backend servers, and the load tool.
+//! Stand-ins (test doubles) for the platform and for backend servers, and the load tool.
 //!
-//! They are there to cause what fails. Nothing of an entry host depends on them.
+//! They inject the faults that entry hosts have to survive. Nothing in an entry host depends
+//! on them.
 
 pub mod backend;
 pub mod balancer;
--- a/components/stand_ins/src/load.rs
+++ b/components/stand_ins/src/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: open-loop load from an experiment file, its report and plot.
+//! The load tool: generates open-loop load from an experiment file, reports and plots it.
 //!
 //! docs/operators/load.md describes the experiment file.
 
--- a/components/stand_ins/src/load/bench.rs
+++ b/components/stand_ins/src/load/bench.rs
@@ -1,4 +1,4 @@
-//! An experiment over several policies in one run, its table, reports and plot.
+//! Runs an experiment with several policies; writes its table, reports and plot.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter};
@@ -15,10 +15,10 @@
 use crate::history::{History, Outcome, Record, write_lines};
 use crate::site::{Site, SiteError, SiteOptions};
 
-/// Why an experiment could not be run.
+/// The reason why an experiment could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// The log or a backend server could not be started.
+    /// The store or a backend server could not be started.
     #[error(transparent)]
     Site(#[from] SiteError),
     /// An entry host could not be started.
@@ -28,20 +28,20 @@
     #[error(transparent)]
     Plot(#[from] PlotError),
     /// A file could not be written.
-    #[error("can't write {path}: {source}; is the directory there?")]
+    #[error("can't write {path}: {source}; does the directory exist?")]
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// One policy's run.
+/// The run of one policy.
 pub struct Run {
-    /// The figures.
+    /// The measurements.
     pub measured: Measured,
-    /// Everything that was seen.
+    /// The complete history.
     pub records: Vec<Record>,
 }
 
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the deployment can't be started.
+/// Fails if the deployment can't be started.
 ///
 /// # Panics
 ///
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 ///
-/// Fails where a file can't be written or the plot not be drawn.
+/// Fails if a file can't be written or the plot can't be drawn.
 pub fn write(experiment: &Experiment, runs: &[Run], directory: &Path) -> Result<(), BenchError> {
     let file = |name: String| directory.join(name);
     for run in runs {
@@ -88,7 +88,7 @@
     })
 }
 
-/// Returns the table of `runs`, with the limit of the first.
+/// Returns the table of `runs`, with the limit computed for the first of them.
 pub fn table(runs: &[Run]) -> String {
     let mut lines = vec![Summary::heading()];
     lines.extend(runs.iter().map(|run| run.measured.summary.row()));
--- a/components/stand_ins/src/load/caller.rs
+++ b/components/stand_ins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends calls to entry hosts and says what became of each.
+//! A caller, which sends calls to entry hosts and records the outcome of each.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,18 +22,18 @@
 const DEADLINE_FIELD: &str = "cardamomvale-deadline-ms";
 const OUTCOME_FIELD: &str = "cardamomvale-outcome";
 const NOT_RUN_FIELD: &str = "cardamomvale-not-run";
-/// So much of a refusal's text is kept.
+/// The most bytes of a refusal's text that are kept.
 const LINE_LIMIT: usize = 200;
-/// A caller waits so much longer than its deadline before it gives up.
+/// How much longer than its deadline a caller waits before it gives up.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// An entry host, or a backend server called without one.
+/// The target of calls: an entry host, or a backend server that is called directly.
 pub struct Target {
-    /// Its name in the history.
+    /// The target's name in the history.
     pub name: String,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Whether the platform's balancer sends it new calls.
+    /// Whether the platform's balancer sends new calls to the target.
     up: AtomicBool,
     idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
 }
@@ -41,55 +41,57 @@
 /// One call.
 #[value]
 pub struct Call {
-    /// Its number, unique in the history.
+    /// The call's number, unique in the history.
     pub number: u64,
     /// The HTTP method.
     pub method: String,
     /// The path and query.
     pub path: String,
-    /// Its `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` header.
     pub key: Option<String>,
-    /// The number of the first call of its key: the answer to any of them is its own.
+    /// The number of the first call with this key, if this is a repeat.
+    ///
+    /// All calls with the key expect the answer to the first.
     pub repeats: Option<u64>,
     /// How long the caller waits for an answer.
     pub deadline: Duration,
-    /// Bytes of the answer.
+    /// The expected size of the answer, in bytes.
     pub size: u64,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[value]
 pub struct Reply {
-    /// What the caller was told.
+    /// The outcome that the caller observed.
     pub outcome: Outcome,
-    /// The HTTP status, where there was one.
+    /// The HTTP status, if an answer arrived.
     pub status: Option<u16>,
-    /// The time the work took at the backend server, where it said so.
+    /// The time that the work took, if the backend server reported it.
     pub work: Option<Duration>,
-    /// Whether the answer was whole and the call's own.
+    /// Whether the answer was complete and belonged to this call.
     pub own: bool,
-    /// When the caller is told to come back.
+    /// The value of the answer's `Retry-After` header.
     pub retry_after: Option<String>,
-    /// The line that says why it was not answered whole.
+    /// The text of a refusal or failure; empty for a complete answer.
     pub why: String,
 }
 
-/// Sends calls and writes them into a history.
+/// Sends calls and records them in a history.
 #[derive(Clone, Default)]
 pub struct Caller {
-    /// The history written.
+    /// The history in which calls are recorded.
     pub history: History,
 }
 
 impl Call {
-    /// Returns the number whose text its answer repeats.
+    /// Returns the call number that the body of the answer is made of.
     fn answer(&self) -> u64 {
         self.repeats.unwrap_or(self.number)
     }
 }
 
 impl Target {
-    /// Returns a target that is up.
+    /// Returns a target to which the platform's balancer sends new calls.
     pub fn new(name: impl Into<String>, address: SocketAddr) -> Target {
         Target {
             name: name.into(),
@@ -99,12 +101,12 @@
         }
     }
 
-    /// Says whether the platform's balancer sends it new calls.
+    /// Sets whether the platform's balancer sends new calls to the target.
     pub fn set_up(&self, up: bool) {
         self.up.store(up, Ordering::SeqCst);
     }
 
-    /// Returns whether the platform's balancer sends it new calls.
+    /// Returns whether the platform's balancer sends new calls to the target.
     pub fn is_up(&self) -> bool {
         self.up.load(Ordering::SeqCst)
     }
@@ -130,14 +132,14 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
-        // Its error comes up at the call that it breaks.
+        // An error of the connection shows up in the call that it breaks.
         tokio::spawn(connection);
         Ok(sender)
     }
 }
 
 impl Caller {
-    /// Sends `call` to `target` and waits for what becomes of it.
+    /// Sends `call` to `target` and waits for its result.
     pub async fn call(&self, target: &Target, call: &Call) -> Reply {
         let method: hyper::Method = call.method.parse().unwrap_or_default();
         self.history.add(Event::Sent {
@@ -178,7 +180,7 @@
             Some("complete") => Outcome::Complete,
             Some("not-run") => Outcome::NotRun,
             Some("unknown") => Outcome::Unknown,
-            // A backend server called without an entry host before it.
+            // The target is a backend server without an entry host before it.
             None if field(NOT_RUN_FIELD).is_some() => Outcome::NotRun,
             None if status.is_success() => Outcome::Complete,
             _ => Outcome::Unknown,
@@ -196,8 +198,8 @@
 
 async fn send(target: &Target, call: &Call) -> Reply {
     let mut request = request(call);
-    // A kept connection may have been closed meanwhile: where hyper gives the
-    // request back, not a byte of it was sent, and a new connection is safe.
+    // An idle connection may have been closed in the meantime. If hyper returns the request,
+    // no byte of it was sent, and sending it on a new connection is safe.
     while let Some(mut sender) = target.take_idle() {
         match sender.try_send_request(request).await {
             Ok(response) => return finish(target, call, sender, response).await,
@@ -241,7 +243,7 @@
     }
 }
 
-/// Reads the answer and says whether it is whole and the call's own.
+/// Reads the answer; returns whether it is complete and belongs to the call.
 async fn read(call: &Call, mut body: Incoming) -> Result<bool, hyper::Error> {
     let text = pattern(call.answer());
     let mut length = 0;
@@ -262,7 +264,7 @@
     data.iter().zip(text).all(|(a, b)| a == b)
 }
 
-/// Reads a body to its end and returns the start of it as text.
+/// Reads a body to its end and returns its beginning as text.
 async fn line(mut body: Incoming) -> Result<String, hyper::Error> {
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -287,5 +289,5 @@
     }
     request
         .body(Full::default())
-        .expect("a checked method and path")
+        .expect("a valid method, path and headers")
 }
--- a/components/stand_ins/src/load/experiment.rs
+++ b/components/stand_ins/src/load/experiment.rs
@@ -8,36 +8,36 @@
 
 use crate::backend::Knobs;
 
-/// Why an experiment file is of no use.
+/// The reason why an experiment file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It is not the TOML that is expected.
+    /// The file is not valid TOML, or doesn't match the expected structure.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
-    /// It contradicts itself; each line names one fault.
+    /// The values contradict each other; one message for each error.
     #[error("{}", .0.join("\n"))]
     Faults(Vec<String>),
 }
 
-/// What to do to a deployment, and for how long.
+/// An experiment: a deployment, the load on it and events during the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Experiment {
-    /// Its name, used for the files it writes.
+    /// The name, also used for the output files.
     pub name: String,
-    /// Arrivals and work are drawn from it, the same each run.
+    /// The seed of arrivals and work, which makes them the same in each run.
     pub seed: u64,
-    /// How long calls are sent.
+    /// How long calls are sent, in seconds.
     pub seconds: u64,
-    /// Seconds at the start that count for nothing.
+    /// Seconds at the start that are excluded from the figures.
     #[serde(default)]
     pub warm_up: u64,
-    /// What is started for it where no addresses are given.
+    /// The entry hosts and services to start.
     pub deployment: Deployment,
-    /// The load.
+    /// The flows of calls that make up the load.
     #[serde(rename = "flow")]
     pub flows: Vec<Flow>,
-    /// What happens meanwhile.
+    /// The events during the run.
     #[serde(rename = "event", default)]
     pub events: Vec<Happening>,
 }
@@ -47,11 +47,11 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Deployment {
-    /// How many entry hosts.
+    /// The number of entry hosts.
     pub entry_hosts: u32,
     /// The region's name.
     pub region: String,
-    /// The data centres, over which entry hosts and endpoints are spread in turn.
+    /// The data centres, to which entry hosts and endpoints are assigned in turn.
     pub data_centres: Vec<String>,
     /// The services.
     #[serde(rename = "service")]
@@ -63,17 +63,17 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: String,
-    /// How many endpoints.
+    /// The number of endpoints.
     pub endpoints: u32,
-    /// Calls each bears at once.
+    /// Calls that each endpoint can run at once.
     #[serde(default = "Service::default_slots")]
     pub slots: u32,
-    /// The longest time of a call, in milliseconds.
+    /// The deadline of a call, in milliseconds.
     #[serde(default = "Service::default_deadline")]
     pub deadline_ms: u64,
-    /// Calls that may wait at one entry host.
+    /// The most calls that may wait at one entry host.
     #[serde(default = "Service::default_queue")]
     pub queue: u32,
 }
@@ -82,113 +82,114 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Flow {
-    /// The service called.
+    /// The name of the service that is called.
     pub service: String,
     /// The HTTP method.
     #[serde(default = "Flow::default_method")]
     pub method: String,
-    /// How much: calls a second, or a share of the service's capacity.
+    /// The arrival rate.
     pub arrivals: Arrivals,
-    /// The time that the work takes.
+    /// The duration of the work.
     pub work: Work,
-    /// Bytes of each answer.
+    /// The size of each answer, in bytes.
     #[serde(default = "Flow::default_size")]
     pub size: u64,
     /// Whether each call carries an `Idempotency-Key`.
     #[serde(default)]
     pub keyed: bool,
-    /// The share of keyed calls that repeat an earlier one, at any entry host.
+    /// The fraction of keyed calls that repeat an earlier call, at any entry host.
     #[serde(default)]
     pub repeats: f64,
-    /// The share of calls that go to the first entry host, beside its even share of the rest.
+    /// The fraction of calls that go to the first entry host; the rest is spread evenly over
+    /// all of them.
     #[serde(default)]
     pub skew: f64,
-    /// Times at which more or fewer calls come.
+    /// Times with a higher or lower rate.
     #[serde(rename = "burst", default)]
     pub bursts: Vec<Burst>,
 }
 
-/// How many calls come; they come at random (Poisson).
+/// The rate of a Poisson process of arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
-    /// Calls a second.
+    /// Calls per second.
     Rate(f64),
-    /// The share of what all slots of the service can do.
+    /// A fraction of the capacity of all slots of the service.
     Load(f64),
 }
 
-/// The time that the work of a call takes.
+/// The distribution of the duration of a call's work.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum Work {
-    /// Always the same, in milliseconds.
+    /// A constant duration, in milliseconds.
     Fixed(f64),
-    /// Exponential with this mean, in milliseconds.
+    /// Exponentially distributed with this mean, in milliseconds.
     Exponential(f64),
-    /// Short, and a share of it long.
+    /// Short, or long for a fraction of the calls.
     Mixed {
-        /// Milliseconds of short work.
+        /// The duration of short work, in milliseconds.
         short_ms: f64,
-        /// Milliseconds of long work.
+        /// The duration of long work, in milliseconds.
         long_ms: f64,
-        /// The share of long work.
+        /// The fraction of calls with long work, from 0 to 1.
         long_share: f64,
     },
 }
 
-/// A time of another load.
+/// A time with a different rate of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Burst {
-    /// When it starts, in milliseconds.
+    /// The start, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// The duration, in milliseconds.
     pub for_ms: u64,
-    /// How many times as many calls come.
+    /// The factor on the rate of the flow.
     pub factor: f64,
 }
 
-/// Something that happens at a given time.
+/// An action at a given time of the run.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Happening {
-    /// When, in milliseconds.
+    /// The time, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// What.
+    /// The action.
     #[serde(rename = "do")]
     pub action: Action,
 }
 
-/// What may happen.
+/// An action of operators, or a fault.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Operators take a data centre out.
+    /// Operators order a data centre to leave.
     Leave(String),
-    /// Operators bring a data centre back.
+    /// Operators order a data centre to return.
     Return(String),
-    /// A backend server gets a fault.
+    /// A fault is injected into a backend server.
     Backend {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// The endpoint, counted from 0.
+        /// The index of the endpoint, from 0.
         endpoint: u32,
-        /// The fault.
+        /// The faults to set.
         set: Knobs,
     },
-    /// The log answers nothing for so many milliseconds.
+    /// The store sends no answers for this many milliseconds.
     LogDown(u64),
 }
 
 impl Experiment {
-    /// Reads an experiment file's text.
+    /// Parses the text of an experiment file.
     ///
     /// # Errors
     ///
-    /// Names every fault, each with what it is about.
+    /// Fails on invalid TOML, or with all errors in the values, each with its place.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text)?;
         match experiment.faults() {
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Returns the mean rate of `flow`, in calls a second.
+    /// Returns the mean rate of `flow` outside bursts, in calls per second.
     pub fn rate(&self, flow: &Flow) -> f64 {
         match flow.arrivals {
             Arrivals::Rate(rate) => rate,
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Makes it last `seconds`, with its events spread as before.
+    /// Sets the duration to `seconds`, if given, and scales the times of events to it.
     pub fn stretch(&mut self, seconds: Option<u64>) {
         let Some(seconds) = seconds.filter(|s| *s > 0) else {
             return;
@@ -237,16 +238,16 @@
         for (number, flow) in self.flows.iter().enumerate() {
             let mut fault = |what: &str| faults.push(format!("flow {number}: {what}"));
             if !services.contains(&flow.service) {
-                fault("its service is not in the deployment");
+                fault("the service is not in the deployment");
             }
             if !(0.0..=1.0).contains(&flow.skew) || !(0.0..=1.0).contains(&flow.repeats) {
-                fault("skew and repeats are shares from 0 to 1");
+                fault("skew and repeats are fractions from 0 to 1");
             }
             if flow.work.mean().is_zero() && matches!(flow.arrivals, Arrivals::Load(_)) {
-                fault("work of no time has no load; give arrivals as a rate");
+                fault("work of zero duration needs arrivals as a rate, not as a load");
             }
             if flow.method.parse::<hyper::Method>().is_err() {
-                fault("method is not an HTTP method");
+                fault("the method is not an HTTP method");
             }
         }
         for (number, happening) in self.events.iter().enumerate() {
@@ -264,7 +265,7 @@
             };
             if !known {
                 faults.push(format!(
-                    "event {number}: what it names is not in the deployment"
+                    "event {number}: the data centre, service or endpoint is not in the deployment"
                 ));
             }
         }
@@ -288,7 +289,7 @@
 }
 
 impl Flow {
-    /// Returns whether its method is idempotent (RFC 9110, section 9.2.2).
+    /// Returns whether the flow's method is idempotent (RFC 9110, section 9.2.2).
     pub fn is_idempotent(&self) -> bool {
         self.method
             .parse::<hyper::Method>()
@@ -319,7 +320,7 @@
 }
 
 impl Work {
-    /// Returns the mean time.
+    /// Returns the mean duration.
     pub fn mean(self) -> Duration {
         let ms = match self {
             Work::Fixed(ms) | Work::Exponential(ms) => ms,
--- a/components/stand_ins/src/load/limit.rs
+++ b/components/stand_ins/src/load/limit.rs
@@ -1,8 +1,8 @@
-//! The limit: one queue before all slots of a service, with perfect knowledge.
+//! The limit: a simulated single queue before all slots of a service, with perfect knowledge.
 //!
-//! First come, first served over all slots, no network and no control traffic.
-//! Nothing that places calls without knowing the length of their work can be
-//! expected to do better on the mean; it is what the policies are held against.
+//! It serves calls first come, first served over all slots, without network or control traffic.
+//! A policy that doesn't know the duration of a call's work can't be expected to do
+//! better on average, so policies are compared with this limit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,20 +13,20 @@
 use super::experiment::{Action, Experiment};
 use super::plan::Plan;
 
-/// What becomes of a call at the limit.
+/// The result of one call at the limit.
 #[value]
 pub struct Ideal {
-    /// From its arrival until its answer, none where it could not be served in time.
+    /// The time from arrival to answer; `None` if the deadline could not be met.
     pub latency: Option<Duration>,
-    /// From its arrival until its work starts.
+    /// The time from arrival to the start of the work.
     pub wait: Duration,
 }
 
-/// Computes what the limit makes of each call of `plan`, with `work` the time each really took.
+/// Computes the limit for each call of `plan`; `work` is the actual duration of each.
 ///
 /// # Panics
 ///
-/// Panics on an experiment that [`Experiment::parse`] would have refused.
+/// Panics if the experiment would not pass the checks of [`Experiment::parse`].
 pub fn limit(experiment: &Experiment, plan: &Plan, work: &[Duration]) -> Vec<Ideal> {
     let mut queues: BTreeMap<&str, Queue> = experiment
         .deployment
@@ -39,16 +39,18 @@
         .zip(work)
         .map(|(call, work)| {
             let service = experiment.flows[call.flow].service.as_str();
-            let queue = queues.get_mut(service).expect("a checked experiment");
+            let queue = queues
+                .get_mut(service)
+                .expect("the experiment names its services");
             queue.serve(call.at, *work)
         })
         .collect()
 }
 
-/// The slots of one service, by the time each is free.
+/// The slots of one service, ordered by the time at which each becomes free.
 struct Queue {
     free: BinaryHeap<Reverse<(Duration, usize)>>,
-    /// For each slot, the times at which it must not be used.
+    /// For each slot, the intervals in which it must not be used.
     out: Vec<Vec<(Duration, Duration)>>,
     deadline: Duration,
 }
@@ -58,7 +60,7 @@
         let service = experiment
             .deployment
             .service(name)
-            .expect("a service's own name");
+            .expect("the name is a service's own");
         let out: Vec<_> = (0..service.endpoints)
             .flat_map(|e| {
                 let times = out_times(experiment, name, e);
@@ -105,7 +107,8 @@
     }
 }
 
-/// Returns when an endpoint is out: its data centre has left, or it is slow.
+/// Returns the intervals in which an endpoint is unusable: its data centre has left, or it is
+/// slow.
 fn out_times(experiment: &Experiment, service: &str, endpoint: u32) -> Vec<(Duration, Duration)> {
     let centre = experiment.deployment.centre(endpoint);
     let mut times = Vec::new();
--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -1,4 +1,4 @@
-//! One measured run of an experiment against a site.
+//! Runs an experiment against a site and computes its figures.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use crate::history::{Event, Order, Outcome, Record};
 use crate::site::Site;
 
-/// Everything one run gave.
+/// All results of one run.
 pub struct Measured {
-    /// What was sent.
+    /// The calls that were planned.
     pub plan: Arc<Plan>,
-    /// What became of it.
+    /// The results of the calls that were sent.
     pub samples: Vec<Sample>,
-    /// What the limit makes of the same calls.
+    /// The results of the same calls at the limit.
     pub ideals: Vec<Ideal>,
     /// The figures.
     pub summary: Summary,
-    /// The broken promises.
+    /// The violated guarantees.
     pub faults: Vec<Violation>,
 }
 
@@ -34,13 +34,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Summary {
-    /// The callers' side.
+    /// The callers' figures.
     pub report: Report,
-    /// The same from each event to the next.
+    /// The callers' figures from each event to the next.
     pub phases: Vec<Phase>,
-    /// The backend servers' side.
+    /// The backend servers' figures.
     pub servers: Servers,
-    /// The faults that each check found.
+    /// The number of violations that each check found.
     pub checks: BTreeMap<String, usize>,
 }
 
@@ -48,15 +48,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Phase {
-    /// Milliseconds from the start of the run.
+    /// The start of the phase, in milliseconds from the start of the run.
     pub from_ms: u64,
-    /// Milliseconds from the start of the run.
+    /// The end of the phase, in milliseconds from the start of the run.
     pub until_ms: u64,
-    /// The callers' figures.
+    /// The callers' figures for the phase.
     pub figures: Figures,
-    /// Calls that were in flight when it began.
+    /// Calls that were in flight when the phase began.
     pub in_flight: u64,
-    /// Those of them that were answered whole.
+    /// Calls among `in_flight` that were answered completely.
     pub in_flight_complete: u64,
 }
 
@@ -64,21 +64,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Servers {
-    /// The most calls at once at any of them, above its slots or not.
+    /// The most calls at once at any backend server, including calls that were shed.
     pub peak: u32,
-    /// Calls that came above what it bore at the moment.
+    /// Calls that arrived above a backend server's current limit.
     pub above: u64,
     /// Calls shed.
     pub shed: u64,
-    /// Calls cancelled by a hang-up.
+    /// Calls that ended before their work was done.
     pub cancelled: u64,
-    /// The most connections at once at any of them.
+    /// The most connections at once at any backend server.
     pub connections: u32,
-    /// Load reports given by all of them.
+    /// Load reports sent by all backend servers.
     pub probes: u64,
-    /// Their share of all slot time, in parts of a thousand.
+    /// The share of load reports in all slot time, in thousandths.
     pub probe_permille: f64,
-    /// Milliseconds from a data centre's leaving to the last new call there.
+    /// For each data centre that left, the milliseconds until the last new call there.
     pub last_call_ms: BTreeMap<String, u64>,
 }
 
@@ -86,7 +86,7 @@
 ///
 /// # Panics
 ///
-/// Panics outside a tokio runtime, and where `targets` is empty.
+/// Panics outside a tokio runtime, or if `targets` is empty.
 pub async fn measure(
     experiment: &Arc<Experiment>,
     site: &Arc<Site>,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Does each event at its time, whatever the one before it still waits for.
+/// Performs each event at its time, without waiting for earlier ones to end.
 async fn drive(experiment: Arc<Experiment>, site: Arc<Site>) {
     let start = tokio::time::Instant::now();
     let mut acting = tokio::task::JoinSet::new();
@@ -212,7 +212,7 @@
     servers
 }
 
-/// Returns how long after each data centre's leaving its last new call came.
+/// Returns the milliseconds from each data centre's leave to its last new call.
 fn last_calls(records: &[Record]) -> BTreeMap<String, u64> {
     let mut centres = BTreeMap::new();
     let mut left = BTreeMap::new();
@@ -278,7 +278,7 @@
         columns.map(|c| format!("{c:>9}")).join(" ")
     }
 
-    /// Returns one line of a table: times in ms.
+    /// Returns one line of the table, with times in milliseconds.
     pub fn row(&self) -> String {
         let (all, servers) = (&self.report.all, &self.servers);
         let cells = [
@@ -299,12 +299,12 @@
         cells.map(|c| format!("{c:>9}")).join(" ")
     }
 
-    /// Returns a line for each phase: what callers saw from one event to the next.
+    /// Returns a line with the callers' figures for each phase.
     pub fn phase_rows(&self) -> Vec<String> {
         let row = |phase: &Phase| {
             let f = &phase.figures;
             format!(
-                "{:>6} to {:>6} ms  {:>6} calls  {:>5} refused ({} at the limit)  {} hurt  p50 {:.1}  p99 {:.1} (limit {:.1})  wait99 {:.1}  in flight at its start {}, of them answered whole {}",
+                "{:>6} to {:>6} ms  {:>6} calls  {:>5} refused ({} at the limit)  {} failed  p50 {:.1}  p99 {:.1} (limit {:.1})  wait99 {:.1}  in flight at the start {}, of these answered completely {}",
                 phase.from_ms,
                 phase.until_ms,
                 f.calls,
@@ -322,7 +322,7 @@
         self.phases.iter().map(row).collect()
     }
 
-    /// Returns the same line for the limit.
+    /// Returns the line of the table for the limit.
     pub fn limit_row(&self) -> String {
         let all = &self.report.all;
         let cells = [
--- a/components/stand_ins/src/load/plan.rs
+++ b/components/stand_ins/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Which calls are sent when: the same for each run with one seed.
+//! The plan of calls and their times, which depends only on the experiment and its seed.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 
 use super::experiment::{Experiment, Flow, Work};
 
-/// Every call of an experiment, by its time.
+/// All calls of an experiment, sorted by time.
 #[value]
 #[derive(Default)]
 pub struct Plan {
-    /// The calls; a call's number is its place here.
+    /// The calls; a call's number is its index.
     pub calls: Vec<PlannedCall>,
 }
 
-/// One call to be sent.
+/// One planned call.
 #[value]
 pub struct PlannedCall {
-    /// When, from the start.
+    /// The time to send the call, from the start of the run.
     pub at: Duration,
-    /// The flow it is of, counted from 0.
+    /// The index of the call's flow, from 0.
     pub flow: usize,
-    /// The entry host it goes to, counted from 0.
+    /// The index of the entry host that receives the call, from 0.
     pub entry: usize,
-    /// The time its work takes.
+    /// The duration of the work.
     pub work: Duration,
-    /// The number of the earlier call that it repeats, with its key and work.
+    /// The number of the earlier call that is repeated, with the same key and work.
     pub repeats: Option<usize>,
 }
 
@@ -47,8 +47,8 @@
     }
 }
 
-/// Draws Poisson arrivals by thinning: candidates come at the highest rate of
-/// all bursts, and each is kept with the share its moment's rate has of it.
+/// Draws Poisson arrivals by thinning: candidates arrive at the highest rate of all bursts, and
+/// each is kept with the probability (current rate / highest rate).
 fn draw_flow(
     experiment: &Experiment,
     number: usize,
@@ -81,7 +81,7 @@
     calls
 }
 
-/// Turns some keyed calls into repeats of the last call of their flow.
+/// Turns some keyed calls into repeats of the last new call of their flow.
 fn repeat(calls: &mut [PlannedCall], flows: &[Flow], random: &mut SmallRng) {
     let mut last = vec![None; flows.len()];
     for number in 0..calls.len() {
--- a/components/stand_ins/src/load/plot.rs
+++ b/components/stand_ins/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! The plot of one or more runs of an experiment.
+//! Plots one or more runs of an experiment.
 
 use std::time::Duration;
 
@@ -21,30 +21,30 @@
     RGBColor(0, 150, 160),
 ];
 const FONT: &str = "sans-serif";
-/// Time is cut into so many parts.
+/// The number of bins on the time axis.
 const PARTS: u32 = 100;
-/// The percentile curve runs to 99.99 in 100, that is four nines.
+/// The percentile curve ends at 99.99% (four nines).
 const NINES: f64 = 4.0;
 
-/// One line of the percentile curve.
+/// One curve of the percentile chart.
 pub struct Curve<'a> {
-    /// What the legend says.
+    /// The text in the legend.
     pub label: String,
     /// The times, in any order.
     pub times: &'a Times,
 }
 
-/// One run as seen over time.
+/// The data of one run for the charts over time.
 pub struct Course<'a> {
     /// The experiment.
     pub experiment: &'a Experiment,
-    /// Its plan.
+    /// The plan of the run.
     pub plan: &'a Plan,
-    /// What became of each call.
+    /// The result of each call.
     pub samples: &'a [Sample],
 }
 
-/// Why a plot could not be drawn.
+/// The reason why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("can't draw the plot: {0}")]
 pub struct PlotError(String);
@@ -57,11 +57,11 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Returns an SVG picture: the percentiles of all `curves`, and the course of one run.
+/// Returns an SVG image with the percentiles of all `curves` and the charts over time of one run.
 ///
 /// # Errors
 ///
-/// Fails where the drawing library does.
+/// Fails if the drawing library fails.
 pub fn draw(curves: &[Curve<'_>], course: &Course<'_>) -> Result<String, PlotError> {
     let mut picture = String::new();
     {
@@ -84,7 +84,7 @@
         .map(|c| c.times.at(share(NINES)))
         .fold(10.0, f64::max);
     let mut chart = ChartBuilder::on(area)
-        .caption("Answer time by share of calls", (FONT, 16))
+        .caption("Answer time by percentile", (FONT, 16))
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(60)
@@ -128,7 +128,7 @@
     let top = parts.iter().map(|p| p.at(1.0)).fold(10.0, f64::max);
     let seconds = course.experiment.seconds as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption("Answer time over time: median, 99%, greatest", (FONT, 16))
+        .caption("Answer time over time: median, 99%, maximum", (FONT, 16))
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(60)
@@ -170,7 +170,7 @@
     let rates: Vec<Vec<f64>> = kinds.iter().map(|(_, _, k)| course.rates(k)).collect();
     let top = rates.iter().flatten().copied().fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
-        .caption("Calls a second by outcome", (FONT, 16))
+        .caption("Calls per second by outcome", (FONT, 16))
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(60)
--- a/components/stand_ins/src/load/report.rs
+++ b/components/stand_ins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, in figures.
+//! The figures of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,25 +12,28 @@
 use super::plan::Plan;
 use crate::history::Outcome;
 
-/// Longer times count as this long: an hour.
+/// The longest time that is recorded, in microseconds (1 hour); longer times count as this.
 const LONGEST_MICROS: u64 = 3_600_000_000;
-/// Significant digits of each time.
+/// Significant decimal digits of each recorded time.
 const DIGITS: u8 = 3;
 
-/// What became of one call of a plan.
+/// The result of one call of a plan.
 #[value]
 pub struct Sample {
-    /// Its number.
+    /// The call's number in the plan.
     pub call: usize,
-    /// What the caller was told.
+    /// The outcome that the caller observed.
     pub outcome: Outcome,
-    /// From its intended start until its end: a late sender can't hide a wait.
+    /// The time from the planned start to the end of the call.
+    ///
+    /// Measuring from the planned start avoids coordinated omission: a late sender can't hide a
+    /// wait.
     pub latency: Duration,
-    /// How much later than intended it was sent.
+    /// How much later than planned the call was sent.
     pub lag: Duration,
-    /// The time its work took.
+    /// The duration of the work, if known.
     pub work: Option<Duration>,
-    /// The line that says why it was not answered whole.
+    /// The text of a refusal or failure; empty for a complete answer.
     pub why: String,
 }
 
@@ -40,88 +43,88 @@
 pub struct Report {
     /// The experiment's name.
     pub experiment: String,
-    /// The entry hosts' policy.
+    /// The name of the entry hosts' policy.
     pub policy: String,
     /// The experiment's seed.
     pub seed: u64,
-    /// All calls after the warm-up.
+    /// The figures of all calls after the warm-up.
     pub all: Figures,
-    /// The same for each flow, by its number and service.
+    /// The figures of each flow, by its number and service.
     pub flows: BTreeMap<String, Figures>,
-    /// The lateness of the load tool itself in sending.
+    /// The lateness of the load tool itself in sending calls.
     pub lag: Quantiles,
 }
 
-/// The figures of some calls.
+/// The figures of a set of calls.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Figures {
     /// Calls sent.
     pub calls: u64,
-    /// Answered whole.
+    /// Calls answered completely.
     pub complete: u64,
-    /// Refused as not run.
+    /// Calls refused as not run.
     pub refused: u64,
-    /// Answered as unknown.
+    /// Calls answered with an unknown outcome.
     pub unknown: u64,
-    /// Broken off.
+    /// Calls whose connection broke.
     pub broken: u64,
-    /// No connection.
+    /// Calls for which no connection could be opened.
     pub unreachable: u64,
-    /// Calls answered whole a second.
+    /// Calls answered completely per second.
     pub goodput: f64,
-    /// Of whole answers, from the intended start.
+    /// Time from the planned start to the end of a complete answer.
     pub latency: Quantiles,
-    /// The same without the time of the work.
+    /// Latency minus the duration of the work.
     pub wait: Quantiles,
-    /// From the intended start until the refusal.
+    /// Time from the planned start to a refusal.
     pub refusal: Quantiles,
     /// Latency at the limit.
     pub limit_latency: Quantiles,
     /// Wait at the limit.
     pub limit_wait: Quantiles,
-    /// Calls that the limit could not serve in time.
+    /// Calls that could not meet their deadline at the limit.
     pub limit_refused: u64,
 }
 
-/// Points of a distribution, in milliseconds.
+/// Quantiles of a distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// The median.
     pub p50: f64,
-    /// 90 in 100 are at most this.
+    /// The 90th percentile.
     pub p90: f64,
-    /// 99 in 100 are at most this.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 in 1,000 are at most this.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The greatest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// A distribution of times.
+/// A histogram of durations.
 pub struct Times(Histogram<u64>);
 
 impl Default for Times {
     fn default() -> Self {
         let histogram = Histogram::new_with_max(LONGEST_MICROS, DIGITS);
-        Times(histogram.expect("the bounds are allowed"))
+        Times(histogram.expect("the histogram's bounds are valid"))
     }
 }
 
 impl Times {
-    /// Adds one time.
+    /// Adds one duration.
     pub fn add(&mut self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.0.saturating_record(micros);
     }
 
-    /// Returns the time, in milliseconds, that this share of all doesn't exceed.
+    /// Returns the quantile for `share`, from 0 to 1, in milliseconds.
     pub fn at(&self, share: f64) -> f64 {
         self.0.value_at_quantile(share) as f64 / 1_000.0
     }
 
-    /// Returns its main points.
+    /// Returns the main quantiles.
     pub fn quantiles(&self) -> Quantiles {
         Quantiles {
             p50: self.at(0.5),
@@ -136,21 +139,21 @@
 /// The distributions behind [`Figures`].
 #[derive(Default)]
 pub struct Distributions {
-    /// Of whole answers.
+    /// Latency of complete answers.
     pub latency: Times,
-    /// Of whole answers, without the work.
+    /// Latency of complete answers without the work.
     pub wait: Times,
-    /// Of refusals.
+    /// Time to a refusal.
     pub refusal: Times,
-    /// At the limit.
+    /// Latency at the limit.
     pub limit_latency: Times,
-    /// At the limit, without the work.
+    /// Latency at the limit without the work.
     pub limit_wait: Times,
     counts: Figures,
 }
 
 impl Distributions {
-    /// Adds one call and what the limit makes of it.
+    /// Adds one call and its result at the limit.
     pub fn add(&mut self, sample: &Sample, ideal: &Ideal) {
         self.counts.calls += 1;
         match sample.outcome {
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Returns the figures over `seconds`.
+    /// Returns the figures; `seconds` is the time over which the calls were sent.
     pub fn figures(&self, seconds: f64) -> Figures {
         Figures {
             goodput: self.counts.complete as f64 / seconds,
@@ -192,7 +195,7 @@
 }
 
 impl Report {
-    /// Works out the figures of a run; `ideals` is by call number.
+    /// Computes the figures of a run; `ideals` is indexed by call number.
     pub fn of(
         experiment: &Experiment,
         policy: &str,
--- a/components/stand_ins/src/load/run.rs
+++ b/components/stand_ins/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Sends the calls of a plan at their times, whatever becomes of them.
+//! Sends the calls of a plan at their times, independent of their results (open loop).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,32 +16,32 @@
 
 const DEADLINE_MS: u64 = 10_000;
 
-/// The sending of a plan's calls.
+/// Sends the calls of a plan.
 #[derive(Clone)]
 pub struct LoadGenerator {
-    /// What is sent.
+    /// The experiment that describes the calls.
     pub experiment: Arc<Experiment>,
-    /// When.
+    /// The plan with the times of the calls.
     pub plan: Arc<Plan>,
-    /// Where to; at least one.
+    /// The targets of the calls, at least one.
     pub targets: Arc<Vec<Target>>,
-    /// Who sends.
+    /// The caller that sends the calls.
     pub caller: Caller,
     /// The number of the first call.
     pub first: u64,
-    /// Once it is set no more calls are sent.
+    /// Stops the sending of further calls once it is true.
     pub stop: Arc<AtomicBool>,
 }
 
 impl LoadGenerator {
-    /// Sends all calls and returns what became of each.
+    /// Sends all calls and returns the result of each.
     ///
     /// The sender never waits for an answer (open loop), so that a slow system
     /// gets no fewer calls.
     ///
     /// # Panics
     ///
-    /// Panics outside a tokio runtime, and where there is no target.
+    /// Panics outside a tokio runtime, or if there is no target.
     pub async fn run(self) -> Vec<Sample> {
         let (sender, mut receiver) = mpsc::unbounded_channel();
         let pacer = Pacer {
@@ -49,7 +49,8 @@
             sender,
             runtime: Handle::current(),
         };
-        // A thread of its own: the runtime's timers are a millisecond coarse.
+        // Calls are paced on a separate thread because the runtime's timers have a resolution of
+        // 1 ms.
         let pacing = thread::spawn(move || pacer.pace());
         let mut samples = Vec::new();
         while let Some(sample) = receiver.recv().await {
@@ -57,13 +58,13 @@
         }
         pacing
             .join()
-            .expect("the pacer panics only where a task can't be spawned");
+            .expect("the pacer panics only if a task can't be spawned");
         samples.sort_by_key(|s: &Sample| s.call);
         samples
     }
 }
 
-/// Returns the time each call's work really took; the planned time where it is not known.
+/// Returns the actual duration of each call's work, or the planned one where it isn't known.
 pub fn work_times(plan: &Plan, samples: &[Sample]) -> Vec<Duration> {
     let mut work: Vec<Duration> = plan.calls.iter().map(|c| c.work).collect();
     for sample in samples {
@@ -111,13 +112,13 @@
             work: reply.work.filter(|_| reply.outcome == Outcome::Complete),
             why: reply.why,
         };
-        // The receiver outlives all senders.
+        // The receiver is dropped only after all senders.
         let _ = self.sender.send(sample);
     }
 }
 
 impl LoadGenerator {
-    /// Returns the planned entry host, or the next one that is up.
+    /// Returns the planned entry host, or the next one that the balancer sends calls to.
     fn target(&self, entry: usize) -> &Target {
         let count = self.targets.len();
         (0..count)
--- a/components/stand_ins/src/load/warm_up.rs
+++ b/components/stand_ins/src/load/warm_up.rs
@@ -1,8 +1,8 @@
-//! Brings a new site to an ordinary day: every backend server warm.
+//! Warms up a new site until every backend server is warm.
 //!
-//! Entry hosts take a backend server that they have never seen for cold and
-//! give it little until it has proved itself. That is as it should be, and no
-//! measure of an ordinary day: so a new site is driven until all are warm.
+//! Entry hosts consider an unknown backend server cold and send it few calls at first. That is
+//! intended, but measurements need the steady state, so a new site gets calls until all
+//! backend servers are warm.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,12 +16,12 @@
 use crate::balancer::warm;
 use crate::history::Outcome;
 
-/// Numbers of these calls, far from all others.
+/// The number of the first warm-up call, far above the numbers of all other calls.
 pub const FIRST_CALL: u64 = 1 << 40;
 const DEADLINE: Duration = Duration::from_secs(10);
 const POLL: Duration = Duration::from_millis(50);
 
-/// Calls all services of `deployment` until every endpoint is warm, at most for `limit`.
+/// Calls all services of `deployment` until every endpoint is warm, for at most `limit`.
 ///
 /// Returns whether all are warm.
 ///
--- a/components/stand_ins/src/proxy.rs
+++ b/components/stand_ins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that causes the faults of a network.
+//! A TCP proxy that injects network faults.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -15,22 +15,22 @@
 
 const PIECE: usize = 16 * 1024;
 
-/// What the proxy does to the bytes that pass.
+/// What the proxy does to the bytes that it forwards.
 #[tag]
 #[derive(Default)]
 pub enum Fault {
-    /// Nothing.
+    /// Forwards everything unchanged.
     #[default]
     Pass,
-    /// Holds each piece back for so long, both ways.
+    /// Delays each chunk by this time, in both directions.
     Delay(Duration),
-    /// Reads what the one who connected sends, and forwards none of it.
+    /// Reads and discards what the client sends.
     LoseRequests,
-    /// Reads what the target sends, and forwards none of it.
+    /// Reads and discards what the target sends.
     LoseAnswers,
-    /// Closes all connections, and each new one at once.
+    /// Closes all connections, and each new one immediately.
     Cut,
-    /// Forwards so many more bytes of each connection's answers, then closes it.
+    /// Closes each connection after this many more bytes from the target were forwarded.
     CutAnswers(u64),
 }
 
@@ -56,11 +56,11 @@
 }
 
 impl Proxy {
-    /// Starts a proxy towards `target` on a free port of the same IP number.
+    /// Starts a proxy to `target` on a free port of the same IP address.
     ///
     /// # Errors
     ///
-    /// Fails where no port can be listened on.
+    /// Fails if no port can be listened on.
     ///
     /// # Panics
     ///
@@ -84,19 +84,19 @@
         })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the proxy listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Does `fault` from now on, to open connections too.
+    /// Injects `fault` from now on, in open connections too.
     pub fn set(&self, fault: Fault) {
         self.shared.fault.send_replace(fault);
     }
 
-    /// Makes all connections open now silent for good; new ones work.
+    /// Makes all connections that are open now silent for good; new connections work.
     ///
-    /// This is what a middle box does that has lost track of its connections.
+    /// A middlebox that lost its connection table behaves like this.
     pub fn silence(&self) {
         let next = self.shared.opened.load(Ordering::SeqCst);
         self.shared.silent_below.send_replace(next);
@@ -135,7 +135,7 @@
     let Ok(far) = TcpStream::connect(shared.target).await else {
         return;
     };
-    // Without it the kernel would add delays of its own.
+    // With Nagle's algorithm the kernel would add delays of its own.
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
     let (near_read, near_write) = near.into_split();
@@ -144,7 +144,8 @@
     let requests = pump(near_read, far_write, Way::Request, number, &shared);
     let answers = pump(far_read, near_write, Way::Answer, number, &shared);
     tokio::select! {
-        // One side's closing closes both, as if there were no proxy: HTTP/1 has no half-closed use here.
+        // When one side closes, both are closed, as without a proxy: HTTP/1 as used here has no
+        // half-closed connections.
         _ = requests => {}
         _ = answers => {}
         _ = fault.wait_for(|f| *f == Fault::Cut) => {}
@@ -164,7 +165,7 @@
         let read = from.read(&mut buffer).await?;
         let silent = number < *shared.silent_below.borrow();
         if silent {
-            // Not even the closing may be seen at the other end.
+            // A silent connection doesn't pass on even its closing.
             return std::future::pending().await;
         }
         if read == 0 {
--- a/components/stand_ins/src/site.rs
+++ b/components/stand_ins/src/site.rs
@@ -1,4 +1,4 @@
-//! A whole site but for its entry hosts: the log, backend servers and operators.
+//! A whole site except its entry hosts: the store, backend servers and operators.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -17,49 +17,49 @@
 use crate::store::{Behaviour, Outage, StoreStandIn};
 
 const COMMAND_LIMIT: Duration = Duration::from_secs(20);
-/// The preset that is chosen when the site starts.
+/// Name of the preset that is chosen when the site starts.
 pub const ORDINARY: &str = "ordinary";
 
-/// Why an operator's command came to nothing.
+/// The reason why a site could not start or an operator's command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SiteError {
-    /// It was refused, or its outcome is not known.
+    /// The command was refused, or its outcome is not known.
     #[error("the command was not accepted: {0:?}")]
     NotAccepted(Outcome),
-    /// A port could not be had.
+    /// A port could not be opened.
     #[error("can't start the site: {0}")]
     Start(#[from] io::Error),
 }
 
-/// The log, the backend servers of a deployment, and its operators' hands.
+/// The store and the backend servers of a deployment, and the commands of its operators.
 pub struct Site {
-    /// What is started.
+    /// The deployment that was started.
     pub deployment: Deployment,
-    /// Where backend servers and operators write.
+    /// The history that backend servers and operators write.
     pub history: History,
-    /// The platform's log.
+    /// The stand-in for the platform's store.
     pub store: StoreStandIn,
     backends: BTreeMap<String, Vec<Backend>>,
-    /// One before each backend server, in the same order; empty where none were asked for.
+    /// One proxy before each backend server, in the same order; empty without `proxied`.
     proxies: BTreeMap<String, Vec<Proxy>>,
 }
 
-/// How a site is started.
+/// Options for starting a site.
 #[value]
 #[derive(Default)]
 pub struct SiteOptions {
-    /// What each backend server is like.
+    /// The configuration of each backend server.
     pub backend: Options,
-    /// Whether a proxy stands before each backend server.
+    /// Whether there is a proxy before each backend server.
     pub proxied: bool,
 }
 
 impl Site {
-    /// Starts the log and all backend servers, and chooses a preset of them all.
+    /// Starts the store and all backend servers, and chooses a preset with all of them.
     ///
     /// # Errors
     ///
-    /// Fails where a port can't be had or the log takes no commands.
+    /// Fails if a port can't be opened or a command is not accepted.
     ///
     /// # Panics
     ///
@@ -106,7 +106,8 @@
     /// Returns the text of a preset with all backend servers of the site.
     pub fn preset(&self, name: &str) -> String {
         let mut text = format!("name = \"{name}\"\n");
-        let mut line = |line: String| writeln!(text, "{line}").expect("a string takes all");
+        let mut line =
+            |line: String| writeln!(text, "{line}").expect("writing to a String never fails");
         for centre in &self.deployment.data_centres {
             let region = &self.deployment.region;
             line(format!(
@@ -128,17 +129,17 @@
         text
     }
 
-    /// Returns the backend servers of a service, none where there is no such service.
+    /// Returns the backend servers of a service, or none if there is no such service.
     pub fn backends(&self, service: &str) -> &[Backend] {
         self.backends.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the proxies before a service's backend servers, none where it has none.
+    /// Returns the proxies before a service's backend servers, or none if it has none.
     pub fn proxies(&self, service: &str) -> &[Proxy] {
         self.proxies.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns where entry hosts reach a service's backend servers.
+    /// Returns the addresses at which entry hosts reach a service's backend servers.
     pub fn addresses(&self, service: &str) -> Vec<SocketAddr> {
         match self.proxies(service) {
             [] => self
@@ -155,30 +156,30 @@
         self.backends.values().flatten()
     }
 
-    /// Puts a preset with all backend servers of the site under this name.
+    /// Stores a preset with all backend servers of the site under this name.
     ///
     /// # Errors
     ///
-    /// Fails where it is refused or its outcome isn't known.
+    /// Fails if the command is refused or its outcome isn't known.
     pub async fn put_preset(&self, name: &str) -> Result<u64, SiteError> {
         let text = self.preset(name);
         self.command(None, Change::PutPreset { text }).await
     }
 
-    /// Gives an operator's command to the log and writes its acceptance into the history.
+    /// Submits an operator's command to the store and records its acceptance in the history.
     ///
     /// # Errors
     ///
-    /// Fails where it is refused or its outcome isn't known.
+    /// Fails if the command is refused or its outcome isn't known.
     pub async fn order(&self, order: Order, name: &str) -> Result<u64, SiteError> {
         self.order_at_revision(None, order, name).await
     }
 
-    /// The same by an operator who has looked at the revision `looked`.
+    /// Submits an operator's command like [`Site::order`], decided on the revision `looked`.
     ///
     /// # Errors
     ///
-    /// Fails where it is refused or its outcome isn't known.
+    /// Fails if the command is refused or its outcome isn't known.
     pub async fn order_at_revision(
         &self,
         looked: Option<u64>,
@@ -206,11 +207,11 @@
         Ok(revision)
     }
 
-    /// Does what an experiment's event says.
+    /// Performs the action of an experiment's event.
     ///
     /// # Errors
     ///
-    /// Fails where an operator's command does.
+    /// Fails if an operator's command fails.
     pub async fn act(&self, action: &Action) -> Result<(), SiteError> {
         match action {
             Action::Leave(centre) => {
--- a/components/stand_ins/src/store/groups.rs
+++ b/components/stand_ins/src/store/groups.rs
@@ -1,11 +1,12 @@
-//! Groups, whose members share the partitions of topics evenly.
+//! Groups, whose members divide the partitions of the group's topics evenly.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use platform::store_server::{Join, PartitionOwner};
 
-/// Topics of a group whose partitions are dealt; the platform's store passes over the rest.
+/// The most topics of a group whose partitions are assigned; the platform's store ignores the
+/// rest.
 const TOPICS: usize = 20;
 
 /// Partitions of each topic.
@@ -28,7 +29,7 @@
 pub(super) struct Groups(BTreeMap<String, Group>);
 
 impl Groups {
-    /// Takes a member in, or keeps it; returns the generation and its partitions.
+    /// Adds or refreshes a member; returns the generation and the member's partitions.
     pub fn join(&mut self, join: Join) -> (u64, Vec<PartitionOwner>) {
         let group = self.0.entry(join.group).or_default();
         group.lapse();
@@ -47,7 +48,7 @@
         (group.generation, mine.collect())
     }
 
-    /// Returns who holds each partition of a group.
+    /// Returns the owner of each partition of a group.
     pub fn owners(&mut self, group: &str) -> Vec<PartitionOwner> {
         let Some(group) = self.0.get_mut(group) else {
             return Vec::new();
@@ -58,7 +59,7 @@
 }
 
 impl Group {
-    /// Drops members that gave no sign of life for too long.
+    /// Removes members that haven't joined again within their timeout.
     fn lapse(&mut self) {
         let before = self.members.len();
         self.members.retain(|_, m| m.seen.elapsed() < m.timeout);
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Deals the partitions to the members in turn.
+    /// Assigns the partitions to the members in turn (round-robin).
     fn owned(&self) -> impl Iterator<Item = PartitionOwner> {
         let parts = self
             .topics
--- a/components/stand_ins/src/store/mod.rs
+++ b/components/stand_ins/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's append-only log, with the ways it fails.
+//! A stand-in for the platform's store of append-only topics, and the faults of that store.
 
 mod groups;
 mod server;
--- a/components/stand_ins/src/store/server.rs
+++ b/components/stand_ins/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in's HTTP side.
+//! The HTTP server of the store's stand-in.
 
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -14,10 +14,10 @@
 
 use super::topics::{Behaviour, Counts, Loss, Refused, Store};
 
-/// The largest call that is taken, in bytes.
+/// The largest body of a call that is accepted, in bytes.
 const CALL_LIMIT: u64 = 4 * 1024 * 1024;
 
-/// The stand-in, serving on threads of its own until it is dropped.
+/// A stand-in for the platform's store, served from its own threads until dropped.
 pub struct StoreStandIn {
     address: SocketAddr,
     store: Arc<Store>,
@@ -30,11 +30,11 @@
 }
 
 impl StoreStandIn {
-    /// Serves the log on `listener`.
+    /// Serves the store on `listener`.
     ///
     /// # Errors
     ///
-    /// Says why the listener can't be served.
+    /// Fails if the listener can't be served.
     pub fn start(listener: TcpListener, behaviour: Behaviour) -> io::Result<StoreStandIn> {
         let address = listener.local_addr()?;
         let mut log = StoreStandIn {
@@ -47,23 +47,23 @@
         Ok(log)
     }
 
-    /// Serves the log on a free port of the loopback address.
+    /// Serves the store on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Says why no port can be had.
+    /// Fails if no port can be listened on.
     pub fn on_loopback(behaviour: Behaviour) -> io::Result<StoreStandIn> {
         StoreStandIn::start(TcpListener::bind(("127.0.0.1", 0))?, behaviour)
     }
 
-    /// Serves the same on another listener, such as one that no fault proxy stands before.
+    /// Serves the same store on a further listener, such as one without a fault proxy before it.
     ///
     /// # Errors
     ///
-    /// Says why the listener can't be served.
+    /// Fails if the listener can't be served.
     pub fn add_listener(&mut self, listener: TcpListener) -> io::Result<()> {
-        // Taken over by each connection. Without it an answer of more than one
-        // write waits for a delayed acknowledgement, 40 ms, as no real log would.
+        // Accepted connections inherit the option. Without it an answer of more than one write
+        // waits 40 ms for a delayed acknowledgement, which the real store doesn't.
         SockRef::from(&listener).set_tcp_nodelay(true)?;
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
@@ -72,27 +72,27 @@
         Ok(())
     }
 
-    /// Returns where it listens.
+    /// Returns the address of the first listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes its behaviour from now on.
+    /// Changes the behaviour from now on.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         self.store.change(change);
     }
 
-    /// Returns what it has done so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
         self.store.counts()
     }
 
-    /// Sets the list of hosts that it hands out.
+    /// Sets the list of hosts that `GET /hosts` returns.
     pub fn set_hosts(&self, hosts: Vec<HostEntry>) {
         self.store.set_hosts(hosts);
     }
 
-    /// Keeps every record from now on, whatever the retention, to check against.
+    /// Starts a journal that keeps every record regardless of retention, for checks.
     pub fn record_journal(&self) {
         self.store.record_journal();
     }
@@ -102,7 +102,7 @@
         self.store.journal(topic)
     }
 
-    /// Appends a record without HTTP and without its budget's answer getting lost.
+    /// Appends a record directly: not over HTTP, outside the budget and with no lost answer.
     pub fn append(&self, topic: &str, record: Bytes) -> Option<u64> {
         self.store
             .append(topic, vec![record], None)
@@ -110,13 +110,15 @@
             .map(|appended| appended.offset)
     }
 
-    /// Writes under a key of a topic with keys, or drops it; as operators and
-    /// backend servers do, whatever happens to the log's callers.
+    /// Writes a value under a key of a keyed topic, or removes the key if `value` is `None`.
+    ///
+    /// Operators and backend servers write like this; faults of the store's HTTP side don't
+    /// apply.
     pub fn put(&self, topic: &str, key: &str, value: Option<Bytes>) {
         self.store.put(topic, key, value);
     }
 
-    /// Forgets the records of a topic but for the newest of each key.
+    /// Compacts a topic: drops all its records; the newest of each key stays available.
     pub fn compact(&self, topic: &str) {
         self.store.compact(topic);
     }
@@ -138,7 +140,7 @@
     Ok(())
 }
 
-/// Answers each request on a thread of its own, since reads wait long.
+/// Answers each request on its own thread, since reads are long polls.
 fn accept(server: &Server, store: &Arc<Store>) {
     for request in server.incoming_requests() {
         let store = Arc::clone(store);
@@ -167,7 +169,7 @@
             },
         },
     };
-    // The client may have gone; that is its own affair.
+    // The client may have disconnected, which is no fault of the stand-in.
     let _ = request.respond(response);
 }
 
@@ -181,7 +183,7 @@
 
 type Answer = Response<io::Cursor<Vec<u8>>>;
 
-/// Carries out a call; nothing where its answer gets lost without a word.
+/// Executes a call; returns `None` if its answer is to be lost in silence.
 fn carry_out(store: &Store, call: Call) -> Option<Answer> {
     if let Err(refused) = store.enter(&call) {
         return Some(refused_answer(&refused));
@@ -241,7 +243,7 @@
     }
 }
 
-/// Leaves the client without an answer, as a link does that has gone silent.
+/// Leaves a request without an answer, as a link that has gone silent does.
 fn lose(request: Request) {
     drop(request.into_writer());
 }
--- a/components/stand_ins/src/store/topics.rs
+++ b/components/stand_ins/src/store/topics.rs
@@ -1,4 +1,4 @@
-//! The topics in memory, and how the stand-in misbehaves.
+//! The topics of the stand-in, in memory, and the faults that it injects.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -13,28 +13,28 @@
 
 use super::groups::Groups;
 
-/// How the stand-in behaves. All of it can be changed while it runs.
+/// The behaviour of the stand-in, which can be changed while it runs.
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Behaviour {
-    /// Records that a topic keeps, none for all.
+    /// The most records that a topic keeps; unlimited if absent.
     pub keep_records: Option<usize>,
-    /// Milliseconds that a record is kept, none for ever.
+    /// Milliseconds that a record is kept; unlimited if absent.
     pub keep_ms: Option<u64>,
-    /// Calls a second that write and are taken, over all topics.
+    /// Writing calls accepted per second, over all topics.
     pub appends_second: u32,
-    /// Calls a second that read and are taken, over all topics.
+    /// Reading calls accepted per second, over all topics.
     pub reads_second: u32,
-    /// Whether and how the log is down.
+    /// Whether and how the store is down.
     pub outage: Option<Outage>,
-    /// Milliseconds by which each answer is late.
+    /// Milliseconds by which each answer is delayed.
     pub slow_ms: u64,
-    /// How the answers to the next appends get lost after the effect.
+    /// How answers to appends get lost, after the append has taken effect.
     pub loss: Option<Loss>,
-    /// How many answers get lost so.
+    /// How many of the next answers get lost.
     pub losses: u32,
-    /// Whether the log goes down together with the answer that is lost.
+    /// Whether the store goes down when an answer gets lost.
     pub down_after_loss: bool,
 }
 
@@ -54,55 +54,55 @@
     }
 }
 
-/// How the log is down.
+/// The kind of an outage.
 #[tag]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outage {
-    /// It answers that it is down.
+    /// The store answers that it is down.
     Refusing,
-    /// It answers nothing until the outage ends, and then that it was down.
+    /// The store sends no answer until the outage ends, and then answers that it was down.
     Silent,
 }
 
-/// How an answer gets lost after the effect.
+/// How an answer gets lost after the call has taken effect.
 #[tag]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Loss {
-    /// Something in between answers 504.
+    /// A gateway in between answers 504.
     Gateway,
-    /// No answer comes within any time-out.
+    /// No answer is sent.
     Silence,
 }
 
-/// What the stand-in has done so far.
+/// Counters of the stand-in.
 #[tag]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
-    /// Calls that came, of all kinds.
+    /// Calls received, of all kinds.
     pub calls: u64,
-    /// Records appended.
+    /// Append calls carried out, of one or more records.
     pub appends: u64,
-    /// Appends refused, for an outage or the budget.
+    /// Calls refused because of an outage or the budget.
     pub refused: u64,
     /// Reads answered.
     pub reads: u64,
-    /// Bytes of records handed out.
+    /// Bytes of records returned by reads.
     pub bytes_read: u64,
-    /// Pages of newest records handed out.
+    /// Pages of newest records returned.
     pub listings: u64,
 }
 
-/// Records that one page of the newest ones holds.
+/// The most records in one page of newest records.
 const NEWEST_PAGE: usize = 500;
 
 #[derive(Default)]
 struct Topic {
     first: u64,
     records: VecDeque<Kept>,
-    /// The newest record of each key, kept for good, with its offset.
+    /// The newest value of each key with its offset, kept regardless of retention.
     newest: BTreeMap<String, (Bytes, u64)>,
     journal: Vec<Bytes>,
 }
@@ -124,7 +124,7 @@
         });
     }
 
-    /// Notes what stands under the key of a record of a topic with keys.
+    /// Updates the newest value of a key from a record of a keyed topic.
     fn note_newest(&mut self, data: &Bytes) {
         let offset = self.end();
         match decode_record(data.clone()) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Returns records of at most `bytes`, but always one where there is one.
+    /// Returns records of at most `bytes` in total, but at least one if there is one.
     fn read(&self, from: u64, bytes: usize) -> ReadAnswer {
         let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
         let mut taken = 0;
@@ -179,39 +179,39 @@
     }
 }
 
-/// Why the stand-in refuses.
+/// The reason why the stand-in refuses a call.
 pub(super) enum Refused {
-    /// It is down.
+    /// The store is down.
     Down,
-    /// Too many calls came this second.
+    /// The calls exceed the budget per second.
     Budget,
-    /// The topic ends elsewhere than the append asks for.
+    /// The topic doesn't end at the offset that the append requires; the actual end.
     Moved(u64),
-    /// The records asked for are gone; the first that is not.
+    /// The requested records were trimmed; the first offset that is left.
     Gone(u64),
 }
 
-/// An append that was carried out.
+/// The result of an append.
 pub(super) struct Appended {
     /// The offset of the first record.
     pub offset: u64,
-    /// The offset that the next append gets.
+    /// The offset of the next append.
     pub end: u64,
-    /// How its answer gets lost, if it does.
+    /// How the answer gets lost, if it does.
     pub loss: Option<Loss>,
 }
 
 /// One page of the newest records of a topic.
 pub(super) struct NewestPage {
-    /// The records with their offsets.
+    /// The newest records with their offsets.
     pub records: Vec<(Record, u64)>,
     /// Whether more keys follow.
     pub more: bool,
-    /// The offset that the next append gets.
+    /// The offset of the next append.
     pub end: u64,
 }
 
-/// Calls that a second allows.
+/// Token bucket that holds one second's worth of calls.
 #[derive(Default)]
 struct Tokens {
     left: f64,
@@ -219,11 +219,11 @@
 }
 
 impl Tokens {
-    /// Takes one, where one is left.
+    /// Takes a token if one is left; `rate` is in calls per second.
     fn spend(&mut self, rate: u32) -> bool {
         let rate = f64::from(rate);
         let now = Instant::now();
-        // A full second's worth at first.
+        // The bucket is full at first.
         let since = self.refilled.map_or(1.0, |r| (now - r).as_secs_f64());
         self.refilled = Some(now);
         self.left = (self.left + since * rate).min(rate);
@@ -248,7 +248,7 @@
     keeps_journal: bool,
 }
 
-/// The topics with their lock; waiting readers are woken by each append.
+/// All state of the stand-in behind a lock; each append wakes the waiting readers.
 #[derive(Default)]
 pub(super) struct Store {
     inner: Mutex<Inner>,
@@ -300,7 +300,9 @@
         self.changed.notify_all();
     }
 
-    /// Waits while the log is silent, then says whether it is up.
+    /// Waits for a silent outage to end, then returns whether the store is up.
+    ///
+    /// After a wait it is always false.
     pub(super) fn is_up(&self) -> bool {
         let inner = self.lock();
         let was_silent = inner.behaviour.outage == Some(Outage::Silent);
@@ -316,7 +318,7 @@
         up
     }
 
-    /// Lets a call in, or says why not.
+    /// Admits a call, or returns why it is refused.
     pub(super) fn enter(&self, call: &Call) -> Result<(), Refused> {
         self.lock().counts.calls += 1;
         if !self.is_up() {
@@ -333,7 +335,7 @@
             Call::Read { .. } | Call::Newest { .. } | Call::Owners { .. } => {
                 inner.reads.spend(reads_second)
             }
-            // It counts as a tenth of a call, too little to matter here.
+            // The platform counts a join as a tenth of a call, which is negligible here.
             Call::Join(_) => true,
         };
         if allowed {
@@ -343,7 +345,7 @@
         Err(Refused::Budget)
     }
 
-    /// Appends records; `at` says where the topic has to end, if anywhere.
+    /// Appends records; `at` is the offset at which the topic must end, if any.
     pub(super) fn append(
         &self,
         name: &str,
@@ -381,7 +383,7 @@
         Ok(Appended { offset, end, loss })
     }
 
-    /// Writes under a key, or drops it, without a call.
+    /// Writes a value under a key, or removes the key, without a call.
     pub(super) fn put(&self, name: &str, key: &str, value: Option<Bytes>) {
         let record = Record {
             key: key.to_owned(),
@@ -398,7 +400,7 @@
         self.changed.notify_all();
     }
 
-    /// Drops all records of a topic but for the newest of each key.
+    /// Compacts a topic: drops all its records; the newest of each key stays available.
     pub(super) fn compact(&self, name: &str) {
         self.trim(name, u64::MAX);
     }
@@ -412,7 +414,7 @@
             .trim(before);
     }
 
-    /// Reads records, waiting up to `wait` for the first.
+    /// Reads records from offset `from`, waiting up to `wait` for the first.
     pub(super) fn read(
         &self,
         name: &str,
@@ -445,7 +447,7 @@
         Ok(read)
     }
 
-    /// Returns the newest records, after a key where one is given.
+    /// Returns a page of newest records, in the order of keys, after the key `after` if given.
     pub(super) fn newest(&self, name: &str, after: Option<&str>) -> NewestPage {
         let mut inner = self.lock();
         inner.counts.reads += 1;
@@ -484,7 +486,7 @@
     }
 }
 
-/// Returns whether a topic's records have keys.
+/// Returns whether a topic is keyed.
 fn has_keys(topic: &str) -> bool {
     topic.starts_with(platform::store::KEYED_PREFIX)
 }
--- a/components/stand_ins/tests/backend_faults.rs
+++ b/components/stand_ins/tests/backend_faults.rs
@@ -1,4 +1,4 @@
-//! The backend server's stand-in causes the faults it is there for.
+//! The stand-in for a backend server injects the faults that it is meant to.
 
 use std::net::TcpListener;
 use std::time::Duration;
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -1,4 +1,4 @@
-//! Concurrent runs of the configuration by fixed seeds, and their checker.
+//! Concurrent runs of the configuration with fixed seeds, and the checks of their history.
 
 use std::sync::Arc;
 
@@ -12,9 +12,9 @@
 use state::Config;
 use transport::log::{CommandRequest, Outcome};
 
-// Operators race at hosts whose links fail, while the log is down, slow, drops
-// its old records and loses its answers, and hosts are replaced. Nobody sees
-// an older configuration after a newer one, and every answer was true.
+// Operators race through hosts whose links fail, while the store is down, slow, trims old records
+// and loses answers, and hosts restart. No host shows an older configuration after a newer one,
+// and every answer agrees with the log.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -54,7 +54,7 @@
     }
 }
 
-/// A sound history: two presets are put, and each is in force once.
+/// A history without violations: two presets are put and then chosen one after the other.
 fn sound() -> History {
     let put = |text: &str| Change::PutPreset {
         text: text.to_owned(),
--- a/components/stand_ins/tests/experiment_files.rs
+++ b/components/stand_ins/tests/experiment_files.rs
@@ -1,4 +1,4 @@
-//! Every experiment file that is shipped can be read.
+//! Every experiment file in the repository is valid.
 
 use stand_ins::load::{Experiment, Plan};
 
--- a/components/stand_ins/tests/history_checks.rs
+++ b/components/stand_ins/tests/history_checks.rs
@@ -1,4 +1,4 @@
-//! Each check of a history finds the fault it is for, and none in a good history.
+//! Each check of a history finds its violation, and none in a history without violations.
 
 use std::net::SocketAddr;
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// A minute in which every promise was put to the test and kept.
+/// A history of one minute that exercises every guarantee without a violation.
 fn good() -> Vec<Record> {
     let host = || "entry-1".to_owned();
     let endpoint = endpoint();
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -1,4 +1,4 @@
-//! The load tool sends what its file says and measures from the intended start.
+//! The load tool sends the calls of the experiment file and measures from their planned start.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
     history: History,
 }
 
-/// Runs the small experiment straight against two backend servers.
+/// Runs the small experiment directly against two backend servers.
 async fn small(knobs: Knobs) -> Ran {
     let experiment = Arc::new(Experiment::parse(FILE).unwrap());
     let plan = Arc::new(Plan::draw(&experiment));
@@ -100,7 +100,7 @@
         .replace("entry-hosts = 2", "entry-hosts = 0")
         .replace("service = \"hallboard\"\nmethod", "service = \"x\"\nmethod");
     let Err(ExperimentError::Faults(faults)) = Experiment::parse(&text) else {
-        panic!("the faults were not found");
+        panic!("the errors were not found");
     };
     assert_eq!(faults.len(), 2);
 }
@@ -132,7 +132,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_run_found() {
-    // Straight at the backend servers nobody agrees on keys: repeats run twice.
+    // Without entry hosts nothing deduplicates by key, so the work of repeats runs twice.
     let ran = small(Knobs::default()).await;
     let faults = check(&ran.history.sorted(), &Limits::default());
     assert!(!faults.is_empty());
--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/log_calls.rs
@@ -1,4 +1,4 @@
-//! The log stand-in, asked by the one client that entry hosts use.
+//! The store's stand-in, called by the client that entry hosts use.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -39,8 +39,8 @@
     assert_eq!(second.after, None);
 }
 
-/// The store forgets what operators wrote. A host that reads on must hear that
-/// it missed something, and where the rest begins.
+/// The store compacts a topic that operators write. A host that reads on must get an error that
+/// records are missing, with the first offset that is left.
 #[tokio::test]
 async fn forgotten_records() {
     let (log, mut store) = started();
@@ -79,8 +79,8 @@
     assert_eq!((read.records.len(), read.next(), read.end), (1, 2, 4));
 }
 
-/// Two hosts share all partitions evenly; one falls silent, and the other gets
-/// them all. Bounds over all hosts together rest on that.
+/// Two hosts get an even part of the partitions; when one stops joining, the other gets them all.
+/// Bounds over all hosts together depend on this.
 #[tokio::test]
 async fn even_parts() {
     let (log, mut store) = started();
@@ -94,14 +94,14 @@
     assert!(second.generation > alone.generation);
     let owners = store.owners("g").await.unwrap();
     assert_eq!(owners, BTreeSet::from(["one".to_owned(), "two".to_owned()]));
-    // It is kept no longer than this very call.
+    // With a timeout of 0 the membership ends with this call.
     other.join(body("two", 0.0)).await.unwrap();
     let again = store.join(body("one", 60.0)).await.unwrap();
     assert_eq!(again.partitions, 24);
 }
 
-/// Partitions that hosts divide by but the store deals to nobody are a part of each bound
-/// that no host uses.
+/// Hosts divide bounds by the number of partitions. A partition that the store assigns to no host
+/// would be a part of each bound that no host uses.
 #[tokio::test]
 async fn all_parts() {
     let (_log, mut store) = started();
@@ -111,8 +111,8 @@
     assert_eq!(alone.partitions, group_joins::GROUP_TOPICS * 12);
 }
 
-/// More reads come in a second than the store grants: the rest is refused, and
-/// nothing but the store's own word counts as a refusal.
+/// The store refuses reads above its budget per second, and refuses calls while down. Only an
+/// answer of the store itself counts as "not applied"; a gateway's 504 doesn't.
 #[tokio::test]
 async fn refusals() {
     let (log, mut store) = started();
--- a/components/stand_ins/tests/proxy_faults.rs
+++ b/components/stand_ins/tests/proxy_faults.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy does to a connection what it is told.
+//! The proxy injects the fault that is set.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const LIMIT: Duration = Duration::from_secs(20);
 const SILENCE: Duration = Duration::from_millis(200);
 
-/// Starts a server that sends back what it gets, and a proxy before it.
+/// Starts an echo server and a proxy before it.
 async fn echo() -> Proxy {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let proxy = Proxy::start(listener.local_addr().unwrap()).unwrap();
--- a/components/stand_ins/tests/site_starts.rs
+++ b/components/stand_ins/tests/site_starts.rs
@@ -1,4 +1,4 @@
-//! A site starts whole: its preset is accepted and names every backend server.
+//! A site starts completely: its preset is accepted and names every backend server.
 
 use stand_ins::history::{Event, History, Order};
 use stand_ins::load::Experiment;
