--- a/components/stand_ins/src/backend.rs
+++ b/components/stand_ins/src/backend.rs
@@ -11,27 +11,27 @@
 
 use crate::history::{Event, History};
 
+mod admission;
 mod answer;
-mod bearing;
+mod connection;
 mod control;
 mod knobs;
-mod line;
 mod service;
 
+pub use admission::{Admission, Counts};
 pub use answer::pattern;
-pub use bearing::{Bearing, Counts};
 pub use control::Control;
 pub use knobs::{Knobs, Report};
 
 /// Request header with the call's number, written into the backend server's history.
-pub const CALL_FIELD: &str = "stand-in-call";
+pub const CALL_HEADER: &str = "stand-in-call";
 /// Header, in requests and answers, with the call number that the answer's body is made of.
 ///
 /// Calls with the same idempotency key carry the number of the first of them, since any of
 /// them may get the answer of any other.
-pub const ANSWER_FIELD: &str = "stand-in-answer";
+pub const ANSWER_HEADER: &str = "stand-in-answer";
 /// Answer header with the time that the work actually took, in microseconds.
-pub const WORK_FIELD: &str = "stand-in-work-us";
+pub const WORK_HEADER: &str = "stand-in-work-us";
 
 /// Configuration of one backend server.
 #[value]
@@ -49,7 +49,7 @@
     /// Milliseconds after which a cold backend server becomes warm.
     pub warm_ms: u64,
     /// Milliseconds for which a cold backend server sheds all calls once it was overloaded.
-    pub fall_ms: u64,
+    pub overload_ms: u64,
     /// Milliseconds of one slot's time that a load report costs.
     pub probe_ms: u64,
     /// The most connections open at once.
@@ -65,7 +65,7 @@
             cold: false,
             warm_calls: 50,
             warm_ms: 10_000,
-            fall_ms: 1_000,
+            overload_ms: 1_000,
             probe_ms: 6,
             connections: 250,
         }
@@ -75,7 +75,7 @@
 /// A running backend server. Dropping it closes its listener and all connections.
 pub struct Backend {
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 /// State shared by all connections of one backend server.
@@ -83,9 +83,9 @@
     address: SocketAddr,
     options: Options,
     history: History,
-    bearing: Mutex<Bearing>,
+    admission: Mutex<Admission>,
     knobs: Mutex<Knobs>,
-    lines: line::Lines,
+    connections: connection::Connections,
 }
 
 impl Backend {
@@ -109,14 +109,17 @@
         });
         let shared = Arc::new(Shared {
             address,
-            bearing: Mutex::new(Bearing::new(options.clone(), transport::clock::now())),
+            admission: Mutex::new(Admission::new(options.clone(), transport::clock::now())),
             options,
             history,
             knobs: Mutex::default(),
-            lines: line::Lines::default(),
+            connections: connection::Connections::default(),
         });
-        let accepting = tokio::spawn(service::accept(listener, Arc::clone(&shared)));
-        Ok(Backend { shared, accepting })
+        let accept_task = tokio::spawn(service::accept(listener, Arc::clone(&shared)));
+        Ok(Backend {
+            shared,
+            accept_task,
+        })
     }
 
     /// Returns the address that the backend server listens on.
@@ -131,20 +134,22 @@
 
     /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
-        self.shared.bearing().counts()
+        self.shared.admission().counts()
     }
 }
 
 impl Drop for Backend {
     fn drop(&mut self) {
-        self.accepting.abort();
-        self.shared.lines.cut();
+        self.accept_task.abort();
+        self.shared.connections.close_all();
     }
 }
 
 impl Shared {
-    fn bearing(&self) -> MutexGuard<'_, Bearing> {
-        self.bearing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn admission(&self) -> MutexGuard<'_, Admission> {
+        self.admission
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn knobs(&self) -> MutexGuard<'_, Knobs> {
@@ -154,24 +159,24 @@
     fn set(&self, knobs: &Knobs) {
         let now = transport::clock::now();
         if let Some(draining) = knobs.draining {
-            self.bearing().drain(draining);
+            self.admission().drain(draining);
             self.history.add(Event::Draining {
                 endpoint: self.address,
                 draining,
             });
         }
         if knobs.turn_cold || knobs.restart {
-            self.bearing().turn_cold(now);
+            self.admission().turn_cold(now);
             self.history.add(Event::TurnedCold {
                 endpoint: self.address,
             });
         }
         if knobs.restart {
-            self.lines.cut();
+            self.connections.close_all();
         }
         if knobs.silence {
-            self.lines.silence();
+            self.connections.silence();
         }
-        self.knobs().take(knobs);
+        self.knobs().merge(knobs);
     }
 }
--- a/components/stand_ins/src/backend/bearing.rs
+++ b/components/stand_ins/src/backend/admission.rs
@@ -9,15 +9,15 @@
 use super::{Options, Report};
 
 /// Counts the running calls of a backend server and decides which new calls it starts.
-pub struct Bearing {
+pub struct Admission {
     options: Options,
     boot: u64,
-    warmth: Warmth,
+    warm_up: WarmUp,
     draining: bool,
-    fallen_until: Moment,
+    overloaded_until: Moment,
     running: u32,
     counts: Counts,
-    told: Option<(Moment, Load)>,
+    last_report: Option<(Moment, LoadReport)>,
 }
 
 /// Counters of a backend server since its start.
@@ -45,7 +45,7 @@
 /// The body of a load report.
 #[value]
 #[derive(Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// A random number drawn at each start, in hexadecimal.
     pub boot: String,
     /// Whether the backend server is cold, warm or draining.
@@ -75,7 +75,7 @@
     /// Calls at the backend server, including this one.
     pub running: u32,
     /// Calls that the backend server can currently run at once.
-    pub bears: u32,
+    pub limit: u32,
     /// Whether the backend server is cold.
     pub cold: bool,
     /// Whether the work starts; the call is shed otherwise.
@@ -83,30 +83,30 @@
 }
 
 #[tag]
-enum Warmth {
-    Cold { since: Moment, good: u32 },
+enum WarmUp {
+    Cold { since: Moment, completed: u32 },
     Warm,
 }
 
-impl Bearing {
+impl Admission {
     /// Returns the admission state of a server that starts at `now`.
-    pub fn new(options: Options, now: Moment) -> Bearing {
-        let warmth = match options.cold {
-            true => Warmth::Cold {
+    pub fn new(options: Options, now: Moment) -> Admission {
+        let warm_up = match options.cold {
+            true => WarmUp::Cold {
                 since: now,
-                good: 0,
+                completed: 0,
             },
-            false => Warmth::Warm,
+            false => WarmUp::Warm,
         };
-        Bearing {
+        Admission {
             options,
             boot: rand::random(),
-            warmth,
+            warm_up,
             draining: false,
-            fallen_until: Moment(0),
+            overloaded_until: Moment(0),
             running: 0,
             counts: Counts::default(),
-            told: None,
+            last_report: None,
         }
     }
 
@@ -115,21 +115,21 @@
     /// A cold server that gets more calls than it can run is overloaded: it sheds all calls
     /// for a while and its warm-up starts from the beginning.
     pub fn arrive(&mut self, now: Moment) -> Arrival {
-        self.warm_by_age(now);
-        let bears = self.bears();
+        self.advance_warm_up(now);
+        let limit = self.limit();
         let cold = self.is_cold();
         let running = self.running + 1;
-        let above = running > bears;
+        let above = running > limit;
         self.counts.peak = self.counts.peak.max(running);
         self.counts.above += u64::from(above);
         if above && cold {
-            self.fallen_until = now + Duration::from_millis(self.options.fall_ms);
-            self.warmth = Warmth::Cold {
+            self.overloaded_until = now + Duration::from_millis(self.options.overload_ms);
+            self.warm_up = WarmUp::Cold {
                 since: now,
-                good: 0,
+                completed: 0,
             };
         }
-        let started = !above && !self.draining && now >= self.fallen_until;
+        let started = !above && !self.draining && now >= self.overloaded_until;
         match started {
             true => {
                 self.running = running;
@@ -139,7 +139,7 @@
         }
         Arrival {
             running,
-            bears,
+            limit,
             cold,
             started,
         }
@@ -148,8 +148,8 @@
     /// Ends a started call; `done` says whether its work was completed.
     pub fn end(&mut self, done: bool) {
         self.running = self.running.saturating_sub(1);
-        match &mut self.warmth {
-            Warmth::Cold { good, .. } if done => *good += 1,
+        match &mut self.warm_up {
+            WarmUp::Cold { completed, .. } if done => *completed += 1,
             _ if !done => self.counts.cancelled += 1,
             _ => {}
         }
@@ -163,9 +163,9 @@
     /// Makes the backend server cold from `now` on, as if its process had been restarted.
     pub fn turn_cold(&mut self, now: Moment) {
         self.boot = rand::random();
-        self.warmth = Warmth::Cold {
+        self.warm_up = WarmUp::Cold {
             since: now,
-            good: 0,
+            completed: 0,
         };
     }
 
@@ -186,25 +186,27 @@
     }
 
     /// Returns the load report, falsified as `report` says.
-    pub fn load(&mut self, report: Report, now: Moment) -> Load {
+    pub fn load(&mut self, report: Report, now: Moment) -> LoadReport {
         self.counts.probes += 1;
-        self.warm_by_age(now);
-        let fresh = self.fresh();
-        let told = match (report, self.told.take()) {
-            (Report::Frozen, Some(told)) => told,
-            (Report::Lagging(ms), Some(told)) if now.since(told.0) < Duration::from_millis(ms) => {
-                told
+        self.advance_warm_up(now);
+        let current_load = self.current_load();
+        let last_report = match (report, self.last_report.take()) {
+            (Report::Frozen, Some(last_report)) => last_report,
+            (Report::Lagging(ms), Some(last_report))
+                if now.since(last_report.0) < Duration::from_millis(ms) =>
+            {
+                last_report
             }
             (Report::Idle, _) => (
                 now,
-                Load {
+                LoadReport {
                     running: 0,
-                    ..fresh
+                    ..current_load
                 },
             ),
-            _ => (now, fresh),
+            _ => (now, current_load),
         };
-        self.told.insert(told).1.clone()
+        self.last_report.insert(last_report).1.clone()
     }
 
     /// Returns the counters so far.
@@ -212,13 +214,13 @@
         self.counts.clone()
     }
 
-    fn fresh(&self) -> Load {
-        let state = match self.warmth {
+    fn current_load(&self) -> LoadReport {
+        let state = match self.warm_up {
             _ if self.draining => LoadState::Draining,
-            Warmth::Cold { .. } => LoadState::Cold,
-            Warmth::Warm => LoadState::Warm,
+            WarmUp::Cold { .. } => LoadState::Cold,
+            WarmUp::Warm => LoadState::Warm,
         };
-        Load {
+        LoadReport {
             boot: format!("{:016x}", self.boot),
             state,
             running: self.running,
@@ -226,28 +228,28 @@
         }
     }
 
-    fn warm_by_age(&mut self, now: Moment) {
-        match self.warmth {
-            Warmth::Cold { good, .. } if good >= self.options.warm_calls => {
-                self.warmth = Warmth::Warm;
+    fn advance_warm_up(&mut self, now: Moment) {
+        match self.warm_up {
+            WarmUp::Cold { completed, .. } if completed >= self.options.warm_calls => {
+                self.warm_up = WarmUp::Warm;
             }
-            Warmth::Cold { since, .. }
+            WarmUp::Cold { since, .. }
                 if now.since(since) >= Duration::from_millis(self.options.warm_ms) =>
             {
-                self.warmth = Warmth::Warm;
+                self.warm_up = WarmUp::Warm;
             }
             _ => {}
         }
     }
 
     fn is_cold(&self) -> bool {
-        matches!(self.warmth, Warmth::Cold { .. })
+        matches!(self.warm_up, WarmUp::Cold { .. })
     }
 
-    fn bears(&self) -> u32 {
-        match self.warmth {
-            Warmth::Cold { .. } => self.options.cold_slots,
-            Warmth::Warm => self.options.slots,
+    fn limit(&self) -> u32 {
+        match self.warm_up {
+            WarmUp::Cold { .. } => self.options.cold_slots,
+            WarmUp::Warm => self.options.slots,
         }
     }
 }
--- a/components/stand_ins/src/backend/answer.rs
+++ b/components/stand_ins/src/backend/answer.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::time::Sleep;
 
-const PIECE: usize = 16 * 1024;
+const CHUNK_SIZE: usize = 16 * 1024;
 /// Delay before the connection is closed, so that the bytes before the cut reach the caller.
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
@@ -23,11 +23,11 @@
 
 /// A body of `size` bytes.
 pub(super) struct Answer {
-    piece: Bytes,
-    left: u64,
+    chunk: Bytes,
+    remaining: u64,
     chunked: bool,
     cut_at: Option<u64>,
-    cutting: Option<Pin<Box<Sleep>>>,
+    cut_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Answer {
@@ -35,26 +35,26 @@
         let text = pattern(call);
         let times = match size {
             s if s <= text.len() as u64 => 1,
-            _ => PIECE / text.len(),
+            _ => CHUNK_SIZE / text.len(),
         };
         Answer {
-            piece: Bytes::from(text.repeat(times)),
-            left: size,
+            chunk: Bytes::from(text.repeat(times)),
+            remaining: size,
             chunked,
             cut_at: cut.then_some(size / 2),
-            cutting: None,
+            cut_timer: None,
         }
     }
 
     /// Returns a body with a short text.
     pub(super) fn text(text: impl Into<Bytes>) -> Answer {
-        let piece = text.into();
+        let chunk = text.into();
         Answer {
-            left: piece.len() as u64,
-            piece,
+            remaining: chunk.len() as u64,
+            chunk,
             chunked: false,
             cut_at: None,
-            cutting: None,
+            cut_timer: None,
         }
     }
 }
@@ -68,19 +68,19 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let end = self.cut_at.unwrap_or(0);
-        if self.left > end {
-            let room = usize::try_from(self.left - end).unwrap_or(usize::MAX);
-            let piece = self.piece.slice(..room.min(self.piece.len()));
-            self.left -= piece.len() as u64;
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+        if self.remaining > end {
+            let room = usize::try_from(self.remaining - end).unwrap_or(usize::MAX);
+            let chunk = self.chunk.slice(..room.min(self.chunk.len()));
+            self.remaining -= chunk.len() as u64;
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         if self.cut_at.is_none() {
             return Poll::Ready(None);
         }
-        let cutting = self
-            .cutting
+        let cut_timer = self
+            .cut_timer
             .get_or_insert_with(|| Box::pin(tokio::time::sleep(CUT_DELAY)));
-        match cutting.as_mut().poll(context) {
+        match cut_timer.as_mut().poll(context) {
             Poll::Ready(()) => Poll::Ready(Some(Err(io::Error::other(
                 "answer cut off by an injected fault",
             )))),
@@ -89,13 +89,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == 0 && self.cut_at.is_none()
+        self.remaining == 0 && self.cut_at.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
         match self.chunked {
             true => SizeHint::default(),
-            false => SizeHint::with_exact(self.left),
+            false => SizeHint::with_exact(self.remaining),
         }
     }
 }
--- a/components/stand_ins/src/backend/line.rs
+++ b/components/stand_ins/src/backend/connection.rs
@@ -12,27 +12,27 @@
 
 /// All connections of one backend server, numbered in the order in which they were opened.
 #[derive(Default)]
-pub(super) struct Lines {
+pub(super) struct Connections {
     opened: AtomicU64,
     silent_below: Arc<AtomicU64>,
-    cut_below: watch::Sender<u64>,
+    close_below: watch::Sender<u64>,
 }
 
 /// One connection; it is silent or closed once its number is below the matching bound.
-pub(super) struct Line {
+pub(super) struct Connection {
     stream: TcpStream,
     number: u64,
     silent_below: Arc<AtomicU64>,
-    cut_below: watch::Receiver<u64>,
+    close_below: watch::Receiver<u64>,
 }
 
-impl Lines {
-    pub(super) fn open(&self, stream: TcpStream) -> Line {
-        Line {
+impl Connections {
+    pub(super) fn open(&self, stream: TcpStream) -> Connection {
+        Connection {
             stream,
             number: self.opened.fetch_add(1, Ordering::SeqCst),
             silent_below: Arc::clone(&self.silent_below),
-            cut_below: self.cut_below.subscribe(),
+            close_below: self.close_below.subscribe(),
         }
     }
 
@@ -43,16 +43,16 @@
     }
 
     /// Closes all connections that are open now.
-    pub(super) fn cut(&self) {
-        self.cut_below
+    pub(super) fn close_all(&self) {
+        self.close_below
             .send_replace(self.opened.load(Ordering::SeqCst));
     }
 }
 
-impl Line {
+impl Connection {
     /// Returns a future that completes when this connection has to be closed.
-    pub(super) fn cut(&self) -> impl Future<Output = ()> + use<> {
-        let mut below = self.cut_below.clone();
+    pub(super) fn closed(&self) -> impl Future<Output = ()> + use<> {
+        let mut below = self.close_below.clone();
         let number = self.number;
         async move {
             // An error means that the backend server was dropped, which closes its connections too.
@@ -65,7 +65,7 @@
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -81,7 +81,7 @@
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for Connection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/components/stand_ins/src/backend/control.rs
+++ b/components/stand_ins/src/backend/control.rs
@@ -29,7 +29,7 @@
     ) -> io::Result<Control> {
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
-        let desk = Desk {
+        let service = ControlService {
             backends: backends.iter().map(|b| Arc::clone(&b.shared)).collect(),
             history,
         };
@@ -37,7 +37,7 @@
             let server = Arc::clone(&server);
             thread::spawn(move || {
                 for request in server.incoming_requests() {
-                    desk.serve(request);
+                    service.serve(request);
                 }
             })
         };
@@ -58,14 +58,14 @@
     }
 }
 
-struct Desk {
+struct ControlService {
     backends: Vec<Arc<Shared>>,
     history: History,
 }
 
 type Reply = Response<Cursor<Vec<u8>>>;
 
-impl Desk {
+impl ControlService {
     fn serve(&self, mut request: Request) {
         let path = request.url().to_owned();
         let reply = match request.method() {
@@ -90,7 +90,7 @@
         let Some(shared) = self.find(path) else {
             return refuse(404, "no such backend server; use /IP:PORT");
         };
-        let counts = shared.bearing().counts();
+        let counts = shared.admission().counts();
         Response::from_data(serde_json::to_vec(&counts).expect("counters serialize to JSON"))
     }
 
--- a/components/stand_ins/src/backend/knobs.rs
+++ b/components/stand_ins/src/backend/knobs.rs
@@ -42,14 +42,14 @@
 
 impl Knobs {
     /// Takes over the values that `other` sets.
-    pub(super) fn take(&mut self, other: &Knobs) {
+    pub(super) fn merge(&mut self, other: &Knobs) {
         self.slow = other.slow.or(self.slow);
         self.report = other.report.or(self.report);
         self.cut_answers = other.cut_answers.or(self.cut_answers);
     }
 
     /// Returns whether the current answer is to be cut off, and counts it.
-    pub(super) fn cut_next(&mut self) -> bool {
+    pub(super) fn take_cut(&mut self) -> bool {
         let left = self.cut_answers.unwrap_or(0);
         self.cut_answers = Some(left.saturating_sub(1));
         left > 0
--- a/components/stand_ins/src/backend/service.rs
+++ b/components/stand_ins/src/backend/service.rs
@@ -15,13 +15,13 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::answer::Answer;
-use super::{ANSWER_FIELD, CALL_FIELD, Shared, WORK_FIELD};
+use super::{ANSWER_HEADER, CALL_HEADER, Shared, WORK_HEADER};
 use crate::history::{Ending, Event, History};
 
 const LOAD_PATH: &str = "/-/load";
-const DEADLINE_FIELD: &str = "cardamomvale-deadline-ms";
-const NOT_RUN_FIELD: &str = "cardamomvale-not-run";
-const KEY_FIELD: &str = "idempotency-key";
+const DEADLINE_HEADER: &str = "cardamomvale-deadline-ms";
+const NOT_RUN_HEADER: &str = "cardamomvale-not-run";
+const KEY_HEADER: &str = "idempotency-key";
 const DEFAULT_SIZE: u64 = 64;
 /// Mean lateness of the runtime's timers, which fire up to 1 ms late. It is subtracted from the
 /// duration of work, so that work takes as long as requested on average.
@@ -30,8 +30,8 @@
 pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if shared.bearing().connect() => {
-                tokio::spawn(connection(stream, Arc::clone(&shared)));
+            Ok((stream, _)) if shared.admission().connect() => {
+                tokio::spawn(serve_connection(stream, Arc::clone(&shared)));
             }
             Ok(_) => log::warn!("E0911 connection-limit endpoint={}", shared.address),
             Err(error) => {
@@ -45,19 +45,19 @@
     }
 }
 
-async fn connection(stream: TcpStream, shared: Arc<Shared>) {
+async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
     // With Nagle's algorithm small answers would wait for the caller's acknowledgement.
     let _ = stream.set_nodelay(true);
-    let line = shared.lines.open(stream);
-    let cut = line.cut();
+    let connection = shared.connections.open(stream);
+    let cut = connection.closed();
     let service = service_fn(|request| serve(request, Arc::clone(&shared)));
-    let serving = http1::Builder::new().serve_connection(TokioIo::new(line), service);
+    let serving = http1::Builder::new().serve_connection(TokioIo::new(connection), service);
     tokio::select! {
         // An error needs no log line: the affected calls are in the history.
         _ = serving => {}
         () = cut => {}
     }
-    shared.bearing().disconnect();
+    shared.admission().disconnect();
 }
 
 async fn serve(
@@ -67,10 +67,10 @@
     match request.uri().path() {
         LOAD_PATH => Ok(report(&shared).await),
         _ => {
-            let wish = Wish::of(&request);
-            let mut response = work(request, &wish, &shared).await;
-            let fields = response.headers_mut();
-            fields.insert(ANSWER_FIELD, wish.answer.into());
+            let options = WorkOptions::of(&request);
+            let mut response = work(request, &options, &shared).await;
+            let headers = response.headers_mut();
+            headers.insert(ANSWER_HEADER, options.answer.into());
             Ok(response)
         }
     }
@@ -84,36 +84,40 @@
         cost_us: u64::try_from(cost.as_micros()).unwrap_or(u64::MAX),
     });
     tokio::time::sleep(cost).await;
-    let load = shared.bearing().load(kind, transport::clock::now());
+    let load = shared.admission().load(kind, transport::clock::now());
     let text = serde_json::to_string(&load).expect("a load report serializes to JSON");
     answer(StatusCode::OK, Answer::text(text))
 }
 
-async fn work(request: Request<Incoming>, wish: &Wish, shared: &Shared) -> Response<Answer> {
+async fn work(
+    request: Request<Incoming>,
+    options: &WorkOptions,
+    shared: &Shared,
+) -> Response<Answer> {
     if request.into_body().collect().await.is_err() {
         return not_run("the body of the request broke off");
     }
-    if wish.deadline == Some(Duration::ZERO) {
+    if options.deadline == Some(Duration::ZERO) {
         return not_run("the deadline has passed");
     }
-    let arrival = shared.bearing().arrive(transport::clock::now());
+    let arrival = shared.admission().arrive(transport::clock::now());
     shared.history.add(Event::Received {
         endpoint: shared.address,
-        call: wish.call,
-        key: wish.key.clone(),
+        call: options.call,
+        key: options.key.clone(),
         running: arrival.running,
-        bears: arrival.bears,
+        bears: arrival.limit,
         cold: arrival.cold,
         started: arrival.started,
     });
     if !arrival.started {
         return not_run("too many calls");
     }
-    let run = Run::new(shared, wish.call);
+    let run = RunGuard::new(shared, options.call);
     let slow = shared.knobs().slow.unwrap_or(1);
-    let length = wish.work * slow;
+    let length = options.work * slow;
     let begun = Instant::now();
-    match wish.deadline {
+    match options.deadline {
         Some(deadline) if deadline < length => {
             tokio::time::sleep(deadline).await;
             run.end(Ending::Expired);
@@ -126,17 +130,17 @@
         _ => tokio::time::sleep(length.saturating_sub(TIMER_LATENESS)).await,
     }
     run.end(Ending::Done);
-    let cut = shared.knobs().cut_next();
-    let body = Answer::new(wish.answer, wish.size, wish.chunked, cut);
+    let cut = shared.knobs().take_cut();
+    let body = Answer::new(options.answer, options.size, options.chunked, cut);
     let mut response = answer(StatusCode::OK, body);
     let took = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
-    response.headers_mut().insert(WORK_FIELD, took.into());
+    response.headers_mut().insert(WORK_HEADER, took.into());
     response
 }
 
 fn not_run(why: &'static str) -> Response<Answer> {
     let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, Answer::text(why));
-    response.headers_mut().insert(NOT_RUN_FIELD, 1.into());
+    response.headers_mut().insert(NOT_RUN_HEADER, 1.into());
     response
 }
 
@@ -147,7 +151,7 @@
 }
 
 /// What a call asks the stand-in to do, from its query and headers.
-struct Wish {
+struct WorkOptions {
     call: u64,
     answer: u64,
     key: Option<String>,
@@ -157,27 +161,27 @@
     chunked: bool,
 }
 
-impl Wish {
-    fn of(request: &Request<Incoming>) -> Wish {
+impl WorkOptions {
+    fn of(request: &Request<Incoming>) -> WorkOptions {
         let query = request.uri().query().unwrap_or_default();
         let query: BTreeMap<&str, &str> = query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
             .collect();
-        let field = |name| request.headers().get(name)?.to_str().ok();
+        let header = |name| request.headers().get(name)?.to_str().ok();
         let work_ms: f64 = query
             .get("work-ms")
             .and_then(|v| v.parse().ok())
             .unwrap_or(0.0);
         let work = Duration::try_from_secs_f64(work_ms / 1_000.0).unwrap_or_default();
-        let number = |name| field(name)?.parse().ok();
-        let call = number(CALL_FIELD).unwrap_or_default();
-        Wish {
+        let number = |name| header(name)?.parse().ok();
+        let call = number(CALL_HEADER).unwrap_or_default();
+        WorkOptions {
             call,
-            answer: number(ANSWER_FIELD).unwrap_or(call),
-            key: field(KEY_FIELD).map(str::to_owned),
+            answer: number(ANSWER_HEADER).unwrap_or(call),
+            key: header(KEY_HEADER).map(str::to_owned),
             work,
-            deadline: field(DEADLINE_FIELD)
+            deadline: header(DEADLINE_HEADER)
                 .and_then(|v| v.parse().ok())
                 .map(Duration::from_millis),
             size: query
@@ -193,7 +197,7 @@
 ///
 /// hyper drops the future of a call when its connection is closed: without
 /// this guard the slot would stay occupied after the caller hung up.
-struct Run<'a> {
+struct RunGuard<'a> {
     shared: &'a Shared,
     address: SocketAddr,
     history: History,
@@ -201,9 +205,9 @@
     ended: bool,
 }
 
-impl<'a> Run<'a> {
-    fn new(shared: &'a Shared, call: u64) -> Run<'a> {
-        Run {
+impl<'a> RunGuard<'a> {
+    fn new(shared: &'a Shared, call: u64) -> RunGuard<'a> {
+        RunGuard {
             shared,
             address: shared.address,
             history: shared.history.clone(),
@@ -213,12 +217,12 @@
     }
 
     fn end(mut self, ending: Ending) {
-        self.note(ending);
+        self.record_end(ending);
     }
 
-    fn note(&mut self, ending: Ending) {
+    fn record_end(&mut self, ending: Ending) {
         self.ended = true;
-        self.shared.bearing().end(ending == Ending::Done);
+        self.shared.admission().end(ending == Ending::Done);
         self.history.add(Event::Ended {
             endpoint: self.address,
             call: self.call,
@@ -227,10 +231,10 @@
     }
 }
 
-impl Drop for Run<'_> {
+impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.note(Ending::Cancelled);
+            self.record_end(Ending::Cancelled);
         }
     }
 }
--- a/components/stand_ins/src/load/caller.rs
+++ b/components/stand_ins/src/load/caller.rs
@@ -16,12 +16,12 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use crate::backend::{ANSWER_FIELD, CALL_FIELD, WORK_FIELD, pattern};
+use crate::backend::{ANSWER_HEADER, CALL_HEADER, WORK_HEADER, pattern};
 use crate::history::{Event, History, Outcome};
 
-const DEADLINE_FIELD: &str = "cardamomvale-deadline-ms";
-const OUTCOME_FIELD: &str = "cardamomvale-outcome";
-const NOT_RUN_FIELD: &str = "cardamomvale-not-run";
+const DEADLINE_HEADER: &str = "cardamomvale-deadline-ms";
+const OUTCOME_HEADER: &str = "cardamomvale-outcome";
+const NOT_RUN_HEADER: &str = "cardamomvale-not-run";
 /// The most bytes of a refusal's text that are kept.
 const LINE_LIMIT: usize = 200;
 /// How much longer than its deadline a caller waits before it gives up.
@@ -173,24 +173,24 @@
         }
     }
 
-    fn of(call: &Call, status: StatusCode, fields: &HeaderMap) -> Reply {
-        let field = |name| fields.get(name)?.to_str().ok();
-        let number = |name| field(name)?.parse::<u64>().ok();
-        let outcome = match field(OUTCOME_FIELD) {
+    fn of(call: &Call, status: StatusCode, headers: &HeaderMap) -> Reply {
+        let header = |name| headers.get(name)?.to_str().ok();
+        let number = |name| header(name)?.parse::<u64>().ok();
+        let outcome = match header(OUTCOME_HEADER) {
             Some("complete") => Outcome::Complete,
             Some("not-run") => Outcome::NotRun,
             Some("unknown") => Outcome::Unknown,
             // The target is a backend server without an entry host before it.
-            None if field(NOT_RUN_FIELD).is_some() => Outcome::NotRun,
+            None if header(NOT_RUN_HEADER).is_some() => Outcome::NotRun,
             None if status.is_success() => Outcome::Complete,
             _ => Outcome::Unknown,
         };
         Reply {
             outcome,
             status: Some(status.as_u16()),
-            work: number(WORK_FIELD).map(Duration::from_micros),
-            own: number(ANSWER_FIELD) == Some(call.answer()),
-            retry_after: field("retry-after").map(str::to_owned),
+            work: number(WORK_HEADER).map(Duration::from_micros),
+            own: number(ANSWER_HEADER) == Some(call.answer()),
+            retry_after: header("retry-after").map(str::to_owned),
             why: String::new(),
         }
     }
@@ -281,9 +281,9 @@
         .method(call.method.as_str())
         .uri(&call.path)
         .header("host", "cardamomvale")
-        .header(CALL_FIELD, call.number)
-        .header(ANSWER_FIELD, call.answer())
-        .header(DEADLINE_FIELD, deadline);
+        .header(CALL_HEADER, call.number)
+        .header(ANSWER_HEADER, call.answer())
+        .header(DEADLINE_HEADER, deadline);
     if let Some(key) = &call.key {
         request = request.header("idempotency-key", key);
     }
--- a/components/stand_ins/src/proxy.rs
+++ b/components/stand_ins/src/proxy.rs
@@ -38,7 +38,7 @@
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 struct Shared {
@@ -76,11 +76,11 @@
             opened: AtomicU64::default(),
             silent_below: watch::Sender::default(),
         });
-        let accepting = tokio::spawn(accept(listener, Arc::clone(&shared)));
+        let accept_task = tokio::spawn(accept(listener, Arc::clone(&shared)));
         Ok(Proxy {
             address,
             shared,
-            accepting,
+            accept_task,
         })
     }
 
@@ -105,7 +105,7 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.set(Fault::Cut);
     }
 }
--- a/components/stand_ins/tests/backend_faults.rs
+++ b/components/stand_ins/tests/backend_faults.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use stand_ins::backend::{Backend, CALL_FIELD, Control, Counts, Knobs, Options, Report, pattern};
+use stand_ins::backend::{Backend, CALL_HEADER, Control, Counts, Knobs, Options, Report, pattern};
 use stand_ins::history::{Ending, Event, History};
 use tokio::net::TcpStream;
 
@@ -64,7 +64,7 @@
 fn request(path: &str) -> Request<Empty<Bytes>> {
     Request::get(path)
         .header("host", "backend")
-        .header(CALL_FIELD, 7)
+        .header(CALL_HEADER, 7)
         .body(Empty::new())
         .unwrap()
 }
@@ -112,7 +112,7 @@
 async fn cold_falls_over() {
     let bench = Bench::new(Options {
         cold: true,
-        fall_ms: 600_000,
+        overload_ms: 600_000,
         ..Options::default()
     });
     let held = bench.hold(1).await;
