--- a/components/stand_ins/src/balancer.rs
+++ b/components/stand_ins/src/balancer.rs
@@ -14,10 +14,10 @@
 use crate::history::{Event, History};
 use crate::load::Target;
 
-const PERIOD: Duration = Duration::from_millis(50);
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Periods from one request for the status to the next.
-const STATUS_EACH: u32 = 4;
+const STATUS_PERIODS: u32 = 4;
 
 /// Polls entry hosts, each from its own thread, until dropped.
 pub struct Balancer {
@@ -51,17 +51,17 @@
     let linked =
         |page: &Status| page.members.len() == admins.len() && page.members.iter().all(|m| m.linked);
     let serves = |state: &str| !matches!(state, "owned elsewhere" | "fenced");
-    pages.len() == admins.len() && pages.iter().all(linked) && all_are(&pages, serves)
+    pages.len() == admins.len() && pages.iter().all(linked) && all_in_state(&pages, serves)
 }
 
 /// Returns whether the owner of each endpoint considers it warm. Blocks.
-pub fn warm(admins: &[SocketAddr]) -> bool {
-    all_are(&statuses(admins), |state| state == "warm")
+pub fn all_endpoints_warm(admins: &[SocketAddr]) -> bool {
+    all_in_state(&statuses(admins), |state| state == "warm")
 }
 
 /// Returns whether the pages show as many `good` states as there are endpoints: one for each
 /// endpoint, by its owner.
-fn all_are(pages: &[Status], good: impl Fn(&str) -> bool) -> bool {
+fn all_in_state(pages: &[Status], good: impl Fn(&str) -> bool) -> bool {
     let endpoints = pages.first().map_or(0, |page| page.endpoints.len());
     let seen = pages.iter().flat_map(|p| &p.endpoints);
     endpoints > 0 && seen.filter(|e| good(&e.state)).count() == endpoints
@@ -118,15 +118,15 @@
         while !stop.load(Ordering::SeqCst) {
             let ready = get(&self.agent, self.admin, "readyz").is_some();
             target.set_up(ready);
-            if ready && period % STATUS_EACH == 0 {
-                self.note();
+            if ready && period % STATUS_PERIODS == 0 {
+                self.record_status();
             }
             period += 1;
-            thread::sleep(PERIOD);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn note(&self) {
+    fn record_status(&self) {
         let Some(text) = get(&self.agent, self.admin, "status") else {
             return;
         };
@@ -150,7 +150,7 @@
 
 fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
-        .timeout_global(Some(ANSWER_LIMIT))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .proxy(None)
         .build()
         .into()
--- a/components/stand_ins/src/demo.rs
+++ b/components/stand_ins/src/demo.rs
@@ -16,8 +16,8 @@
 use crate::load::report::Figures;
 use crate::site::{Site, SiteOptions};
 
-const FILE: &str = include_str!("../../../experiments/demo.toml");
-const PROGRESS: Duration = Duration::from_secs(1);
+const EXPERIMENT: &str = include_str!("../../../experiments/demo.toml");
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The reason why the demo could not run.
 #[derive(Debug, thiserror::Error)]
@@ -40,7 +40,7 @@
 /// The result of the demo.
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Shown {
+pub struct DemoResult {
     /// The figures of the run.
     pub summary: Summary,
     /// Idempotency keys and calls without a key whose work ran more than once.
@@ -62,7 +62,7 @@
     ///
     /// Panics outside a tokio runtime.
     pub async fn start(seconds: Option<u64>) -> Result<Demo, DemoError> {
-        let mut experiment = Experiment::parse(FILE)?;
+        let mut experiment = Experiment::parse(EXPERIMENT)?;
         experiment.stretch(seconds);
         let deployment = experiment.deployment.clone();
         let site = Site::start(deployment, &SiteOptions::default(), History::default())
@@ -116,18 +116,18 @@
     }
 
     /// Runs the load to its end; `progress` receives a line each second.
-    pub async fn drive(&self, progress: impl Fn(String) + Send + 'static) -> Shown {
-        let ticking = tokio::spawn(tick(
+    pub async fn drive(&self, progress: impl Fn(String) + Send + 'static) -> DemoResult {
+        let progress_task = tokio::spawn(report_progress(
             Arc::clone(&self.experiment),
             self.site.history.clone(),
             progress,
         ));
         let targets = &self.fleet.targets;
         let measured = measure(&self.experiment, &self.site, targets, Policy::Shared.name()).await;
-        ticking.abort();
+        progress_task.abort();
         let all = &measured.summary.report.all;
-        Shown {
-            run_twice: count(&measured.faults, Check::AtMostOnce),
+        DemoResult {
+            run_twice: count_violations(&measured.faults, Check::AtMostOnce),
             broken_promises: measured.faults.iter().map(Violation::to_string).collect(),
             hurt_calls: all.broken + all.unknown + all.unreachable,
             summary: measured.summary,
@@ -140,7 +140,7 @@
     }
 }
 
-impl Shown {
+impl DemoResult {
     /// Returns whether no guarantee was violated and no call failed.
     pub fn is_good(&self) -> bool {
         self.broken_promises.is_empty() && self.hurt_calls == 0
@@ -171,11 +171,11 @@
             ));
         }
         lines.push(String::new());
-        lines.extend(self.promises());
+        lines.extend(self.guarantees());
         lines.join("\n")
     }
 
-    fn promises(&self) -> Vec<String> {
+    fn guarantees(&self) -> Vec<String> {
         let checks = &self.summary.checks;
         let mut lines: Vec<String> = checks
             .iter()
@@ -203,20 +203,20 @@
     )
 }
 
-fn count(faults: &[Violation], check: Check) -> usize {
+fn count_violations(faults: &[Violation], check: Check) -> usize {
     faults.iter().filter(|f| f.check == check).count()
 }
 
-async fn tick(experiment: Arc<Experiment>, history: History, progress: impl Fn(String)) {
-    let mut told = BTreeMap::new();
+async fn report_progress(experiment: Arc<Experiment>, history: History, progress: impl Fn(String)) {
+    let mut reported = BTreeMap::new();
     for second in 1.. {
-        tokio::time::sleep(PROGRESS).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
         let tally = Tally::of(&history.sorted());
         let happened = experiment
             .events
             .iter()
-            .filter(|e| e.at_ms <= second * 1_000 && told.insert(e.at_ms, ()).is_none());
-        let news: Vec<String> = happened
+            .filter(|e| e.at_ms <= second * 1_000 && reported.insert(e.at_ms, ()).is_none());
+        let lines: Vec<String> = happened
             .map(|e| match &e.action {
                 Action::Leave(centre) => format!("  operators take {centre} out"),
                 Action::Return(centre) => format!("  operators bring {centre} back"),
@@ -229,7 +229,7 @@
             tally.complete,
             tally.refused,
             tally.unknown + tally.broken + tally.unreachable,
-            news.concat()
+            lines.concat()
         ));
     }
 }
--- a/components/stand_ins/src/fleet.rs
+++ b/components/stand_ins/src/fleet.rs
@@ -14,10 +14,10 @@
 use crate::site::Site;
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const DRAIN_LIMIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 const BASELINE_WARM_UP: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The reason why entry hosts could not be started.
 #[derive(Debug, thiserror::Error)]
@@ -26,10 +26,10 @@
     #[error(transparent)]
     Start(#[from] StartError),
     /// A backend server stayed cold.
-    #[error("a backend server is still considered cold after {READY_LIMIT:?}: see `status`")]
+    #[error("a backend server is still considered cold after {READY_TIMEOUT:?}: see `status`")]
     NotWarm,
     /// An entry host did not become ready.
-    #[error("entry host {0} is not ready after {READY_LIMIT:?}: see its log lines")]
+    #[error("entry host {0} is not ready after {READY_TIMEOUT:?}: see its log lines")]
     NotReady(String),
 }
 
@@ -63,7 +63,7 @@
                 admin: ANY_PORT,
                 log: site.store.address(),
                 policy,
-                drain: DRAIN_LIMIT,
+                drain: DRAIN_TIMEOUT,
                 trace_every: 0,
             };
             let entry = EntryHost::start(settings).await?;
@@ -83,10 +83,10 @@
             balancer,
             policy,
         };
-        fleet.ready().await?;
+        fleet.wait_ready().await?;
         // Baseline policies don't track which endpoints are warm: they get a fixed warm-up time.
         let limit = match policy {
-            Policy::Shared => READY_LIMIT,
+            Policy::Shared => READY_TIMEOUT,
             _ => BASELINE_WARM_UP,
         };
         let warm = warm_up(&site.deployment, &fleet.targets, &admins, limit).await;
@@ -109,20 +109,20 @@
         while stopping.join_next().await.is_some() {}
     }
 
-    async fn ready(&self) -> Result<(), FleetError> {
-        let end = Instant::now() + READY_LIMIT;
+    async fn wait_ready(&self) -> Result<(), FleetError> {
+        let end = Instant::now() + READY_TIMEOUT;
         while let Some(target) = self.targets.iter().find(|t| !t.is_up()) {
             if Instant::now() > end {
                 return Err(FleetError::NotReady(target.name.clone()));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         // A new site serves calls once its entry hosts are linked to each other.
         while self.policy == Policy::Shared && !self.is_converged().await {
             if Instant::now() > end {
                 return Err(FleetError::NotReady("any".to_owned()));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
--- a/components/stand_ins/src/load/warm_up.rs
+++ b/components/stand_ins/src/load/warm_up.rs
@@ -13,13 +13,13 @@
 
 use super::caller::{Call, Caller, Target};
 use super::experiment::Deployment;
-use crate::balancer::warm;
+use crate::balancer::all_endpoints_warm;
 use crate::history::Outcome;
 
 /// The number of the first warm-up call, far above the numbers of all other calls.
 pub const FIRST_CALL: u64 = 1 << 40;
 const DEADLINE: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Calls all services of `deployment` until every endpoint is warm, for at most `limit`.
 ///
@@ -51,11 +51,11 @@
     let all_warm = async {
         loop {
             let admins = admins.to_vec();
-            let asked = tokio::task::spawn_blocking(move || warm(&admins));
+            let asked = tokio::task::spawn_blocking(move || all_endpoints_warm(&admins));
             if asked.await.unwrap_or(false) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     let warm = tokio::time::timeout(limit, all_warm).await.is_ok();
@@ -77,6 +77,6 @@
     };
     let reply = Caller::default().call(&targets[place], &call).await;
     if reply.outcome != Outcome::Complete {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
