--- a/components/stand_ins/src/demo.rs
+++ b/components/stand_ins/src/demo.rs
@@ -179,7 +179,7 @@
         let checks = &self.summary.checks;
         let mut lines: Vec<String> = checks
             .iter()
-            .map(|(check, faults)| match faults {
+            .map(|(check, violations)| match violations {
                 0 => format!("kept    {check}"),
                 n => format!("BROKEN  {check}: {n} times"),
             })
@@ -203,8 +203,8 @@
     )
 }
 
-fn count_violations(faults: &[Violation], check: Check) -> usize {
-    faults.iter().filter(|f| f.check == check).count()
+fn count_violations(violations: &[Violation], check: Check) -> usize {
+    violations.iter().filter(|v| v.check == check).count()
 }
 
 async fn report_progress(experiment: Arc<Experiment>, history: History, progress: impl Fn(String)) {
--- a/components/stand_ins/src/history/check.rs
+++ b/components/stand_ins/src/history/check.rs
@@ -77,13 +77,13 @@
     /// Additional slot time that load reports may take, for the first ones after a start.
     pub probe_burst: u64,
     /// Time after a server turns cold, unannounced, in which it may still be overloaded.
-    pub cold_notice: u64,
+    pub cold_grace: u64,
     /// Time after a leave is accepted in which new work may still arrive there.
-    pub leave_notice: u64,
+    pub leave_grace: u64,
     /// Time after a change is accepted by which it must be in force on every entry host.
-    pub in_force: u64,
+    pub apply_grace: u64,
     /// Time after a call's deadline by which its caller must have got an answer or an error.
-    pub answer_slack: u64,
+    pub answer_grace: u64,
 }
 
 impl Default for Limits {
@@ -91,32 +91,32 @@
         Limits {
             probe_permille: 5,
             probe_burst: 60_000,
-            cold_notice: 2_000_000,
-            leave_notice: 3_000_000,
-            in_force: 5_000_000,
-            answer_slack: 1_000_000,
+            cold_grace: 2_000_000,
+            leave_grace: 3_000_000,
+            apply_grace: 5_000_000,
+            answer_grace: 1_000_000,
         }
     }
 }
 
 /// Returns every violation in `records`, which must be sorted by time.
 pub fn check(records: &[Record], limits: &Limits) -> Vec<Violation> {
-    let mut faults = Vec::new();
-    faults.extend(servers::probe_budget(records, limits));
-    faults.extend(servers::overload(records, limits));
-    faults.extend(servers::leaving(records, limits));
-    faults.extend(answers::own_answer(records, limits));
-    faults.extend(answers::not_run(records));
-    faults.extend(answers::at_most_once(records));
-    faults.extend(answers::shutdown(records));
-    faults.extend(config::configuration(records, limits));
-    faults.sort_by_key(|f| (f.check, f.at));
-    faults
+    let mut violations = Vec::new();
+    violations.extend(servers::probe_budget(records, limits));
+    violations.extend(servers::overload(records, limits));
+    violations.extend(servers::leaving(records, limits));
+    violations.extend(answers::own_answer(records, limits));
+    violations.extend(answers::not_run(records));
+    violations.extend(answers::at_most_once(records));
+    violations.extend(answers::shutdown(records));
+    violations.extend(config::configuration(records, limits));
+    violations.sort_by_key(|v| (v.check, v.at));
+    violations
 }
 
 /// Returns the number of violations that each check found, including zeros.
-pub fn tally(faults: &[Violation]) -> BTreeMap<Check, usize> {
-    let count = |check| faults.iter().filter(|f| f.check == check).count();
+pub fn tally(violations: &[Violation]) -> BTreeMap<Check, usize> {
+    let count = |check| violations.iter().filter(|v| v.check == check).count();
     Check::ALL.map(|check| (check, count(check))).into()
 }
 
--- a/components/stand_ins/src/history/check/answers.rs
+++ b/components/stand_ins/src/history/check/answers.rs
@@ -10,10 +10,10 @@
 /// A late answer is allowed if the call's entry host was gone in the meantime: killed, or
 /// paused by the test.
 pub(super) fn own_answer(records: &[Record], limits: &Limits) -> Vec<Violation> {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     let mut open = BTreeMap::new();
     let mut gone: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
-    let fault = |at, seen| Violation {
+    let report = |at, seen| Violation {
         check: Check::OwnAnswer,
         at,
         seen,
@@ -26,7 +26,7 @@
                 deadline_ms,
                 ..
             } => {
-                let end = record.at + deadline_ms * 1_000 + limits.answer_slack;
+                let end = record.at + deadline_ms * 1_000 + limits.answer_grace;
                 open.insert(*call, (record.at, end, host));
             }
             Event::Gone { host } => {
@@ -39,18 +39,21 @@
             }
             Event::Answered { call, outcome, own } => {
                 match open.remove(call) {
-                    None => faults.push(fault(record.at, format!("call {call} answered twice"))),
+                    None => {
+                        violations.push(report(record.at, format!("call {call} answered twice")));
+                    }
                     Some((sent, end, host))
                         if record.at > end && !was_gone(&gone, host, sent, record.at) =>
                     {
-                        faults.push(fault(record.at, format!("call {call} answered too late")));
+                        violations
+                            .push(report(record.at, format!("call {call} answered too late")));
                     }
                     Some(_) => {}
                 }
                 if *outcome == Outcome::Complete && !own {
                     let seen =
                         format!("call {call} got an incomplete answer or that of another call");
-                    faults.push(fault(record.at, seen));
+                    violations.push(report(record.at, seen));
                 }
             }
             _ => {}
@@ -58,8 +61,8 @@
     }
     let unanswered = open.keys().map(|call| format!("call {call} not answered"));
     let last = records.last().map_or(0, |r| r.at);
-    faults.extend(unanswered.map(|seen| fault(last, seen)));
-    faults
+    violations.extend(unanswered.map(|seen| report(last, seen)));
+    violations
 }
 
 /// Returns whether `host` was gone at some time from `sent` to `answered`.
@@ -75,7 +78,7 @@
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
     let mut refused = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Received {
@@ -95,7 +98,7 @@
                 refused.insert(*call, record.at);
                 let key = keys.get(call).filter(|key| started_keys.contains(*key));
                 if let Some(key) = key {
-                    faults.push(Violation {
+                    violations.push(Violation {
                         check: Check::NotRun,
                         at: record.at,
                         seen: format!(
@@ -107,15 +110,15 @@
             _ => {}
         }
     }
-    let lies = refused
+    let wrong = refused
         .into_iter()
         .filter(|(c, _)| started_calls.contains(c));
-    faults.extend(lies.map(|(call, at)| Violation {
+    violations.extend(wrong.map(|(call, at)| Violation {
         check: Check::NotRun,
         at,
         seen: format!("call {call} was refused as not run, but it was started"),
     }));
-    faults
+    violations
 }
 
 /// Checks that each non-idempotent call starts at most once, and so do all calls with one key
@@ -124,7 +127,7 @@
     let mut once = BTreeSet::new();
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         let twice = match &record.event {
             Event::Sent {
@@ -151,20 +154,20 @@
             }
             _ => None,
         };
-        faults.extend(twice.map(|seen| Violation {
+        violations.extend(twice.map(|seen| Violation {
             check: Check::AtMostOnce,
             at: record.at,
             seen,
         }));
     }
-    faults
+    violations
 }
 
 /// Checks that no call breaks at an entry host between its graceful shutdown and its next start.
 pub(super) fn shutdown(records: &[Record]) -> Vec<Violation> {
     let mut sent_to = BTreeMap::new();
     let mut stopping = BTreeSet::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Sent { call, host, .. } => {
@@ -182,7 +185,7 @@
                 ..
             } => {
                 let host = sent_to.get(call).filter(|host| stopping.contains(*host));
-                faults.extend(host.map(|host| Violation {
+                violations.extend(host.map(|host| Violation {
                     check: Check::Shutdown,
                     at: record.at,
                     seen: format!("call {call} was cut off by {host}, which was shutting down"),
@@ -191,7 +194,7 @@
             _ => {}
         }
     }
-    faults
+    violations
 }
 
 fn key_of(record: &Record) -> Option<(u64, &String)> {
--- a/components/stand_ins/src/history/check/config.rs
+++ b/components/stand_ins/src/history/check/config.rs
@@ -12,7 +12,7 @@
     let mut up: BTreeMap<&String, u64> = BTreeMap::new();
     let mut shown: BTreeMap<&String, u64> = BTreeMap::new();
     let mut presets = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         let (host, revision, preset) = match &record.event {
             Event::Ordered { revision, .. } => {
@@ -30,8 +30,8 @@
             } => (host, *revision, preset),
             _ => continue,
         };
-        let mut fault = |seen| {
-            faults.push(Violation {
+        let mut report = |seen| {
+            violations.push(Violation {
                 check: Check::Configuration,
                 at: record.at,
                 seen,
@@ -39,21 +39,21 @@
         };
         let before = shown.insert(host, revision).unwrap_or(0);
         if revision < before {
-            fault(format!("{host} went from revision {before} to {revision}"));
+            report(format!("{host} went from revision {before} to {revision}"));
         }
         if presets.entry(revision).or_insert(preset) != &preset {
-            fault(format!(
+            report(format!(
                 "{host} has preset {preset:?} in force at revision {revision}, which had another preset before"
             ));
         }
         let since = up.get(host).copied().unwrap_or(0);
-        let due = |at: u64| at.max(since) + limits.in_force < record.at;
+        let due = |at: u64| at.max(since) + limits.apply_grace < record.at;
         let missing = accepted.iter().find(|(at, r)| *r > revision && due(*at));
         if let Some((_, missing)) = missing {
-            fault(format!(
+            report(format!(
                 "{host} is at revision {revision}, but {missing} was accepted"
             ));
         }
     }
-    faults
+    violations
 }
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -10,7 +10,7 @@
 pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut slots = BTreeMap::new();
     let mut spent: BTreeMap<SocketAddr, u64> = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Endpoint {
@@ -27,7 +27,7 @@
                 let slot_time = (record.at - since) * slots;
                 let budget = slot_time * limits.probe_permille / 1_000 + limits.probe_burst;
                 if *spent > budget {
-                    faults.push(Violation {
+                    violations.push(Violation {
                         check: Check::ProbeBudget,
                         at: record.at,
                         seen: format!("{endpoint}: {spent} us of load reports, {budget} allowed"),
@@ -37,13 +37,13 @@
             _ => {}
         }
     }
-    faults
+    violations
 }
 
 /// Checks that no backend server, cold or warm, gets more calls at once than it can run.
 pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut turned = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::TurnedCold { endpoint } => {
@@ -58,13 +58,13 @@
             } if running > bears => {
                 let unseen = turned
                     .get(endpoint)
-                    .is_some_and(|at| record.at < at + limits.cold_notice);
+                    .is_some_and(|at| record.at < at + limits.cold_grace);
                 let check = match cold {
                     true if unseen => continue,
                     true => Check::Cold,
                     false => Check::Slots,
                 };
-                faults.push(Violation {
+                violations.push(Violation {
                     check,
                     at: record.at,
                     seen: format!("{endpoint}: {running} calls at once, its limit is {bears}"),
@@ -73,15 +73,15 @@
             _ => {}
         }
     }
-    faults
+    violations
 }
 
 /// Checks that no new work goes to what is leaving: a data centre, a host, or a backend server
 /// that reports draining.
 pub(super) fn leaving(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut centres = BTreeMap::new();
-    let mut out = Out::default();
-    let mut faults = Vec::new();
+    let mut leaving_now = Leaving::default();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Endpoint {
@@ -91,30 +91,32 @@
             } => {
                 centres.insert(*endpoint, data_centre);
             }
-            Event::Asked { order, name } => out.asked(*order, name),
-            Event::Ordered { order, name, .. } => out.order(*order, name, record.at),
+            Event::Asked { order, name } => leaving_now.asked(*order, name),
+            Event::Ordered { order, name, .. } => leaving_now.order(*order, name, record.at),
             Event::Draining {
                 endpoint,
                 draining: true,
             } => {
-                out.servers.insert(endpoint.to_string(), record.at);
+                leaving_now.servers.insert(endpoint.to_string(), record.at);
             }
             Event::Draining { endpoint, .. } => {
-                out.servers.remove(&endpoint.to_string());
+                leaving_now.servers.remove(&endpoint.to_string());
             }
             Event::Received { endpoint, call, .. } => {
-                let since = |at: &u64| record.at > at + limits.leave_notice;
-                let centre = centres.get(endpoint).and_then(|c| out.centres.get(*c));
-                let server = out
+                let since = |at: &u64| record.at > at + limits.leave_grace;
+                let centre = centres
+                    .get(endpoint)
+                    .and_then(|c| leaving_now.centres.get(*c));
+                let server = leaving_now
                     .servers
                     .get(&endpoint.to_string())
-                    .or_else(|| out.servers.get(&endpoint.ip().to_string()));
+                    .or_else(|| leaving_now.servers.get(&endpoint.ip().to_string()));
                 let check = match (centre, server) {
                     (Some(at), _) if since(at) => Check::CentreOut,
                     (_, Some(at)) if since(at) => Check::ServerLeaving,
                     _ => continue,
                 };
-                faults.push(Violation {
+                violations.push(Violation {
                     check,
                     at: record.at,
                     seen: format!("{endpoint} got call {call} too long after it began to leave"),
@@ -123,17 +125,17 @@
             _ => {}
         }
     }
-    faults
+    violations
 }
 
 /// Data centres and backend servers that are leaving, with the time at which that began.
 #[derive(Default)]
-struct Out {
+struct Leaving {
     centres: BTreeMap<String, u64>,
     servers: BTreeMap<String, u64>,
 }
 
-impl Out {
+impl Leaving {
     /// Applies a return as soon as an operator requests it.
     ///
     /// Entry hosts act on the return before the operator gets the answer. If only the accepted
--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -110,12 +110,12 @@
     driving.abort();
     let ideals = limit(experiment, &plan, &work_times(&plan, &samples));
     let records = site.history.sorted();
-    let faults = check(&records, &Limits::default());
+    let violations = check(&records, &Limits::default());
     let report = Report::of(experiment, policy, &plan, &samples, &ideals);
     let summary = Summary {
         phases: phases(experiment, &plan, &samples, &ideals),
         servers: servers(site, &records),
-        checks: names(&tally(&faults)),
+        checks: names(&tally(&violations)),
         report,
     };
     Measured {
@@ -123,7 +123,7 @@
         samples,
         ideals,
         summary,
-        faults,
+        faults: violations,
     }
 }
 
--- a/components/stand_ins/tests/history_checks.rs
+++ b/components/stand_ins/tests/history_checks.rs
@@ -193,16 +193,19 @@
     let mut records = good();
     records.extend(planted);
     records.sort_by_key(|r| r.at);
-    let faults = check(&records, &Limits::default());
-    assert!(!faults.is_empty());
-    assert!(faults.iter().all(|f| f.check == expected), "{faults:?}");
+    let violations = check(&records, &Limits::default());
+    assert!(!violations.is_empty());
+    assert!(
+        violations.iter().all(|v| v.check == expected),
+        "{violations:?}"
+    );
 }
 
 #[test]
 fn good_history() {
-    let faults = check(&good(), &Limits::default());
-    assert_eq!(faults, []);
-    assert!(tally(&faults).into_values().all(|count| count == 0));
+    let violations = check(&good(), &Limits::default());
+    assert_eq!(violations, []);
+    assert!(tally(&violations).into_values().all(|count| count == 0));
 }
 
 #[test]
