--- a/components/stand_ins/src/load/bench.rs
+++ b/components/stand_ins/src/load/bench.rs
@@ -9,8 +9,8 @@
 
 use super::experiment::Experiment;
 use super::measure::{Measured, Summary, measure};
-use super::plot::{Course, Curve, PlotError, draw};
-use super::report::Times;
+use super::plot::{Curve, PlotError, Timeline, draw};
+use super::report::TimeHistogram;
 use crate::fleet::{Fleet, FleetError};
 use crate::history::{History, Outcome, Record, write_lines};
 use crate::site::{Site, SiteError, SiteOptions};
@@ -106,7 +106,7 @@
 }
 
 fn picture(experiment: &Experiment, runs: &[Run]) -> Result<String, PlotError> {
-    let mut lines: Vec<(String, Times)> = runs
+    let mut lines: Vec<(String, TimeHistogram)> = runs
         .iter()
         .map(|run| {
             let label = run.measured.summary.report.policy.clone();
@@ -125,16 +125,16 @@
             times,
         })
         .collect();
-    let course = Course {
+    let timeline = Timeline {
         experiment,
         plan: &first.plan,
         samples: &first.samples,
     };
-    draw(&curves, &course)
+    draw(&curves, &timeline)
 }
 
-fn latencies(experiment: &Experiment, measured: &Measured) -> Times {
-    let mut times = Times::default();
+fn latencies(experiment: &Experiment, measured: &Measured) -> TimeHistogram {
+    let mut times = TimeHistogram::default();
     for sample in &measured.samples {
         let warm = measured.plan.calls[sample.call].at.as_secs() >= experiment.warm_up;
         if warm && sample.outcome == Outcome::Complete {
@@ -144,8 +144,8 @@
     times
 }
 
-fn ideal(experiment: &Experiment, measured: &Measured) -> Times {
-    let mut times = Times::default();
+fn ideal(experiment: &Experiment, measured: &Measured) -> TimeHistogram {
+    let mut times = TimeHistogram::default();
     for (planned, ideal) in measured.plan.calls.iter().zip(&measured.ideals) {
         if planned.at.as_secs() >= experiment.warm_up {
             ideal.latency.into_iter().for_each(|l| times.add(l));
--- a/components/stand_ins/src/load/caller.rs
+++ b/components/stand_ins/src/load/caller.rs
@@ -23,9 +23,9 @@
 const OUTCOME_HEADER: &str = "cardamomvale-outcome";
 const NOT_RUN_HEADER: &str = "cardamomvale-not-run";
 /// The most bytes of a refusal's text that are kept.
-const LINE_LIMIT: usize = 200;
+const MAX_REASON_SIZE: usize = 200;
 /// How much longer than its deadline a caller waits before it gives up.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
 /// The target of calls: an entry host, or a backend server that is called directly.
 pub struct Target {
@@ -85,7 +85,7 @@
 
 impl Call {
     /// Returns the call number that the body of the answer is made of.
-    fn answer(&self) -> u64 {
+    fn answer_number(&self) -> u64 {
         self.repeats.unwrap_or(self.number)
     }
 }
@@ -121,7 +121,7 @@
         None
     }
 
-    fn keep(&self, sender: SendRequest<Full<Bytes>>) {
+    fn put_idle(&self, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.push(sender);
     }
@@ -149,7 +149,7 @@
             key: call.key.clone(),
             deadline_ms: u64::try_from(call.deadline.as_millis()).unwrap_or(u64::MAX),
         });
-        let reply = tokio::time::timeout(call.deadline + PATIENCE, send(target, call))
+        let reply = tokio::time::timeout(call.deadline + ANSWER_GRACE, send(target, call))
             .await
             .unwrap_or_else(|_| Reply::ended(Outcome::Broken));
         self.history.add(Event::Answered {
@@ -189,7 +189,7 @@
             outcome,
             status: Some(status.as_u16()),
             work: number(WORK_HEADER).map(Duration::from_micros),
-            own: number(ANSWER_HEADER) == Some(call.answer()),
+            own: number(ANSWER_HEADER) == Some(call.answer_number()),
             retry_after: header("retry-after").map(str::to_owned),
             why: String::new(),
         }
@@ -227,8 +227,8 @@
     let (head, body) = response.into_parts();
     let mut reply = Reply::of(call, head.status, &head.headers);
     let own = match (reply.outcome, head.status) {
-        (Outcome::Complete, StatusCode::OK) => read(call, body).await,
-        _ => line(body).await.map(|why| {
+        (Outcome::Complete, StatusCode::OK) => read_answer(call, body).await,
+        _ => read_text(body).await.map(|why| {
             reply.why = why;
             reply.own
         }),
@@ -236,7 +236,7 @@
     match own {
         Ok(own) => {
             reply.own = own && (reply.own || reply.outcome != Outcome::Complete);
-            target.keep(sender);
+            target.put_idle(sender);
             reply
         }
         Err(_) => Reply::ended(Outcome::Broken),
@@ -244,32 +244,32 @@
 }
 
 /// Reads the answer; returns whether it is complete and belongs to the call.
-async fn read(call: &Call, mut body: Incoming) -> Result<bool, hyper::Error> {
-    let text = pattern(call.answer());
+async fn read_answer(call: &Call, mut body: Incoming) -> Result<bool, hyper::Error> {
+    let text = pattern(call.answer_number());
     let mut length = 0;
     let mut whole = true;
     while let Some(frame) = body.frame().await {
         let Some(data) = frame?.into_data().ok() else {
             continue;
         };
-        whole &= follows(&text, length, &data);
+        whole &= matches_pattern(&text, length, &data);
         length += data.len();
     }
     Ok(whole && length as u64 == call.size)
 }
 
-fn follows(text: &str, offset: usize, data: &[u8]) -> bool {
+fn matches_pattern(text: &str, offset: usize, data: &[u8]) -> bool {
     let from = offset % text.len();
     let text = text.as_bytes().iter().cycle().skip(from);
     data.iter().zip(text).all(|(a, b)| a == b)
 }
 
 /// Reads a body to its end and returns its beginning as text.
-async fn line(mut body: Incoming) -> Result<String, hyper::Error> {
+async fn read_text(mut body: Incoming) -> Result<String, hyper::Error> {
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
         let data = frame?.into_data().unwrap_or_default();
-        let room = LINE_LIMIT.saturating_sub(text.len()).min(data.len());
+        let room = MAX_REASON_SIZE.saturating_sub(text.len()).min(data.len());
         text.extend_from_slice(&data[..room]);
     }
     Ok(String::from_utf8_lossy(&text).trim().to_owned())
@@ -282,7 +282,7 @@
         .uri(&call.path)
         .header("host", "cardamomvale")
         .header(CALL_HEADER, call.number)
-        .header(ANSWER_HEADER, call.answer())
+        .header(ANSWER_HEADER, call.answer_number())
         .header(DEADLINE_HEADER, deadline);
     if let Some(key) = &call.key {
         request = request.header("idempotency-key", key);
--- a/components/stand_ins/src/load/experiment.rs
+++ b/components/stand_ins/src/load/experiment.rs
@@ -16,7 +16,7 @@
     Syntax(#[from] toml::de::Error),
     /// The values contradict each other; one message for each error.
     #[error("{}", .0.join("\n"))]
-    Faults(Vec<String>),
+    Invalid(Vec<String>),
 }
 
 /// An experiment: a deployment, the load on it and events during the run.
@@ -39,7 +39,7 @@
     pub flows: Vec<Flow>,
     /// The events during the run.
     #[serde(rename = "event", default)]
-    pub events: Vec<Happening>,
+    pub events: Vec<TimedAction>,
 }
 
 /// Entry hosts and services.
@@ -154,7 +154,7 @@
 #[value]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Happening {
+pub struct TimedAction {
     /// The time, in milliseconds from the start of the run.
     pub at_ms: u64,
     /// The action.
@@ -192,9 +192,9 @@
     /// Fails on invalid TOML, or with all errors in the values, each with its place.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text)?;
-        match experiment.faults() {
-            faults if faults.is_empty() => Ok(experiment),
-            faults => Err(ExperimentError::Faults(faults)),
+        match experiment.errors() {
+            errors if errors.is_empty() => Ok(experiment),
+            errors => Err(ExperimentError::Invalid(errors)),
         }
     }
 
@@ -217,41 +217,41 @@
         let Some(seconds) = seconds.filter(|s| *s > 0) else {
             return;
         };
-        for happening in &mut self.events {
-            happening.at_ms = happening.at_ms * seconds / self.seconds.max(1);
+        for event in &mut self.events {
+            event.at_ms = event.at_ms * seconds / self.seconds.max(1);
         }
         self.seconds = seconds;
     }
 
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+    fn errors(&self) -> Vec<String> {
+        let mut errors = Vec::new();
         let services: BTreeSet<_> = self.deployment.services.iter().map(|s| &s.name).collect();
         if self.deployment.entry_hosts == 0 {
-            faults.push("deployment: entry-hosts is 0; give at least 1".to_owned());
+            errors.push("deployment: entry-hosts is 0; give at least 1".to_owned());
         }
         if self.deployment.data_centres.is_empty() {
-            faults.push("deployment: data-centres is empty; give at least one".to_owned());
+            errors.push("deployment: data-centres is empty; give at least one".to_owned());
         }
         if self.flows.is_empty() {
-            faults.push("no [[flow]]; give at least one".to_owned());
+            errors.push("no [[flow]]; give at least one".to_owned());
         }
         for (number, flow) in self.flows.iter().enumerate() {
-            let mut fault = |what: &str| faults.push(format!("flow {number}: {what}"));
+            let mut error = |what: &str| errors.push(format!("flow {number}: {what}"));
             if !services.contains(&flow.service) {
-                fault("the service is not in the deployment");
+                error("the service is not in the deployment");
             }
             if !(0.0..=1.0).contains(&flow.skew) || !(0.0..=1.0).contains(&flow.repeats) {
-                fault("skew and repeats are fractions from 0 to 1");
+                error("skew and repeats are fractions from 0 to 1");
             }
             if flow.work.mean().is_zero() && matches!(flow.arrivals, Arrivals::Load(_)) {
-                fault("work of zero duration needs arrivals as a rate, not as a load");
+                error("work of zero duration needs arrivals as a rate, not as a load");
             }
             if flow.method.parse::<hyper::Method>().is_err() {
-                fault("the method is not an HTTP method");
+                error("the method is not an HTTP method");
             }
         }
-        for (number, happening) in self.events.iter().enumerate() {
-            let known = match &happening.action {
+        for (number, event) in self.events.iter().enumerate() {
+            let known = match &event.action {
                 Action::Leave(centre) | Action::Return(centre) => {
                     self.deployment.data_centres.contains(centre)
                 }
@@ -264,12 +264,12 @@
                 Action::LogDown(_) => true,
             };
             if !known {
-                faults.push(format!(
+                errors.push(format!(
                     "event {number}: the data centre, service or endpoint is not in the deployment"
                 ));
             }
         }
-        faults
+        errors
     }
 }
 
--- a/components/stand_ins/src/load/limit.rs
+++ b/components/stand_ins/src/load/limit.rs
@@ -51,7 +51,7 @@
 struct Queue {
     free: BinaryHeap<Reverse<(Duration, usize)>>,
     /// For each slot, the intervals in which it must not be used.
-    out: Vec<Vec<(Duration, Duration)>>,
+    unusable: Vec<Vec<(Duration, Duration)>>,
     deadline: Duration,
 }
 
@@ -61,17 +61,17 @@
             .deployment
             .service(name)
             .expect("the name is a service's own");
-        let out: Vec<_> = (0..service.endpoints)
+        let unusable: Vec<_> = (0..service.endpoints)
             .flat_map(|e| {
-                let times = out_times(experiment, name, e);
+                let times = unusable_times(experiment, name, e);
                 std::iter::repeat_n(times, service.slots as usize)
             })
             .collect();
         Queue {
-            free: (0..out.len())
+            free: (0..unusable.len())
                 .map(|i| Reverse((Duration::ZERO, i)))
                 .collect(),
-            out,
+            unusable,
             deadline: Duration::from_millis(service.deadline_ms),
         }
     }
@@ -79,7 +79,7 @@
     fn serve(&mut self, arrival: Duration, work: Duration) -> Ideal {
         while let Some(Reverse((free, slot))) = self.free.pop() {
             let start = free.max(arrival);
-            let gap = self.out[slot]
+            let gap = self.unusable[slot]
                 .iter()
                 .find(|(a, b)| (*a..*b).contains(&start));
             if let Some((_, back)) = gap {
@@ -109,13 +109,17 @@
 
 /// Returns the intervals in which an endpoint is unusable: its data centre has left, or it is
 /// slow.
-fn out_times(experiment: &Experiment, service: &str, endpoint: u32) -> Vec<(Duration, Duration)> {
+fn unusable_times(
+    experiment: &Experiment,
+    service: &str,
+    endpoint: u32,
+) -> Vec<(Duration, Duration)> {
     let centre = experiment.deployment.centre(endpoint);
     let mut times = Vec::new();
     let mut since = None;
-    for happening in &experiment.events {
-        let at = Duration::from_millis(happening.at_ms);
-        let starts = match &happening.action {
+    for event in &experiment.events {
+        let at = Duration::from_millis(event.at_ms);
+        let starts = match &event.action {
             Action::Leave(name) if name == centre => true,
             Action::Return(name) if name == centre => false,
             Action::Backend {
--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -97,7 +97,7 @@
     let caller = Caller {
         history: site.history.clone(),
     };
-    let driving = tokio::spawn(drive(Arc::clone(experiment), Arc::clone(site)));
+    let events_task = tokio::spawn(run_events(Arc::clone(experiment), Arc::clone(site)));
     let load = LoadGenerator {
         experiment: Arc::clone(experiment),
         plan: Arc::clone(&plan),
@@ -107,7 +107,7 @@
         stop: Arc::default(),
     };
     let samples = load.run().await;
-    driving.abort();
+    events_task.abort();
     let ideals = limit(experiment, &plan, &work_times(&plan, &samples));
     let records = site.history.sorted();
     let violations = check(&records, &Limits::default());
@@ -115,7 +115,7 @@
     let summary = Summary {
         phases: phases(experiment, &plan, &samples, &ideals),
         servers: servers(site, &records),
-        checks: names(&tally(&violations)),
+        checks: by_name(&tally(&violations)),
         report,
     };
     Measured {
@@ -128,12 +128,12 @@
 }
 
 /// Performs each event at its time, without waiting for earlier ones to end.
-async fn drive(experiment: Arc<Experiment>, site: Arc<Site>) {
+async fn run_events(experiment: Arc<Experiment>, site: Arc<Site>) {
     let start = tokio::time::Instant::now();
     let mut acting = tokio::task::JoinSet::new();
-    for happening in &experiment.events {
-        tokio::time::sleep_until(start + Duration::from_millis(happening.at_ms)).await;
-        let (site, action) = (Arc::clone(&site), happening.action.clone());
+    for event in &experiment.events {
+        tokio::time::sleep_until(start + Duration::from_millis(event.at_ms)).await;
+        let (site, action) = (Arc::clone(&site), event.action.clone());
         acting.spawn(async move {
             if let Err(error) = site.act(&action).await {
                 log::warn!("E0931 event-failed action={action:?} error=\"{error}\"");
@@ -253,7 +253,7 @@
     last
 }
 
-fn names(tally: &BTreeMap<Check, usize>) -> BTreeMap<String, usize> {
+fn by_name(tally: &BTreeMap<Check, usize>) -> BTreeMap<String, usize> {
     tally.iter().map(|(c, n)| (format!("{c:?}"), *n)).collect()
 }
 
--- a/components/stand_ins/src/load/plan.rs
+++ b/components/stand_ins/src/load/plan.rs
@@ -86,9 +86,9 @@
     let mut last = vec![None; flows.len()];
     for number in 0..calls.len() {
         let flow = calls[number].flow;
-        let again = flows[flow].keyed && random.random_bool(flows[flow].repeats);
+        let is_repeat = flows[flow].keyed && random.random_bool(flows[flow].repeats);
         match last[flow] {
-            Some(first) if again => {
+            Some(first) if is_repeat => {
                 calls[number].repeats = Some(first);
                 calls[number].work = calls[first].work;
             }
--- a/components/stand_ins/src/load/plot.rs
+++ b/components/stand_ins/src/load/plot.rs
@@ -7,7 +7,7 @@
 
 use super::experiment::{Action, Experiment};
 use super::plan::Plan;
-use super::report::{Sample, Times};
+use super::report::{Sample, TimeHistogram};
 use crate::history::Outcome;
 
 const SIZE: (u32, u32) = (1_100, 1_050);
@@ -22,20 +22,20 @@
 ];
 const FONT: &str = "sans-serif";
 /// The number of bins on the time axis.
-const PARTS: u32 = 100;
+const TIME_BINS: u32 = 100;
 /// The percentile curve ends at 99.99% (four nines).
-const NINES: f64 = 4.0;
+const MAX_NINES: f64 = 4.0;
 
 /// One curve of the percentile chart.
 pub struct Curve<'a> {
     /// The text in the legend.
     pub label: String,
     /// The times, in any order.
-    pub times: &'a Times,
+    pub times: &'a TimeHistogram,
 }
 
 /// The data of one run for the charts over time.
-pub struct Course<'a> {
+pub struct Timeline<'a> {
     /// The experiment.
     pub experiment: &'a Experiment,
     /// The plan of the run.
@@ -62,16 +62,16 @@
 /// # Errors
 ///
 /// Fails if the drawing library fails.
-pub fn draw(curves: &[Curve<'_>], course: &Course<'_>) -> Result<String, PlotError> {
+pub fn draw(curves: &[Curve<'_>], timeline: &Timeline<'_>) -> Result<String, PlotError> {
     let mut picture = String::new();
     {
         let area = SVGBackend::with_string(&mut picture, SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let area = area.titled(&course.experiment.name, (FONT, 24))?;
+        let area = area.titled(&timeline.experiment.name, (FONT, 24))?;
         let panels = area.split_evenly((3, 1));
         percentiles(&panels[0], curves)?;
-        latencies(&panels[1], course)?;
-        outcomes(&panels[2], course)?;
+        latencies(&panels[1], timeline)?;
+        outcomes(&panels[2], timeline)?;
         area.present()?;
     }
     Ok(picture)
@@ -81,27 +81,27 @@
     let share = |nines: f64| 1.0 - 10f64.powf(-nines);
     let top = curves
         .iter()
-        .map(|c| c.times.at(share(NINES)))
+        .map(|c| c.times.quantile(share(MAX_NINES)))
         .fold(10.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption("Answer time by percentile", (FONT, 16))
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..NINES, (0.1..top * 1.5).log_scale())?;
-    let label = |nines: &f64| format!("{}%", trim(100.0 * share(*nines)));
+        .build_cartesian_2d(0.0..MAX_NINES, (0.1..top * 1.5).log_scale())?;
+    let label = |nines: &f64| format!("{}%", format_number(100.0 * share(*nines)));
     chart
         .configure_mesh()
         .x_labels(5)
         .x_label_formatter(&label)
         .y_desc("ms")
-        .y_label_formatter(&|ms| trim(*ms))
+        .y_label_formatter(&|ms| format_number(*ms))
         .light_line_style(WHITE)
         .draw()?;
     for (curve, colour) in curves.iter().zip(COLOURS.iter().cycle()) {
         let points = (0..=200).map(|i| {
-            let nines = NINES * f64::from(i) / 200.0;
-            (nines, curve.times.at(share(nines)).max(0.1))
+            let nines = MAX_NINES * f64::from(i) / 200.0;
+            (nines, curve.times.quantile(share(nines)).max(0.1))
         });
         let colour = *colour;
         chart
@@ -118,15 +118,15 @@
     Ok(())
 }
 
-fn latencies(area: &Area<'_>, course: &Course<'_>) -> Result<(), PlotError> {
-    let mut parts: Vec<Times> = (0..PARTS).map(|_| Times::default()).collect();
-    for sample in course.samples {
+fn latencies(area: &Area<'_>, timeline: &Timeline<'_>) -> Result<(), PlotError> {
+    let mut bins: Vec<TimeHistogram> = (0..TIME_BINS).map(|_| TimeHistogram::default()).collect();
+    for sample in timeline.samples {
         if sample.outcome == Outcome::Complete {
-            parts[course.part(sample)].add(sample.latency);
+            bins[timeline.bin(sample)].add(sample.latency);
         }
     }
-    let top = parts.iter().map(|p| p.at(1.0)).fold(10.0, f64::max);
-    let seconds = course.experiment.seconds as f64;
+    let top = bins.iter().map(|p| p.quantile(1.0)).fold(10.0, f64::max);
+    let seconds = timeline.experiment.seconds as f64;
     let mut chart = ChartBuilder::on(area)
         .caption("Answer time over time: median, 99%, maximum", (FONT, 16))
         .margin(8)
@@ -136,18 +136,18 @@
     chart
         .configure_mesh()
         .y_desc("ms")
-        .x_label_formatter(&|s| format!("{} s", trim(*s)))
-        .y_label_formatter(&|ms| trim(*ms))
+        .x_label_formatter(&|s| format!("{} s", format_number(*s)))
+        .y_label_formatter(&|ms| format_number(*ms))
         .light_line_style(WHITE)
         .draw()?;
     for (share, colour) in [(0.5, COLOURS[0]), (0.99, COLOURS[1]), (1.0, COLOURS[5])] {
-        let points = parts
+        let points = bins
             .iter()
             .enumerate()
-            .map(|(i, p)| (course.second(i), p.at(share).max(0.1)));
+            .map(|(i, p)| (timeline.second(i), p.quantile(share).max(0.1)));
         chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
     }
-    for (second, text) in course.marks() {
+    for (second, text) in timeline.event_labels() {
         let line = [(second, 0.1), (second, top * 1.5)];
         chart.draw_series([PathElement::new(line, BLACK.mix(0.4))])?;
         let text = Text::new(text, (second, top), (FONT, 12).into_font());
@@ -156,8 +156,8 @@
     Ok(())
 }
 
-fn outcomes(area: &Area<'_>, course: &Course<'_>) -> Result<(), PlotError> {
-    let seconds = course.experiment.seconds as f64;
+fn outcomes(area: &Area<'_>, timeline: &Timeline<'_>) -> Result<(), PlotError> {
+    let seconds = timeline.experiment.seconds as f64;
     let kinds = [
         ("answered", COLOURS[2], [Outcome::Complete].as_slice()),
         ("refused, not run", COLOURS[4], &[Outcome::NotRun]),
@@ -167,7 +167,7 @@
             &[Outcome::Unknown, Outcome::Broken, Outcome::Unreachable],
         ),
     ];
-    let rates: Vec<Vec<f64>> = kinds.iter().map(|(_, _, k)| course.rates(k)).collect();
+    let rates: Vec<Vec<f64>> = kinds.iter().map(|(_, _, k)| timeline.rates(k)).collect();
     let top = rates.iter().flatten().copied().fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption("Calls per second by outcome", (FONT, 16))
@@ -178,14 +178,14 @@
     chart
         .configure_mesh()
         .y_desc("calls/s")
-        .x_label_formatter(&|s| format!("{} s", trim(*s)))
+        .x_label_formatter(&|s| format!("{} s", format_number(*s)))
         .light_line_style(WHITE)
         .draw()?;
     for ((label, colour, _), rates) in kinds.iter().zip(&rates) {
         let points = rates
             .iter()
             .enumerate()
-            .map(|(i, r)| (course.second(i), *r));
+            .map(|(i, r)| (timeline.second(i), *r));
         let colour = *colour;
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
@@ -201,36 +201,38 @@
     Ok(())
 }
 
-impl Course<'_> {
+impl Timeline<'_> {
     fn width(&self) -> Duration {
-        Duration::from_secs(self.experiment.seconds.max(1)) / PARTS
+        Duration::from_secs(self.experiment.seconds.max(1)) / TIME_BINS
     }
 
-    fn part(&self, sample: &Sample) -> usize {
+    fn bin(&self, sample: &Sample) -> usize {
         let at = self.plan.calls[sample.call].at;
-        let part = at.as_micros() / self.width().as_micros();
-        usize::try_from(part).unwrap_or(0).min(PARTS as usize - 1)
+        let bin = at.as_micros() / self.width().as_micros();
+        usize::try_from(bin)
+            .unwrap_or(0)
+            .min(TIME_BINS as usize - 1)
     }
 
-    fn second(&self, part: usize) -> f64 {
-        (part as f64 + 0.5) * self.width().as_secs_f64()
+    fn second(&self, bin: usize) -> f64 {
+        (bin as f64 + 0.5) * self.width().as_secs_f64()
     }
 
     fn rates(&self, outcomes: &[Outcome]) -> Vec<f64> {
-        let mut rates = vec![0.0; PARTS as usize];
+        let mut rates = vec![0.0; TIME_BINS as usize];
         for sample in self.samples {
             if outcomes.contains(&sample.outcome) {
-                rates[self.part(sample)] += 1.0 / self.width().as_secs_f64();
+                rates[self.bin(sample)] += 1.0 / self.width().as_secs_f64();
             }
         }
         rates
     }
 
-    fn marks(&self) -> Vec<(f64, String)> {
+    fn event_labels(&self) -> Vec<(f64, String)> {
         let events = self.experiment.events.iter();
         events
-            .map(|happening| {
-                let text = match &happening.action {
+            .map(|event| {
+                let text = match &event.action {
                     Action::Leave(name) => format!("{name} leaves"),
                     Action::Return(name) => format!("{name} returns"),
                     Action::Backend {
@@ -238,13 +240,13 @@
                     } => format!("{service} {endpoint}"),
                     Action::LogDown(ms) => format!("log down {ms} ms"),
                 };
-                (happening.at_ms as f64 / 1_000.0, text)
+                (event.at_ms as f64 / 1_000.0, text)
             })
             .collect()
     }
 }
 
-fn trim(number: f64) -> String {
+fn format_number(number: f64) -> String {
     let text = format!("{number:.2}");
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
--- a/components/stand_ins/src/load/report.rs
+++ b/components/stand_ins/src/load/report.rs
@@ -13,9 +13,9 @@
 use crate::history::Outcome;
 
 /// The longest time that is recorded, in microseconds (1 hour); longer times count as this.
-const LONGEST_MICROS: u64 = 3_600_000_000;
+const MAX_MICROS: u64 = 3_600_000_000;
 /// Significant decimal digits of each recorded time.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The result of one call of a plan.
 #[value]
@@ -103,16 +103,16 @@
 }
 
 /// A histogram of durations.
-pub struct Times(Histogram<u64>);
+pub struct TimeHistogram(Histogram<u64>);
 
-impl Default for Times {
+impl Default for TimeHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_max(LONGEST_MICROS, DIGITS);
-        Times(histogram.expect("the histogram's bounds are valid"))
+        let histogram = Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS);
+        TimeHistogram(histogram.expect("the histogram's bounds are valid"))
     }
 }
 
-impl Times {
+impl TimeHistogram {
     /// Adds one duration.
     pub fn add(&mut self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
@@ -120,17 +120,17 @@
     }
 
     /// Returns the quantile for `share`, from 0 to 1, in milliseconds.
-    pub fn at(&self, share: f64) -> f64 {
+    pub fn quantile(&self, share: f64) -> f64 {
         self.0.value_at_quantile(share) as f64 / 1_000.0
     }
 
     /// Returns the main quantiles.
     pub fn quantiles(&self) -> Quantiles {
         Quantiles {
-            p50: self.at(0.5),
-            p90: self.at(0.9),
-            p99: self.at(0.99),
-            p999: self.at(0.999),
+            p50: self.quantile(0.5),
+            p90: self.quantile(0.9),
+            p99: self.quantile(0.99),
+            p999: self.quantile(0.999),
             max: self.0.max() as f64 / 1_000.0,
         }
     }
@@ -140,15 +140,15 @@
 #[derive(Default)]
 pub struct Distributions {
     /// Latency of complete answers.
-    pub latency: Times,
+    pub latency: TimeHistogram,
     /// Latency of complete answers without the work.
-    pub wait: Times,
+    pub wait: TimeHistogram,
     /// Time to a refusal.
-    pub refusal: Times,
+    pub refusal: TimeHistogram,
     /// Latency at the limit.
-    pub limit_latency: Times,
+    pub limit_latency: TimeHistogram,
     /// Latency at the limit without the work.
-    pub limit_wait: Times,
+    pub limit_wait: TimeHistogram,
     counts: Figures,
 }
 
@@ -207,7 +207,7 @@
         let seconds = experiment.seconds.saturating_sub(experiment.warm_up) as f64;
         let mut all = Distributions::default();
         let mut flows: BTreeMap<String, Distributions> = BTreeMap::new();
-        let mut lag = Times::default();
+        let mut lag = TimeHistogram::default();
         for sample in samples {
             let planned = &plan.calls[sample.call];
             if planned.at < warm {
--- a/components/stand_ins/src/load/run.rs
+++ b/components/stand_ins/src/load/run.rs
@@ -14,7 +14,7 @@
 use super::report::Sample;
 use crate::history::Outcome;
 
-const DEADLINE_MS: u64 = 10_000;
+const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
 /// Sends the calls of a plan.
 #[derive(Clone)]
@@ -133,7 +133,7 @@
             .experiment
             .deployment
             .service(&flow.service)
-            .map_or(DEADLINE_MS, |s| s.deadline_ms);
+            .map_or(DEFAULT_DEADLINE_MS, |s| s.deadline_ms);
         let number = self.first + number as u64;
         let repeats = planned.repeats.map(|n| self.first + n as u64);
         let key = repeats.unwrap_or(number);
--- a/components/stand_ins/src/load/warm_up.rs
+++ b/components/stand_ins/src/load/warm_up.rs
@@ -18,7 +18,7 @@
 
 /// The number of the first warm-up call, far above the numbers of all other calls.
 pub const FIRST_CALL: u64 = 1 << 40;
-const DEADLINE: Duration = Duration::from_secs(10);
+const CALL_DEADLINE: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Calls all services of `deployment` until every endpoint is warm, for at most `limit`.
@@ -43,7 +43,7 @@
             let (targets, next, stop) = (Arc::clone(targets), Arc::clone(&next), Arc::clone(&stop));
             callers.spawn(async move {
                 while !stop.load(Ordering::SeqCst) {
-                    one(&targets, next.fetch_add(1, Ordering::SeqCst), &path).await;
+                    send_call(&targets, next.fetch_add(1, Ordering::SeqCst), &path).await;
                 }
             });
         }
@@ -64,7 +64,7 @@
     warm
 }
 
-async fn one(targets: &[Target], number: u64, path: &str) {
+async fn send_call(targets: &[Target], number: u64, path: &str) {
     let place = usize::try_from(number).unwrap_or(0) % targets.len();
     let call = Call {
         number,
@@ -72,7 +72,7 @@
         path: path.to_owned(),
         key: None,
         repeats: None,
-        deadline: DEADLINE,
+        deadline: CALL_DEADLINE,
         size: 64,
     };
     let reply = Caller::default().call(&targets[place], &call).await;
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -8,8 +8,8 @@
 use stand_ins::history::check::{Limits, Tally, check};
 use stand_ins::history::{History, Outcome};
 use stand_ins::load::limit::limit;
-use stand_ins::load::plot::{Course, Curve, draw};
-use stand_ins::load::report::Times;
+use stand_ins::load::plot::{Curve, Timeline, draw};
+use stand_ins::load::report::TimeHistogram;
 use stand_ins::load::run::{LoadGenerator, work_times};
 use stand_ins::load::{Caller, Experiment, ExperimentError, Plan, Report, Sample, Target};
 
@@ -99,10 +99,10 @@
     let text = FILE
         .replace("entry-hosts = 2", "entry-hosts = 0")
         .replace("service = \"hallboard\"\nmethod", "service = \"x\"\nmethod");
-    let Err(ExperimentError::Faults(faults)) = Experiment::parse(&text) else {
+    let Err(ExperimentError::Invalid(errors)) = Experiment::parse(&text) else {
         panic!("the errors were not found");
     };
-    assert_eq!(faults.len(), 2);
+    assert_eq!(errors.len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,26 +116,26 @@
     let ideals = limit(&ran.experiment, &ran.plan, &work);
     let report = Report::of(&ran.experiment, "none", &ran.plan, &ran.samples, &ideals);
     assert_eq!(report.all.complete, tally.complete);
-    let mut times = Times::default();
+    let mut times = TimeHistogram::default();
     times.add(Duration::from_millis(3));
     let curve = Curve {
         label: "one".to_owned(),
         times: &times,
     };
-    let course = Course {
+    let timeline = Timeline {
         experiment: &ran.experiment,
         plan: &ran.plan,
         samples: &ran.samples,
     };
-    assert!(draw(&[curve], &course).unwrap().starts_with("<svg"));
+    assert!(draw(&[curve], &timeline).unwrap().starts_with("<svg"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_run_found() {
     // Without entry hosts nothing deduplicates by key, so the work of repeats runs twice.
     let ran = small(Knobs::default()).await;
-    let faults = check(&ran.history.sorted(), &Limits::default());
-    assert!(!faults.is_empty());
+    let errors = check(&ran.history.sorted(), &Limits::default());
+    assert!(!errors.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -171,7 +171,7 @@
 
 #[test]
 fn long_times() {
-    let mut times = Times::default();
+    let mut times = TimeHistogram::default();
     times.add(Duration::from_millis(1));
     times.add(Duration::from_secs(20));
     let max = times.quantiles().max;
