--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -135,7 +135,7 @@
         tokio::time::sleep_until(start + Duration::from_millis(event.at_ms)).await;
         let (site, action) = (Arc::clone(&site), event.action.clone());
         acting.spawn(async move {
-            if let Err(error) = site.act(&action).await {
+            if let Err(error) = site.perform(&action).await {
                 log::warn!("E0931 event-failed action={action:?} error=\"{error}\"");
             }
         });
--- a/components/stand_ins/src/proxy.rs
+++ b/components/stand_ins/src/proxy.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-const PIECE: usize = 16 * 1024;
+const BUFFER_SIZE: usize = 16 * 1024;
 
 /// What the proxy does to the bytes that it forwards.
 #[tag]
@@ -50,7 +50,7 @@
 }
 
 #[tag]
-enum Way {
+enum Direction {
     Request,
     Answer,
 }
@@ -128,21 +128,33 @@
     }
 }
 
-async fn connection(near: TcpStream, number: u64, shared: Arc<Shared>) {
+async fn connection(client: TcpStream, number: u64, shared: Arc<Shared>) {
     if *shared.fault.borrow() == Fault::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(shared.target).await else {
+    let Ok(upstream) = TcpStream::connect(shared.target).await else {
         return;
     };
     // With Nagle's algorithm the kernel would add delays of its own.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
     let mut fault = shared.fault.subscribe();
-    let requests = pump(near_read, far_write, Way::Request, number, &shared);
-    let answers = pump(far_read, near_write, Way::Answer, number, &shared);
+    let requests = forward(
+        client_read,
+        upstream_write,
+        Direction::Request,
+        number,
+        &shared,
+    );
+    let answers = forward(
+        upstream_read,
+        client_write,
+        Direction::Answer,
+        number,
+        &shared,
+    );
     tokio::select! {
         // When one side closes, both are closed, as without a proxy: HTTP/1 as used here has no
         // half-closed connections.
@@ -152,15 +164,15 @@
     }
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: Way,
+    direction: Direction,
     number: u64,
     shared: &Shared,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE];
-    let mut passed = 0;
+    let mut buffer = vec![0; BUFFER_SIZE];
+    let mut forwarded = 0;
     loop {
         let read = from.read(&mut buffer).await?;
         let silent = number < *shared.silent_below.borrow();
@@ -172,14 +184,16 @@
             return Ok(());
         }
         let fault = *shared.fault.borrow();
-        match (fault, way) {
-            (Fault::LoseRequests, Way::Request) | (Fault::LoseAnswers, Way::Answer) => continue,
+        match (fault, direction) {
+            (Fault::LoseRequests, Direction::Request) | (Fault::LoseAnswers, Direction::Answer) => {
+                continue;
+            }
             (Fault::Delay(delay), _) => tokio::time::sleep(delay).await,
-            (Fault::CutAnswers(limit), Way::Answer) => {
-                let room = usize::try_from(limit.saturating_sub(passed)).unwrap_or(usize::MAX);
+            (Fault::CutAnswers(limit), Direction::Answer) => {
+                let room = usize::try_from(limit.saturating_sub(forwarded)).unwrap_or(usize::MAX);
                 let part = read.min(room);
                 to.write_all(&buffer[..part]).await?;
-                passed += part as u64;
+                forwarded += part as u64;
                 if part < read {
                     return to.shutdown().await;
                 }
--- a/components/stand_ins/src/site.rs
+++ b/components/stand_ins/src/site.rs
@@ -16,9 +16,9 @@
 use crate::proxy::Proxy;
 use crate::store::{Behaviour, Outage, StoreStandIn};
 
-const COMMAND_LIMIT: Duration = Duration::from_secs(20);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
 /// Name of the preset that is chosen when the site starts.
-pub const ORDINARY: &str = "ordinary";
+pub const DEFAULT_PRESET: &str = "ordinary";
 
 /// The reason why a site could not start or an operator's command failed.
 #[derive(Debug, thiserror::Error)]
@@ -98,8 +98,8 @@
             backends,
             proxies,
         };
-        site.put_preset(ORDINARY).await?;
-        site.order(Order::Choose, ORDINARY).await?;
+        site.put_preset(DEFAULT_PRESET).await?;
+        site.order(Order::Choose, DEFAULT_PRESET).await?;
         Ok(site)
     }
 
@@ -175,14 +175,14 @@
         self.order_at_revision(None, order, name).await
     }
 
-    /// Submits an operator's command like [`Site::order`], decided on the revision `looked`.
+    /// Submits an operator's command like [`Site::order`], decided on the revision `seen_revision`.
     ///
     /// # Errors
     ///
     /// Fails if the command is refused or its outcome isn't known.
     pub async fn order_at_revision(
         &self,
-        looked: Option<u64>,
+        seen_revision: Option<u64>,
         order: Order,
         name: &str,
     ) -> Result<u64, SiteError> {
@@ -198,7 +198,7 @@
             order,
             name: name.to_owned(),
         });
-        let revision = self.command(looked, change).await?;
+        let revision = self.command(seen_revision, change).await?;
         self.history.add(Event::Ordered {
             order,
             name: name.to_owned(),
@@ -212,7 +212,7 @@
     /// # Errors
     ///
     /// Fails if an operator's command fails.
-    pub async fn act(&self, action: &Action) -> Result<(), SiteError> {
+    pub async fn perform(&self, action: &Action) -> Result<(), SiteError> {
         match action {
             Action::Leave(centre) => {
                 self.order(Order::CentreLeaves, centre).await?;
@@ -240,16 +240,17 @@
         }
     }
 
-    async fn command(&self, looked: Option<u64>, change: Change) -> Result<u64, SiteError> {
+    async fn command(&self, seen_revision: Option<u64>, change: Change) -> Result<u64, SiteError> {
         let address = self.store.address();
         let request = CommandRequest {
             id: None,
-            decided_on: looked,
+            decided_on: seen_revision,
             change,
         };
-        let submitted =
-            tokio::task::spawn_blocking(move || submit_to_store(address, &request, COMMAND_LIMIT))
-                .await;
+        let submitted = tokio::task::spawn_blocking(move || {
+            submit_to_store(address, &request, COMMAND_TIMEOUT)
+        })
+        .await;
         match submitted.map_err(io::Error::other)? {
             Outcome::Accepted { revision } => Ok(revision),
             other => Err(SiteError::NotAccepted(other)),
--- a/components/stand_ins/tests/site_starts.rs
+++ b/components/stand_ins/tests/site_starts.rs
@@ -2,7 +2,7 @@
 
 use stand_ins::history::{Event, History, Order};
 use stand_ins::load::Experiment;
-use stand_ins::site::{ORDINARY, Site, SiteOptions};
+use stand_ins::site::{DEFAULT_PRESET, Site, SiteOptions};
 
 #[tokio::test]
 async fn preset_in_force() {
@@ -11,7 +11,7 @@
     let site = Site::start(deployment, &SiteOptions::default(), History::default())
         .await
         .unwrap();
-    let preset = site.preset(ORDINARY);
+    let preset = site.preset(DEFAULT_PRESET);
     let named = |b: &stand_ins::backend::Backend| preset.contains(&b.address().to_string());
     assert_eq!(site.all_backends().count(), 25);
     assert!(site.all_backends().all(named));
