--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -76,7 +76,7 @@
 }
 
 /// The state of the log, folded once from the first record.
-struct Truth {
+struct LogTruth {
     configs: BTreeMap<u64, Arc<Config>>,
     answers: BTreeMap<CommandId, Answer>,
     texts: BTreeSet<String>,
@@ -94,38 +94,38 @@
 
 /// Returns every violation in the run.
 pub fn check(history: &History) -> Vec<Violation> {
-    let truth = Truth::of(&history.records);
-    let mut broken = Vec::new();
-    broken.extend(reverts(history));
-    broken.extend(differences(history, &truth));
-    broken.extend(truth.missing_presets());
-    broken.extend(truth.lost_choices());
-    broken.extend(
+    let truth = LogTruth::of(&history.records);
+    let mut violations = Vec::new();
+    violations.extend(reverts(history));
+    violations.extend(differences(history, &truth));
+    violations.extend(truth.missing_presets());
+    violations.extend(truth.lost_choices());
+    violations.extend(
         truth
             .repeated
             .iter()
             .map(|id| Violation::Repeated { id: *id }),
     );
-    broken.extend(history.issued.iter().flat_map(|t| truth.untruths(t)));
-    broken.extend(left_behind(history, &truth));
-    broken
+    violations.extend(history.issued.iter().flat_map(|t| truth.wrong_answers(t)));
+    violations.extend(left_behind(history, &truth));
+    violations
 }
 
 fn reverts(history: &History) -> Vec<Violation> {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for shown in &history.observations {
         let to = shown.config.revision;
         let from = last.insert((shown.host, shown.start), to).unwrap_or(0);
         if to < from {
             let host = shown.host;
-            broken.push(Violation::Reverted { host, from, to });
+            violations.push(Violation::Reverted { host, from, to });
         }
     }
-    broken
+    violations
 }
 
-fn differences(history: &History, truth: &Truth) -> Vec<Violation> {
+fn differences(history: &History, truth: &LogTruth) -> Vec<Violation> {
     let differs = |config: &Arc<Config>| truth.configs.get(&config.revision) != Some(config);
     let shown = history.observations.iter().filter(|s| differs(&s.config));
     shown
@@ -136,7 +136,7 @@
         .collect()
 }
 
-fn left_behind(history: &History, truth: &Truth) -> Vec<Violation> {
+fn left_behind(history: &History, truth: &LogTruth) -> Vec<Violation> {
     let end = truth.configs.keys().next_back().copied().unwrap_or(0);
     let last = history.final_revisions.iter().copied().enumerate();
     last.filter(|(_, revision)| *revision != end)
@@ -144,10 +144,10 @@
         .collect()
 }
 
-impl Truth {
-    fn of(records: &[bytes::Bytes]) -> Truth {
+impl LogTruth {
+    fn of(records: &[bytes::Bytes]) -> LogTruth {
         let mut fold = Fold::default();
-        let mut truth = Truth {
+        let mut truth = LogTruth {
             configs: BTreeMap::from([(0, Arc::clone(fold.config()))]),
             answers: BTreeMap::new(),
             texts: BTreeSet::new(),
@@ -167,9 +167,9 @@
                 .configs
                 .insert(fold.position().revision, Arc::clone(fold.config()));
             if let (Some(command), Applied::Decided(id, answer)) = (command, step) {
-                truth.decided(id, answer);
+                truth.record_decision(id, answer);
                 let changed = fold.position().revision > before;
-                truth.note(command, changed.then_some(fold.position().revision));
+                truth.record_change(command, changed.then_some(fold.position().revision));
             }
         }
         truth
@@ -177,7 +177,7 @@
 
     /// Records a decision. A command that was dropped from the recent commands may be decided
     /// once more, but only as too old.
-    fn decided(&mut self, id: CommandId, answer: Answer) {
+    fn record_decision(&mut self, id: CommandId, answer: Answer) {
         let refusal = Refusal::TooOld;
         match self.answers.entry(id) {
             Entry::Vacant(entry) => {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn note(&mut self, command: Command, changed: Option<u64>) {
+    fn record_change(&mut self, command: Command, changed: Option<u64>) {
         match (command.change, changed) {
             (Change::PutPreset { text }, _) => {
                 self.texts.insert(text);
@@ -233,13 +233,13 @@
         .collect()
     }
 
-    fn untruths(&self, issued: &IssuedCommand) -> Vec<Violation> {
+    fn wrong_answers(&self, issued: &IssuedCommand) -> Vec<Violation> {
         let mut ids = issued.outcomes.iter().filter_map(|o| match o {
             Outcome::Unknown { id } => Some(*id),
             _ => None,
         });
         let id = issued.request.id.or(ids.next());
-        let mut broken: Vec<Violation> = issued
+        let mut violations: Vec<Violation> = issued
             .outcomes
             .iter()
             .filter(|o| !self.is_true(&issued.request, id, o))
@@ -249,9 +249,9 @@
             })
             .collect();
         if let Some(Outcome::Unknown { id }) = issued.outcomes.last() {
-            broken.push(Violation::Unsettled { id: *id });
+            violations.push(Violation::Unsettled { id: *id });
         }
-        broken
+        violations
     }
 
     fn is_true(&self, request: &CommandRequest, id: Option<CommandId>, outcome: &Outcome) -> bool {
@@ -262,16 +262,18 @@
                 revision == r
             }
             (Outcome::Accepted { revision }, None) if id.is_none() => {
-                self.is_so(&request.change, *revision)
+                self.was_in_force(&request.change, *revision)
             }
             (Outcome::Accepted { .. }, _) => false,
             (Outcome::Refused { .. }, answer) => !matches!(answer, Some(Answer::Accepted { .. })),
-            (Outcome::Unreachable { .. }, _) => answer.is_none() && !self.stands(&request.change),
+            (Outcome::Unreachable { .. }, _) => {
+                answer.is_none() && !self.is_on_log(&request.change)
+            }
         }
     }
 
     /// Returns whether the effect of a change was in force at `revision`.
-    fn is_so(&self, change: &Change, revision: u64) -> bool {
+    fn was_in_force(&self, change: &Change, revision: u64) -> bool {
         let Some(config) = self.configs.get(&revision) else {
             return false;
         };
@@ -297,7 +299,7 @@
     }
 
     /// Returns whether a put or a join, each of which is unique, is on the log.
-    fn stands(&self, change: &Change) -> bool {
+    fn is_on_log(&self, change: &Change) -> bool {
         match change {
             Change::PutPreset { text } => self.texts.contains(text),
             Change::Join { incarnation, .. } => self.incarnations.contains(incarnation),
--- a/components/stand_ins/src/config_run/faults.rs
+++ b/components/stand_ins/src/config_run/faults.rs
@@ -37,31 +37,37 @@
 }
 
 /// Injects `count` faults and ends those that are left.
-pub(super) fn cause(
-    log: &StoreStandIn,
+pub(super) fn inject(
+    store: &StoreStandIn,
     hosts: &Hosts,
     count: usize,
-    mut draw: StdRng,
+    mut rng: StdRng,
 ) -> FaultCounts {
     let mut counts = FaultCounts::default();
-    let mut old_words: Vec<Bytes> = Vec::new();
+    let mut old_records: Vec<Bytes> = Vec::new();
     for _ in 0..count {
-        let host = draw.random_range(0..hosts.count());
-        let long = Duration::from_millis(draw.random_range(20..150));
-        match draw.random_range(0..14) {
-            0 => outage(log, Outage::Refusing, long, &mut counts),
-            1 => outage(log, Outage::Silent, long, &mut counts),
-            2 => lose(log, Loss::Gateway, &mut draw, &mut counts),
-            3 => lose(log, Loss::Silence, &mut draw, &mut counts),
+        let host = rng.random_range(0..hosts.count());
+        let duration = Duration::from_millis(rng.random_range(20..150));
+        match rng.random_range(0..14) {
+            0 => outage(store, Outage::Refusing, duration, &mut counts),
+            1 => outage(store, Outage::Silent, duration, &mut counts),
+            2 => lose_answers(store, Loss::Gateway, &mut rng, &mut counts),
+            3 => lose_answers(store, Loss::Silence, &mut rng, &mut counts),
             4 => {
                 counts.slow += 1;
-                log.change(|b| b.slow_ms = 60);
-                std::thread::sleep(long);
-                log.change(|b| b.slow_ms = 0);
+                store.change(|b| b.slow_ms = 60);
+                std::thread::sleep(duration);
+                store.change(|b| b.slow_ms = 0);
             }
-            5 => link(hosts, host, Fault::Cut, long, &mut counts),
-            6 => link(hosts, host, Fault::Delay(long), long * 2, &mut counts),
-            7 => link(hosts, host, Fault::LoseAnswers, long, &mut counts),
+            5 => break_link(hosts, host, Fault::Cut, duration, &mut counts),
+            6 => break_link(
+                hosts,
+                host,
+                Fault::Delay(duration),
+                duration * 2,
+                &mut counts,
+            ),
+            7 => break_link(hosts, host, Fault::LoseAnswers, duration, &mut counts),
             8 => {
                 counts.links += 1;
                 hosts.silence(host);
@@ -72,52 +78,58 @@
             }
             10 => {
                 counts.words += 1;
-                old_words.extend(hosts.word(host));
-                let to = draw.random_range(0..hosts.count());
-                if let Some(word) = pick(&old_words, &mut draw) {
-                    hosts.follower(to).install_record(word);
+                old_records.extend(hosts.offered_record(host));
+                let to = rng.random_range(0..hosts.count());
+                if let Some(record) = pick(&old_records, &mut rng) {
+                    hosts.follower(to).install_record(record);
                 }
             }
             11 => {
                 counts.damaged += 1;
-                log.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
+                store.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
             }
             _ => {
                 counts.repeats += 1;
-                let records = log.journal(CONFIG_STREAM);
-                let late = pick(&records, &mut draw).cloned();
-                late.and_then(|record| log.append(CONFIG_STREAM, record));
+                let records = store.journal(CONFIG_STREAM);
+                let late = pick(&records, &mut rng).cloned();
+                late.and_then(|record| store.append(CONFIG_STREAM, record));
             }
         }
-        std::thread::sleep(Duration::from_millis(draw.random_range(5..30)));
+        std::thread::sleep(Duration::from_millis(rng.random_range(5..30)));
     }
-    log.change(|b| b.losses = 0);
+    store.change(|b| b.losses = 0);
     counts
 }
 
-fn outage(log: &StoreStandIn, kind: Outage, long: Duration, counts: &mut FaultCounts) {
+fn outage(store: &StoreStandIn, kind: Outage, duration: Duration, counts: &mut FaultCounts) {
     counts.outages += 1;
-    log.change(|b| b.outage = Some(kind));
-    std::thread::sleep(long);
-    log.change(|b| b.outage = None);
+    store.change(|b| b.outage = Some(kind));
+    std::thread::sleep(duration);
+    store.change(|b| b.outage = None);
 }
 
-fn lose(log: &StoreStandIn, kind: Loss, draw: &mut StdRng, counts: &mut FaultCounts) {
+fn lose_answers(store: &StoreStandIn, kind: Loss, rng: &mut StdRng, counts: &mut FaultCounts) {
     counts.losses += 1;
-    let losses = draw.random_range(1..4);
-    log.change(|b| (b.loss, b.losses) = (Some(kind), losses));
+    let losses = rng.random_range(1..4);
+    store.change(|b| (b.loss, b.losses) = (Some(kind), losses));
 }
 
-fn link(hosts: &Hosts, host: usize, fault: Fault, long: Duration, counts: &mut FaultCounts) {
+fn break_link(
+    hosts: &Hosts,
+    host: usize,
+    fault: Fault,
+    duration: Duration,
+    counts: &mut FaultCounts,
+) {
     counts.links += 1;
     hosts.set(host, fault);
-    std::thread::sleep(long);
+    std::thread::sleep(duration);
     hosts.set(host, Fault::Pass);
 }
 
-fn pick<'a>(words: &'a [Bytes], draw: &mut StdRng) -> Option<&'a Bytes> {
-    match words.len() {
+fn pick<'a>(records: &'a [Bytes], rng: &mut StdRng) -> Option<&'a Bytes> {
+    match records.len() {
         0 => None,
-        count => words.get(draw.random_range(0..count)),
+        count => records.get(rng.random_range(0..count)),
     }
 }
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -43,7 +43,7 @@
 impl<'a> Hosts<'a> {
     pub(super) fn start(
         count: usize,
-        log: &StoreStandIn,
+        store: &StoreStandIn,
         runtime: &'a Runtime,
     ) -> io::Result<Self> {
         let _inside = runtime.enter();
@@ -54,8 +54,8 @@
             runtime,
         };
         for number in 0..count {
-            let proxy = Proxy::start(log.address())?;
-            let follower = follow(&proxy);
+            let proxy = Proxy::start(store.address())?;
+            let follower = start_follower(&proxy);
             hosts.watch(number, 0, follower.config());
             hosts.hosts.push(Host {
                 proxy,
@@ -91,7 +91,7 @@
     /// Replaces a host's process by a new one without state.
     pub(super) fn restart(&self, number: usize) {
         let host = &self.hosts[number];
-        let follower = follow(&host.proxy);
+        let follower = start_follower(&host.proxy);
         let mut starts = lock(&host.starts);
         *starts += 1;
         self.watch(number, *starts, follower.config());
@@ -99,7 +99,7 @@
     }
 
     /// Returns the record that a host would send to a peer.
-    pub(super) fn word(&self, number: usize) -> Option<Bytes> {
+    pub(super) fn offered_record(&self, number: usize) -> Option<Bytes> {
         self.follower(number)
             .snapshot_record()
             .map(|(_, record)| record)
@@ -107,10 +107,10 @@
 
     /// Waits until every host has folded the whole log, or until `deadline`; returns the hosts'
     /// revisions.
-    pub(super) fn settle(&self, log: &StoreStandIn, deadline: Instant) -> Vec<u64> {
+    pub(super) fn wait_converged(&self, store: &StoreStandIn, deadline: Instant) -> Vec<u64> {
         let end = |f: &Arc<Follower>| {
             let fold = f.fold();
-            let next = log.journal(transport::log::CONFIG_STREAM).len() as u64;
+            let next = store.journal(transport::log::CONFIG_STREAM).len() as u64;
             !fold.is_behind() && fold.position().next == next
         };
         while Instant::now() < deadline && !(0..self.count()).all(|n| end(&self.follower(n))) {
@@ -147,7 +147,7 @@
 }
 
 /// Starts a follower with short timeouts and frequent snapshots, to match the short run.
-fn follow(proxy: &Proxy) -> Arc<Follower> {
+fn start_follower(proxy: &Proxy) -> Arc<Follower> {
     let options = FollowerOptions {
         wait: Duration::from_millis(50),
         retry_delay: Duration::from_millis(5),
--- a/components/stand_ins/src/config_run/mod.rs
+++ b/components/stand_ins/src/config_run/mod.rs
@@ -58,7 +58,7 @@
 }
 
 /// How long hosts may take to read to the log's end after the last fault.
-const HEAL_LIMIT: Duration = Duration::from_secs(20);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs hosts, operators and faults, and returns what was observed.
 ///
@@ -70,34 +70,34 @@
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let log = StoreStandIn::on_loopback(Behaviour {
+    let store = StoreStandIn::on_loopback(Behaviour {
         keep_records: Some(96),
         ..Behaviour::default()
     })?;
-    log.record_journal();
-    let hosts = Hosts::start(options.hosts, &log, &runtime)?;
+    store.record_journal();
+    let hosts = Hosts::start(options.hosts, &store, &runtime)?;
     let issued = Mutex::new(Vec::new());
     let mut faults = FaultCounts::default();
     std::thread::scope(|scope| {
         for operator in 0..options.operators {
             let (hosts, issued) = (&hosts, &issued);
-            let draw = generator(options.seed, 1 + operator as u64);
-            scope.spawn(move || operators::work(hosts, operator, options.commands, draw, issued));
+            let rng = seeded_rng(options.seed, 1 + operator as u64);
+            scope.spawn(move || operators::issue(hosts, operator, options.commands, rng, issued));
         }
-        faults = faults::cause(&log, &hosts, options.faults, generator(options.seed, 0));
+        faults = faults::inject(&store, &hosts, options.faults, seeded_rng(options.seed, 0));
     });
-    let issued = operators::ask_again(&hosts, issued.into_inner().unwrap_or_default());
-    let final_revisions = hosts.settle(&log, Instant::now() + HEAL_LIMIT);
+    let issued = operators::retry_unknown(&hosts, issued.into_inner().unwrap_or_default());
+    let final_revisions = hosts.wait_converged(&store, Instant::now() + CONVERGENCE_TIMEOUT);
     Ok(History {
         observations: hosts.shown(),
         issued,
-        records: log.journal(CONFIG_STREAM),
+        records: store.journal(CONFIG_STREAM),
         final_revisions,
         faults,
     })
 }
 
-fn generator(seed: u64, part: u64) -> StdRng {
+fn seeded_rng(seed: u64, part: u64) -> StdRng {
     StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(part))
 }
 
--- a/components/stand_ins/src/config_run/operators.rs
+++ b/components/stand_ins/src/config_run/operators.rs
@@ -19,10 +19,10 @@
 const MEMBERS: [&str; 3] = ["trent-1", "severn-1", "soar-1"];
 
 /// How long an operator waits for an answer.
-const LIMIT: Duration = Duration::from_millis(250);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How often an operator retries a command with an unknown outcome after the faults are over.
-const TRIES: usize = 100;
+const MAX_RETRIES: usize = 100;
 
 /// A command and the answers that its operator got.
 #[value]
@@ -34,31 +34,31 @@
 }
 
 /// Submits `count` commands, one after the other, each through a random host.
-pub(super) fn work(
+pub(super) fn issue(
     hosts: &Hosts,
     operator: usize,
     count: usize,
-    mut draw: StdRng,
+    mut rng: StdRng,
     issued: &Mutex<Vec<IssuedCommand>>,
 ) {
     let mut seen_revision = 0;
     for number in 0..count {
-        let host = draw.random_range(0..hosts.count());
+        let host = rng.random_range(0..hosts.count());
         let fold = hosts.follower(host).fold();
-        let mark = fold.position();
-        let named = draw.random_bool(0.5);
-        let stale = draw.random_bool(0.3) && seen_revision > 0;
+        let position = fold.position();
+        let named = rng.random_bool(0.5);
+        let stale = rng.random_bool(0.3) && seen_revision > 0;
         let request = CommandRequest {
-            id: named.then(|| CommandId::new(mark.next, draw.random())),
+            id: named.then(|| CommandId::new(position.next, rng.random())),
             decided_on: match (stale, named) {
                 (true, _) => Some(seen_revision),
-                (false, true) => Some(mark.revision),
+                (false, true) => Some(position.revision),
                 (false, false) => None,
             },
-            change: change(operator * 10_000 + number, fold.config(), &mut draw),
+            change: change(operator * 10_000 + number, fold.config(), &mut rng),
         };
-        let outcome = hosts.submission(host, LIMIT).submit(&request);
-        seen_revision = mark.revision;
+        let outcome = hosts.submission(host, ANSWER_TIMEOUT).submit(&request);
+        seen_revision = position.revision;
         lock(issued).push(IssuedCommand {
             request,
             outcomes: vec![outcome],
@@ -67,9 +67,9 @@
 }
 
 /// Retries every command with an unknown outcome.
-pub(super) fn ask_again(hosts: &Hosts, mut issued: Vec<IssuedCommand>) -> Vec<IssuedCommand> {
+pub(super) fn retry_unknown(hosts: &Hosts, mut issued: Vec<IssuedCommand>) -> Vec<IssuedCommand> {
     for one in &mut issued {
-        for n in 0..TRIES {
+        for n in 0..MAX_RETRIES {
             let Some(Outcome::Unknown { id }) = one.outcomes.last() else {
                 break;
             };
@@ -79,18 +79,18 @@
             };
             let host = n % hosts.count();
             one.outcomes
-                .push(hosts.submission(host, LIMIT).submit(&request));
+                .push(hosts.submission(host, ANSWER_TIMEOUT).submit(&request));
         }
     }
     issued
 }
 
 /// Draws a change; `unique` makes each put and each join differ from all others.
-fn change(unique: usize, config: &Config, draw: &mut StdRng) -> Change {
-    let which = draw.random_range(0..3);
+fn change(unique: usize, config: &Config, rng: &mut StdRng) -> Change {
+    let which = rng.random_range(0..3);
     let centre = CENTRES[which].to_owned();
     let member = MEMBERS[which].to_owned();
-    match draw.random_range(0..10) {
+    match rng.random_range(0..10) {
         0..=2 => Change::PutPreset {
             text: preset(PRESETS[which], unique),
         },
--- a/components/stand_ins/src/store/groups.rs
+++ b/components/stand_ins/src/store/groups.rs
@@ -7,10 +7,10 @@
 
 /// The most topics of a group whose partitions are assigned; the platform's store ignores the
 /// rest.
-const TOPICS: usize = 20;
+const MAX_TOPICS: usize = 20;
 
 /// Partitions of each topic.
-const PARTS: u32 = 12;
+const PARTITIONS: u32 = 12;
 
 struct Member {
     seen: Instant,
@@ -32,7 +32,7 @@
     /// Adds or refreshes a member; returns the generation and the member's partitions.
     pub fn join(&mut self, join: Join) -> (u64, Vec<PartitionOwner>) {
         let group = self.0.entry(join.group).or_default();
-        group.lapse();
+        group.remove_expired();
         if group.topics != join.topics {
             group.topics = join.topics;
             group.generation += 1;
@@ -44,7 +44,7 @@
         if group.members.insert(join.member.clone(), member).is_none() {
             group.generation += 1;
         }
-        let mine = group.owned().filter(|o| o.member == join.member);
+        let mine = group.assignments().filter(|o| o.member == join.member);
         (group.generation, mine.collect())
     }
 
@@ -53,14 +53,14 @@
         let Some(group) = self.0.get_mut(group) else {
             return Vec::new();
         };
-        group.lapse();
-        group.owned().collect()
+        group.remove_expired();
+        group.assignments().collect()
     }
 }
 
 impl Group {
     /// Removes members that haven't joined again within their timeout.
-    fn lapse(&mut self) {
+    fn remove_expired(&mut self) {
         let before = self.members.len();
         self.members.retain(|_, m| m.seen.elapsed() < m.timeout);
         if self.members.len() < before {
@@ -69,14 +69,14 @@
     }
 
     /// Assigns the partitions to the members in turn (round-robin).
-    fn owned(&self) -> impl Iterator<Item = PartitionOwner> {
-        let parts = self
+    fn assignments(&self) -> impl Iterator<Item = PartitionOwner> {
+        let partitions = self
             .topics
             .iter()
-            .take(TOPICS)
-            .flat_map(|t| (0..PARTS).map(move |p| (t.clone(), p)));
+            .take(MAX_TOPICS)
+            .flat_map(|t| (0..PARTITIONS).map(move |p| (t.clone(), p)));
         let members = self.members.keys().cycle();
-        parts
+        partitions
             .zip(members)
             .map(|((topic, partition), member)| PartitionOwner {
                 topic,
--- a/components/stand_ins/src/store/server.rs
+++ b/components/stand_ins/src/store/server.rs
@@ -12,7 +12,7 @@
 use tiny_http::{Method, Request, Response, Server};
 use transport::peers::host_list::HostEntry;
 
-use super::topics::{Behaviour, Counts, Loss, Refused, Store};
+use super::topics::{Behaviour, Counts, Loss, Refused, StoreState};
 
 /// The largest body of a call that is accepted, in bytes.
 const CALL_LIMIT: u64 = 4 * 1024 * 1024;
@@ -20,7 +20,7 @@
 /// A stand-in for the platform's store, served from its own threads until dropped.
 pub struct StoreStandIn {
     address: SocketAddr,
-    store: Arc<Store>,
+    store: Arc<StoreState>,
     servers: Vec<Arc<Server>>,
 }
 
@@ -37,14 +37,14 @@
     /// Fails if the listener can't be served.
     pub fn start(listener: TcpListener, behaviour: Behaviour) -> io::Result<StoreStandIn> {
         let address = listener.local_addr()?;
-        let mut log = StoreStandIn {
+        let mut stand_in = StoreStandIn {
             address,
-            store: Arc::new(Store::new(behaviour)),
+            store: Arc::new(StoreState::new(behaviour)),
             servers: Vec::new(),
         };
-        log.add_listener(listener)?;
+        stand_in.add_listener(listener)?;
         log::info!("E0901 log-stand-in-started address={address}");
-        Ok(log)
+        Ok(stand_in)
     }
 
     /// Serves the store on a free port of the loopback address.
@@ -131,7 +131,7 @@
     }
 }
 
-fn serve(server: &Arc<Server>, store: &Arc<Store>) -> io::Result<()> {
+fn serve(server: &Arc<Server>, store: &Arc<StoreState>) -> io::Result<()> {
     let server = Arc::clone(server);
     let store = Arc::clone(store);
     std::thread::Builder::new()
@@ -141,7 +141,7 @@
 }
 
 /// Answers each request on its own thread, since reads are long polls.
-fn accept(server: &Server, store: &Arc<Store>) {
+fn accept(server: &Server, store: &Arc<StoreState>) {
     for request in server.incoming_requests() {
         let store = Arc::clone(store);
         let spawned = std::thread::Builder::new()
@@ -153,7 +153,7 @@
     }
 }
 
-fn answer(mut request: Request, store: &Store) {
+fn answer(mut request: Request, store: &StoreState) {
     let path = request.url().to_owned();
     let response = match (request.method(), path.as_str()) {
         (Method::Put, "/control") => control(&mut request, store),
@@ -161,11 +161,11 @@
         (Method::Put, "/hosts") => set_hosts(&mut request, store),
         (Method::Get, "/counts") => json(200, &store.counts()),
         (Method::Get, "/hosts") => hosts(store),
-        _ => match call(&mut request, &path) {
+        _ => match read_call(&mut request, &path) {
             None => refuse(400),
-            Some(call) => match carry_out(store, call) {
+            Some(call) => match execute(store, call) {
                 Some(response) => response,
-                None => return lose(request),
+                None => return leave_unanswered(request),
             },
         },
     };
@@ -173,7 +173,7 @@
     let _ = request.respond(response);
 }
 
-fn call(request: &mut Request, path: &str) -> Option<Call> {
+fn read_call(request: &mut Request, path: &str) -> Option<Call> {
     let body = match request.method() {
         Method::Post => body(request)?,
         _ => Vec::new(),
@@ -184,8 +184,8 @@
 type Answer = Response<io::Cursor<Vec<u8>>>;
 
 /// Executes a call; returns `None` if its answer is to be lost in silence.
-fn carry_out(store: &Store, call: Call) -> Option<Answer> {
-    if let Err(refused) = store.enter(&call) {
+fn execute(store: &StoreState, call: Call) -> Option<Answer> {
+    if let Err(refused) = store.admit(&call) {
         return Some(refused_answer(&refused));
     }
     std::thread::sleep(Duration::from_millis(store.behaviour().slow_ms));
@@ -219,8 +219,8 @@
             ))
         }
         Call::Join(join) => {
-            let (generation, parts) = store.join(join);
-            Ok(store_server::join_answer(generation, &parts))
+            let (generation, partitions) = store.join(join);
+            Ok(store_server::join_answer(generation, &partitions))
         }
         Call::Owners { group } => Ok(store_server::owners_answer(&store.owners(&group))),
     };
@@ -234,21 +234,21 @@
     match refused {
         Refused::Down => refuse(503),
         Refused::Budget => refuse(429),
-        Refused::Moved(end) => {
+        Refused::WrongOffset(end) => {
             Response::from_data(store_server::append_answer(*end, *end)).with_status_code(412)
         }
-        Refused::Gone(first) => {
+        Refused::Trimmed(first) => {
             Response::from_data(store_server::trimmed_answer(*first)).with_status_code(410)
         }
     }
 }
 
 /// Leaves a request without an answer, as a link that has gone silent does.
-fn lose(request: Request) {
+fn leave_unanswered(request: Request) {
     drop(request.into_writer());
 }
 
-fn hosts(store: &Store) -> Answer {
+fn hosts(store: &StoreState) -> Answer {
     match store.is_up() {
         true => json(
             200,
@@ -260,7 +260,7 @@
     }
 }
 
-fn control(request: &mut Request, store: &Store) -> Answer {
+fn control(request: &mut Request, store: &StoreState) -> Answer {
     let parsed = body(request).and_then(|b| serde_json::from_slice::<Behaviour>(&b).ok());
     match parsed {
         Some(behaviour) => {
@@ -271,7 +271,7 @@
     }
 }
 
-fn set_hosts(request: &mut Request, store: &Store) -> Answer {
+fn set_hosts(request: &mut Request, store: &StoreState) -> Answer {
     let parsed = body(request).and_then(|b| serde_json::from_slice::<Vec<HostEntry>>(&b).ok());
     match parsed {
         Some(list) => {
--- a/components/stand_ins/src/store/topics.rs
+++ b/components/stand_ins/src/store/topics.rs
@@ -101,13 +101,13 @@
 #[derive(Default)]
 struct Topic {
     first: u64,
-    records: VecDeque<Kept>,
+    records: VecDeque<StoredRecord>,
     /// The newest value of each key with its offset, kept regardless of retention.
     newest: BTreeMap<String, (Bytes, u64)>,
     journal: Vec<Bytes>,
 }
 
-struct Kept {
+struct StoredRecord {
     at: Instant,
     data: Bytes,
 }
@@ -118,14 +118,14 @@
     }
 
     fn push(&mut self, data: Bytes) {
-        self.records.push_back(Kept {
+        self.records.push_back(StoredRecord {
             at: Instant::now(),
             data,
         });
     }
 
     /// Updates the newest value of a key from a record of a keyed topic.
-    fn note_newest(&mut self, data: &Bytes) {
+    fn update_newest(&mut self, data: &Bytes) {
         let offset = self.end();
         match decode_record(data.clone()) {
             Some(Record {
@@ -144,7 +144,7 @@
     fn expire(&mut self, behaviour: &Behaviour) {
         let most = behaviour.keep_records.unwrap_or(usize::MAX);
         let age = behaviour.keep_ms.map(Duration::from_millis);
-        let too_old = |kept: &Kept| age.is_some_and(|a| kept.at.elapsed() > a);
+        let too_old = |stored: &StoredRecord| age.is_some_and(|a| stored.at.elapsed() > a);
         while self.records.len() > most || self.records.front().is_some_and(too_old) {
             self.records.pop_front();
             self.first += 1;
@@ -163,12 +163,12 @@
         let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
         let mut taken = 0;
         let mut records = Vec::new();
-        for kept in self.records.iter().skip(skip) {
-            taken += kept.data.len();
+        for stored in self.records.iter().skip(skip) {
+            taken += stored.data.len();
             if taken > bytes && !records.is_empty() {
                 break;
             }
-            records.push(kept.data.clone());
+            records.push(stored.data.clone());
         }
         ReadAnswer {
             records,
@@ -186,9 +186,9 @@
     /// The calls exceed the budget per second.
     Budget,
     /// The topic doesn't end at the offset that the append requires; the actual end.
-    Moved(u64),
+    WrongOffset(u64),
     /// The requested records were trimmed; the first offset that is left.
-    Gone(u64),
+    Trimmed(u64),
 }
 
 /// The result of an append.
@@ -213,14 +213,14 @@
 
 /// Token bucket that holds one second's worth of calls.
 #[derive(Default)]
-struct Tokens {
+struct TokenBucket {
     left: f64,
     refilled: Option<Instant>,
 }
 
-impl Tokens {
+impl TokenBucket {
     /// Takes a token if one is left; `rate` is in calls per second.
-    fn spend(&mut self, rate: u32) -> bool {
+    fn take(&mut self, rate: u32) -> bool {
         let rate = f64::from(rate);
         let now = Instant::now();
         // The bucket is full at first.
@@ -242,22 +242,22 @@
     behaviour: Behaviour,
     hosts: Vec<HostEntry>,
     counts: Counts,
-    writes: Tokens,
-    reads: Tokens,
+    writes: TokenBucket,
+    reads: TokenBucket,
     stopped: bool,
     keeps_journal: bool,
 }
 
 /// All state of the stand-in behind a lock; each append wakes the waiting readers.
 #[derive(Default)]
-pub(super) struct Store {
+pub(super) struct StoreState {
     inner: Mutex<Inner>,
     changed: Condvar,
 }
 
-impl Store {
-    pub(super) fn new(behaviour: Behaviour) -> Store {
-        let store = Store::default();
+impl StoreState {
+    pub(super) fn new(behaviour: Behaviour) -> StoreState {
+        let store = StoreState::default();
         store.lock().behaviour = behaviour;
         store
     }
@@ -319,7 +319,7 @@
     }
 
     /// Admits a call, or returns why it is refused.
-    pub(super) fn enter(&self, call: &Call) -> Result<(), Refused> {
+    pub(super) fn admit(&self, call: &Call) -> Result<(), Refused> {
         self.lock().counts.calls += 1;
         if !self.is_up() {
             return Err(Refused::Down);
@@ -331,9 +331,9 @@
             ..
         } = inner.behaviour;
         let allowed = match call {
-            Call::Append { .. } | Call::Trim { .. } => inner.writes.spend(appends_second),
+            Call::Append { .. } | Call::Trim { .. } => inner.writes.take(appends_second),
             Call::Read { .. } | Call::Newest { .. } | Call::Owners { .. } => {
-                inner.reads.spend(reads_second)
+                inner.reads.take(reads_second)
             }
             // The platform counts a join as a tenth of a call, which is negligible here.
             Call::Join(_) => true,
@@ -358,14 +358,14 @@
         let topic = inner.topics.entry(name.to_owned()).or_default();
         let offset = topic.end();
         if at.is_some_and(|at| at != offset) {
-            return Err(Refused::Moved(offset));
+            return Err(Refused::WrongOffset(offset));
         }
         for data in records {
             if keeps_journal {
                 topic.journal.push(data.clone());
             }
             if has_keys(name) {
-                topic.note_newest(&data);
+                topic.update_newest(&data);
             }
             topic.push(data);
         }
@@ -395,7 +395,7 @@
         };
         let mut inner = self.lock();
         let topic = inner.topics.entry(name.to_owned()).or_default();
-        topic.note_newest(&data);
+        topic.update_newest(&data);
         topic.push(data);
         self.changed.notify_all();
     }
@@ -438,7 +438,7 @@
         let topic = inner.topics.entry(name.to_owned()).or_default();
         topic.expire(&behaviour);
         if from < topic.first {
-            return Err(Refused::Gone(topic.first));
+            return Err(Refused::Trimmed(topic.first));
         }
         let read = topic.read(from, bytes);
         inner.counts.reads += 1;
--- a/components/stand_ins/tests/log_calls.rs
+++ b/components/stand_ins/tests/store_calls.rs
@@ -9,32 +9,32 @@
 use transport::store::{StoreClient, StoreError};
 
 fn started() -> (StoreStandIn, StoreClient) {
-    let log = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let store = StoreClient::new(log.address());
-    (log, store)
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let client = StoreClient::new(store.address());
+    (store, client)
 }
 
-fn put(log: &StoreStandIn, key: &str, value: Option<&'static str>) {
-    log.put("keyed.op", key, value.map(Bytes::from));
+fn put(store: &StoreStandIn, key: &str, value: Option<&'static str>) {
+    store.put("keyed.op", key, value.map(Bytes::from));
 }
 
 #[tokio::test]
 async fn newest_of_keys() {
-    let (log, mut store) = started();
-    put(&log, "a", Some("1"));
-    put(&log, "b", Some("2"));
-    put(&log, "a", Some("3"));
-    put(&log, "b", None);
-    let page = store.newest("keyed.op", None).await.unwrap();
+    let (store, mut client) = started();
+    put(&store, "a", Some("1"));
+    put(&store, "b", Some("2"));
+    put(&store, "a", Some("3"));
+    put(&store, "b", None);
+    let page = client.newest("keyed.op", None).await.unwrap();
     let found: Vec<_> = page.records.iter().map(|r| r.key.as_str()).collect();
     assert_eq!((found, page.end), (vec!["a"], 4));
     assert_eq!(page.records[0].value.as_deref(), Some(b"3".as_slice()));
     for n in 0..501 {
-        put(&log, &format!("k{n:03}"), Some("x"));
+        put(&store, &format!("k{n:03}"), Some("x"));
     }
-    let first = store.newest("keyed.op", None).await.unwrap();
+    let first = client.newest("keyed.op", None).await.unwrap();
     let after = first.after.expect("more than one page");
-    let second = store.newest("keyed.op", Some(&after)).await.unwrap();
+    let second = client.newest("keyed.op", Some(&after)).await.unwrap();
     assert_eq!(first.records.len() + second.records.len(), 502);
     assert_eq!(second.after, None);
 }
@@ -43,38 +43,38 @@
 /// records are missing, with the first offset that is left.
 #[tokio::test]
 async fn forgotten_records() {
-    let (log, mut store) = started();
-    put(&log, "a", Some("1"));
-    log.compact("keyed.op");
-    let read = store.read("keyed.op", 0, Duration::ZERO, None).await;
+    let (store, mut client) = started();
+    put(&store, "a", Some("1"));
+    store.compact("keyed.op");
+    let read = client.read("keyed.op", 0, Duration::ZERO, None).await;
     assert!(
         matches!(read, Err(StoreError::Forgotten(Some(1)))),
         "{read:?}"
     );
-    let page = store.newest("keyed.op", None).await.unwrap();
+    let page = client.newest("keyed.op", None).await.unwrap();
     assert_eq!((page.records.len(), page.end), (1, 1));
 }
 
 #[tokio::test]
 async fn waiting_read() {
-    let (log, mut store) = started();
-    put(&log, "a", Some("1"));
-    let from_end = store.read("keyed.op", 1, Duration::ZERO, None);
+    let (store, mut client) = started();
+    put(&store, "a", Some("1"));
+    let from_end = client.read("keyed.op", 1, Duration::ZERO, None);
     assert!(from_end.await.unwrap().records.is_empty());
     let (read, ()) = tokio::join!(
-        store.read("keyed.op", 1, Duration::from_secs(20), None),
-        async { put(&log, "b", Some("2")) }
+        client.read("keyed.op", 1, Duration::from_secs(20), None),
+        async { put(&store, "b", Some("2")) }
     );
     assert_eq!(read.unwrap().records.len(), 1);
 }
 
 #[tokio::test]
 async fn short_pages() {
-    let (log, mut store) = started();
+    let (store, mut client) = started();
     for _ in 0..4 {
-        log.append("claims-0", Bytes::from(vec![b'x'; 600]));
+        store.append("claims-0", Bytes::from(vec![b'x'; 600]));
     }
-    let read = store.read("claims-0", 1, Duration::ZERO, Some(1)).await;
+    let read = client.read("claims-0", 1, Duration::ZERO, Some(1)).await;
     let read = read.unwrap();
     assert_eq!((read.records.len(), read.next(), read.end), (1, 2, 4));
 }
@@ -83,20 +83,20 @@
 /// Bounds over all hosts together depend on this.
 #[tokio::test]
 async fn even_parts() {
-    let (log, mut store) = started();
-    let mut other = StoreClient::new(log.address());
+    let (store, mut client) = started();
+    let mut other = StoreClient::new(store.address());
     let topics = ["hosts-0".to_owned(), "hosts-1".to_owned()];
     let body = |member, timeout| platform::store::join_body("g", member, &topics, timeout, 0);
-    let alone = store.join(body("one", 60.0)).await.unwrap();
+    let alone = client.join(body("one", 60.0)).await.unwrap();
     assert_eq!(alone.partitions, 24);
     let second = other.join(body("two", 60.0)).await.unwrap();
     assert_eq!(second.partitions, 12);
     assert!(second.generation > alone.generation);
-    let owners = store.owners("g").await.unwrap();
+    let owners = client.owners("g").await.unwrap();
     assert_eq!(owners, BTreeSet::from(["one".to_owned(), "two".to_owned()]));
     // With a timeout of 0 the membership ends with this call.
     other.join(body("two", 0.0)).await.unwrap();
-    let again = store.join(body("one", 60.0)).await.unwrap();
+    let again = client.join(body("one", 60.0)).await.unwrap();
     assert_eq!(again.partitions, 24);
 }
 
@@ -104,10 +104,10 @@
 /// would be a part of each bound that no host uses.
 #[tokio::test]
 async fn all_parts() {
-    let (_log, mut store) = started();
+    let (_store, mut client) = started();
     let topics = group_joins::group_topics();
     let body = platform::store::join_body("g", "one", &topics, 60.0, 0);
-    let alone = store.join(body).await.unwrap();
+    let alone = client.join(body).await.unwrap();
     assert_eq!(alone.partitions, group_joins::GROUP_TOPICS * 12);
 }
 
@@ -115,20 +115,20 @@
 /// answer of the store itself counts as "not applied"; a gateway's 504 doesn't.
 #[tokio::test]
 async fn refusals() {
-    let (log, mut store) = started();
-    log.change(|b| b.reads_second = 3);
+    let (store, mut client) = started();
+    store.change(|b| b.reads_second = 3);
     let mut refused = 0;
     for _ in 0..12 {
-        let read = store.read("claims-0", 0, Duration::ZERO, None).await;
+        let read = client.read("claims-0", 0, Duration::ZERO, None).await;
         refused += u32::from(read.is_err_and(|e| e.is_not_applied()));
     }
     assert!(refused > 0);
-    log.change(|b| b.outage = Some(Outage::Refusing));
+    store.change(|b| b.outage = Some(Outage::Refusing));
     let record = Bytes::from_static(b"x");
-    let down = store.append("claims-0", &record).await;
+    let down = client.append("claims-0", &record).await;
     assert!(down.is_err_and(|e| e.is_not_applied()));
-    log.change(|b| (b.outage, b.loss, b.losses) = (None, Some(Loss::Gateway), 1));
-    let lost = store.append("claims-0", &record).await;
+    store.change(|b| (b.outage, b.loss, b.losses) = (None, Some(Loss::Gateway), 1));
+    let lost = client.append("claims-0", &record).await;
     assert!(lost.is_err_and(|e| !e.is_not_applied()));
-    assert_eq!(log.counts().appends, 1);
+    assert_eq!(store.counts().appends, 1);
 }
