--- a/components/stand_ins/tests/backend_faults.rs
+++ b/components/stand_ins/tests/backend_faults.rs
@@ -12,20 +12,20 @@
 use stand_ins::history::{Ending, Event, History};
 use tokio::net::TcpStream;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const LONG: &str = "/work?work-ms=60000";
 
-struct Bench {
+struct Fixture {
     backend: Backend,
     history: History,
 }
 
-impl Bench {
-    fn new(options: Options) -> Bench {
+impl Fixture {
+    fn new(options: Options) -> Fixture {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let history = History::default();
         let backend = Backend::start(listener, options, history.clone()).unwrap();
-        Bench { backend, history }
+        Fixture { backend, history }
     }
 
     async fn connect(&self) -> SendRequest<Empty<Bytes>> {
@@ -36,7 +36,7 @@
     }
 
     async fn call(&self, path: &str) -> (StatusCode, Option<Bytes>) {
-        ask(&mut self.connect().await, path).await
+        call(&mut self.connect().await, path).await
     }
 
     async fn hold(&self, count: u64) -> Vec<tokio::task::JoinHandle<()>> {
@@ -57,7 +57,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        tokio::time::timeout(LIMIT, polled).await.unwrap();
+        tokio::time::timeout(TIMEOUT, polled).await.unwrap();
     }
 }
 
@@ -69,7 +69,7 @@
         .unwrap()
 }
 
-async fn ask(sender: &mut SendRequest<Empty<Bytes>>, path: &str) -> (StatusCode, Option<Bytes>) {
+async fn call(sender: &mut SendRequest<Empty<Bytes>>, path: &str) -> (StatusCode, Option<Bytes>) {
     let response = sender.send_request(request(path)).await.unwrap();
     let status = response.status();
     let body = response.into_body().collect().await;
@@ -78,23 +78,23 @@
 
 #[tokio::test]
 async fn sheds_above_slots() {
-    let bench = Bench::new(Options::default());
-    let held = bench.hold(6).await;
-    let (status, _) = bench.call("/work").await;
+    let fixture = Fixture::new(Options::default());
+    let held = fixture.hold(6).await;
+    let (status, _) = fixture.call("/work").await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-    let counts = bench.backend.counts();
+    let counts = fixture.backend.counts();
     assert_eq!((counts.peak, counts.above, counts.shed), (7, 1, 1));
     drop(held);
 }
 
 #[tokio::test]
 async fn hang_up_cancels() {
-    let bench = Bench::new(Options::default());
-    let held = bench.hold(1).await;
+    let fixture = Fixture::new(Options::default());
+    let held = fixture.hold(1).await;
     for task in held {
         task.abort();
     }
-    bench.until(|counts| counts.cancelled == 1).await;
+    fixture.until(|counts| counts.cancelled == 1).await;
     let cancelled = |r: &stand_ins::history::Record| {
         matches!(
             r.event,
@@ -105,37 +105,43 @@
             }
         )
     };
-    assert!(bench.history.sorted().iter().any(cancelled));
+    assert!(fixture.history.sorted().iter().any(cancelled));
 }
 
 #[tokio::test]
-async fn cold_falls_over() {
-    let bench = Bench::new(Options {
+async fn cold_overload() {
+    let fixture = Fixture::new(Options {
         cold: true,
         overload_ms: 600_000,
         ..Options::default()
     });
-    let held = bench.hold(1).await;
-    assert_eq!(bench.call("/work").await.0, StatusCode::SERVICE_UNAVAILABLE);
+    let held = fixture.hold(1).await;
+    assert_eq!(
+        fixture.call("/work").await.0,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
     for task in held {
         task.abort();
     }
-    bench.until(|counts| counts.cancelled == 1).await;
-    assert_eq!(bench.call("/work").await.0, StatusCode::SERVICE_UNAVAILABLE);
+    fixture.until(|counts| counts.cancelled == 1).await;
+    assert_eq!(
+        fixture.call("/work").await.0,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
 }
 
 #[tokio::test]
 async fn cold_warms_up() {
-    let bench = Bench::new(Options {
+    let fixture = Fixture::new(Options {
         cold: true,
         warm_calls: 3,
         warm_ms: 600_000,
         ..Options::default()
     });
     for _ in 0..3 {
-        assert_eq!(bench.call("/work").await.0, StatusCode::OK);
+        assert_eq!(fixture.call("/work").await.0, StatusCode::OK);
     }
-    let held = bench.hold(9).await;
+    let held = fixture.hold(9).await;
     assert_eq!(held.len(), 9);
 }
 
@@ -144,13 +150,13 @@
 #[case::chunked("/work?size=100000&chunked=1")]
 #[tokio::test]
 async fn cut_answer(#[case] path: &str) {
-    let bench = Bench::new(Options::default());
-    bench.backend.set(&Knobs {
+    let fixture = Fixture::new(Options::default());
+    fixture.backend.set(&Knobs {
         cut_answers: Some(1),
         ..Knobs::default()
     });
-    assert_eq!(bench.call(path).await, (StatusCode::OK, None));
-    let (status, body) = bench.call(path).await;
+    assert_eq!(fixture.call(path).await, (StatusCode::OK, None));
+    let (status, body) = fixture.call(path).await;
     let whole = pattern(7).repeat(100_000);
     assert_eq!(status, StatusCode::OK);
     assert!(body.is_some_and(|b| b.len() == 100_000 && whole.as_bytes().starts_with(&b)));
@@ -158,23 +164,23 @@
 
 #[tokio::test]
 async fn silent_for_good() {
-    let bench = Bench::new(Options::default());
-    let mut old = bench.connect().await;
-    ask(&mut old, "/work").await;
-    bench.backend.set(&Knobs {
+    let fixture = Fixture::new(Options::default());
+    let mut old = fixture.connect().await;
+    call(&mut old, "/work").await;
+    fixture.backend.set(&Knobs {
         silence: true,
         ..Knobs::default()
     });
-    let asking = ask(&mut old, "/work");
+    let asking = call(&mut old, "/work");
     let silent = tokio::time::timeout(Duration::from_millis(200), asking).await;
     assert!(silent.is_err());
-    assert_eq!(bench.call("/work").await.0, StatusCode::OK);
+    assert_eq!(fixture.call("/work").await.0, StatusCode::OK);
 }
 
 #[tokio::test]
 async fn deadline_honoured() {
-    let bench = Bench::new(Options::default());
-    let mut sender = bench.connect().await;
+    let fixture = Fixture::new(Options::default());
+    let mut sender = fixture.connect().await;
     let mut late = request(LONG);
     late.headers_mut()
         .insert("cardamomvale-deadline-ms", 5.into());
@@ -183,32 +189,32 @@
 }
 
 #[tokio::test]
-async fn report_lies() {
-    let bench = Bench::new(Options::default());
-    let held = bench.hold(2).await;
+async fn false_load_report() {
+    let fixture = Fixture::new(Options::default());
+    let held = fixture.hold(2).await;
     let running = |body: Option<Bytes>| {
         let load: serde_json::Value = serde_json::from_slice(&body.unwrap()).unwrap();
         load["running"].as_u64().unwrap()
     };
-    assert_eq!(running(bench.call("/-/load").await.1), 2);
-    bench.backend.set(&Knobs {
+    assert_eq!(running(fixture.call("/-/load").await.1), 2);
+    fixture.backend.set(&Knobs {
         report: Some(Report::Idle),
         ..Knobs::default()
     });
-    assert_eq!(running(bench.call("/-/load").await.1), 0);
+    assert_eq!(running(fixture.call("/-/load").await.1), 0);
     drop(held);
 }
 
 #[tokio::test]
 async fn control_port() {
-    let bench = Bench::new(Options::default());
+    let fixture = Fixture::new(Options::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let control = listener.local_addr().unwrap();
-    let backend = bench.backend.address();
+    let backend = fixture.backend.address();
     let _control = Control::start(
         listener,
-        std::slice::from_ref(&bench.backend),
-        bench.history.clone(),
+        std::slice::from_ref(&fixture.backend),
+        fixture.history.clone(),
     )
     .unwrap();
     let setting = tokio::task::spawn_blocking(move || {
@@ -217,7 +223,10 @@
             .map(|r| r.status())
     });
     assert_eq!(setting.await.unwrap().unwrap(), StatusCode::OK);
-    assert_eq!(bench.call("/work").await.0, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        fixture.call("/work").await.0,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
     let journal = tokio::task::spawn_blocking(move || {
         let mut answer = ureq::get(format!("http://{control}/journal"))
             .call()
@@ -225,5 +234,5 @@
         answer.body_mut().read_to_string().unwrap()
     });
     let records = stand_ins::history::read_lines(journal.await.unwrap().as_bytes()).unwrap();
-    assert_eq!(records, bench.history.sorted());
+    assert_eq!(records, fixture.history.sorted());
 }
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -55,7 +55,7 @@
 }
 
 /// A history without violations: two presets are put and then chosen one after the other.
-fn sound() -> History {
+fn valid_history() -> History {
     let put = |text: &str| Change::PutPreset {
         text: text.to_owned(),
     };
@@ -96,20 +96,20 @@
     }
 }
 
-fn tell(outcome: Outcome) -> History {
-    let mut history = sound();
+fn with_outcome(outcome: Outcome) -> History {
+    let mut history = valid_history();
     history.issued[0].outcomes = vec![outcome];
     history
 }
 
 #[test]
-fn sound_history() {
-    assert_eq!(check(&sound()), []);
+fn no_violations() {
+    assert_eq!(check(&valid_history()), []);
 }
 
 #[test]
 fn planted_revert() {
-    let mut history = sound();
+    let mut history = valid_history();
     history.observations = vec![shown(4), shown(3)];
     let revert = Violation::Reverted {
         host: 0,
@@ -121,41 +121,41 @@
 
 #[test]
 fn planted_difference() {
-    let mut history = sound();
+    let mut history = valid_history();
     history.observations = vec![shown(3)];
-    let broken = Violation::Differs {
+    let violations = Violation::Differs {
         host: 0,
         revision: 3,
     };
-    assert_eq!(check(&history), [broken]);
+    assert_eq!(check(&history), [violations]);
 }
 
 #[rstest]
 #[case(Outcome::Accepted { revision: 3 })]
 #[case(Outcome::Refused { reason: "someone was first".to_owned() })]
 #[case(Outcome::Unreachable { reason: "down".to_owned() })]
-fn planted_untruth(#[case] outcome: Outcome) {
-    let broken = check(&tell(outcome));
+fn planted_wrong_answer(#[case] outcome: Outcome) {
+    let violations = check(&with_outcome(outcome));
     assert!(
-        matches!(broken[..], [Violation::Untrue { .. }]),
-        "{broken:?}"
+        matches!(violations[..], [Violation::Untrue { .. }]),
+        "{violations:?}"
     );
 }
 
 #[test]
-fn planted_silence() {
+fn planted_unknown() {
     let id = CommandId::new(3, 9);
-    let broken = check(&tell(Outcome::Unknown { id }));
-    assert_eq!(broken, [Violation::Unsettled { id }]);
+    let violations = check(&with_outcome(Outcome::Unknown { id }));
+    assert_eq!(violations, [Violation::Unsettled { id }]);
 }
 
 #[test]
 fn planted_lag() {
-    let mut history = sound();
+    let mut history = valid_history();
     history.final_revisions = vec![4, 3];
-    let broken = Violation::Behind {
+    let violations = Violation::Behind {
         host: 1,
         revision: 3,
     };
-    assert_eq!(check(&history), [broken]);
+    assert_eq!(check(&history), [violations]);
 }
--- a/components/stand_ins/tests/history_checks.rs
+++ b/components/stand_ins/tests/history_checks.rs
@@ -84,7 +84,7 @@
 }
 
 /// A history of one minute that exercises every guarantee without a violation.
-fn good() -> Vec<Record> {
+fn valid_history() -> Vec<Record> {
     let host = || "entry-1".to_owned();
     let endpoint = endpoint();
     vec![
@@ -189,8 +189,8 @@
 #[case::not_in_force(Check::Configuration, vec![at(17, seen("entry-2", 1, "ordinary"))])]
 #[case::two_presets(Check::Configuration, vec![at(22, seen("entry-2", 3, "peak"))])]
 #[case::above_slots(Check::Slots, vec![at(9, load(20, None, 7, 6, false))])]
-fn planted_fault(#[case] expected: Check, #[case] planted: Vec<Record>) {
-    let mut records = good();
+fn planted_violation(#[case] expected: Check, #[case] planted: Vec<Record>) {
+    let mut records = valid_history();
     records.extend(planted);
     records.sort_by_key(|r| r.at);
     let violations = check(&records, &Limits::default());
@@ -202,8 +202,8 @@
 }
 
 #[test]
-fn good_history() {
-    let violations = check(&good(), &Limits::default());
+fn no_violations() {
+    let violations = check(&valid_history(), &Limits::default());
     assert_eq!(violations, []);
     assert!(tally(&violations).into_values().all(|count| count == 0));
 }
@@ -211,6 +211,6 @@
 #[test]
 fn survives_file() {
     let mut file = Vec::new();
-    write_lines(&good(), &mut file).unwrap();
-    assert_eq!(read_lines(file.as_slice()).unwrap(), good());
+    write_lines(&valid_history(), &mut file).unwrap();
+    assert_eq!(read_lines(file.as_slice()).unwrap(), valid_history());
 }
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn faults_named() {
+fn all_errors_named() {
     let text = FILE
         .replace("entry-hosts = 2", "entry-hosts = 0")
         .replace("service = \"hallboard\"\nmethod", "service = \"x\"\nmethod");
--- a/components/stand_ins/tests/proxy_faults.rs
+++ b/components/stand_ins/tests/proxy_faults.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const SILENCE: Duration = Duration::from_millis(200);
 
 /// Starts an echo server and a proxy before it.
@@ -63,7 +63,7 @@
     let mut stream = connect(&proxy).await;
     ask(&mut stream).await.unwrap();
     proxy.set(Fault::Cut);
-    assert!(timeout(LIMIT, ask(&mut stream)).await.unwrap().is_err());
+    assert!(timeout(TIMEOUT, ask(&mut stream)).await.unwrap().is_err());
     proxy.set(Fault::Pass);
     assert_eq!(&ask(&mut connect(&proxy).await).await.unwrap(), b"ping");
 }
@@ -74,7 +74,10 @@
     let mut stream = connect(&proxy).await;
     proxy.set(Fault::CutAnswers(6));
     ask(&mut stream).await.unwrap();
-    let error = timeout(LIMIT, ask(&mut stream)).await.unwrap().unwrap_err();
+    let error = timeout(TIMEOUT, ask(&mut stream))
+        .await
+        .unwrap()
+        .unwrap_err();
     assert!(matches!(
         error.kind(),
         ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
--- a/components/stand_ins/tests/store_calls.rs
+++ b/components/stand_ins/tests/store_calls.rs
@@ -42,7 +42,7 @@
 /// The store compacts a topic that operators write. A host that reads on must get an error that
 /// records are missing, with the first offset that is left.
 #[tokio::test]
-async fn forgotten_records() {
+async fn compacted_records() {
     let (store, mut client) = started();
     put(&store, "a", Some("1"));
     store.compact("keyed.op");
@@ -82,7 +82,7 @@
 /// Two hosts get an even part of the partitions; when one stops joining, the other gets them all.
 /// Bounds over all hosts together depend on this.
 #[tokio::test]
-async fn even_parts() {
+async fn even_partitions() {
     let (store, mut client) = started();
     let mut other = StoreClient::new(store.address());
     let topics = ["hosts-0".to_owned(), "hosts-1".to_owned()];
@@ -103,7 +103,7 @@
 /// Hosts divide bounds by the number of partitions. A partition that the store assigns to no host
 /// would be a part of each bound that no host uses.
 #[tokio::test]
-async fn all_parts() {
+async fn all_partitions() {
     let (_store, mut client) = started();
     let topics = group_joins::group_topics();
     let body = platform::store::join_body("g", "one", &topics, 60.0, 0);
