--- a/components/stand_ins/src/backend/service.rs
+++ b/components/stand_ins/src/backend/service.rs
@@ -49,13 +49,13 @@
     // With Nagle's algorithm small answers would wait for the caller's acknowledgement.
     let _ = stream.set_nodelay(true);
     let connection = shared.connections.open(stream);
-    let cut = connection.closed();
+    let closed = connection.closed();
     let service = service_fn(|request| serve(request, Arc::clone(&shared)));
     let serving = http1::Builder::new().serve_connection(TokioIo::new(connection), service);
     tokio::select! {
         // An error needs no log line: the affected calls are in the history.
         _ = serving => {}
-        () = cut => {}
+        () = closed => {}
     }
     shared.admission().disconnect();
 }
@@ -115,10 +115,10 @@
     }
     let run = RunGuard::new(shared, options.call);
     let slow = shared.knobs().slow.unwrap_or(1);
-    let length = options.work * slow;
-    let begun = Instant::now();
+    let duration = options.work * slow;
+    let start = Instant::now();
     match options.deadline {
-        Some(deadline) if deadline < length => {
+        Some(deadline) if deadline < duration => {
             tokio::time::sleep(deadline).await;
             run.end(Ending::Expired);
             return answer(
@@ -126,14 +126,14 @@
                 Answer::text("deadline passed\n"),
             );
         }
-        _ if length.is_zero() => {}
-        _ => tokio::time::sleep(length.saturating_sub(TIMER_LATENESS)).await,
+        _ if duration.is_zero() => {}
+        _ => tokio::time::sleep(duration.saturating_sub(TIMER_LATENESS)).await,
     }
     run.end(Ending::Done);
     let cut = shared.knobs().take_cut();
     let body = Answer::new(options.answer, options.size, options.chunked, cut);
     let mut response = answer(StatusCode::OK, body);
-    let took = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
+    let took = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
     response.headers_mut().insert(WORK_HEADER, took.into());
     response
 }
--- a/components/stand_ins/src/balancer.rs
+++ b/components/stand_ins/src/balancer.rs
@@ -59,12 +59,12 @@
     all_in_state(&statuses(admins), |state| state == "warm")
 }
 
-/// Returns whether the pages show as many `good` states as there are endpoints: one for each
+/// Returns whether the pages show as many `in_state` states as there are endpoints: one for each
 /// endpoint, by its owner.
-fn all_in_state(pages: &[Status], good: impl Fn(&str) -> bool) -> bool {
+fn all_in_state(pages: &[Status], in_state: impl Fn(&str) -> bool) -> bool {
     let endpoints = pages.first().map_or(0, |page| page.endpoints.len());
-    let seen = pages.iter().flat_map(|p| &p.endpoints);
-    endpoints > 0 && seen.filter(|e| good(&e.state)).count() == endpoints
+    let endpoints_shown = pages.iter().flat_map(|p| &p.endpoints);
+    endpoints > 0 && endpoints_shown.filter(|e| in_state(&e.state)).count() == endpoints
 }
 
 fn statuses(admins: &[SocketAddr]) -> Vec<Status> {
--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -106,7 +106,7 @@
             .iter()
             .map(|id| Violation::Repeated { id: *id }),
     );
-    violations.extend(history.issued.iter().flat_map(|t| truth.wrong_answers(t)));
+    violations.extend(history.issued.iter().flat_map(|c| truth.wrong_answers(c)));
     violations.extend(left_behind(history, &truth));
     violations
 }
@@ -114,11 +114,13 @@
 fn reverts(history: &History) -> Vec<Violation> {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     let mut violations = Vec::new();
-    for shown in &history.observations {
-        let to = shown.config.revision;
-        let from = last.insert((shown.host, shown.start), to).unwrap_or(0);
+    for observation in &history.observations {
+        let to = observation.config.revision;
+        let from = last
+            .insert((observation.host, observation.restarts), to)
+            .unwrap_or(0);
         if to < from {
-            let host = shown.host;
+            let host = observation.host;
             violations.push(Violation::Reverted { host, from, to });
         }
     }
@@ -127,8 +129,8 @@
 
 fn differences(history: &History, truth: &LogTruth) -> Vec<Violation> {
     let differs = |config: &Arc<Config>| truth.configs.get(&config.revision) != Some(config);
-    let shown = history.observations.iter().filter(|s| differs(&s.config));
-    shown
+    let differing = history.observations.iter().filter(|s| differs(&s.config));
+    differing
         .map(|s| Violation::Differs {
             host: s.host,
             revision: s.config.revision,
@@ -233,22 +235,22 @@
         .collect()
     }
 
-    fn wrong_answers(&self, issued: &IssuedCommand) -> Vec<Violation> {
-        let mut ids = issued.outcomes.iter().filter_map(|o| match o {
+    fn wrong_answers(&self, command: &IssuedCommand) -> Vec<Violation> {
+        let mut ids = command.outcomes.iter().filter_map(|o| match o {
             Outcome::Unknown { id } => Some(*id),
             _ => None,
         });
-        let id = issued.request.id.or(ids.next());
-        let mut violations: Vec<Violation> = issued
+        let id = command.request.id.or(ids.next());
+        let mut violations: Vec<Violation> = command
             .outcomes
             .iter()
-            .filter(|o| !self.is_true(&issued.request, id, o))
+            .filter(|o| !self.is_true(&command.request, id, o))
             .map(|o| Violation::Untrue {
-                request: Box::new(issued.request.clone()),
+                request: Box::new(command.request.clone()),
                 outcome: o.clone(),
             })
             .collect();
-        if let Some(Outcome::Unknown { id }) = issued.outcomes.last() {
+        if let Some(Outcome::Unknown { id }) = command.outcomes.last() {
             violations.push(Violation::Unsettled { id: *id });
         }
         violations
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -22,7 +22,7 @@
     /// The host.
     pub host: usize,
     /// The number of restarts of the host before; a new process has no state of the old one.
-    pub start: usize,
+    pub restarts: usize,
     /// The configuration.
     pub config: Arc<Config>,
 }
@@ -30,13 +30,13 @@
 struct Host {
     proxy: Proxy,
     follower: Mutex<Arc<Follower>>,
-    starts: Mutex<usize>,
+    restarts: Mutex<usize>,
 }
 
 /// All hosts of a run.
 pub(super) struct Hosts<'a> {
     hosts: Vec<Host>,
-    shown: Arc<Mutex<Vec<Observation>>>,
+    observations: Arc<Mutex<Vec<Observation>>>,
     runtime: &'a Runtime,
 }
 
@@ -47,10 +47,10 @@
         runtime: &'a Runtime,
     ) -> io::Result<Self> {
         let _inside = runtime.enter();
-        let shown = Arc::default();
+        let observations = Arc::default();
         let mut hosts = Hosts {
             hosts: Vec::new(),
-            shown,
+            observations,
             runtime,
         };
         for number in 0..count {
@@ -60,7 +60,7 @@
             hosts.hosts.push(Host {
                 proxy,
                 follower: Mutex::new(follower),
-                starts: Mutex::new(0),
+                restarts: Mutex::new(0),
             });
         }
         Ok(hosts)
@@ -92,9 +92,9 @@
     pub(super) fn restart(&self, number: usize) {
         let host = &self.hosts[number];
         let follower = start_follower(&host.proxy);
-        let mut starts = lock(&host.starts);
-        *starts += 1;
-        self.watch(number, *starts, follower.config());
+        let mut restarts = lock(&host.restarts);
+        *restarts += 1;
+        self.watch(number, *restarts, follower.config());
         *lock(&host.follower) = follower;
     }
 
@@ -120,18 +120,18 @@
         (0..self.count()).map(revision).collect()
     }
 
-    pub(super) fn shown(&self) -> Vec<Observation> {
-        lock(&self.shown).clone()
+    pub(super) fn observations(&self) -> Vec<Observation> {
+        lock(&self.observations).clone()
     }
 
-    fn watch(&self, host: usize, start: usize, mut config: watch::Receiver<Arc<Config>>) {
-        let shown = Arc::clone(&self.shown);
+    fn watch(&self, host: usize, restarts: usize, mut config: watch::Receiver<Arc<Config>>) {
+        let observations = Arc::clone(&self.observations);
         self.runtime.spawn(async move {
             loop {
                 let config_now = Arc::clone(&config.borrow_and_update());
-                lock(&shown).push(Observation {
+                lock(&observations).push(Observation {
                     host,
-                    start,
+                    restarts,
                     config: config_now,
                 });
                 if config.changed().await.is_err() {
--- a/components/stand_ins/src/config_run/mod.rs
+++ b/components/stand_ins/src/config_run/mod.rs
@@ -89,7 +89,7 @@
     let issued = operators::retry_unknown(&hosts, issued.into_inner().unwrap_or_default());
     let final_revisions = hosts.wait_converged(&store, Instant::now() + CONVERGENCE_TIMEOUT);
     Ok(History {
-        observations: hosts.shown(),
+        observations: hosts.observations(),
         issued,
         records: store.journal(CONFIG_STREAM),
         final_revisions,
@@ -97,8 +97,8 @@
     })
 }
 
-fn seeded_rng(seed: u64, part: u64) -> StdRng {
-    StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(part))
+fn seeded_rng(seed: u64, stream: u64) -> StdRng {
+    StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(stream))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/components/stand_ins/src/config_run/operators.rs
+++ b/components/stand_ins/src/config_run/operators.rs
@@ -68,17 +68,18 @@
 
 /// Retries every command with an unknown outcome.
 pub(super) fn retry_unknown(hosts: &Hosts, mut issued: Vec<IssuedCommand>) -> Vec<IssuedCommand> {
-    for one in &mut issued {
+    for command in &mut issued {
         for n in 0..MAX_RETRIES {
-            let Some(Outcome::Unknown { id }) = one.outcomes.last() else {
+            let Some(Outcome::Unknown { id }) = command.outcomes.last() else {
                 break;
             };
             let request = CommandRequest {
                 id: Some(*id),
-                ..one.request.clone()
+                ..command.request.clone()
             };
             let host = n % hosts.count();
-            one.outcomes
+            command
+                .outcomes
                 .push(hosts.submission(host, ANSWER_TIMEOUT).submit(&request));
         }
     }
--- a/components/stand_ins/src/fleet.rs
+++ b/components/stand_ins/src/fleet.rs
@@ -129,7 +129,7 @@
 
     async fn is_converged(&self) -> bool {
         let admins: Vec<_> = self.entries.iter().map(|e| e.ports().admin).collect();
-        let asked = tokio::task::spawn_blocking(move || is_converged(&admins));
-        asked.await.unwrap_or(false)
+        let checked = tokio::task::spawn_blocking(move || is_converged(&admins));
+        checked.await.unwrap_or(false)
     }
 }
--- a/components/stand_ins/src/history/check/answers.rs
+++ b/components/stand_ins/src/history/check/answers.rs
@@ -124,7 +124,7 @@
 /// Checks that each non-idempotent call starts at most once, and so do all calls with one key
 /// together.
 pub(super) fn at_most_once(records: &[Record]) -> Vec<Violation> {
-    let mut once = BTreeSet::new();
+    let mut non_idempotent = BTreeSet::new();
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
     let mut violations = Vec::new();
@@ -135,7 +135,7 @@
                 idempotent: false,
                 ..
             } => {
-                once.insert(*call);
+                non_idempotent.insert(*call);
                 None
             }
             Event::Received {
@@ -144,7 +144,7 @@
                 started: true,
                 ..
             } => {
-                let first = started_calls.insert(*call) || !once.contains(call);
+                let first = started_calls.insert(*call) || !non_idempotent.contains(call);
                 let first_key = key.as_ref().is_none_or(|key| started_keys.insert(key));
                 match (first, first_key) {
                     (false, _) => Some(format!("call {call} started twice")),
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -42,12 +42,12 @@
 
 /// Checks that no backend server, cold or warm, gets more calls at once than it can run.
 pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Violation> {
-    let mut turned = BTreeMap::new();
+    let mut cold_since = BTreeMap::new();
     let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::TurnedCold { endpoint } => {
-                turned.insert(*endpoint, record.at);
+                cold_since.insert(*endpoint, record.at);
             }
             Event::Received {
                 endpoint,
@@ -56,11 +56,11 @@
                 cold,
                 ..
             } if running > bears => {
-                let unseen = turned
+                let in_grace = cold_since
                     .get(endpoint)
                     .is_some_and(|at| record.at < at + limits.cold_grace);
                 let check = match cold {
-                    true if unseen => continue,
+                    true if in_grace => continue,
                     true => Check::Cold,
                     false => Check::Slots,
                 };
@@ -91,8 +91,8 @@
             } => {
                 centres.insert(*endpoint, data_centre);
             }
-            Event::Asked { order, name } => leaving_now.asked(*order, name),
-            Event::Ordered { order, name, .. } => leaving_now.order(*order, name, record.at),
+            Event::Asked { order, name } => leaving_now.apply_request(*order, name),
+            Event::Ordered { order, name, .. } => leaving_now.apply(*order, name, record.at),
             Event::Draining {
                 endpoint,
                 draining: true,
@@ -141,14 +141,14 @@
     /// Entry hosts act on the return before the operator gets the answer. If only the accepted
     /// command counted, calls between the two would be reported as calls to a data centre that
     /// has left.
-    fn asked(&mut self, order: Order, name: &str) {
+    fn apply_request(&mut self, order: Order, name: &str) {
         match order {
-            Order::CentreReturns | Order::HostReturns => self.order(order, name, 0),
+            Order::CentreReturns | Order::HostReturns => self.apply(order, name, 0),
             Order::CentreLeaves | Order::HostLeaves | Order::Choose => {}
         }
     }
 
-    fn order(&mut self, order: Order, name: &str, at: u64) {
+    fn apply(&mut self, order: Order, name: &str, at: u64) {
         match order {
             Order::CentreLeaves => {
                 self.centres.entry(name.to_owned()).or_insert(at);
--- a/components/stand_ins/src/load/warm_up.rs
+++ b/components/stand_ins/src/load/warm_up.rs
@@ -51,8 +51,8 @@
     let all_warm = async {
         loop {
             let admins = admins.to_vec();
-            let asked = tokio::task::spawn_blocking(move || all_endpoints_warm(&admins));
-            if asked.await.unwrap_or(false) {
+            let checked = tokio::task::spawn_blocking(move || all_endpoints_warm(&admins));
+            if checked.await.unwrap_or(false) {
                 return;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -65,7 +65,7 @@
 }
 
 async fn send_call(targets: &[Target], number: u64, path: &str) {
-    let place = usize::try_from(number).unwrap_or(0) % targets.len();
+    let index = usize::try_from(number).unwrap_or(0) % targets.len();
     let call = Call {
         number,
         method: "GET".to_owned(),
@@ -75,7 +75,7 @@
         deadline: CALL_DEADLINE,
         size: 64,
     };
-    let reply = Caller::default().call(&targets[place], &call).await;
+    let reply = Caller::default().call(&targets[index], &call).await;
     if reply.outcome != Outcome::Complete {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/components/stand_ins/src/store/groups.rs
+++ b/components/stand_ins/src/store/groups.rs
@@ -13,7 +13,7 @@
 const PARTITIONS: u32 = 12;
 
 struct Member {
-    seen: Instant,
+    joined_at: Instant,
     timeout: Duration,
 }
 
@@ -38,7 +38,7 @@
             group.generation += 1;
         }
         let member = Member {
-            seen: Instant::now(),
+            joined_at: Instant::now(),
             timeout: join.timeout,
         };
         if group.members.insert(join.member.clone(), member).is_none() {
@@ -62,7 +62,8 @@
     /// Removes members that haven't joined again within their timeout.
     fn remove_expired(&mut self) {
         let before = self.members.len();
-        self.members.retain(|_, m| m.seen.elapsed() < m.timeout);
+        self.members
+            .retain(|_, m| m.joined_at.elapsed() < m.timeout);
         if self.members.len() < before {
             self.generation += 1;
         }
--- a/components/stand_ins/src/store/server.rs
+++ b/components/stand_ins/src/store/server.rs
@@ -15,7 +15,7 @@
 use super::topics::{Behaviour, Counts, Loss, Refused, StoreState};
 
 /// The largest body of a call that is accepted, in bytes.
-const CALL_LIMIT: u64 = 4 * 1024 * 1024;
+const MAX_CALL_SIZE: u64 = 4 * 1024 * 1024;
 
 /// A stand-in for the platform's store, served from its own threads until dropped.
 pub struct StoreStandIn {
@@ -291,8 +291,8 @@
     let announced = request.body_length()?;
     let mut data = Vec::new();
     let reader = request.as_reader();
-    reader.take(CALL_LIMIT + 1).read_to_end(&mut data).ok()?;
-    (data.len() == announced && data.len() as u64 <= CALL_LIMIT).then_some(data)
+    reader.take(MAX_CALL_SIZE + 1).read_to_end(&mut data).ok()?;
+    (data.len() == announced && data.len() as u64 <= MAX_CALL_SIZE).then_some(data)
 }
 
 fn json(status: u16, value: &impl Serialize) -> Answer {
--- a/components/stand_ins/src/store/topics.rs
+++ b/components/stand_ins/src/store/topics.rs
@@ -96,7 +96,7 @@
 }
 
 /// The most records in one page of newest records.
-const NEWEST_PAGE: usize = 500;
+const NEWEST_PAGE_SIZE: usize = 500;
 
 #[derive(Default)]
 struct Topic {
@@ -142,10 +142,10 @@
     }
 
     fn expire(&mut self, behaviour: &Behaviour) {
-        let most = behaviour.keep_records.unwrap_or(usize::MAX);
-        let age = behaviour.keep_ms.map(Duration::from_millis);
-        let too_old = |stored: &StoredRecord| age.is_some_and(|a| stored.at.elapsed() > a);
-        while self.records.len() > most || self.records.front().is_some_and(too_old) {
+        let max_records = behaviour.keep_records.unwrap_or(usize::MAX);
+        let max_age = behaviour.keep_ms.map(Duration::from_millis);
+        let too_old = |stored: &StoredRecord| max_age.is_some_and(|a| stored.at.elapsed() > a);
+        while self.records.len() > max_records || self.records.front().is_some_and(too_old) {
             self.records.pop_front();
             self.first += 1;
         }
@@ -457,7 +457,7 @@
         let mut rest = topic.newest.iter().filter(|(key, _)| later(key));
         let records = rest
             .by_ref()
-            .take(NEWEST_PAGE)
+            .take(NEWEST_PAGE_SIZE)
             .map(|(key, (value, offset))| {
                 let record = Record {
                     key: key.clone(),
--- a/components/stand_ins/tests/backend_faults.rs
+++ b/components/stand_ins/tests/backend_faults.rs
@@ -157,9 +157,9 @@
     });
     assert_eq!(fixture.call(path).await, (StatusCode::OK, None));
     let (status, body) = fixture.call(path).await;
-    let whole = pattern(7).repeat(100_000);
+    let expected = pattern(7).repeat(100_000);
     assert_eq!(status, StatusCode::OK);
-    assert!(body.is_some_and(|b| b.len() == 100_000 && whole.as_bytes().starts_with(&b)));
+    assert!(body.is_some_and(|b| b.len() == 100_000 && expected.as_bytes().starts_with(&b)));
 }
 
 #[tokio::test]
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -88,7 +88,7 @@
 fn shown(revision: u64) -> Observation {
     Observation {
         host: 0,
-        start: 0,
+        restarts: 0,
         config: Arc::new(Config {
             revision,
             ..Config::default()
--- a/components/stand_ins/tests/proxy_faults.rs
+++ b/components/stand_ins/tests/proxy_faults.rs
@@ -30,7 +30,7 @@
     TcpStream::connect(proxy.address()).await.unwrap()
 }
 
-async fn ask(stream: &mut TcpStream) -> std::io::Result<[u8; 4]> {
+async fn ping(stream: &mut TcpStream) -> std::io::Result<[u8; 4]> {
     stream.write_all(b"ping").await?;
     let mut answer = [0; 4];
     stream.read_exact(&mut answer).await?;
@@ -41,7 +41,7 @@
 async fn passes_all() {
     let proxy = echo().await;
     let mut stream = connect(&proxy).await;
-    assert_eq!(&ask(&mut stream).await.unwrap(), b"ping");
+    assert_eq!(&ping(&mut stream).await.unwrap(), b"ping");
 }
 
 #[rstest::rstest]
@@ -52,20 +52,20 @@
     let proxy = echo().await;
     let mut stream = connect(&proxy).await;
     proxy.set(fault);
-    assert!(timeout(SILENCE, ask(&mut stream)).await.is_err());
+    assert!(timeout(SILENCE, ping(&mut stream)).await.is_err());
     proxy.set(Fault::Pass);
-    assert_eq!(&ask(&mut stream).await.unwrap(), b"ping");
+    assert_eq!(&ping(&mut stream).await.unwrap(), b"ping");
 }
 
 #[tokio::test]
 async fn cut_and_mended() {
     let proxy = echo().await;
     let mut stream = connect(&proxy).await;
-    ask(&mut stream).await.unwrap();
+    ping(&mut stream).await.unwrap();
     proxy.set(Fault::Cut);
-    assert!(timeout(TIMEOUT, ask(&mut stream)).await.unwrap().is_err());
+    assert!(timeout(TIMEOUT, ping(&mut stream)).await.unwrap().is_err());
     proxy.set(Fault::Pass);
-    assert_eq!(&ask(&mut connect(&proxy).await).await.unwrap(), b"ping");
+    assert_eq!(&ping(&mut connect(&proxy).await).await.unwrap(), b"ping");
 }
 
 #[tokio::test]
@@ -73,8 +73,8 @@
     let proxy = echo().await;
     let mut stream = connect(&proxy).await;
     proxy.set(Fault::CutAnswers(6));
-    ask(&mut stream).await.unwrap();
-    let error = timeout(TIMEOUT, ask(&mut stream))
+    ping(&mut stream).await.unwrap();
+    let error = timeout(TIMEOUT, ping(&mut stream))
         .await
         .unwrap()
         .unwrap_err();
@@ -88,8 +88,8 @@
 async fn silent_for_good() {
     let proxy = echo().await;
     let mut old = connect(&proxy).await;
-    ask(&mut old).await.unwrap();
+    ping(&mut old).await.unwrap();
     proxy.silence();
-    assert!(timeout(SILENCE, ask(&mut old)).await.is_err());
-    assert_eq!(&ask(&mut connect(&proxy).await).await.unwrap(), b"ping");
+    assert!(timeout(SILENCE, ping(&mut old)).await.is_err());
+    assert_eq!(&ping(&mut connect(&proxy).await).await.unwrap(), b"ping");
 }
