--- a/components/stand_ins/src/config_run/faults.rs
+++ b/components/stand_ins/src/config_run/faults.rs
@@ -27,7 +27,7 @@
     pub links: u32,
     /// Hosts that were replaced by a new process.
     pub restarts: u32,
-    /// Snapshots of a peer's configuration, new or outdated, sent to a host.
+    /// Configuration records of a peer, new or outdated, that a host received.
     pub words: u32,
     /// Undecodable records appended to the log.
     pub damaged: u32,
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -21,7 +21,7 @@
 pub struct Observation {
     /// The host.
     pub host: usize,
-    /// The number of restarts of the host before; a new process has no state of the old one.
+    /// How often the host had been restarted; a new process has no state of the old one.
     pub restarts: usize,
     /// The configuration.
     pub config: Arc<Config>,
--- a/components/stand_ins/src/history/check.rs
+++ b/components/stand_ins/src/history/check.rs
@@ -20,7 +20,7 @@
     Cold,
     /// A data centre that has left gets no new work.
     CentreOut,
-    /// A caller gets the whole answer to its own request, and no other answer.
+    /// A caller gets the complete answer to its own request, and no other answer.
     OwnAnswer,
     /// A call refused as "not run" did not run.
     NotRun,
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -128,7 +128,8 @@
     violations
 }
 
-/// Data centres and backend servers that are leaving, with the time at which that began.
+/// Data centres and backend servers that are leaving, with the time at which each began to leave,
+/// in microseconds since 1970.
 #[derive(Default)]
 struct Leaving {
     centres: BTreeMap<String, u64>,
--- a/components/stand_ins/src/site.rs
+++ b/components/stand_ins/src/site.rs
@@ -175,7 +175,7 @@
         self.order_at_revision(None, order, name).await
     }
 
-    /// Submits an operator's command like [`Site::order`], decided on the revision `seen_revision`.
+    /// Submits a command like [`Site::order`], by an operator who decided on `seen_revision`.
     ///
     /// # Errors
     ///
