--- a/components/stand_ins/src/demo.rs
+++ b/components/stand_ins/src/demo.rs
@@ -127,8 +127,12 @@
         progress_task.abort();
         let all = &measured.summary.report.all;
         DemoResult {
-            run_twice: count_violations(&measured.faults, Check::AtMostOnce),
-            broken_promises: measured.faults.iter().map(Violation::to_string).collect(),
+            run_twice: count_violations(&measured.violations, Check::AtMostOnce),
+            broken_promises: measured
+                .violations
+                .iter()
+                .map(Violation::to_string)
+                .collect(),
             hurt_calls: all.broken + all.unknown + all.unreachable,
             summary: measured.summary,
         }
--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -27,7 +27,7 @@
     /// The figures.
     pub summary: Summary,
     /// The violated guarantees.
-    pub faults: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
 /// The figures of a run against a site.
@@ -123,7 +123,7 @@
         samples,
         ideals,
         summary,
-        faults: violations,
+        violations,
     }
 }
 
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -45,7 +45,7 @@
     let ours = runs
         .iter()
         .filter(|r| r.measured.summary.report.policy == Policy::Shared.name());
-    let violations: Vec<_> = ours.flat_map(|r| &r.measured.faults).collect();
+    let violations: Vec<_> = ours.flat_map(|r| &r.measured.violations).collect();
     for violation in violations.iter().take(10) {
         eprintln!("violated guarantee: {violation}");
     }
