--- a/components/stand_ins/src/backend/control.rs
+++ b/components/stand_ins/src/backend/control.rs
@@ -1,4 +1,4 @@
-//! The control port: sets faults and gives the journal.
+//! The control port, which sets faults and serves counters and the history.
 
 use std::io::{self, Cursor};
 use std::net::{SocketAddr, TcpListener};
@@ -10,18 +10,18 @@
 use super::{Backend, Knobs, Shared};
 use crate::history::{self, History};
 
-/// Serves the control port of some backend servers from a thread of its own.
+/// The control port of a set of backend servers, served from its own thread.
 pub struct Control {
     server: Arc<Server>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Control {
-    /// Starts serving `backends` and their common `history` on `listener`.
+    /// Starts serving the control port of `backends` with their shared `history` on `listener`.
     ///
     /// # Errors
     ///
-    /// Fails where the listener can't be used.
+    /// Fails if the listener can't be used.
     pub fn start(
         listener: TcpListener,
         backends: &[Backend],
@@ -29,7 +29,7 @@
     ) -> io::Result<Control> {
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
-        let desk = Desk {
+        let service = ControlService {
             backends: backends.iter().map(|b| Arc::clone(&b.shared)).collect(),
             history,
         };
@@ -37,7 +37,7 @@
             let server = Arc::clone(&server);
             thread::spawn(move || {
                 for request in server.incoming_requests() {
-                    desk.serve(request);
+                    service.serve(request);
                 }
             })
         };
@@ -52,20 +52,20 @@
     fn drop(&mut self) {
         self.server.unblock();
         if let Some(thread) = self.thread.take() {
-            // A panic there has been printed already.
+            // A panic of the thread has already been printed.
             let _ = thread.join();
         }
     }
 }
 
-struct Desk {
+struct ControlService {
     backends: Vec<Arc<Shared>>,
     history: History,
 }
 
 type Reply = Response<Cursor<Vec<u8>>>;
 
-impl Desk {
+impl ControlService {
     fn serve(&self, mut request: Request) {
         let path = request.url().to_owned();
         let reply = match request.method() {
@@ -74,7 +74,7 @@
             Method::Post => self.set(&path, &mut request),
             _ => refuse(405, "GET or POST"),
         };
-        // The other end is a test or a person: it sees a broken answer itself.
+        // The client is a test or a person, who notices a failed answer without a log line.
         let _ = request.respond(reply);
     }
 
@@ -90,8 +90,8 @@
         let Some(shared) = self.find(path) else {
             return refuse(404, "no such backend server; use /IP:PORT");
         };
-        let counts = shared.bearing().counts();
-        Response::from_data(serde_json::to_vec(&counts).expect("counts are plain JSON"))
+        let counts = shared.admission().counts();
+        Response::from_data(serde_json::to_vec(&counts).expect("counters serialize to JSON"))
     }
 
     fn set(&self, path: &str, request: &mut Request) -> Reply {
--- a/components/stand_ins/src/history/check/config.rs
+++ b/components/stand_ins/src/history/check/config.rs
@@ -1,17 +1,18 @@
-//! Checks of the configuration that entry hosts act on.
+//! Checks of the configuration in force on entry hosts.
 
 use std::collections::BTreeMap;
 
 use super::{Check, Limits, Violation};
 use crate::history::{Event, Record};
 
-/// A change is in force everywhere in time, is the same everywhere, and never reverts.
+/// Checks that a change comes into force on every entry host in time, that a revision is the
+/// same on all of them, and that revisions never revert.
 pub(super) fn configuration(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut accepted: Vec<(u64, u64)> = Vec::new();
     let mut up: BTreeMap<&String, u64> = BTreeMap::new();
     let mut shown: BTreeMap<&String, u64> = BTreeMap::new();
     let mut presets = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         let (host, revision, preset) = match &record.event {
             Event::Ordered { revision, .. } => {
@@ -29,8 +30,8 @@
             } => (host, *revision, preset),
             _ => continue,
         };
-        let mut fault = |seen| {
-            faults.push(Violation {
+        let mut report = |seen| {
+            violations.push(Violation {
                 check: Check::Configuration,
                 at: record.at,
                 seen,
@@ -38,17 +39,21 @@
         };
         let before = shown.insert(host, revision).unwrap_or(0);
         if revision < before {
-            fault(format!("{host} went from revision {before} to {revision}"));
+            report(format!("{host} went from revision {before} to {revision}"));
         }
         if presets.entry(revision).or_insert(preset) != &preset {
-            fault(format!("{host} has {preset:?} in force at {revision}"));
+            report(format!(
+                "{host} has preset {preset:?} in force at revision {revision}, which had another preset before"
+            ));
         }
         let since = up.get(host).copied().unwrap_or(0);
-        let due = |at: u64| at.max(since) + limits.in_force < record.at;
+        let due = |at: u64| at.max(since) + limits.apply_grace < record.at;
         let missing = accepted.iter().find(|(at, r)| *r > revision && due(*at));
         if let Some((_, missing)) = missing {
-            fault(format!("{host} is at {revision}, {missing} was accepted"));
+            report(format!(
+                "{host} is at revision {revision}, but {missing} was accepted"
+            ));
         }
     }
-    faults
+    violations
 }
--- a/components/stand_ins/src/proxy.rs
+++ b/components/stand_ins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that causes the faults of a network.
+//! A TCP proxy that injects network faults.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -13,24 +13,24 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-const PIECE: usize = 16 * 1024;
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// What the proxy does to the bytes that pass.
+/// What the proxy does to the bytes that it forwards.
 #[tag]
 #[derive(Default)]
 pub enum Fault {
-    /// Nothing.
+    /// Forwards everything unchanged.
     #[default]
     Pass,
-    /// Holds each piece back for so long, both ways.
+    /// Delays each chunk by this time, in both directions.
     Delay(Duration),
-    /// Reads what the one who connected sends, and forwards none of it.
+    /// Reads and discards what the client sends.
     LoseRequests,
-    /// Reads what the target sends, and forwards none of it.
+    /// Reads and discards what the target sends.
     LoseAnswers,
-    /// Closes all connections, and each new one at once.
+    /// Closes all connections, and each new one immediately.
     Cut,
-    /// Forwards so many more bytes of each connection's answers, then closes it.
+    /// Closes each connection after this many more bytes from the target were forwarded.
     CutAnswers(u64),
 }
 
@@ -38,7 +38,7 @@
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 struct Shared {
@@ -50,17 +50,17 @@
 }
 
 #[tag]
-enum Way {
+enum Direction {
     Request,
     Answer,
 }
 
 impl Proxy {
-    /// Starts a proxy towards `target` on a free port of the same IP number.
+    /// Starts a proxy to `target` on a free port of the same IP address.
     ///
     /// # Errors
     ///
-    /// Fails where no port can be listened on.
+    /// Fails if no port can be listened on.
     ///
     /// # Panics
     ///
@@ -76,27 +76,27 @@
             opened: AtomicU64::default(),
             silent_below: watch::Sender::default(),
         });
-        let accepting = tokio::spawn(accept(listener, Arc::clone(&shared)));
+        let accept_task = tokio::spawn(accept(listener, Arc::clone(&shared)));
         Ok(Proxy {
             address,
             shared,
-            accepting,
+            accept_task,
         })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the proxy listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Does `fault` from now on, to open connections too.
+    /// Injects `fault` from now on, in open connections too.
     pub fn set(&self, fault: Fault) {
         self.shared.fault.send_replace(fault);
     }
 
-    /// Makes all connections open now silent for good; new ones work.
+    /// Makes all connections that are open now silent for good; new connections work.
     ///
-    /// This is what a middle box does that has lost track of its connections.
+    /// A middlebox that lost its connection table behaves like this.
     pub fn silence(&self) {
         let next = self.shared.opened.load(Ordering::SeqCst);
         self.shared.silent_below.send_replace(next);
@@ -105,7 +105,7 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.set(Fault::Cut);
     }
 }
@@ -128,57 +128,72 @@
     }
 }
 
-async fn connection(near: TcpStream, number: u64, shared: Arc<Shared>) {
+async fn connection(client: TcpStream, number: u64, shared: Arc<Shared>) {
     if *shared.fault.borrow() == Fault::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(shared.target).await else {
+    let Ok(upstream) = TcpStream::connect(shared.target).await else {
         return;
     };
-    // Without it the kernel would add delays of its own.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    // With Nagle's algorithm the kernel would add delays of its own.
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
     let mut fault = shared.fault.subscribe();
-    let requests = pump(near_read, far_write, Way::Request, number, &shared);
-    let answers = pump(far_read, near_write, Way::Answer, number, &shared);
+    let requests = forward(
+        client_read,
+        upstream_write,
+        Direction::Request,
+        number,
+        &shared,
+    );
+    let answers = forward(
+        upstream_read,
+        client_write,
+        Direction::Answer,
+        number,
+        &shared,
+    );
     tokio::select! {
-        // One side's closing closes both, as if there were no proxy: HTTP/1 has no half-closed use here.
+        // When one side closes, both are closed, as without a proxy: HTTP/1 as used here has no
+        // half-closed connections.
         _ = requests => {}
         _ = answers => {}
         _ = fault.wait_for(|f| *f == Fault::Cut) => {}
     }
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: Way,
+    direction: Direction,
     number: u64,
     shared: &Shared,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE];
-    let mut passed = 0;
+    let mut buffer = vec![0; BUFFER_SIZE];
+    let mut forwarded = 0;
     loop {
         let read = from.read(&mut buffer).await?;
         let silent = number < *shared.silent_below.borrow();
         if silent {
-            // Not even the closing may be seen at the other end.
+            // A silent connection doesn't pass on even its closing.
             return std::future::pending().await;
         }
         if read == 0 {
             return Ok(());
         }
         let fault = *shared.fault.borrow();
-        match (fault, way) {
-            (Fault::LoseRequests, Way::Request) | (Fault::LoseAnswers, Way::Answer) => continue,
+        match (fault, direction) {
+            (Fault::LoseRequests, Direction::Request) | (Fault::LoseAnswers, Direction::Answer) => {
+                continue;
+            }
             (Fault::Delay(delay), _) => tokio::time::sleep(delay).await,
-            (Fault::CutAnswers(limit), Way::Answer) => {
-                let room = usize::try_from(limit.saturating_sub(passed)).unwrap_or(usize::MAX);
+            (Fault::CutAnswers(limit), Direction::Answer) => {
+                let room = usize::try_from(limit.saturating_sub(forwarded)).unwrap_or(usize::MAX);
                 let part = read.min(room);
                 to.write_all(&buffer[..part]).await?;
-                passed += part as u64;
+                forwarded += part as u64;
                 if part < read {
                     return to.shutdown().await;
                 }
--- a/components/stand_ins/src/store/server.rs
+++ b/components/stand_ins/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in's HTTP side.
+//! The HTTP server of the store's stand-in.
 
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -12,15 +12,15 @@
 use tiny_http::{Method, Request, Response, Server};
 use transport::peers::host_list::HostEntry;
 
-use super::topics::{Behaviour, Counts, Loss, Refused, Store};
+use super::topics::{Behaviour, Counts, Loss, Refused, StoreState};
 
-/// The largest call that is taken, in bytes.
-const CALL_LIMIT: u64 = 4 * 1024 * 1024;
+/// The largest body of a call that is accepted, in bytes.
+const MAX_CALL_SIZE: u64 = 4 * 1024 * 1024;
 
-/// The stand-in, serving on threads of its own until it is dropped.
+/// A stand-in for the platform's store, served from its own threads until dropped.
 pub struct StoreStandIn {
     address: SocketAddr,
-    store: Arc<Store>,
+    store: Arc<StoreState>,
     servers: Vec<Arc<Server>>,
 }
 
@@ -30,40 +30,40 @@
 }
 
 impl StoreStandIn {
-    /// Serves the log on `listener`.
+    /// Serves the store on `listener`.
     ///
     /// # Errors
     ///
-    /// Says why the listener can't be served.
+    /// Fails if the listener can't be served.
     pub fn start(listener: TcpListener, behaviour: Behaviour) -> io::Result<StoreStandIn> {
         let address = listener.local_addr()?;
-        let mut log = StoreStandIn {
+        let mut stand_in = StoreStandIn {
             address,
-            store: Arc::new(Store::new(behaviour)),
+            store: Arc::new(StoreState::new(behaviour)),
             servers: Vec::new(),
         };
-        log.add_listener(listener)?;
+        stand_in.add_listener(listener)?;
         log::info!("E0901 log-stand-in-started address={address}");
-        Ok(log)
+        Ok(stand_in)
     }
 
-    /// Serves the log on a free port of the loopback address.
+    /// Serves the store on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Says why no port can be had.
+    /// Fails if no port can be listened on.
     pub fn on_loopback(behaviour: Behaviour) -> io::Result<StoreStandIn> {
         StoreStandIn::start(TcpListener::bind(("127.0.0.1", 0))?, behaviour)
     }
 
-    /// Serves the same on another listener, such as one that no fault proxy stands before.
+    /// Serves the same store on a further listener, such as one without a fault proxy before it.
     ///
     /// # Errors
     ///
-    /// Says why the listener can't be served.
+    /// Fails if the listener can't be served.
     pub fn add_listener(&mut self, listener: TcpListener) -> io::Result<()> {
-        // Taken over by each connection. Without it an answer of more than one
-        // write waits for a delayed acknowledgement, 40 ms, as no real log would.
+        // Accepted connections inherit the option. Without it an answer of more than one write
+        // waits 40 ms for a delayed acknowledgement, which the real store doesn't.
         SockRef::from(&listener).set_tcp_nodelay(true)?;
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
@@ -72,27 +72,27 @@
         Ok(())
     }
 
-    /// Returns where it listens.
+    /// Returns the address of the first listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes its behaviour from now on.
+    /// Changes the behaviour from now on.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         self.store.change(change);
     }
 
-    /// Returns what it has done so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
         self.store.counts()
     }
 
-    /// Sets the list of hosts that it hands out.
+    /// Sets the list of hosts that `GET /hosts` returns.
     pub fn set_hosts(&self, hosts: Vec<HostEntry>) {
         self.store.set_hosts(hosts);
     }
 
-    /// Keeps every record from now on, whatever the retention, to check against.
+    /// Starts a journal that keeps every record regardless of retention, for checks.
     pub fn record_journal(&self) {
         self.store.record_journal();
     }
@@ -102,7 +102,7 @@
         self.store.journal(topic)
     }
 
-    /// Appends a record without HTTP and without its budget's answer getting lost.
+    /// Appends a record directly: not over HTTP, outside the budget and with no lost answer.
     pub fn append(&self, topic: &str, record: Bytes) -> Option<u64> {
         self.store
             .append(topic, vec![record], None)
@@ -110,13 +110,15 @@
             .map(|appended| appended.offset)
     }
 
-    /// Writes under a key of a topic with keys, or drops it; as operators and
-    /// backend servers do, whatever happens to the log's callers.
+    /// Writes a value under a key of a keyed topic, or removes the key if `value` is `None`.
+    ///
+    /// Operators and backend servers write like this; faults of the store's HTTP side don't
+    /// apply.
     pub fn put(&self, topic: &str, key: &str, value: Option<Bytes>) {
         self.store.put(topic, key, value);
     }
 
-    /// Forgets the records of a topic but for the newest of each key.
+    /// Compacts a topic: drops all its records; the newest of each key stays available.
     pub fn compact(&self, topic: &str) {
         self.store.compact(topic);
     }
@@ -129,7 +131,7 @@
     }
 }
 
-fn serve(server: &Arc<Server>, store: &Arc<Store>) -> io::Result<()> {
+fn serve(server: &Arc<Server>, store: &Arc<StoreState>) -> io::Result<()> {
     let server = Arc::clone(server);
     let store = Arc::clone(store);
     std::thread::Builder::new()
@@ -138,8 +140,8 @@
     Ok(())
 }
 
-/// Answers each request on a thread of its own, since reads wait long.
-fn accept(server: &Server, store: &Arc<Store>) {
+/// Answers each request on its own thread, since reads are long polls.
+fn accept(server: &Server, store: &Arc<StoreState>) {
     for request in server.incoming_requests() {
         let store = Arc::clone(store);
         let spawned = std::thread::Builder::new()
@@ -151,7 +153,7 @@
     }
 }
 
-fn answer(mut request: Request, store: &Store) {
+fn answer(mut request: Request, store: &StoreState) {
     let path = request.url().to_owned();
     let response = match (request.method(), path.as_str()) {
         (Method::Put, "/control") => control(&mut request, store),
@@ -159,19 +161,19 @@
         (Method::Put, "/hosts") => set_hosts(&mut request, store),
         (Method::Get, "/counts") => json(200, &store.counts()),
         (Method::Get, "/hosts") => hosts(store),
-        _ => match call(&mut request, &path) {
+        _ => match read_call(&mut request, &path) {
             None => refuse(400),
-            Some(call) => match carry_out(store, call) {
+            Some(call) => match execute(store, call) {
                 Some(response) => response,
-                None => return lose(request),
+                None => return leave_unanswered(request),
             },
         },
     };
-    // The client may have gone; that is its own affair.
+    // The client may have disconnected, which is no fault of the stand-in.
     let _ = request.respond(response);
 }
 
-fn call(request: &mut Request, path: &str) -> Option<Call> {
+fn read_call(request: &mut Request, path: &str) -> Option<Call> {
     let body = match request.method() {
         Method::Post => body(request)?,
         _ => Vec::new(),
@@ -181,9 +183,9 @@
 
 type Answer = Response<io::Cursor<Vec<u8>>>;
 
-/// Carries out a call; nothing where its answer gets lost without a word.
-fn carry_out(store: &Store, call: Call) -> Option<Answer> {
-    if let Err(refused) = store.enter(&call) {
+/// Executes a call; returns `None` if its answer is to be lost in silence.
+fn execute(store: &StoreState, call: Call) -> Option<Answer> {
+    if let Err(refused) = store.admit(&call) {
         return Some(refused_answer(&refused));
     }
     std::thread::sleep(Duration::from_millis(store.behaviour().slow_ms));
@@ -217,8 +219,8 @@
             ))
         }
         Call::Join(join) => {
-            let (generation, parts) = store.join(join);
-            Ok(store_server::join_answer(generation, &parts))
+            let (generation, partitions) = store.join(join);
+            Ok(store_server::join_answer(generation, &partitions))
         }
         Call::Owners { group } => Ok(store_server::owners_answer(&store.owners(&group))),
     };
@@ -232,21 +234,21 @@
     match refused {
         Refused::Down => refuse(503),
         Refused::Budget => refuse(429),
-        Refused::Moved(end) => {
+        Refused::WrongOffset(end) => {
             Response::from_data(store_server::append_answer(*end, *end)).with_status_code(412)
         }
-        Refused::Gone(first) => {
+        Refused::Trimmed(first) => {
             Response::from_data(store_server::trimmed_answer(*first)).with_status_code(410)
         }
     }
 }
 
-/// Leaves the client without an answer, as a link does that has gone silent.
-fn lose(request: Request) {
+/// Leaves a request without an answer, as a link that has gone silent does.
+fn leave_unanswered(request: Request) {
     drop(request.into_writer());
 }
 
-fn hosts(store: &Store) -> Answer {
+fn hosts(store: &StoreState) -> Answer {
     match store.is_up() {
         true => json(
             200,
@@ -258,7 +260,7 @@
     }
 }
 
-fn control(request: &mut Request, store: &Store) -> Answer {
+fn control(request: &mut Request, store: &StoreState) -> Answer {
     let parsed = body(request).and_then(|b| serde_json::from_slice::<Behaviour>(&b).ok());
     match parsed {
         Some(behaviour) => {
@@ -269,7 +271,7 @@
     }
 }
 
-fn set_hosts(request: &mut Request, store: &Store) -> Answer {
+fn set_hosts(request: &mut Request, store: &StoreState) -> Answer {
     let parsed = body(request).and_then(|b| serde_json::from_slice::<Vec<HostEntry>>(&b).ok());
     match parsed {
         Some(list) => {
@@ -289,8 +291,8 @@
     let announced = request.body_length()?;
     let mut data = Vec::new();
     let reader = request.as_reader();
-    reader.take(CALL_LIMIT + 1).read_to_end(&mut data).ok()?;
-    (data.len() == announced && data.len() as u64 <= CALL_LIMIT).then_some(data)
+    reader.take(MAX_CALL_SIZE + 1).read_to_end(&mut data).ok()?;
+    (data.len() == announced && data.len() as u64 <= MAX_CALL_SIZE).then_some(data)
 }
 
 fn json(status: u16, value: &impl Serialize) -> Answer {
--- a/components/stand_ins/tests/history_checks.rs
+++ b/components/stand_ins/tests/history_checks.rs
@@ -1,4 +1,4 @@
-//! Each check of a history finds the fault it is for, and none in a good history.
+//! Each check of a history finds its violation, and none in a history without violations.
 
 use std::net::SocketAddr;
 
@@ -83,8 +83,8 @@
     }
 }
 
-/// A minute in which every promise was put to the test and kept.
-fn good() -> Vec<Record> {
+/// A history of one minute that exercises every guarantee without a violation.
+fn valid_history() -> Vec<Record> {
     let host = || "entry-1".to_owned();
     let endpoint = endpoint();
     vec![
@@ -189,25 +189,28 @@
 #[case::not_in_force(Check::Configuration, vec![at(17, seen("entry-2", 1, "ordinary"))])]
 #[case::two_presets(Check::Configuration, vec![at(22, seen("entry-2", 3, "peak"))])]
 #[case::above_slots(Check::Slots, vec![at(9, load(20, None, 7, 6, false))])]
-fn planted_fault(#[case] expected: Check, #[case] planted: Vec<Record>) {
-    let mut records = good();
+fn planted_violation(#[case] expected: Check, #[case] planted: Vec<Record>) {
+    let mut records = valid_history();
     records.extend(planted);
     records.sort_by_key(|r| r.at);
-    let faults = check(&records, &Limits::default());
-    assert!(!faults.is_empty());
-    assert!(faults.iter().all(|f| f.check == expected), "{faults:?}");
+    let violations = check(&records, &Limits::default());
+    assert!(!violations.is_empty());
+    assert!(
+        violations.iter().all(|v| v.check == expected),
+        "{violations:?}"
+    );
 }
 
 #[test]
-fn good_history() {
-    let faults = check(&good(), &Limits::default());
-    assert_eq!(faults, []);
-    assert!(tally(&faults).into_values().all(|count| count == 0));
+fn no_violations() {
+    let violations = check(&valid_history(), &Limits::default());
+    assert_eq!(violations, []);
+    assert!(tally(&violations).into_values().all(|count| count == 0));
 }
 
 #[test]
 fn survives_file() {
     let mut file = Vec::new();
-    write_lines(&good(), &mut file).unwrap();
-    assert_eq!(read_lines(file.as_slice()).unwrap(), good());
+    write_lines(&valid_history(), &mut file).unwrap();
+    assert_eq!(read_lines(file.as_slice()).unwrap(), valid_history());
 }
