--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -21,7 +21,7 @@
 /// Datagrams of any other version are refused.
 const VERSION: u8 = 3;
 
-/// Maximum size in bytes of records sent in one datagram.
+/// Maximum size in bytes of a message sent in one datagram.
 ///
 /// The limit is well below the maximum payload of a datagram.
 pub const DATAGRAM_LIMIT: usize = 16 * 1024;
@@ -70,8 +70,8 @@
 
 /// Probes lent to a neighbour, in answer to its request.
 ///
-/// The lender may send fewer probes to endpoints and the borrower more, so that all
-/// hosts together keep the limit.
+/// The lender gives up as many probes as the borrower gets, so that all hosts together
+/// keep within the limit.
 #[tag]
 pub struct ProbeLoan {
     /// The identifier of the request that is answered.
--- a/components/state/src/admission.rs
+++ b/components/state/src/admission.rs
@@ -22,7 +22,7 @@
 ///
 /// Protects against arrivals above the capacity of all slots for a minute or more.
 /// Without admission control every call would wait as long as the queue is deep, and
-/// callers would give up on calls that then run for nobody. Two rules apply:
+/// callers would give up on calls that are run later all the same. Two rules apply:
 ///
 /// - A call whose estimated wait exceeds its deadline is rejected at once, while "not
 ///   run" is still true and the caller can try elsewhere.
@@ -41,7 +41,7 @@
 
 /// A queue that is never empty for this long is a standing queue, not a burst.
 pub const STANDING_AFTER: Duration = Duration::from_millis(1_000);
-/// The estimated wait up to which calls are admitted to a queue that has stood for long.
+/// The lowest limit on the estimated wait of calls that are admitted to a standing queue.
 pub const STANDING_WAIT_LIMIT: Duration = Duration::from_millis(100);
 
 /// The number of starts observed before the estimate is used.
@@ -98,8 +98,8 @@
 
     /// Returns the wait up to which calls are admitted.
     ///
-    /// The limit is one second divided by the number of seconds for which the queue has
-    /// stood: 500 ms after two seconds, 100 ms from ten seconds on.
+    /// For a standing queue this is one second divided by the number of seconds since it
+    /// was last empty: 500 ms after two seconds, 100 ms from ten seconds on.
     fn max_wait(&self, now: Moment) -> Duration {
         let standing = now.since(self.last_empty);
         if standing <= STANDING_AFTER {
--- a/components/state/src/capacity.rs
+++ b/components/state/src/capacity.rs
@@ -66,7 +66,7 @@
 /// The least time between two increases of a cap.
 ///
 /// A backend server that fails under load does so within a few calls. Growing by one slot
-/// per quarter of a second leaves time for its first sheds to arrive.
+/// per quarter of a second leaves time for reports of its first shed calls.
 const GROWTH_INTERVAL: Duration = Duration::from_millis(250);
 /// The time between two trial calls to a degraded endpoint.
 ///
--- a/components/state/src/fleet/rate_limit.rs
+++ b/components/state/src/fleet/rate_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! Such an endpoint takes only a few requests a second from all hosts together. Each host
 //! sends its quota, which follows from its share of all hosts. The quotas add up to the
-//! limit without any communication between hosts.
+//! limit, whatever the hosts know about each other's requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -49,8 +49,9 @@
 impl RateLimit {
     /// Returns the limit after an answer that carries `rate`, or carries none.
     ///
-    /// An answer without a limit ends it only if answers of the same kind have carried it
-    /// before, since an endpoint may leave the limit out of its answers to probes.
+    /// An answer to a request that carries no limit ends the limit. An answer to a probe
+    /// does so only if answers to probes have carried it before, since an endpoint may
+    /// leave the limit out of them.
     pub fn after(known: Option<RateLimit>, rate: Option<f64>, source: Source) -> Option<RateLimit> {
         match (rate, source) {
             (Some(rate), _) => Some(RateLimit {
--- a/components/state/src/policy.rs
+++ b/components/state/src/policy.rs
@@ -58,7 +58,7 @@
     ///
     /// Returns `None` if there is no endpoint. [`Policy::Shared`] and
     /// [`Policy::FixedShare`] choose among their free slots elsewhere, and use the
-    /// endpoint with the least calls in flight here as a fallback.
+    /// endpoint with the fewest calls in flight here as a fallback.
     pub fn choose(self, choices: &[Choice], turn: u64, draw: u64) -> Option<EndpointKey> {
         let count = choices.len() as u64;
         if count == 0 {
--- a/components/state/src/routing.rs
+++ b/components/state/src/routing.rs
@@ -13,7 +13,7 @@
 /// no request sees half of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Catalogue {
-    /// The version, which increases by irregular steps.
+    /// The version, which increases with each change by operators, in irregular steps.
     pub version: u64,
     /// All routes.
     pub routes: RouteTable,
--- a/components/state/tests/endpoint_health.rs
+++ b/components/state/tests/endpoint_health.rs
@@ -126,7 +126,8 @@
 }
 
 // One backend server answers twenty times slower than usual while it reports itself idle.
-// Once its answers show it, it must get no more than one trial call a second.
+// Its callers wait, so once its answers show it, it must get no more than one trial call a
+// second.
 #[test]
 fn slow_gets_trials() {
     let mut capacity = warm();
--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -455,7 +455,7 @@
 }
 
 /// A route's requests must stay in one region, and all endpoints there are gone. Sent
-/// elsewhere, the data of a public authority would leave the country.
+/// elsewhere, the files in the requests would leave the country.
 #[test]
 fn stays_in_region() {
     let mut fleet = Fleet::of(&[
--- a/components/state/tests/host_probe_budget.rs
+++ b/components/state/tests/host_probe_budget.rs
@@ -84,7 +84,8 @@
     assert!((5_000..=6_660).contains(&sent), "{sent} probes at once");
 }
 
-/// A host that has just started must be able to probe before it knows its share.
+/// A host that has just started doesn't know its share but receives requests already, so
+/// it must be able to probe.
 #[test]
 fn share_unknown() {
     let start = Moment::from_millis(1_000);
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -8,7 +8,10 @@
 
 use crate::{cli, logs};
 
-/// Runs the demo; exits with 1 if a guarantee was violated or a call was harmed.
+/// Runs the demo.
+///
+/// Exits with 1 if a guarantee was violated, or if a call broke off, had an unknown
+/// outcome or found no connection.
 ///
 /// # Errors
 ///
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -14,7 +14,7 @@
 /// Runs an experiment file and prints a table of results.
 ///
 /// Exits with 1 if a guarantee was violated under the policy `shared`. The other
-/// policies are baselines, which don't keep all guarantees.
+/// policies are baselines for comparison and don't affect the exit code.
 ///
 /// # Errors
 ///
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -99,7 +99,7 @@
 /// The number of open files reserved for listeners, connections to the store, and regular files.
 const RESERVED_FILES: usize = 300;
 
-/// The divisor for the share of open files that callers may use; the rest is for endpoints.
+/// Callers may use the open files divided by this number; the rest is for endpoints.
 const CALLERS_DIVISOR: usize = 2;
 
 /// Returns the path of the settings file, from the flag or from the environment variable.
