--- a/components/protocol/tests/invalid_bytes.rs
+++ b/components/protocol/tests/invalid_bytes.rs
@@ -35,14 +35,14 @@
 fn claims() -> Vec<ClaimMessage> {
     let (id, key) = (ClaimId(u128::MAX), ClaimKey(1 << 64));
     let ttl = Duration::from_secs(7_200);
-    let ask = KeyRequest {
+    let request = KeyRequest {
         id,
         key,
         digest: 3,
         ttl,
     };
     vec![
-        ClaimMessage::Request(ask, Duration::from_millis(9)),
+        ClaimMessage::Request(request, Duration::from_millis(9)),
         ClaimMessage::RequestAck(id),
         ClaimMessage::Answer(id, ClaimAnswer::Known(cached())),
         ClaimMessage::Answer(id, ClaimAnswer::NotRun(Duration::from_secs(1))),
--- a/components/state/src/fleet/quarantine.rs
+++ b/components/state/src/fleet/quarantine.rs
@@ -164,17 +164,17 @@
     /// Notes a crash, and returns the updates to send to other hosts.
     pub fn note_crash(&mut self, crash: &Crash, reporter: Reporter) -> Vec<QuarantineUpdate> {
         let Fingerprints { content, request } = crash.request;
-        let names = [(request, None), (content, Some(request))];
-        names
+        let fingerprints = [(request, None), (content, Some(request))];
+        fingerprints
             .into_iter()
-            .filter_map(|(name, caller)| self.count(name, caller, crash, reporter))
+            .filter_map(|(fingerprint, caller)| self.count(fingerprint, caller, crash, reporter))
             .collect()
     }
 
     /// Counts a crash under one of the request's fingerprints.
     fn count(
         &mut self,
-        name: Fingerprint,
+        fingerprint: Fingerprint,
         caller: Option<Fingerprint>,
         crash: &Crash,
         reporter: Reporter,
@@ -183,10 +183,10 @@
             Reporter::ThisHost => Duration::ZERO,
             Reporter::OtherHost => REPORT_DELAY,
         };
-        self.make_room(name);
+        self.make_room(fingerprint);
         let suspect = self
             .suspects
-            .entry(name)
+            .entry(fingerprint)
             .or_insert_with(|| Suspect::new(caller, crash.at));
         if suspect.crashes > 0 && crash.sent < suspect.changed + delay {
             return None;
@@ -198,13 +198,15 @@
             return None;
         }
         suspect.until = Some(crash.at + suspect.ttl());
-        Some(suspect.update(name, crash.at))
+        Some(suspect.update(fingerprint, crash.at))
     }
 
     /// Returns the remaining time of a request's quarantine, or `None` if it may be sent.
     pub fn remaining(&self, request: Fingerprints, now: Moment) -> Option<Duration> {
-        let names = [request.request, request.content];
-        let ends = names.iter().filter_map(|n| self.suspects.get(n)?.until);
+        let fingerprints = [request.request, request.content];
+        let ends = fingerprints
+            .iter()
+            .filter_map(|f| self.suspects.get(f)?.until);
         ends.filter(|end| now < *end)
             .map(|end| now.until(end))
             .max()
@@ -219,12 +221,15 @@
             return Decision::Reject(remaining);
         }
         let mut updates = Vec::new();
-        for name in [request.request, request.content] {
-            let quarantined = self.suspects.get_mut(&name).filter(|s| s.until.is_some());
+        for fingerprint in [request.request, request.content] {
+            let quarantined = self
+                .suspects
+                .get_mut(&fingerprint)
+                .filter(|s| s.until.is_some());
             if let Some(suspect) = quarantined {
                 suspect.until = Some(now + TRIAL_TTL);
                 suspect.changed = now;
-                updates.push(suspect.update(name, now));
+                updates.push(suspect.update(fingerprint, now));
             }
         }
         match updates.is_empty() {
@@ -237,13 +242,16 @@
     /// other hosts.
     pub fn note_answer(&mut self, request: Fingerprints, now: Moment) -> Vec<QuarantineUpdate> {
         let mut updates = Vec::new();
-        for name in [request.request, request.content] {
-            let suspected = self.suspects.get_mut(&name).filter(|s| s.crashes > 0);
+        for fingerprint in [request.request, request.content] {
+            let suspected = self
+                .suspects
+                .get_mut(&fingerprint)
+                .filter(|s| s.crashes > 0);
             if let Some(suspect) = suspected {
                 suspect.crashes = 0;
                 suspect.until = None;
                 suspect.changed = now;
-                updates.push(suspect.update(name, now));
+                updates.push(suspect.update(fingerprint, now));
             }
         }
         updates
@@ -282,8 +290,9 @@
     /// cleared requests.
     pub fn updates(&self, now: Moment) -> Vec<QuarantineUpdate> {
         let sent = self.suspects.iter().filter(|(_, s)| s.is_sent(now));
-        let mut updates: Vec<QuarantineUpdate> =
-            sent.map(|(name, s)| s.update(*name, now)).collect();
+        let mut updates: Vec<QuarantineUpdate> = sent
+            .map(|(fingerprint, s)| s.update(*fingerprint, now))
+            .collect();
         updates.sort_by_key(|f| f.age);
         updates.truncate(MAX_UPDATES);
         updates
@@ -308,14 +317,14 @@
     ///
     /// During an outage thousands of different requests may fail. Those that failed once
     /// are dropped first, so that a request that keeps failing is kept.
-    fn make_room(&mut self, name: Fingerprint) {
-        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&name) {
+    fn make_room(&mut self, fingerprint: Fingerprint) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&fingerprint) {
             return;
         }
         let rank = |s: &Suspect| (s.until.is_some(), s.crashes, s.changed);
         let least = self.suspects.iter().min_by_key(|(_, s)| rank(s));
-        if let Some(name) = least.map(|(name, _)| *name) {
-            self.suspects.remove(&name);
+        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&fingerprint);
         }
     }
 }
--- a/components/state/src/routing.rs
+++ b/components/state/src/routing.rs
@@ -37,7 +37,7 @@
     /// Returns a table of these routes; the last of several routes with the same host and
     /// prefix applies.
     pub fn new(mut routes: Vec<Route>) -> RouteTable {
-        routes.sort_by(|a, b| a.place().cmp(&b.place()));
+        routes.sort_by(|a, b| a.host_and_prefix().cmp(&b.host_and_prefix()));
         RouteTable { routes }
     }
 
@@ -57,10 +57,10 @@
     }
 
     fn find(&self, host: &str, prefix: &str) -> Option<&Route> {
-        let place = (host, prefix);
-        let after = self.routes.partition_point(|r| r.place() <= place);
+        let key = (host, prefix);
+        let after = self.routes.partition_point(|r| r.host_and_prefix() <= key);
         let last = self.routes.get(after.checked_sub(1)?)?;
-        (last.place() == place).then_some(last)
+        (last.host_and_prefix() == key).then_some(last)
     }
 }
 
@@ -148,7 +148,7 @@
 }
 
 impl Route {
-    fn place(&self) -> (&str, &str) {
+    fn host_and_prefix(&self) -> (&str, &str) {
         (&self.host, &self.prefix)
     }
 
@@ -159,16 +159,16 @@
     /// spare capacity rejects its fraction of the requests rather than passing it on to
     /// the other services, whose capacity operators have planned for their own requests.
     pub fn pick_service(&self, draw: u64) -> Option<ServiceKey> {
-        let total: u64 = self.weighted_services.iter().map(|p| p.weight).sum();
+        let total: u64 = self.weighted_services.iter().map(|s| s.weight).sum();
         if total == 0 {
             return None;
         }
         let mut at = draw % total;
-        for part in &self.weighted_services {
-            if at < part.weight {
-                return Some(part.service);
+        for weighted in &self.weighted_services {
+            if at < weighted.weight {
+                return Some(weighted.service);
             }
-            at -= part.weight;
+            at -= weighted.weight;
         }
         None
     }
--- a/components/state/src/stall.rs
+++ b/components/state/src/stall.rs
@@ -19,13 +19,13 @@
 /// average exhausts the allowance after [`STALL_TIMEOUT`].
 #[derive(Clone, Copy, Debug)]
 pub struct StallTimer {
-    left: Duration,
+    remaining: Duration,
 }
 
 impl Default for StallTimer {
     fn default() -> StallTimer {
         StallTimer {
-            left: STALL_TIMEOUT,
+            remaining: STALL_TIMEOUT,
         }
     }
 }
@@ -33,17 +33,17 @@
 impl StallTimer {
     /// Takes the time spent waiting from the allowance.
     pub fn note_wait(&mut self, time: Duration) {
-        self.left = self.left.saturating_sub(time);
+        self.remaining = self.remaining.saturating_sub(time);
     }
 
     /// Refills the allowance by the time that `bytes` may take, up to [`STALL_TIMEOUT`].
     pub fn note_bytes(&mut self, bytes: u64) {
         let earned = Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_RATE);
-        self.left = (self.left + earned).min(STALL_TIMEOUT);
+        self.remaining = (self.remaining + earned).min(STALL_TIMEOUT);
     }
 
     /// Returns how much longer to wait for the peer.
     pub fn remaining(&self) -> Duration {
-        self.left
+        self.remaining
     }
 }
--- a/components/state/tests/fingerprints.rs
+++ b/components/state/tests/fingerprints.rs
@@ -16,13 +16,13 @@
     length: Some(4),
 };
 
-fn named(content: Content<'_>) -> Fingerprints {
+fn fingerprints(content: Content<'_>) -> Fingerprints {
     Fingerprints::new(content, CALLER)
 }
 
 #[test]
 fn same_again() {
-    assert_eq!(named(REQUEST), named(REQUEST));
+    assert_eq!(fingerprints(REQUEST), fingerprints(REQUEST));
 }
 
 /// A request with different content must have another fingerprint, or its caller is
@@ -35,12 +35,12 @@
 #[case(Content { length: Some(5), ..REQUEST })]
 #[case(Content { host: "a.example/", path: "write/x", ..REQUEST })]
 fn differs(#[case] other: Content<'_>) {
-    assert_ne!(named(other).content, named(REQUEST).content);
+    assert_ne!(fingerprints(other).content, fingerprints(REQUEST).content);
 }
 
 #[test]
 fn other_caller() {
     let other = Fingerprints::new(REQUEST, IpAddr::from([10, 0, 0, 2]));
-    assert_eq!(other.content, named(REQUEST).content);
-    assert_ne!(other.request, named(REQUEST).request);
+    assert_eq!(other.content, fingerprints(REQUEST).content);
+    assert_ne!(other.request, fingerprints(REQUEST).request);
 }
--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -141,7 +141,7 @@
 fn disturbed_machines() {
     let names = ["a", "b", "c", "d", "e"];
     let mut fleet = Fleet::of(&names.map(|n| (n, "near")));
-    let mut asks = 0;
+    let mut probes = 0;
     for round in 0..300 {
         let mut now = START + Duration::from_millis(round * 300);
         let mut noise = StdRng::seed_from_u64(round);
@@ -157,10 +157,10 @@
         let began = now;
         let slowness = |k: EndpointKey| if bad.contains(&k) { 400 } else { 100 };
         let chosen = fleet.place(&wanted, &mut now, |k, at| sample(slowness(k), 0, 0, at));
-        asks += now.since(began).as_millis();
+        probes += now.since(began).as_millis();
         assert!(!bad.contains(&chosen.expect("one endpoint is fast")));
     }
-    assert!(asks < 2 * 300, "{asks} probes for 300 requests");
+    assert!(probes < 2 * 300, "{probes} probes for 300 requests");
 }
 
 /// The probe budget is used up in a burst. Requests must still be placed, on the endpoint
--- a/components/state/tests/host_probe_budget.rs
+++ b/components/state/tests/host_probe_budget.rs
@@ -105,8 +105,8 @@
         budget.refill(RATE, ENDPOINTS, 0.05, now);
     }
     assert_eq!(busy.borrow(now), None, "the budget is not low");
-    let own = left(&mut busy);
-    let number = busy.borrow(now).expect("the budget is empty");
+    let own = use_up(&mut busy);
+    let request_id = busy.borrow(now).expect("the budget is empty");
     assert_eq!(
         busy.borrow(now),
         None,
@@ -114,14 +114,14 @@
     );
     let lent = calm.lend();
     assert!(lent > 500, "{lent} lent of what was saved in half a minute");
-    busy.receive_loan(number, lent);
-    busy.receive_loan(number, lent);
+    busy.receive_loan(request_id, lent);
+    busy.receive_loan(request_id, lent);
     assert_eq!(
-        left(&mut busy),
+        use_up(&mut busy),
         lent as usize,
         "a duplicated datagram counts once"
     );
-    let all = own + lent as usize + left(&mut calm);
+    let all = own + lent as usize + use_up(&mut calm);
     let granted = RATE * ENDPOINTS as f64 * 0.05 * 34.0 * 2.0;
     assert!(all as f64 <= granted, "{all} of {granted}");
 }
@@ -137,11 +137,11 @@
     for _ in 0..20 {
         budget.lend();
     }
-    assert!(left(&mut budget) > 300);
+    assert!(use_up(&mut budget) > 300);
 }
 
 /// Returns how many probes are left, and uses them up.
-fn left(budget: &mut HostProbeBudget) -> usize {
+fn use_up(budget: &mut HostProbeBudget) -> usize {
     let mut sent = 0;
     while budget.is_available() {
         budget.spend();
--- a/components/state/tests/route_choice.rs
+++ b/components/state/tests/route_choice.rs
@@ -19,12 +19,12 @@
         objective: Duration::from_millis(500),
         priority: 0,
         attempts: 2,
-        weighted_services: vec![part("svc", 1)],
+        weighted_services: vec![weighted("svc", 1)],
         regions: BTreeSet::new(),
     }
 }
 
-fn part(service: &str, weight: u64) -> WeightedService {
+fn weighted(service: &str, weight: u64) -> WeightedService {
     WeightedService {
         service: ServiceKey::named(service),
         weight,
@@ -93,7 +93,11 @@
 #[test]
 fn weighted_parts() {
     let mut route = route("split", "a.example", "/");
-    route.weighted_services = vec![part("new", 100), part("old", 900), part("none", 0)];
+    route.weighted_services = vec![
+        weighted("new", 100),
+        weighted("old", 900),
+        weighted("none", 0),
+    ];
     let mut random = StdRng::seed_from_u64(3);
     let mut shares = BTreeMap::new();
     for _ in 0..10_000 {
--- a/src/cmd/preset.rs
+++ b/src/cmd/preset.rs
@@ -160,16 +160,16 @@
         fs::read_to_string(file).map_err(|e| target.usage(&format!("{}: {e}", file.display())))?;
     match parse_preset(&text) {
         Ok(preset) => Ok((text, preset)),
-        Err(faults) => Err(target.usage(&describe(file, &faults))),
+        Err(errors) => Err(target.usage(&describe(file, &errors))),
     }
 }
 
-fn describe(file: &Path, faults: &PresetErrors) -> String {
-    let count = faults.0.len();
-    let lines: Vec<String> = faults
+fn describe(file: &Path, errors: &PresetErrors) -> String {
+    let count = errors.0.len();
+    let lines: Vec<String> = errors
         .0
         .iter()
-        .map(|f| format!("  {}:{}: {}", file.display(), f.line, f.message))
+        .map(|e| format!("  {}:{}: {}", file.display(), e.line, e.message))
         .collect();
     format!("{count} faults, nothing is taken:\n{}", lines.join("\n"))
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -25,7 +25,7 @@
     let log = settings::or_env("log-address", flags.log_address);
     let read = match (entry, log) {
         (Some(entry), _) => fetch_from_entry(&entry),
-        (None, Some(log)) => fetch_from_log(&log),
+        (None, Some(log)) => fetch_from_store(&log),
         (None, None) => {
             eprintln!(
                 "error: no target: give --entry IP:PORT, the admin address, or --log-address"
@@ -58,8 +58,8 @@
 }
 
 /// Returns the configuration from the store as JSON, without the status of entry hosts.
-fn fetch_from_log(log: &str) -> Result<String, String> {
-    let config = read_from_store(resolve(log)?, REQUEST_TIMEOUT)?;
+fn fetch_from_store(address: &str) -> Result<String, String> {
+    let config = read_from_store(resolve(address)?, REQUEST_TIMEOUT)?;
     let members: Vec<Value> = config
         .members
         .iter()
