--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -46,7 +46,8 @@
     ReadStarted(Topic),
     /// Reports that the sender failed to read this topic from the store.
     ReadFailed(Topic),
-    /// Requests all records of this topic, since the sender has none and can't read the store.
+    /// Requests a snapshot of this topic, since the sender has no records of it and can't
+    /// read the store.
     SnapshotRequest(Topic),
     /// Contains the newest record of each key of a topic.
     Snapshot(TopicSnapshot),
@@ -168,7 +169,7 @@
     /// In a hello, whether the sender requests the hosts that the receiver knows.
     #[prost(bool, tag = "8")]
     wants_hosts: bool,
-    /// Whether all records of the topic are requested.
+    /// Whether a snapshot of the topic is requested.
     #[prost(bool, tag = "9")]
     snapshot_request: bool,
     /// Whether the records are the newest of each key.
