--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -15,7 +15,7 @@
 use state::topology::Topology;
 use state::{DataCentreKey, EndpointKey, Moment, RegionKey, ServiceKey};
 
-const USUAL: Duration = Duration::from_millis(200);
+const SERVICE_TIME: Duration = Duration::from_millis(200);
 const START: Moment = Moment::from_millis(10_000);
 
 struct Fleet {
@@ -64,7 +64,7 @@
         home: DataCentreKey::named("near"),
         objective: START + Duration::from_millis(objective),
         deadline: START + Duration::from_millis(2_000),
-        service_time: USUAL,
+        service_time: SERVICE_TIME,
         priority: 0,
     }
 }
--- a/components/state/tests/quarantine_fleet.rs
+++ b/components/state/tests/quarantine_fleet.rs
@@ -12,7 +12,7 @@
 use state::fleet::{Fingerprint, Fingerprints};
 
 /// How long an endpoint runs the request before it crashes, in milliseconds.
-const RUN: u64 = 60;
+const RUN_TIME: u64 = 60;
 
 /// The delay of a message from one host to another, in milliseconds.
 const MESSAGE_DELAY: u64 = 5;
@@ -22,7 +22,7 @@
 const KNOWN_AFTER: u64 = 3_000;
 
 /// The time after a host's start from which its requests count, in milliseconds.
-const SETTLED: u64 = 3_000;
+const SETTLING_TIME: u64 = 3_000;
 
 /// The number of later arrivals that are tolerated.
 const TOLERATED: usize = 3;
@@ -128,7 +128,7 @@
                 if matches!(self.hosts[host].admit(FATAL, now), Decision::Reject(_)) {
                     return;
                 }
-                if millis >= self.started[host] + SETTLED {
+                if millis >= self.started[host] + SETTLING_TIME {
                     self.arrivals.push(millis);
                 }
                 let ends = Event::RunEnd {
@@ -136,7 +136,7 @@
                     attempt,
                     sent: now,
                 };
-                self.at(millis + RUN, ends);
+                self.at(millis + RUN_TIME, ends);
             }
             Event::RunEnd {
                 host,
--- a/components/state/tests/rate_limits.rs
+++ b/components/state/tests/rate_limits.rs
@@ -22,9 +22,9 @@
 
 #[test]
 fn advertised_and_ended() {
-    let named = RateLimit::after(None, Some(1.5), Source::Request);
-    assert_eq!(rate(named), Some(1.5));
-    let changed = RateLimit::after(named, Some(0.5), Source::Probe);
+    let advertised = RateLimit::after(None, Some(1.5), Source::Request);
+    assert_eq!(rate(advertised), Some(1.5));
+    let changed = RateLimit::after(advertised, Some(0.5), Source::Probe);
     assert_eq!(rate(changed), Some(0.5));
     assert_eq!(RateLimit::after(changed, None, Source::Request), None);
     assert_eq!(RateLimit::after(changed, None, Source::Probe), None);
@@ -34,8 +34,8 @@
 /// limited.
 #[test]
 fn silent_probes() {
-    let named = RateLimit::after(None, Some(1.5), Source::Request);
-    let probed = RateLimit::after(named, None, Source::Probe);
+    let advertised = RateLimit::after(None, Some(1.5), Source::Request);
+    let probed = RateLimit::after(advertised, None, Source::Probe);
     assert_eq!(rate(probed), Some(1.5));
 }
 
--- a/components/state/tests/unreachable_centre.rs
+++ b/components/state/tests/unreachable_centre.rs
@@ -21,7 +21,7 @@
 const CENTRES: [&str; 2] = ["near", "far"];
 
 /// The number of endpoints in each data centre.
-const COUNT: usize = 40;
+const ENDPOINTS_PER_CENTRE: usize = 40;
 
 struct Site {
     registry: Registry,
@@ -47,7 +47,7 @@
     fn new() -> Site {
         let mut registry = Registry::default();
         for centre in CENTRES {
-            for number in 0..COUNT {
+            for number in 0..ENDPOINTS_PER_CENTRE {
                 let endpoint = endpoint(centre, number);
                 let name = endpoint.instance.clone();
                 registry.apply(&name, Some(Entry::Endpoint(endpoint)), START);
--- a/components/state/tests/wait_queue.rs
+++ b/components/state/tests/wait_queue.rs
@@ -17,7 +17,7 @@
 const SLOTS: u32 = 4;
 
 /// How long an endpoint takes to answer a probe; others probe it meanwhile.
-const ANSWER: Duration = Duration::from_millis(2);
+const PROBE_TIME: Duration = Duration::from_millis(2);
 
 /// One host whose requests all wait for the same few endpoints.
 struct Host {
@@ -107,7 +107,7 @@
     /// Runs one request's next step; returns whether it is still waiting.
     fn step_one(&mut self, waiting: &mut Waiting, now: Moment) -> bool {
         if let Some(key) = waiting.probing.take() {
-            self.see(key, now);
+            self.update_sample(key, now);
         }
         let is_first = waiting.ticket.is_none_or(|t| self.queue.first() == Some(t));
         let random = &mut self.random;
@@ -130,7 +130,7 @@
             Step::Probe(key) => {
                 self.probes += 1;
                 waiting.probing = Some(key);
-                waiting.due = now + ANSWER;
+                waiting.due = now + PROBE_TIME;
                 true
             }
             Step::Place(key) => {
@@ -160,7 +160,7 @@
         self.wake(next, now);
     }
 
-    fn see(&mut self, key: EndpointKey, now: Moment) {
+    fn update_sample(&mut self, key: EndpointKey, now: Moment) {
         let sample = LoadSample {
             at: now,
             running: self.running[&key],
@@ -180,7 +180,7 @@
     fn end(&mut self, name: &str, left: u32, now: Moment) {
         let key = endpoint(name).key();
         self.running.insert(key, left);
-        self.see(key, now);
+        self.update_sample(key, now);
         self.wake(self.queue.first(), now);
     }
 
