--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -21,7 +21,7 @@
 /// Datagrams of any other version are refused.
 const VERSION: u8 = 3;
 
-/// Maximum size in bytes of a message sent in one datagram.
+/// Maximum size in bytes of a message, or of the records of an update, sent in one datagram.
 ///
 /// The limit is well below the maximum payload of a datagram.
 pub const DATAGRAM_LIMIT: usize = 16 * 1024;
