--- a/components/coordination/src/members/receive.rs
+++ b/components/coordination/src/members/receive.rs
@@ -10,7 +10,7 @@
 };
 use super::quorum::WatcherAck;
 use super::watch::MemberId;
-use super::watched::HEARD_WITHIN;
+use super::watched::MAX_ALIVE_SILENCE;
 
 impl Detector {
     /// Handles one message.
@@ -86,7 +86,7 @@
             return;
         };
         let silence = member.silence(now);
-        if silence >= HEARD_WITHIN {
+        if silence >= MAX_ALIVE_SILENCE {
             member.note_concurring(from, now);
             return;
         }
--- a/components/coordination/src/members/watched.rs
+++ b/components/coordination/src/members/watched.rs
@@ -28,7 +28,7 @@
 pub const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The longest silence at which a queried watcher replies that the member is alive.
-pub const HEARD_WITHIN: Duration = Duration::from_millis(450);
+pub const MAX_ALIVE_SILENCE: Duration = Duration::from_millis(450);
 
 /// The agreed silence after which a watcher removes the member.
 pub const REMOVE_AFTER: Duration = Duration::from_secs(3);
--- a/components/coordination/src/neighbours.rs
+++ b/components/coordination/src/neighbours.rs
@@ -27,7 +27,7 @@
 ///
 /// A list of 300 hosts takes 5 KB; a query every ten seconds takes half a kilobyte a
 /// second.
-const QUERY_INTERVAL: u32 = 10;
+const GREETINGS_PER_QUERY: u32 = 10;
 
 /// Number of hosts in each other data centre to which a host sends what it read.
 ///
@@ -161,7 +161,7 @@
     pub fn next_query(&mut self, draw: u64) -> Option<SocketAddr> {
         self.greetings += 1;
         let due =
-            self.greetings <= STARTUP_QUERIES || self.greetings.is_multiple_of(QUERY_INTERVAL);
+            self.greetings <= STARTUP_QUERIES || self.greetings.is_multiple_of(GREETINGS_PER_QUERY);
         self.any(draw).filter(|_| due)
     }
 
--- a/components/coordination/src/slots/mod.rs
+++ b/components/coordination/src/slots/mod.rs
@@ -297,7 +297,7 @@
         if newer {
             self.stamps.insert(from, latest);
         }
-        self.take_in(from, message, now);
+        self.dispatch(from, message, now);
         self.finish_step(now);
     }
 
@@ -371,7 +371,7 @@
     fn finish_step(&mut self, now: Moment) {
         loop {
             while let Some(message) = self.inbox.pop_front() {
-                self.take_in(self.me.host, message, now);
+                self.dispatch(self.me.host, message, now);
             }
             self.report(now);
             self.review_brokers(now);
@@ -382,7 +382,7 @@
         }
     }
 
-    fn take_in(&mut self, from: HostKey, message: SlotMessage, now: Moment) {
+    fn dispatch(&mut self, from: HostKey, message: SlotMessage, now: Moment) {
         let stamp = message.stamp;
         match message.body {
             SlotBody::Renew { leases, stats } => self.on_renew(from, stamp, &leases, &stats, now),
--- a/components/coordination/tests/claim_races.rs
+++ b/components/coordination/tests/claim_races.rs
@@ -44,7 +44,7 @@
     late: Vec<Batch>,
     homes: Vec<Home>,
     calls: Vec<Call>,
-    mail: Vec<Reply>,
+    in_transit: Vec<Reply>,
 }
 
 /// The outcome of an append.
@@ -99,7 +99,7 @@
             late: Vec::new(),
             homes: Vec::new(),
             calls: Vec::new(),
-            mail: Vec::new(),
+            in_transit: Vec::new(),
         };
         for _ in 0..homes {
             world.homes.push(Home::new(CARRY));
@@ -169,7 +169,7 @@
 
     fn collect(&mut self) {
         for home in &mut self.homes {
-            self.mail.extend(home.replies());
+            self.in_transit.extend(home.replies());
         }
     }
 
@@ -260,8 +260,8 @@
                     self.log.push(batch);
                 }
             }
-            Op::Deliver { which, lost } if !self.mail.is_empty() => {
-                let reply = self.mail.remove(which % self.mail.len());
+            Op::Deliver { which, lost } if !self.in_transit.is_empty() => {
+                let reply = self.in_transit.remove(which % self.in_transit.len());
                 if !lost {
                     self.deliver(&reply);
                 }
@@ -288,7 +288,7 @@
     }
 
     fn deliver_all(&mut self) {
-        while let Some(reply) = self.mail.pop() {
+        while let Some(reply) = self.in_transit.pop() {
             self.deliver(&reply);
         }
     }
@@ -450,10 +450,10 @@
     world.deliver_all();
     let second = world.call(1, 0, &[0]);
     world.append(0, AppendOutcome::Answered, true);
-    let answer = world.mail.pop().map(|r| r.answer);
+    let answer = world.in_transit.pop().map(|r| r.answer);
     assert_eq!(answer, Some(Answer::InProgress));
     assert!(
-        world.mail.is_empty(),
+        world.in_transit.is_empty(),
         "the repeat was answered before the first ended"
     );
     world.finish(first, how, true);
@@ -471,7 +471,10 @@
     world.append(0, AppendOutcome::Answered, true);
     world.deliver_all();
     world.call(1, 5, &[0]);
-    assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Mismatch));
+    assert_eq!(
+        world.in_transit.pop().map(|r| r.answer),
+        Some(Answer::Mismatch)
+    );
 }
 
 // The entry host that ran the call is lost before the answer, or the home of the
@@ -489,11 +492,17 @@
     }
     world.call(1, 0, &[0]);
     if !home {
-        assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::InProgress));
+        assert_eq!(
+            world.in_transit.pop().map(|r| r.answer),
+            Some(Answer::InProgress)
+        );
         world.homes[0].host_lost(ENTRY);
         world.collect();
     }
-    assert_eq!(world.mail.pop().map(|r| r.answer), Some(Answer::Started));
+    assert_eq!(
+        world.in_transit.pop().map(|r| r.answer),
+        Some(Answer::Started)
+    );
 }
 
 // The store keeps records for a limited time. A key within its TTL is written
@@ -605,7 +614,7 @@
     let mut world = World::new(1);
     let paused = world.call(1, 0, &[0]);
     world.append(0, AppendOutcome::Answered, true);
-    let late: Vec<Reply> = world.mail.drain(..).collect();
+    let late: Vec<Reply> = world.in_transit.drain(..).collect();
     world.now = world.now + KEY_TTL;
     let repeat = world.call(1, 0, &[0]);
     world.append(0, AppendOutcome::Answered, true);
--- a/components/coordination/tests/failure_detector.rs
+++ b/components/coordination/tests/failure_detector.rs
@@ -62,22 +62,22 @@
         while self.now < end {
             self.now = self.now + STEP;
             self.steps += 1;
-            let mut mail = VecDeque::new();
+            let mut in_transit = VecDeque::new();
             for (index, host) in self.keys().into_iter().enumerate() {
                 let due = (self.steps + index as u64).is_multiple_of(TICK);
                 if due && !self.stopped.contains(&host) {
                     self.hosts.get_mut(&host).unwrap().tick(self.now);
                 }
-                self.collect(host, &mut mail);
+                self.collect(host, &mut in_transit);
             }
-            while let Some((from, to, message)) = mail.pop_front() {
+            while let Some((from, to, message)) = in_transit.pop_front() {
                 if self.stopped.contains(&to) || self.cut.contains(&(from, to)) {
                     continue;
                 }
                 if let Some(detector) = self.hosts.get_mut(&to) {
                     detector.receive(from, &message, self.now);
                 }
-                self.collect(to, &mut mail);
+                self.collect(to, &mut in_transit);
             }
             self.read_log();
         }
@@ -103,14 +103,14 @@
     fn collect(
         &mut self,
         host: HostKey,
-        mail: &mut VecDeque<(HostKey, HostKey, coordination::members::MemberMessage)>,
+        in_transit: &mut VecDeque<(HostKey, HostKey, coordination::members::MemberMessage)>,
     ) {
         let Some(detector) = self.hosts.get_mut(&host) else {
             return;
         };
         for action in detector.actions() {
             match action {
-                Action::Send(to, message) => mail.push_back((host, to, message)),
+                Action::Send(to, message) => in_transit.push_back((host, to, message)),
                 Action::Suspected(whom) => self.suspected.push((host, whom, self.now)),
                 Action::Remove(id) => self.removals.push((host, id, self.now)),
                 Action::Redial(_) | Action::AskConfig(_) | Action::Refuted(_) => {}
--- a/components/coordination/tests/group_joins.rs
+++ b/components/coordination/tests/group_joins.rs
@@ -25,21 +25,21 @@
         }
         self.members.insert(member, generation);
         let assigned = self.assigned.get(&member).copied().unwrap_or_default();
-        let fair = self.fair(member);
+        let even_split = self.even_split(member);
         // Partitions missing from the answer are released by the next join.
-        let listed = assigned.min(fair);
+        let listed = assigned.min(even_split);
         if generation == self.generation {
             self.assigned.insert(member, listed);
         }
         let free = PARTITIONS - self.assigned.values().sum::<usize>();
-        let more = free.min(fair - listed);
+        let more = free.min(even_split - listed);
         if more > 0 {
             self.assigned.insert(member, listed + more);
         }
         (self.generation, listed + more)
     }
 
-    fn fair(&self, member: usize) -> usize {
+    fn even_split(&self, member: usize) -> usize {
         let count = self.members.len();
         let rank = self.members.range(..member).count();
         PARTITIONS / count + usize::from(rank < PARTITIONS % count)
--- a/components/coordination/tests/slot_faults.rs
+++ b/components/coordination/tests/slot_faults.rs
@@ -20,7 +20,7 @@
     config: Config,
     now: u64,
     hosts: Vec<Option<SlotManager>>,
-    mail: VecDeque<(u64, HostKey, HostKey, SlotMessage)>,
+    in_transit: VecDeque<(u64, HostKey, HostKey, SlotMessage)>,
     running: Vec<(u64, usize, LeaseKey)>,
     refused: Vec<Refusal>,
     work: BTreeMap<EndpointKey, u64>,
@@ -83,7 +83,7 @@
             config,
             now: 0,
             hosts: Vec::new(),
-            mail: VecDeque::new(),
+            in_transit: VecDeque::new(),
             running: Vec::new(),
             refused: Vec::new(),
             work: BTreeMap::new(),
@@ -137,8 +137,8 @@
         for _ in 0..millis / STEP {
             self.now += STEP;
             let now = self.now;
-            while self.mail.front().is_some_and(|(at, ..)| *at <= now) {
-                if let Some((_, from, to, message)) = self.mail.pop_front() {
+            while self.in_transit.front().is_some_and(|(at, ..)| *at <= now) {
+                if let Some((_, from, to, message)) = self.in_transit.pop_front() {
                     self.act(to.0 as usize, |s, now| s.receive(from, message, now));
                 }
             }
@@ -177,15 +177,16 @@
         };
         step(slots, now);
         for effect in slots.take_effects() {
-            self.carry_out(n, effect);
+            self.apply_effect(n, effect);
         }
     }
 
-    fn carry_out(&mut self, n: usize, effect: Effect) {
+    fn apply_effect(&mut self, n: usize, effect: Effect) {
         match effect {
             Effect::Send(to, message) => {
                 let at = self.now + STEP;
-                self.mail.push_back((at, HostKey(n as u64), to, message));
+                self.in_transit
+                    .push_back((at, HostKey(n as u64), to, message));
             }
             Effect::Start { lease, .. } => self.start(n, lease),
             Effect::Refuse(_, refusal) => self.refused.push(refusal),
@@ -203,8 +204,8 @@
 
     fn start(&mut self, n: usize, lease: LeaseKey) {
         let endpoint = lease.slot.endpoint;
-        let bears = self.sheds.get(&endpoint).copied().unwrap_or(usize::MAX);
-        if self.at(endpoint) >= bears {
+        let capacity = self.sheds.get(&endpoint).copied().unwrap_or(usize::MAX);
+        if self.at(endpoint) >= capacity {
             self.act(n, |s, now| s.finish(lease, Ending::Shed, now));
             return;
         }
--- a/components/coordination/tests/slot_safety.rs
+++ b/components/coordination/tests/slot_safety.rs
@@ -48,7 +48,7 @@
     now: u64,
     config: Config,
     hosts: Vec<Host>,
-    mail: BTreeMap<(u64, u64), (HostKey, HostKey, SlotMessage)>,
+    in_transit: BTreeMap<(u64, u64), (HostKey, HostKey, SlotMessage)>,
     reports: Vec<(u64, usize, EndpointKey)>,
     next: u64,
     started: u64,
@@ -99,7 +99,7 @@
             now: 0,
             config: config(),
             hosts: Vec::new(),
-            mail: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             reports: Vec::new(),
             next: 0,
             started: 0,
@@ -192,12 +192,12 @@
 
     fn deliver(&mut self) {
         let due: Vec<(u64, u64)> = self
-            .mail
+            .in_transit
             .range(..=(self.now, u64::MAX))
             .map(|(k, _)| *k)
             .collect();
         for key in due {
-            let Some((from, to, message)) = self.mail.remove(&key) else {
+            let Some((from, to, message)) = self.in_transit.remove(&key) else {
                 continue;
             };
             let Some(n) = self.hosts.iter().position(|h| h.key == to) else {
@@ -205,12 +205,12 @@
             };
             if self.hosts[n].paused_until > self.now {
                 let later = (self.hosts[n].paused_until, key.1);
-                self.mail.insert(later, (from, to, message));
+                self.in_transit.insert(later, (from, to, message));
                 continue;
             }
             let now = Moment(self.now);
             self.hosts[n].slots.receive(from, message, now);
-            self.carry_out(n);
+            self.apply_effects(n);
         }
     }
 
@@ -223,7 +223,7 @@
             let alive = self.config.members.keys().copied().collect();
             self.hosts[n].seen = self.config.clone();
             self.hosts[n].slots.configure(&self.config, &alive, now);
-            self.carry_out(n);
+            self.apply_effects(n);
         }
         if self.hosts[n].seen.revision == self.config.revision && self.chance(100) {
             self.hosts[n].slots.confirm(now);
@@ -237,7 +237,7 @@
                 tried: Vec::new(),
             };
             self.hosts[n].slots.arrive(&arrival, now);
-            self.carry_out(n);
+            self.apply_effects(n);
         }
         let done: Vec<LeaseKey> = self.hosts[n]
             .running
@@ -251,7 +251,7 @@
                 _ => Ending::Answered,
             };
             self.hosts[n].slots.finish(lease, ending, now);
-            self.carry_out(n);
+            self.apply_effects(n);
         }
         for (_, _, endpoint) in self
             .reports
@@ -265,10 +265,10 @@
             self.hosts[n].slots.probed(endpoint, Some(&report), now);
         }
         self.hosts[n].slots.tick(now);
-        self.carry_out(n);
+        self.apply_effects(n);
     }
 
-    fn carry_out(&mut self, n: usize) {
+    fn apply_effects(&mut self, n: usize) {
         for effect in self.hosts[n].slots.take_effects() {
             match effect {
                 Effect::Send(to, message) => self.post(n, to, message),
@@ -290,7 +290,7 @@
         self.next += 1;
         let late = self.rng.random_range(0..=self.faults.delay);
         let at = (self.now + late, self.next);
-        self.mail.insert(at, (self.hosts[n].key, to, message));
+        self.in_transit.insert(at, (self.hosts[n].key, to, message));
     }
 
     /// Checks that no two hosts, paused or not, consider themselves holders of the same slot.
--- a/components/coordination/tests/slot_shutdown.rs
+++ b/components/coordination/tests/slot_shutdown.rs
@@ -151,10 +151,10 @@
 
 /// Runs both hosts for `millis` milliseconds; a message takes one.
 fn run(hosts: &mut [SlotManager; 2], keys: [HostKey; 2], now: &mut Moment, millis: u64) {
-    let mut mail = Vec::new();
+    let mut in_transit = Vec::new();
     for _ in 0..millis {
         *now = *now + Duration::from_millis(1);
-        for (from, to, message) in std::mem::take(&mut mail) {
+        for (from, to, message) in std::mem::take(&mut in_transit) {
             if let Some(index) = keys.iter().position(|key| *key == to) {
                 hosts[index].receive(from, message, *now);
             }
@@ -164,7 +164,7 @@
             slots.tick(*now);
             for effect in slots.take_effects() {
                 if let Effect::Send(to, message) = effect {
-                    mail.push((key, to, message));
+                    in_transit.push((key, to, message));
                 }
             }
         }
