--- a/components/coordination/src/config/command.rs
+++ b/components/coordination/src/config/command.rs
@@ -153,25 +153,24 @@
 pub enum Refusal {
     /// Another command changed the same subject after the revision on which this one is
     /// based.
-    #[error("{subject} was changed first, at revision {revision}: look again and decide anew")]
+    #[error("{subject} was changed first, at revision {revision}: look again and decide again")]
     Conflict {
         /// The subject that both commands change.
         subject: Subject,
         /// The revision of the other command's change.
         revision: u64,
     },
-    /// The command is so old that the log's retained answers don't show whether it ran
-    /// before.
+    /// The command is so old that it may be a repeat of one whose answer has been dropped.
     #[error(
-        "the command is older than what the log remembers: it does nothing now, \
-         and whether it ran before can't be told; look at the configuration and decide anew"
+        "the command is older than the commands whose answers are kept: it does nothing now, \
+         and whether it ran before is unknown; look at the configuration and decide again"
     )]
     TooOld,
     /// The command names a revision or offset that this log has not reached.
     #[error("the command names revision or offset {0}, which this log has not reached")]
     Future(u64),
     /// The preset's text has errors.
-    #[error("the preset has faults:\n{0}")]
+    #[error("the preset has errors:\n{0}")]
     Faulty(String),
     /// No preset has this name.
     #[error("no preset is named {0}: put it first")]
--- a/components/coordination/src/config/fold.rs
+++ b/components/coordination/src/config/fold.rs
@@ -184,7 +184,7 @@
     /// The result depends on nothing but the record and its offset, so that a host that
     /// was merely paused ends in the same state as new ones. A revision is never greater
     /// than the offset after its record: the new revision is greater than any before, and
-    /// decreases on no host.
+    /// never decreases on any host.
     fn begin(&mut self, offset: u64, text: &str) -> Applied {
         let Ok(preset) = parse_preset(text) else {
             return Applied::Ignored;
--- a/components/coordination/src/fragments.rs
+++ b/components/coordination/src/fragments.rs
@@ -49,8 +49,8 @@
 /// again.
 ///
 /// Fragments get lost one by one, and one or two hosts request them. A third request
-/// means that the neighbour which should have relayed the fragment has failed, and that
-/// all lack it.
+/// means that the neighbour which should have relayed the fragment has failed and all
+/// hosts lack the fragment.
 const RELAY_AFTER_REQUESTS: u32 = 3;
 
 /// How long a fragment isn't sent in answer to requests after it was relayed again, since
--- a/components/coordination/src/members/quorum.rs
+++ b/components/coordination/src/members/quorum.rs
@@ -89,7 +89,7 @@
     /// A majority of the owner's watchers has applied the change, so the owner stops
     /// acting within [`AUTHORITY_WINDOW`] from now.
     MajorityApplied,
-    /// The owner may act by an older configuration, for an unlimited time.
+    /// The owner may act by an older configuration for as long as it has this status.
     MayAct,
     /// This host knows too little about the owner: see [`UNKNOWN_FENCE`].
     Unknown,
--- a/components/coordination/src/neighbours.rs
+++ b/components/coordination/src/neighbours.rs
@@ -23,7 +23,7 @@
 /// started by then.
 const STARTUP_QUERIES: u32 = 5;
 
-/// How many later greetings there are for each one with a query.
+/// After the first greetings, one in this many contains a query.
 ///
 /// A list of 300 hosts takes 5 KB; a query every ten seconds takes half a kilobyte a
 /// second.
@@ -214,7 +214,7 @@
     /// Returns a few hosts of each other data centre, for an answer to a query.
     ///
     /// Contains only hosts that sent a greeting themselves: otherwise hosts would go on
-    /// naming a failed host to each other for ever.
+    /// naming a failed host to each other forever.
     pub fn remote_sample(&mut self, now: Moment) -> Vec<Contact> {
         self.expire_remotes(now);
         let mut sample = Vec::new();
--- a/components/coordination/src/read_schedule.rs
+++ b/components/coordination/src/read_schedule.rs
@@ -392,7 +392,8 @@
         self.due = now;
     }
 
-    /// Takes in that a neighbour read the records from `from` to `next`.
+    /// Records that a neighbour read the records from `from` to `next`, and returns what to
+    /// do with them.
     ///
     /// `yields` says whether this host gives up being the reader if both read; `draw` is
     /// a random number from 0 to 1. An update that ends before this host's own offset is
--- a/components/coordination/src/slots/mod.rs
+++ b/components/coordination/src/slots/mod.rs
@@ -142,7 +142,8 @@
     brokers: BTreeMap<ServiceKey, Broker>,
     stamps: BTreeMap<HostKey, LatestStamp>,
     handoffs: BTreeMap<EndpointKey, EarlyHandoff>,
-    /// When this host recently stopped owning endpoints of which it had leased slots.
+    /// Endpoints that this host stopped owning recently after it had leased slots of them,
+    /// and when it stopped.
     recently_leased: BTreeMap<EndpointKey, Moment>,
     revision: u64,
     call_stats: BTreeMap<EndpointKey, CallStats>,
@@ -184,7 +185,7 @@
 
 /// The time between two sweeps of deadlines, leases and owned endpoints.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a handoff is kept that no configuration has made use of.
+/// How long a handoff is kept if no configuration makes this host the owner.
 const HANDOFF_TTL: Duration = Duration::from_millis(10_000);
 
 impl SlotManager {
--- a/components/coordination/src/slots/pool.rs
+++ b/components/coordination/src/slots/pool.rs
@@ -139,9 +139,9 @@
 
     /// Returns whether to offer an idle slot to the broker now, and records the offer.
     ///
-    /// At most one slot is offered at a given time: as a rule few calls wait
-    /// elsewhere, and a host that gave away all its idle slots for them would have
-    /// to request some at once.
+    /// At most one slot is offered per step: as a rule few calls wait elsewhere, and a
+    /// host that gave away all its idle slots for them would have to request some at
+    /// once.
     pub fn should_offer(&mut self, now: Moment) -> bool {
         let offers = self.shortage && self.last_offer < now;
         if offers {
--- a/components/coordination/src/slots/renewals.rs
+++ b/components/coordination/src/slots/renewals.rs
@@ -14,7 +14,7 @@
 const EARLY_RENEWAL_LIMIT: Duration = Duration::from_millis(1_300);
 /// The delay of an early renewal or report, so that several are sent together.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// The delay before a renewal is repeated that was not answered or not decided.
+/// The delay before a renewal is repeated if the owner has not answered or not decided.
 const RENEWAL_RETRY: Duration = Duration::from_millis(200);
 
 impl SlotManager {
--- a/components/coordination/tests/cross_centre_reads.rs
+++ b/components/coordination/tests/cross_centre_reads.rs
@@ -377,7 +377,7 @@
         now = now + Duration::from_millis(50);
         assert!(
             now.since(first) < UPDATE_TIMEOUT,
-            "the read is deferred for ever"
+            "the read is deferred forever"
         );
     }
 }
--- a/components/coordination/tests/neighbour_discovery.rs
+++ b/components/coordination/tests/neighbour_discovery.rs
@@ -117,7 +117,7 @@
 }
 
 /// A reader sends updates to a few hosts of each other data centre. One of these has
-/// failed: hosts must not go on naming it to each other for ever, and hosts that still
+/// failed: hosts must not go on naming it to each other forever, and hosts that still
 /// answer come first.
 #[test]
 fn contacts_kept() {
--- a/components/coordination/tests/read_schedule.rs
+++ b/components/coordination/tests/read_schedule.rs
@@ -314,7 +314,7 @@
 
 /// A large change arrives in fragments for half a second. If a host whose delay ends
 /// meanwhile read the store, so would all others, and the store's bandwidth would keep
-/// the last of them waiting. A host to which a neighbour sends single fragments for ever
+/// the last of them waiting. A host to which a neighbour sends single fragments forever
 /// has to read the store all the same.
 #[test]
 fn fragments_awaited() {
@@ -336,7 +336,7 @@
         now = now + Duration::from_millis(100);
         assert!(
             now.since(first) < UPDATE_TIMEOUT,
-            "the read is deferred for ever"
+            "the read is deferred forever"
         );
     }
 }
--- a/components/coordination/tests/update_relay.rs
+++ b/components/coordination/tests/update_relay.rs
@@ -85,7 +85,7 @@
 }
 
 /// Two hosts know different neighbours, so that the same update arrives twice. If it were
-/// forwarded each time, it would circulate for ever.
+/// forwarded each time, it would circulate forever.
 #[test]
 fn forwarded_once() {
     let reader = hosts(1)[0];
