--- a/components/coordination/src/config/check.rs
+++ b/components/coordination/src/config/check.rs
@@ -163,7 +163,7 @@
     match number(service, "cold-slots") {
         Some((cold, start)) if cold > slots => report.add(
             start,
-            format!("cold-slots {cold} is over slots {slots}: a cold endpoint can't bear more than a warm one"),
+            format!("cold-slots {cold} is over slots {slots}: a cold endpoint can't bear more"),
         ),
         _ => {}
     }
