--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -266,7 +266,7 @@
 fn stale_reason(fold: &Fold, page: &ReadAnswer) -> Option<String> {
     match fold.skipped_newer() {
         _ if fold.is_behind() => Some(format!(
-            "the log's records before {} are gone and no snapshot has been read yet",
+            "the log's records before {} are gone and no snapshot has come yet",
             page.first
         )),
         Some(offset) => Some(format!(
