--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -29,7 +29,7 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 /// Endpoints of one service.
 ///
-/// Close to the average of `examples/midlands.toml` and `examples/hr-central.toml`.
+/// Rounded average of the long-term target, 630 endpoints in 66 services.
 const ENDPOINTS_PER_SERVICE: usize = 10;
 
 /// An entry host as a child process, killed on drop.
@@ -46,15 +46,15 @@
     _backends: Vec<Backend>,
 }
 
-/// The resources that hosts use: totals of counters, or the average of a host.
+/// The resources that hosts use: totals of all hosts, or the average of one host.
 struct Usage {
-    /// Seconds of processor time; as an average, a second.
+    /// Processor time in seconds; in an average, per second.
     processor: f64,
     /// Resident memory in KiB.
     memory: u64,
-    /// Bytes sent on peer links; as an average, a second.
+    /// Bytes sent on peer links; in an average, per second.
     bytes: f64,
-    /// Messages sent on peer links; as an average, a second.
+    /// Messages sent on peer links; in an average, per second.
     messages: f64,
 }
 
--- a/benches/http_libraries.rs
+++ b/benches/http_libraries.rs
@@ -26,10 +26,12 @@
 const SLOW_BODIES: usize = 200;
 const WORKERS: usize = 64;
 
-/// How long connections with unfinished heads are kept; longer than the edge's time-out for a head.
+/// The time after which open connections with unfinished heads are counted.
+///
+/// It is longer than the edge's timeout for a head.
 const HOLD_TIME: Duration = Duration::from_secs(13);
 
-/// The prompt caller's time-out.
+/// The prompt caller's timeout.
 const PROMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() -> Result<()> {
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -61,7 +61,7 @@
     let mut suspect_times = Vec::new();
     let mut removal_times = Vec::new();
     for kill in 0..kills {
-        // Each kill falls on another phase of the heartbeats.
+        // The delay differs, so that each kill happens at another phase of the heartbeats.
         tokio::time::sleep(Duration::from_millis(300 + 67 * kill as u64)).await;
         let (suspected, gone) = kill_host(&mut site).await;
         suspect_times.push(suspected.as_millis());
--- a/benches/slots/baseline.rs
+++ b/benches/slots/baseline.rs
@@ -33,10 +33,10 @@
     rng: StdRng,
 }
 
-/// Returns the results of a single queue for all slots: the bound of what a policy can reach.
+/// Returns the results of a single queue before all slots, with perfect knowledge.
 ///
-/// The slots of a slow backend server are left out for the whole run, because a
-/// queue with perfect knowledge sends nothing to a slow backend server.
+/// The slots of a slow backend server are left out for the whole run, because
+/// such a queue sends nothing to a slow backend server.
 pub fn single_queue_bound(scenario: &Scenario, jobs: &[Job]) -> Outcome {
     let slow = u32::from(scenario.slow.is_some()) * scenario.slots;
     let mut run = Run::new(scenario, jobs);
@@ -59,7 +59,7 @@
 
 /// Assigns each slot to one of the hosts with the fewest slots so far, by rendezvous hashing.
 ///
-/// Each host gets at least one slot where there are as many slots as hosts.
+/// Each host gets at least one slot if there are as many slots as hosts.
 fn slots_by_host(scenario: &Scenario) -> Vec<Station> {
     let mut slots = vec![0; scenario.hosts];
     for slot in 0..u64::from(scenario.capacity()) {
--- a/benches/slots/simulation.rs
+++ b/benches/slots/simulation.rs
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Has a call arrive at its host and returns how many calls ended.
+    /// Handles the arrival of a call at its host and returns how many calls ended.
     fn arrive(&mut self, n: usize) -> usize {
         self.meter.arrive();
         let job = &self.jobs[n];
--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -2,7 +2,7 @@
 //!
 //! `SOAK_SECONDS=900 SOAK_SEED=1 cargo bench --bench soak`. Prints the resources
 //! that each entry host's process uses, then the number of violated guarantees by
-//! check and the first 20 of them. The exit code is 1 if there is one.
+//! check and the first 20 of them. The exit code is 1 if there is any.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -165,7 +165,7 @@
     cluster.site.backends("hallboard")[index].set(&knobs);
 }
 
-/// Has the site carry out an operator's action.
+/// Submits an operator's command, and prints the error if the command fails.
 async fn order(cluster: &Cluster, order: Order, name: &str) {
     if let Err(error) = cluster.site.order(order, name).await {
         println!("{order:?} {name}: {error}");
--- a/components/stand_ins/src/backend.rs
+++ b/components/stand_ins/src/backend.rs
@@ -48,7 +48,7 @@
     pub warm_calls: u32,
     /// Milliseconds after which a cold backend server becomes warm.
     pub warm_ms: u64,
-    /// Milliseconds for which a cold backend server sheds all calls once it was overloaded.
+    /// Milliseconds for which a cold backend server sheds all calls after it was overloaded.
     pub overload_ms: u64,
     /// Milliseconds of one slot's time that a load report costs.
     pub probe_ms: u64,
--- a/components/stand_ins/src/balancer.rs
+++ b/components/stand_ins/src/balancer.rs
@@ -59,8 +59,8 @@
     all_in_state(&statuses(admins), |state| state == "warm")
 }
 
-/// Returns whether the number of states that meet `in_state`, over all pages, equals the number of
-/// endpoints: each endpoint's owner shows one.
+/// Returns whether `in_state` holds for the state of each endpoint on the page of one entry host,
+/// the endpoint's owner.
 fn all_in_state(pages: &[Status], in_state: impl Fn(&str) -> bool) -> bool {
     let endpoints = pages.first().map_or(0, |page| page.endpoints.len());
     let endpoints_shown = pages.iter().flat_map(|p| &p.endpoints);
--- a/components/stand_ins/src/config_run/faults.rs
+++ b/components/stand_ins/src/config_run/faults.rs
@@ -19,9 +19,9 @@
 pub struct FaultCounts {
     /// Outages of the store, refusing or silent.
     pub outages: u32,
-    /// Times at which answers of the store got lost after the call had taken effect.
+    /// Losses of answers of the store after the call had taken effect.
     pub losses: u32,
-    /// Times at which the store was slow.
+    /// Periods in which the store was slow.
     pub slow: u32,
     /// Links from a host to the store that were cut, delayed, one-way or silent for good.
     pub links: u32,
--- a/components/stand_ins/src/history/check.rs
+++ b/components/stand_ins/src/history/check.rs
@@ -69,16 +69,16 @@
     }
 }
 
-/// The figures that the guarantees leave open. Times are in microseconds.
+/// The limits that the guarantees leave open. Times are in microseconds.
 #[value]
 pub struct Limits {
-    /// Share of a backend server's slot time that load reports may take, in thousandths.
+    /// Fraction of a backend server's slot time that load reports may take, in thousandths.
     pub probe_permille: u64,
     /// Additional slot time that load reports may take, for the first ones after a start.
     pub probe_burst: u64,
     /// Time after a server turns cold, unannounced, in which it may still be overloaded.
     pub cold_grace: u64,
-    /// Time after a leave is accepted in which new work may still arrive there.
+    /// Time in which new work may still arrive at what is leaving, from the start of its leaving.
     pub leave_grace: u64,
     /// Time after a change is accepted by which it must be in force on every entry host.
     pub apply_grace: u64,
--- a/components/stand_ins/src/history/check/answers.rs
+++ b/components/stand_ins/src/history/check/answers.rs
@@ -121,8 +121,8 @@
     violations
 }
 
-/// Checks that each non-idempotent call starts at most once, and so do all calls with one key
-/// together.
+/// Checks that each non-idempotent call starts at most once, and that of all calls with one key
+/// at most one starts.
 pub(super) fn at_most_once(records: &[Record]) -> Vec<Violation> {
     let mut non_idempotent = BTreeSet::new();
     let mut started_calls = BTreeSet::new();
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -6,7 +6,7 @@
 use super::{Check, Limits, Violation};
 use crate::history::{Event, Order, Record};
 
-/// Checks that load reports take no more than their share of a backend server's slot time.
+/// Checks that load reports take no more of a backend server's slot time than their budget.
 pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut slots = BTreeMap::new();
     let mut spent: BTreeMap<SocketAddr, u64> = BTreeMap::new();
--- a/components/stand_ins/src/load/measure.rs
+++ b/components/stand_ins/src/load/measure.rs
@@ -76,7 +76,7 @@
     pub connections: u32,
     /// Load reports sent by all backend servers.
     pub probes: u64,
-    /// The share of load reports in all slot time, in thousandths.
+    /// The fraction of all slot time that load reports took, in thousandths.
     pub probe_permille: f64,
     /// For each data centre that left, the milliseconds until the last new call there.
     pub last_call_ms: BTreeMap<String, u64>,
@@ -212,7 +212,7 @@
     servers
 }
 
-/// Returns the milliseconds from each data centre's leave to its last new call.
+/// Returns the milliseconds from each accepted leaving of a data centre to its last new call.
 fn last_calls(records: &[Record]) -> BTreeMap<String, u64> {
     let mut centres = BTreeMap::new();
     let mut left = BTreeMap::new();
--- a/components/stand_ins/src/load/run.rs
+++ b/components/stand_ins/src/load/run.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the actual duration of each call's work, or the planned one where it isn't known.
+/// Returns the actual duration of each call's work, or the planned one if it isn't known.
 pub fn work_times(plan: &Plan, samples: &[Sample]) -> Vec<Duration> {
     let mut work: Vec<Duration> = plan.calls.iter().map(|c| c.work).collect();
     for sample in samples {
--- a/components/stand_ins/src/site.rs
+++ b/components/stand_ins/src/site.rs
@@ -175,7 +175,8 @@
         self.order_at_revision(None, order, name).await
     }
 
-    /// Submits a command like [`Site::order`], by an operator who decided on `seen_revision`.
+    /// Submits a command like [`Site::order`], by an operator who decided on the basis of
+    /// `seen_revision`.
     ///
     /// # Errors
     ///
--- a/components/stand_ins/src/store/topics.rs
+++ b/components/stand_ins/src/store/topics.rs
@@ -32,7 +32,7 @@
     pub slow_ms: u64,
     /// How answers to appends get lost, after the append has taken effect.
     pub loss: Option<Loss>,
-    /// How many of the next answers get lost.
+    /// How many of the next answers to appends get lost.
     pub losses: u32,
     /// Whether the store goes down when an answer gets lost.
     pub down_after_loss: bool,
@@ -302,7 +302,7 @@
 
     /// Waits for a silent outage to end, then returns whether the store is up.
     ///
-    /// After a wait it is always false.
+    /// After a wait it returns false, because calls that arrive during an outage are refused.
     pub(super) fn is_up(&self) -> bool {
         let inner = self.lock();
         let was_silent = inner.behaviour.outage == Some(Outage::Silent);
--- a/components/stand_ins/tests/store_calls.rs
+++ b/components/stand_ins/tests/store_calls.rs
@@ -79,7 +79,7 @@
     assert_eq!((read.records.len(), read.next(), read.end), (1, 2, 4));
 }
 
-/// Two hosts get an even part of the partitions; when one stops joining, the other gets them all.
+/// Two hosts get half of the partitions each; when one stops joining, the other gets them all.
 /// Bounds over all hosts together depend on this.
 #[tokio::test]
 async fn even_partitions() {
--- a/tests/backend_faults.rs
+++ b/tests/backend_faults.rs
@@ -9,7 +9,7 @@
 const SITE: &str = include_str!("common/small.toml");
 
 // A backend server restarts cold at the same address, and can run only one call at once for a
-// while. It must get no more than that, or it fails; the others must serve all remaining calls.
+// while. It must get no more than that, or it sheds all calls; the others must serve the rest.
 #[tokio::test(flavor = "multi_thread")]
 async fn turns_cold() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -454,7 +454,7 @@
 
 impl Drop for Host {
     fn drop(&mut self) {
-        // Both fail where the process has exited already.
+        // Both fail if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/cut_answers.rs
+++ b/tests/cut_answers.rs
@@ -83,8 +83,9 @@
     cluster.assert_no_violations();
 }
 
-// Calls reach their deadline while their answers are still on the way. The next calls through the
-// same hosts must get their own answers and never the late ones.
+// Calls reach their deadline while their answers are still on the way. They must be answered in
+// time, and the next calls through the same hosts must get their own answers and never the late
+// ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answers_dropped() {
     let mut cluster = Cluster::start(SITE).await;
--- a/tests/host_starts.rs
+++ b/tests/host_starts.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// A host that gets no configuration must reject waiting requests with 503 and `Retry-After`.
+/// A host that gets no configuration must reject waiting requests as not run, with 503 and
+/// `Retry-After`.
 #[tokio::test(flavor = "multi_thread")]
 async fn wait_ends() {
     let store = Store::start().await;
--- a/tests/large_changes.rs
+++ b/tests/large_changes.rs
@@ -41,11 +41,11 @@
     answer.is_some_and(|a| a.status == 200)
 }
 
-/// Operators added 1,400 routes for the third time, so that the configuration did not fit into one
-/// datagram. Hosts could not gossip it: each datagram was refused as too long, and all hosts read
+/// Operators added 1,400 routes three times in a row. A configuration of that size fits into no
+/// datagram, so hosts could not gossip it: each datagram was refused as too long, and all hosts read
 /// the change from the store within the same quarter second and shared its throughput. Some
-/// answered 404 or used the old routes a second longer than allowed, and all hosts together
-/// received a hundred times their usual traffic in two seconds.
+/// answered 404 for new routes, or used the old routes, a second longer than allowed, and all hosts
+/// together received a hundred times their usual traffic in two seconds.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_change_gossiped() {
     let (store, _endpoint) = site::store_and_endpoint(&config(1, ROUTES)).await;
@@ -60,8 +60,8 @@
         .await;
     }
     let reads = (store.bytes_read() - before) / change.len() as u64;
-    // One host a data centre reads the change; two where another one started reading at the same
-    // moment.
+    // One host of the data centre reads the change, or two if another one started reading at the
+    // same moment.
     assert!(
         reads <= 2,
         "{HOST_COUNT} hosts read the change {reads} times"
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -23,7 +23,8 @@
     let samples = load.stop().await;
     let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count();
     let (complete, refused) = (count(Outcome::Complete), count(Outcome::NotRun));
-    // A call whose deadline passes while it runs is rightly answered "unknown"; there may be few.
+    // A call whose deadline passes while it runs is rightly answered "unknown". Such calls must be
+    // few.
     let expired = count(Outcome::Unknown);
     assert_eq!(complete + refused + expired, samples.len());
     assert!(
--- a/tests/paused_host.rs
+++ b/tests/paused_host.rs
@@ -16,8 +16,8 @@
     cluster.status(host).await["revision"].as_u64().unwrap()
 }
 
-/// Waits until the hosts that are not paused show a revision, before the store drops the next
-/// record that they need.
+/// Waits until the hosts that are not paused show a revision, so that the store drops no record
+/// that they still need.
 async fn wait_for_revision(cluster: &Cluster, expected: u64) {
     let deadline = Instant::now() + common::WAIT_TIMEOUT;
     for host in [1, 2] {
--- a/tests/platform_answers.rs
+++ b/tests/platform_answers.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// All endpoints reject a request without running it. The caller must get 503 with `Retry-After`,
-/// and no endpoint may have run the request.
+/// All endpoints reject a request without running it. The caller must get 503 ("not run") with
+/// `Retry-After`, and no endpoint may have run the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_reject() {
     let (_store, endpoints, host) = start(&["i-1", "i-2"]).await;
@@ -93,7 +93,8 @@
     assert!(endpoints.iter().all(|e| e.runs().is_empty()));
 }
 
-/// An endpoint never answers. The caller must get 504 at the route's timeout, and not "not run".
+/// An endpoint never answers. The caller must get 504 at the route's timeout, not 503, which
+/// would mean "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_endpoint() {
     let (_store, endpoints, host) = start(&["i-1"]).await;
--- a/tests/platform_framing.rs
+++ b/tests/platform_framing.rs
@@ -61,8 +61,8 @@
     assert_eq!(ids(&endpoint), ["w0", "w1", "w2", "w3", "w4", "w5"]);
 }
 
-/// An endpoint answers that it did not run an earlier attempt. Were that taken for the answer to
-/// the present request, the host would send a running request again, and it would run twice.
+/// An endpoint answers that it did not run an earlier attempt. If the host took that as the answer
+/// to the present request, it would send a running request again, which would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_rejection() {
     let (_store, endpoint, host) = start(|_| {
@@ -75,8 +75,8 @@
     assert_eq!(ids(&endpoint), ["w1"]);
 }
 
-/// An answer without a length ends with its connection. It is complete where the connection is
-/// closed with FIN, and must count as cut where the connection is reset.
+/// An answer without a length ends with its connection. It is complete if the connection is closed
+/// with FIN, and must count as cut if the connection is reset.
 #[tokio::test(flavor = "multi_thread")]
 async fn unframed_answers() {
     let (_store, _endpoint, host) = start(|seen| match seen.id() {
@@ -140,10 +140,10 @@
     assert_eq!(seen[0].body, format!("abc{body}").as_bytes());
 }
 
-/// An endpoint answers before it has read a long body, and reads the rest afterwards. Were its
-/// connection reused at once, the endpoint would take the next request for the rest of that body.
-/// Were the caller's connection closed while the caller still sends its body, the caller would get
-/// a reset, often before it has read the answer.
+/// An endpoint answers before it has read a long body, and reads the rest afterwards. If its
+/// connection were reused immediately, the endpoint would take the next request as the rest of that
+/// body. If the caller's connection were closed while the caller still sends its body, the caller
+/// would get a reset, often before it has read the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn early_answers() {
     let (_store, endpoint, host) = start(|seen| Reply::Early(signed(seen.id(), "early"))).await;
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -122,7 +122,8 @@
     );
 }
 
-/// A request whose connections are reset while its endpoints keep running must not be quarantined.
+/// A popular request must not be quarantined if its connections are reset while its endpoints keep
+/// running.
 #[tokio::test(flavor = "multi_thread")]
 async fn reset_connections() {
     let site = Site::start().await;
--- a/tests/site/endpoint.rs
+++ b/tests/site/endpoint.rs
@@ -369,7 +369,7 @@
     response.headers_mut().insert(name, value);
 }
 
-/// A body that fails with a connection reset where `cut` is set.
+/// A body that fails with a connection reset if `cut` is set.
 struct AnswerBody {
     text: Bytes,
     cut: bool,
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -108,7 +108,7 @@
         self.signal(nix::sys::signal::Signal::SIGHUP);
     }
 
-    /// Returns the HTTP status of the readiness port, 0 where the port can't be reached.
+    /// Returns the HTTP status of the readiness port, 0 if the port can't be reached.
     pub async fn readiness(&self) -> u16 {
         match exchange(
             self.readiness,
@@ -128,7 +128,7 @@
             .expect("the connection ends with an answer")
     }
 
-    /// Sends one request and returns the answer, `None` where the connection ends without one.
+    /// Sends one request and returns the answer, or `None` if the connection ends without one.
     pub async fn try_request(&self, method: &str, path: &str, id: &str) -> Option<Answer> {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nTime-Remaining: 2000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -230,7 +230,7 @@
 
 /// Sends a request to `address` and reads the answer until the connection ends.
 ///
-/// Returns `None` where the connection fails or the bytes read are no whole head.
+/// Returns `None` if the connection fails or ends before the head is complete.
 pub async fn exchange(address: SocketAddr, request: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
--- a/tests/site/raw.rs
+++ b/tests/site/raw.rs
@@ -19,12 +19,12 @@
     pub connection: usize,
     /// The request line and the headers.
     pub head: String,
-    /// The body, decoded where it is chunked.
+    /// The body, decoded if it is chunked.
     pub body: Vec<u8>,
 }
 
 impl ReceivedRequest {
-    /// Returns the request's `Attempt-Id`, empty where there is none.
+    /// Returns the request's `Attempt-Id`, or an empty string if there is none.
     pub fn id(&self) -> &str {
         header(&self.head, "attempt-id").unwrap_or_default()
     }
@@ -109,7 +109,7 @@
 }
 
 impl Connection {
-    /// Serves requests until the connection ends, with `None` where the peer ended it.
+    /// Serves requests until the connection ends; returns `None` if the peer ended it.
     async fn run(mut self) -> Option<()> {
         loop {
             let head = self.read_head().await?;
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Writes the record of a key, or a tombstone where `value` is `None`.
+    /// Writes the record of a key, or a tombstone if `value` is `None`.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let value = value.map(|v| Bytes::copy_from_slice(v.as_bytes()));
         self.stand_in.put(topic, key, value);
