--- a/benches/members.rs
+++ b/benches/members.rs
@@ -23,7 +23,7 @@
 const MEASURE_TIME: Duration = Duration::from_secs(10);
 const MAX_KILLS: usize = 3;
 const MAP_RUNS: u32 = 20;
-const TICKS_A_SECOND: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
     let handle = PrometheusBuilder::new()
@@ -153,5 +153,5 @@
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |index: usize| fields[index].parse::<f64>().unwrap_or(0.0);
-    (ticks(11) + ticks(12)) / TICKS_A_SECOND
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
--- a/components/stand_ins/src/load/plot.rs
+++ b/components/stand_ins/src/load/plot.rs
@@ -78,10 +78,10 @@
 }
 
 fn percentiles(area: &Area<'_>, curves: &[Curve<'_>]) -> Result<(), PlotError> {
-    let share = |nines: f64| 1.0 - 10f64.powf(-nines);
+    let fraction = |nines: f64| 1.0 - 10f64.powf(-nines);
     let top = curves
         .iter()
-        .map(|c| c.times.quantile(share(MAX_NINES)))
+        .map(|c| c.times.quantile(fraction(MAX_NINES)))
         .fold(10.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption("Answer time by percentile", (FONT, 16))
@@ -89,7 +89,7 @@
         .x_label_area_size(30)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..MAX_NINES, (0.1..top * 1.5).log_scale())?;
-    let label = |nines: &f64| format!("{}%", format_number(100.0 * share(*nines)));
+    let label = |nines: &f64| format!("{}%", format_number(100.0 * fraction(*nines)));
     chart
         .configure_mesh()
         .x_labels(5)
@@ -101,7 +101,7 @@
     for (curve, colour) in curves.iter().zip(COLOURS.iter().cycle()) {
         let points = (0..=200).map(|i| {
             let nines = MAX_NINES * f64::from(i) / 200.0;
-            (nines, curve.times.quantile(share(nines)).max(0.1))
+            (nines, curve.times.quantile(fraction(nines)).max(0.1))
         });
         let colour = *colour;
         chart
@@ -140,11 +140,11 @@
         .y_label_formatter(&|ms| format_number(*ms))
         .light_line_style(WHITE)
         .draw()?;
-    for (share, colour) in [(0.5, COLOURS[0]), (0.99, COLOURS[1]), (1.0, COLOURS[5])] {
+    for (fraction, colour) in [(0.5, COLOURS[0]), (0.99, COLOURS[1]), (1.0, COLOURS[5])] {
         let points = bins
             .iter()
             .enumerate()
-            .map(|(i, p)| (timeline.second(i), p.quantile(share).max(0.1)));
+            .map(|(i, p)| (timeline.second(i), p.quantile(fraction).max(0.1)));
         chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
     }
     for (second, text) in timeline.event_labels() {
--- a/components/stand_ins/src/load/report.rs
+++ b/components/stand_ins/src/load/report.rs
@@ -119,9 +119,9 @@
         self.0.saturating_record(micros);
     }
 
-    /// Returns the quantile for `share`, from 0 to 1, in milliseconds.
-    pub fn quantile(&self, share: f64) -> f64 {
-        self.0.value_at_quantile(share) as f64 / 1_000.0
+    /// Returns the quantile for `fraction`, from 0 to 1, in milliseconds.
+    pub fn quantile(&self, fraction: f64) -> f64 {
+        self.0.value_at_quantile(fraction) as f64 / 1_000.0
     }
 
     /// Returns the main quantiles.
--- a/components/stand_ins/tests/backend_faults.rs
+++ b/components/stand_ins/tests/backend_faults.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-const LONG: &str = "/work?work-ms=60000";
+const LONG_CALL: &str = "/work?work-ms=60000";
 
 struct Fixture {
     backend: Backend,
@@ -44,7 +44,7 @@
         for _ in 0..count {
             let mut sender = self.connect().await;
             held.push(tokio::spawn(async move {
-                let _ = sender.send_request(request(LONG)).await;
+                let _ = sender.send_request(request(LONG_CALL)).await;
             }));
         }
         self.until(|counts| counts.started == count).await;
@@ -181,7 +181,7 @@
 async fn deadline_honoured() {
     let fixture = Fixture::new(Options::default());
     let mut sender = fixture.connect().await;
-    let mut late = request(LONG);
+    let mut late = request(LONG_CALL);
     late.headers_mut()
         .insert("cardamomvale-deadline-ms", 5.into());
     let response = sender.send_request(late).await.unwrap();
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -13,7 +13,7 @@
 use stand_ins::load::run::{LoadGenerator, work_times};
 use stand_ins::load::{Caller, Experiment, ExperimentError, Plan, Report, Sample, Target};
 
-const FILE: &str = r#"
+const EXPERIMENT: &str = r#"
 name = "small"
 seed = 3
 seconds = 1
@@ -43,7 +43,7 @@
 repeats = 0.5
 "#;
 
-struct Ran {
+struct RunResult {
     experiment: Arc<Experiment>,
     plan: Arc<Plan>,
     samples: Vec<Sample>,
@@ -51,8 +51,8 @@
 }
 
 /// Runs the small experiment directly against two backend servers.
-async fn small(knobs: Knobs) -> Ran {
-    let experiment = Arc::new(Experiment::parse(FILE).unwrap());
+async fn run_small(knobs: Knobs) -> RunResult {
+    let experiment = Arc::new(Experiment::parse(EXPERIMENT).unwrap());
     let plan = Arc::new(Plan::draw(&experiment));
     let history = History::default();
     let start = |_| {
@@ -80,7 +80,7 @@
         stop: Arc::default(),
     };
     let samples = load.run().await;
-    Ran {
+    RunResult {
         experiment,
         plan,
         samples,
@@ -90,13 +90,13 @@
 
 #[test]
 fn same_plan() {
-    let experiment = Experiment::parse(FILE).unwrap();
+    let experiment = Experiment::parse(EXPERIMENT).unwrap();
     assert_eq!(Plan::draw(&experiment), Plan::draw(&experiment));
 }
 
 #[test]
 fn all_errors_named() {
-    let text = FILE
+    let text = EXPERIMENT
         .replace("entry-hosts = 2", "entry-hosts = 0")
         .replace("service = \"hallboard\"\nmethod", "service = \"x\"\nmethod");
     let Err(ExperimentError::Invalid(errors)) = Experiment::parse(&text) else {
@@ -107,7 +107,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_answered() {
-    let ran = small(Knobs::default()).await;
+    let ran = run_small(Knobs::default()).await;
     assert_eq!(ran.samples.len(), ran.plan.calls.len());
     assert!(ran.samples.iter().all(|s| s.outcome == Outcome::Complete));
     let tally = Tally::of(&ran.history.sorted());
@@ -133,14 +133,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn second_run_found() {
     // Without entry hosts nothing deduplicates by key, so the work of repeats runs twice.
-    let ran = small(Knobs::default()).await;
+    let ran = run_small(Knobs::default()).await;
     let errors = check(&ran.history.sorted(), &Limits::default());
     assert!(!errors.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_answers_seen() {
-    let ran = small(Knobs {
+    let ran = run_small(Knobs {
         cut_answers: Some(5),
         ..Knobs::default()
     })
@@ -151,7 +151,7 @@
 
 #[test]
 fn limit_waits() {
-    let text = FILE
+    let text = EXPERIMENT
         .replace("slots = 50", "slots = 1")
         .replace("exponential = 5.0", "fixed = 5.0");
     let experiment = Experiment::parse(&text).unwrap();
--- a/tests/host_killed.rs
+++ b/tests/host_killed.rs
@@ -18,14 +18,14 @@
     cluster.kill(0);
     cluster.wait_for_answers(3_000).await;
     let samples = load.stop().await;
-    let dead = cluster.hosts[0].name.clone();
-    let to_dead: Vec<u64> = cluster.select(|r| match &r.event {
-        Event::Sent { call, host, .. } if *host == dead => Some(*call),
+    let killed = cluster.hosts[0].name.clone();
+    let sent_to_killed: Vec<u64> = cluster.select(|r| match &r.event {
+        Event::Sent { call, host, .. } if *host == killed => Some(*call),
         _ => None,
     });
     let failed = cluster.failed_samples(&samples).into_iter();
     let failed_elsewhere: Vec<_> = failed
-        .filter(|s| !to_dead.contains(&cluster.call_number(s)))
+        .filter(|s| !sent_to_killed.contains(&cluster.call_number(s)))
         .collect();
     assert!(
         failed_elsewhere.is_empty(),
