--- a/benches/slots/outcome.rs
+++ b/benches/slots/outcome.rs
@@ -85,7 +85,9 @@
         }
     }
 
-    /// Adds the idle slot time between `from` and `to`, in which nothing changes.
+    /// Adds the slot time from `from` to `to` that is idle while calls wait.
+    ///
+    /// The numbers of running and waiting calls must not have changed in between.
     pub fn advance(&mut self, from: u64, to: u64) {
         let idle = self.capacity.saturating_sub(self.running);
         self.idle += u64::from(idle.min(self.waiting)) * (to - from);
--- a/components/stand_ins/src/proxy.rs
+++ b/components/stand_ins/src/proxy.rs
@@ -177,7 +177,7 @@
         let read = from.read(&mut buffer).await?;
         let silent = number < *shared.silent_below.borrow();
         if silent {
-            // A silent connection doesn't pass on even its closing.
+            // The other end must not even see the closing of a silent connection.
             return std::future::pending().await;
         }
         if read == 0 {
