--- a/components/transport/src/claims/client.rs
+++ b/components/transport/src/claims/client.rs
@@ -41,7 +41,7 @@
 
 /// How long a repeated call waits for the first call's answer.
 ///
-/// This is long enough to return the answer to a double click. Where the first
+/// This is long enough to return the answer to a double click. If the first
 /// call hangs, the repeated call gets the verdict that it was started right
 /// after this wait, and not only near its deadline.
 const REPEAT_WAIT: Duration = Duration::from_secs(1);
@@ -280,8 +280,8 @@
 
     /// Waits for the first answer that decides the claim.
     ///
-    /// Sends the request to this host's own home where the home does not
-    /// acknowledge it in time, and to the stream's new home where all homes
+    /// Sends the request to this host's own home if the home does not
+    /// acknowledge it in time, and to the stream's new home if all homes
     /// that have the request are lost.
     async fn wait(&mut self, mut deadline: Instant, until: Moment) -> Option<Answer> {
         let mut view = self.claims.links.view();
@@ -403,7 +403,7 @@
     ClaimKey(truncate(&hash.finalize().into()))
 }
 
-/// Returns the first half of a SHA-256 hash, which is long enough to avoid collisions.
+/// Returns the first half of a SHA-256 hash, which is long enough to avoid accidental collisions.
 fn truncate(digest: &[u8; 32]) -> u128 {
     let mut half = [0; 16];
     half.copy_from_slice(&digest[..16]);
--- a/components/transport/src/claims/local_homes.rs
+++ b/components/transport/src/claims/local_homes.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends an event to the worker of the key's stream, which is started where it is missing.
+    /// Sends an event to the worker of the key's stream, which is started if it is missing.
     pub fn send(&self, claims: &Weak<Claims>, key: ClaimKey, event: Event) {
         let stream = key.stream();
         let mut workers = lock(&self.workers);
--- a/components/transport/src/claims/mod.rs
+++ b/components/transport/src/claims/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The keys are divided among several streams on the store. Each stream has a
 //! home: the entry host that appends the claims of its keys. A claim is sent to
-//! the home of its key's stream, which is another entry host as a rule. Where
+//! the home of its key's stream, which is another entry host as a rule. If
 //! the home can't be reached, this host acts as home itself. Two homes of one
 //! stream do no harm, since the order of the stream's records decides which
 //! claim has the key.
--- a/components/transport/src/edge/keyed.rs
+++ b/components/transport/src/edge/keyed.rs
@@ -98,7 +98,7 @@
     receiver
 }
 
-/// Returns the SHA-256 of a request, which differs where one key is used for two requests.
+/// Returns the SHA-256 of a request, which distinguishes two requests with the same key.
 pub fn digest(service: ServiceKey, method: &Method, uri: &Uri, body: &[u8]) -> [u8; 32] {
     let mut hash = Sha256::new();
     hash.update(service.0.to_le_bytes());
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -37,8 +37,8 @@
 /// A request is hedged after this many times its usual service time.
 ///
 /// Processing times vary by a third, so one answer in ten exceeds the limit
-/// without a fault. The others come from endpoints that hang, became slow after
-/// the probe or lost the answer.
+/// without a fault. The other late answers come from endpoints that hang,
+/// became slow after the probe or lost the answer.
 const HEDGE_FACTOR: f64 = 1.6;
 
 /// A request with its route and deadline.
@@ -221,7 +221,7 @@
     }
 }
 
-/// Time until the caller should retry, where no better estimate exists.
+/// Time until the caller should retry, if no better estimate exists.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Call<'_> {
--- a/components/transport/src/gateway/denial.rs
+++ b/components/transport/src/gateway/denial.rs
@@ -31,7 +31,8 @@
     /// The request body can't be read.
     #[error("{0}")]
     Body(BodyError),
-    /// The request was sent to no endpoint, or rejected by every endpoint; with a retry delay.
+    /// The request was sent to no endpoint, or rejected by every endpoint that received
+    /// it; with a retry delay.
     #[error("the request was not run: {0}")]
     NotRun(&'static str, Duration),
     /// The request crashed endpoints before, and is quarantined for this time.
--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -25,9 +25,11 @@
 /// centre.
 const MIN_SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The interval between searches of a host that knows neighbours, and the longest interval.
+/// The interval at which a host with neighbours checks whether it still has any, and
+/// the longest interval between searches.
 ///
-/// Neighbours name each other in their greetings, so a search only repairs losses.
+/// Neighbours name each other in their greetings, so a search is only needed after
+/// they were lost.
 const MAX_SEARCH_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The schedule of searches for neighbours in the store's group.
--- a/components/transport/src/gateway/probe.rs
+++ b/components/transport/src/gateway/probe.rs
@@ -24,8 +24,8 @@
 
 /// Time limit for a probe.
 ///
-/// A probe takes 1 ms to 8 ms. A lost packet would be retransmitted after 200 ms
-/// only, and another endpoint is probed long before.
+/// A probe takes 1 ms to 8 ms. A lost packet would be retransmitted only
+/// after 200 ms, and another endpoint is probed long before.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Largest body of a probe's answer, in bytes; a larger one is no health report.
@@ -171,7 +171,7 @@
 
     /// Returns a connection to an endpoint: the given one, an idle one or a new one.
     ///
-    /// Returns `None` where the endpoint is unknown or connecting fails.
+    /// Returns `None` if the endpoint is unknown or connecting fails.
     async fn connect(&self, key: EndpointKey, given: Option<Connection>) -> Option<Connection> {
         let idle = || self.pool.borrow_mut().take(key, clock::now());
         if let Some(connection) = given.or_else(idle) {
@@ -189,7 +189,7 @@
     }
 
     /// Probes an endpoint; returns the connection and the answer's headers, or
-    /// `None` without a valid answer.
+    /// `None` if there is no valid answer.
     async fn probe(&self, key: EndpointKey) -> Option<(Connection, HeaderMap)> {
         let kept = self.pool.borrow_mut().take(key, clock::now());
         let reused = kept.is_some();
@@ -250,7 +250,7 @@
         Some(request)
     }
 
-    /// Records a probe's answer; returns false where another endpoint has taken
+    /// Records a probe's answer; returns false if another endpoint has taken
     /// over the address.
     fn record_probe(&self, key: EndpointKey, healthy: bool, headers: &HeaderMap) -> bool {
         let now = clock::now();
@@ -281,7 +281,7 @@
 
     /// Records the load that an endpoint reports with an answer.
     ///
-    /// Wakes the first waiting request where the endpoint has room: the host whose
+    /// Wakes the first waiting request if the endpoint has room: the host whose
     /// request has just ended there learns of the room before any other host can
     /// probe.
     pub(super) fn record_load(&self, key: EndpointKey, headers: &HeaderMap) {
--- a/components/transport/src/gateway/quarantine.rs
+++ b/components/transport/src/gateway/quarantine.rs
@@ -25,7 +25,8 @@
 use crate::upstream::Connection;
 use crate::upstream::connection::ConnectError;
 
-/// The interval at which the quarantine is sent to a random neighbour.
+/// The interval at which the quarantine is sent to a random neighbour and to a
+/// random host of another data centre.
 ///
 /// Reminders reach hosts that missed a report, and hosts that have just started.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(1);
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Reports runs that ended with a crash, and the resulting findings, to all hosts.
+    /// Reports runs that ended with a crash, and the resulting quarantine updates, to all hosts.
     fn report_crashes(&self, crashed: &[CrashedRun], updates: &[QuarantineUpdate]) {
         if !crashed.is_empty() || !updates.is_empty() {
             self.broadcast_all_centres(|cross_centre| {
--- a/components/transport/src/log/client.rs
+++ b/components/transport/src/log/client.rs
@@ -18,8 +18,8 @@
 
 /// Default time-out for the answer to an append, or to a read in addition to its own wait.
 ///
-/// The time-out is long, since an operator's command had better wait for a slow
-/// store than end with an unknown outcome.
+/// The time-out is long, since an operator's command should wait for a slow store
+/// rather than end with an unknown outcome.
 pub const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an append returned no offset.
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Reads records from offset `from`, or from the oldest one where that offset is trimmed.
+    /// Reads records from offset `from`, or from the oldest one if that offset is trimmed.
     ///
-    /// Where there is no record yet, waits up to `wait` for the first one;
+    /// If there is no record yet, waits up to `wait` for the first one;
     /// `max_kilobytes` limits the size of the answer. Blocks.
     ///
     /// # Errors
--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -31,7 +31,7 @@
     pub hedge_delay: Duration,
     /// Kilobytes of records requested by one read, or none for the store's own limit.
     pub max_kilobytes: Option<u32>,
-    /// When snapshots are due, or none where this follower appends no snapshots.
+    /// When snapshots are due, or none if this follower appends no snapshots.
     pub snapshots: Option<SnapshotPolicy>,
 }
 
@@ -56,7 +56,7 @@
     /// When the latest read was sent that reached the end of the stream, or none
     /// before the first. Records appended later may be missing here.
     pub end_seen: Option<Moment>,
-    /// Why this host has no configuration or may have an old one, or none where it is current.
+    /// Why this host has no configuration or may have an old one, or none if it is current.
     pub stale_reason: Option<String>,
 }
 
@@ -193,7 +193,7 @@
         let _ = self.events.send(Event::Resume);
     }
 
-    /// Replaces the folded state by a peer's snapshot where that is newer, and returns whether it
+    /// Replaces the folded state by a peer's snapshot if that is newer, and returns whether it
     /// was.
     pub fn install_snapshot(&self, snapshot: Snapshot) -> bool {
         let mut fold = lock(&self.shared.fold);
@@ -208,7 +208,7 @@
         taken
     }
 
-    /// Returns a snapshot of the folded state for a peer, or none where nothing has been folded.
+    /// Returns a snapshot of the folded state for a peer, or none if nothing has been folded.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let fold = lock(&self.shared.fold);
         match fold.position().next {
@@ -269,7 +269,7 @@
     ///
     /// An older revision is never published, since it would send work to hosts
     /// and endpoints that have left. The same revision with other content occurs
-    /// only where a record of a newer version was skipped and a snapshot has
+    /// only if a record of a newer version was skipped and a snapshot has
     /// made up for it.
     pub(super) fn publish(&self, fold: &Fold) {
         let config = fold.config();
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -41,7 +41,7 @@
     page: Result<ReadAnswer, ReadError>,
 }
 
-/// Reads page after page, and sends a second read where the first one is late.
+/// Reads page after page, and sends a second read if the first one is late.
 ///
 /// A connection that no longer delivers, or a store that answers seconds late,
 /// would keep a host on an old configuration. With one read at a time, the host
@@ -116,7 +116,7 @@
             .spawn(move || {
                 let page = client.read(CONFIG_STREAM, from, max_kilobytes, wait);
                 let sent = now;
-                // Sending fails where the follower was dropped meanwhile.
+                // Sending fails if the follower was dropped meanwhile.
                 let _ = events.send(Event::Read(ReadResult { from, sent, page }));
             })
             .expect("a thread can be started");
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Appends a snapshot where one is due, on a thread of its own, so that a
+    /// Appends a snapshot if one is due, on a thread of its own, so that a
     /// store that does not answer can't hold up reading.
     fn append_snapshot(&mut self, page: &ReadAnswer) {
         let Some(timer) = &mut self.timer else {
--- a/components/transport/src/log/submit.rs
+++ b/components/transport/src/log/submit.rs
@@ -1,4 +1,4 @@
-//! Submits commands to the `config` stream and reports their outcome, also where it is unknown.
+//! Submits commands to the `config` stream and reports their outcome, also if it is unknown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -206,7 +206,7 @@
 
 /// Starts a new configuration in the store at `address`, with the preset in `text` in force. Blocks.
 ///
-/// Works only where the store has trimmed the old configuration and no host
+/// Works only if the store has trimmed the old configuration and no host
 /// supplies a snapshot. A host that has the configuration appends a snapshot
 /// within seconds, so the stream is watched for `quiet_period` first. The record is
 /// never appended a second time, since each such record starts a new
@@ -270,7 +270,7 @@
     }
 }
 
-/// Returns the outcome of a new command that would change nothing, or none where it would.
+/// Returns the outcome of a new command that would change nothing, or none for any other one.
 ///
 /// Such a command needs no append, since the fold would decide the same after one.
 fn preview(mut fold: Fold, command: &Command) -> Option<Outcome> {
--- a/components/transport/src/peers/links.rs
+++ b/components/transport/src/peers/links.rs
@@ -154,7 +154,7 @@
         self.table().close_link(host);
     }
 
-    /// Queues a message for `to` without waiting. Returns false where the message was dropped.
+    /// Queues a message for `to` without waiting. Returns false if the message was dropped.
     ///
     /// True does not mean that the message arrives, since a link can break.
     /// Senders repeat the messages that must arrive.
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -118,7 +118,7 @@
 
     /// Submits a drain of this host, after which its roles go to other hosts.
     ///
-    /// Returns false where the drain was not in force within `limit`.
+    /// Returns false if the drain was not in force within `limit`.
     pub async fn drain(&self, limit: Duration) -> bool {
         let me = self.own_id();
         let mut config = self.options.follower.config();
@@ -132,7 +132,7 @@
 
     /// Submits the removal of this host and waits until the removal is in force.
     ///
-    /// Returns false where that did not happen within `limit`; the others then
+    /// Returns false if that did not happen within `limit`; the others then
     /// remove this host after they have stopped receiving its heartbeats.
     pub async fn leave(&self, limit: Duration) -> bool {
         lock(&self.membership).leave();
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Submits this host's join or removal, or renews its incarnation, where one of them is due.
+    /// Submits this host's join or removal, or renews its incarnation, if one of them is due.
     fn step(&self) {
         let now = clock::now();
         let identity = self.links.identity();
--- a/components/transport/src/peers/outbox.rs
+++ b/components/transport/src/peers/outbox.rs
@@ -35,7 +35,7 @@
 }
 
 impl Outbox {
-    /// Adds a message. Returns false where the queue is full and the message was dropped.
+    /// Adds a message. Returns false if the queue is full and the message was dropped.
     pub fn push(&self, message: Bytes, bulk: bool) -> bool {
         let mut queues = self.queues();
         let fits = match bulk {
--- a/components/transport/src/peers/table.rs
+++ b/components/transport/src/peers/table.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the state of `host`, and adds it where it is missing.
+    /// Returns the state of `host`, and adds it if it is missing.
     pub fn peer(&mut self, host: HostKey) -> &mut Peer {
         self.peers.entry(host).or_insert_with(Peer::new)
     }
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Removes a closed link. Returns false where another link has replaced it.
+    /// Removes a closed link. Returns false if another link has replaced it.
     pub fn close(&mut self, host: HostKey, serial: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&host) else {
             return false;
@@ -210,7 +210,7 @@
     /// Removes the peers for which `keep` returns false, and closes their links.
     ///
     /// The arguments of `keep` are the host and the incarnation at the other end
-    /// of its link, or none where there is no link.
+    /// of its link, or none if there is no link.
     pub fn retain(&mut self, keep: impl Fn(HostKey, Option<u64>) -> bool) {
         self.peers.retain(|host, peer| {
             let active = peer.active.as_ref();
--- a/components/transport/src/store.rs
+++ b/components/transport/src/store.rs
@@ -57,7 +57,7 @@
     /// The store has trimmed the requested records; holds its oldest offset, if reported.
     #[error("the store has trimmed the requested records; its oldest offset is {0:?}")]
     Forgotten(Option<u64>),
-    /// The store answered with another status than 200 or 410.
+    /// The store answered with a status other than 200 or 410.
     #[error("the store answered with status {}", .0.as_u16())]
     Refused(StatusCode),
     /// The answer can't be parsed.
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -318,13 +318,13 @@
         }
     }
 
-    /// Returns the status, or 0 where the head has none.
+    /// Returns the status, or 0 if the head has none.
     pub fn status(&self) -> u16 {
         let status = self.head.split(' ').nth(1);
         status.and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Returns the value of the outcome header, or an empty string where it is missing.
+    /// Returns the value of the outcome header, or an empty string if it is missing.
     pub fn outcome(&self) -> String {
         field(&self.head, "cardamomvale-outcome").unwrap_or_default()
     }
