--- a/components/transport/src/claims/client.rs
+++ b/components/transport/src/claims/client.rs
@@ -61,7 +61,7 @@
 
 /// Claims keys for the calls that this host receives, and runs the homes of some streams.
 pub struct Claims {
-    me: HostKey,
+    own_key: HostKey,
     links: Arc<Links>,
     local_homes: LocalHomes,
     pending: Mutex<BTreeMap<ClaimId, UnboundedSender<HomeMessage>>>,
@@ -95,10 +95,10 @@
 impl Claims {
     /// Starts the claims of this host on the current runtime.
     pub fn start(options: ClaimsOptions) -> Arc<Claims> {
-        let me = options.links.own_key();
+        let own_key = options.links.own_key();
         let view = options.links.view();
         let claims = Arc::new_cyclic(|this| Claims {
-            me,
+            own_key,
             links: options.links,
             local_homes: LocalHomes::new(options.client, options.worker),
             pending: Mutex::default(),
@@ -185,7 +185,7 @@
 
     /// Sends a home's answer to the host that made the request.
     pub(super) fn deliver(&self, reply: Reply) {
-        if reply.to == self.me {
+        if reply.to == self.own_key {
             self.notify(reply.id, HomeMessage::Answer(reply.answer));
             return;
         }
@@ -202,12 +202,12 @@
     fn home(&self, key: ClaimKey) -> HostKey {
         let view = self.links.view();
         let view = view.borrow();
-        home_of(key.stream(), &view).unwrap_or(self.me)
+        home_of(key.stream(), &view).unwrap_or(self.own_key)
     }
 
     fn send_end(&self, id: ClaimId, key: ClaimKey, ending: ClaimEnding) {
         let home = self.home(key);
-        if home == self.me {
+        if home == self.own_key {
             self.local_homes
                 .send(&self.this, key, Event::CallEnded(id, key, ending));
             return;
@@ -236,7 +236,7 @@
 
     fn send_end_once(&self, id: ClaimId, key: ClaimKey, ending: &ClaimEnding) {
         let home = self.home(key);
-        if home == self.me {
+        if home == self.own_key {
             lock(&self.unacked_ends).remove(&id);
             self.local_homes
                 .send(&self.this, key, Event::CallEnded(id, key, ending.clone()));
@@ -264,7 +264,7 @@
         }
         self.homes.push(home);
         let claims = self.claims;
-        if home == claims.me {
+        if home == claims.own_key {
             let event = Event::Request(home, self.key_request.clone(), until);
             claims
                 .local_homes
@@ -274,7 +274,7 @@
         let wait = clock::now().until(until);
         let message = ClaimMessage::Request(self.key_request.clone(), wait);
         if !claims.links.send(home, &PeerMessage::Claim(message)) {
-            self.request_from(claims.me, until);
+            self.request_from(claims.own_key, until);
         }
     }
 
@@ -303,12 +303,12 @@
                     Err(_) => {
                         ack_deadline = None;
                         metrics::counter!("cardamomvale_claims_home_silent_total").increment(1);
-                        self.request_from(self.claims.me, until);
+                        self.request_from(self.claims.own_key, until);
                     }
                 },
                 changed = view.changed() => {
                     changed.ok()?;
-                    let lost = |h: &HostKey| *h != self.claims.me && !view.borrow().is_alive(*h);
+                    let lost = |h: &HostKey| *h != self.claims.own_key && !view.borrow().is_alive(*h);
                     if self.homes.iter().all(lost) {
                         let home = self.claims.home(self.key_request.key);
                         self.request_from(home, until);
@@ -366,7 +366,7 @@
         }
         let (id, key) = (self.key_request.id, self.key_request.key);
         claims.send_end(id, key, ClaimEnding::GivenUp);
-        let mine = claims.home(key) != claims.me && self.homes.contains(&claims.me);
+        let mine = claims.home(key) != claims.own_key && self.homes.contains(&claims.own_key);
         if mine {
             let event = Event::CallEnded(id, key, ClaimEnding::GivenUp);
             claims.local_homes.send(&claims.this, key, event);
@@ -386,7 +386,7 @@
         let lost: Vec<HostKey> = alive.difference(&current).copied().collect();
         claims
             .local_homes
-            .update_view(&claims.this, claims.me, &now, &lost);
+            .update_view(&claims.this, claims.own_key, &now, &lost);
         alive = current;
         drop(claims);
         if view.changed().await.is_err() {
--- a/components/transport/src/claims/local_homes.rs
+++ b/components/transport/src/claims/local_homes.rs
@@ -58,12 +58,12 @@
     pub fn update_view(
         &self,
         claims: &Weak<Claims>,
-        me: HostKey,
+        own_key: HostKey,
         view: &LiveView,
         lost: &[HostKey],
     ) {
         let own_streams: BTreeSet<u64> = (0..STREAMS)
-            .filter(|stream| home_of(*stream, view) == Some(me))
+            .filter(|stream| home_of(*stream, view) == Some(own_key))
             .collect();
         lock(&self.own_streams).clone_from(&own_streams);
         let mut workers = lock(&self.workers);
--- a/components/transport/src/dispatch/slot_dispatcher.rs
+++ b/components/transport/src/dispatch/slot_dispatcher.rs
@@ -55,13 +55,13 @@
     /// Returns the dispatcher, with its timer and its updates of the gauges running.
     pub fn start(options: &DispatcherOptions, send: SendMessage) -> Arc<SlotDispatcher> {
         let now = clock::now();
-        let me = Identity {
+        let identity = Identity {
             host: options.host,
             incarnation: options.incarnation,
             centre: DataCentreKey::named(&options.data_centre),
         };
         let state = State {
-            slots: SlotManager::new(me, now),
+            slots: SlotManager::new(identity, now),
             config: None,
             alive: BTreeSet::new(),
             waiting: BTreeMap::new(),
--- a/components/transport/src/peers/handshake.rs
+++ b/components/transport/src/peers/handshake.rs
@@ -186,10 +186,10 @@
 ///
 /// A host that was removed while it was paused still takes itself for a member;
 /// its messages about slots that it no longer owns must be refused.
-fn check_hello(hello: &Hello, me: &str, config: &Config) -> Result<(), RefusedReason> {
+fn check_hello(hello: &Hello, own_name: &str, config: &Config) -> Result<(), RefusedReason> {
     let member = config.members.get(&HostKey::named(&hello.name));
     match member {
-        _ if hello.to != me || hello.name == me => Err(RefusedReason::OtherHost),
+        _ if hello.to != own_name || hello.name == own_name => Err(RefusedReason::OtherHost),
         Some(m) if m.incarnation == hello.incarnation => Ok(()),
         _ => Err(RefusedReason::NoMember),
     }
--- a/components/transport/src/peers/links.rs
+++ b/components/transport/src/peers/links.rs
@@ -58,7 +58,7 @@
 
 /// Sends messages to other members, and passes received ones to a [`MessageHandler`].
 pub struct Links {
-    me: HostKey,
+    own_key: HostKey,
     identity: Mutex<Identity>,
     config: watch::Receiver<Arc<Config>>,
     table: Mutex<LinkTable>,
@@ -79,12 +79,12 @@
 impl Links {
     /// Returns links that don't accept or dial until [`Links::run`] is called.
     pub fn new(identity: Identity, config: watch::Receiver<Arc<Config>>) -> Arc<Links> {
-        let me = identity.key();
+        let own_key = identity.key();
         Arc::new(Links {
-            me,
+            own_key,
             identity: Mutex::new(identity),
             config,
-            table: Mutex::new(LinkTable::new(me)),
+            table: Mutex::new(LinkTable::new(own_key)),
             handshake_permits: Arc::new(Semaphore::new(MAX_PENDING_HANDSHAKES)),
             throttle: Throttle::default(),
             dial_now: Notify::new(),
@@ -107,7 +107,7 @@
 
     /// Returns this host's key.
     pub fn own_key(&self) -> HostKey {
-        self.me
+        self.own_key
     }
 
     /// Returns the identity of this process; its incarnation changes when it joins again.
@@ -245,13 +245,19 @@
             member.is_some_and(|m| incarnation.is_none_or(|i| i == m.incarnation))
         });
         metrics::gauge!("cardamomvale_peer_links").set(table.link_count() as f64);
-        if !config.members.contains_key(&self.me) {
+        if !config.members.contains_key(&self.own_key) {
             return;
         }
         let mut wanted = table.dial_wanted();
         if config.members.len() <= FULL_MESH_LIMIT {
             // The host with the smaller key dials, so that a pair opens one link, not two.
-            wanted.extend(config.members.range(self.me..).skip(1).map(|(h, _)| *h));
+            wanted.extend(
+                config
+                    .members
+                    .range(self.own_key..)
+                    .skip(1)
+                    .map(|(h, _)| *h),
+            );
         } else {
             for host in table.idle(now - LINK_IDLE_TIMEOUT) {
                 table.close_link(host);
@@ -286,7 +292,7 @@
         handler: Arc<dyn MessageHandler>,
     ) {
         let error = match self.connect(&member).await {
-            Ok(connection) => return self.run_link(connection, self.me, handler).await,
+            Ok(connection) => return self.run_link(connection, self.own_key, handler).await,
             Err(error) => error,
         };
         let jitter = rand::rng().random();
--- a/components/transport/src/peers/members.rs
+++ b/components/transport/src/peers/members.rs
@@ -120,13 +120,13 @@
     ///
     /// Returns false if the drain was not in force within `limit`.
     pub async fn drain(&self, limit: Duration) -> bool {
-        let me = self.own_id();
+        let own_id = self.own_id();
         let mut config = self.options.follower.config();
         self.submit(Change::Drain {
-            host: me.host,
-            incarnation: me.incarnation,
+            host: own_id.host,
+            incarnation: own_id.incarnation,
         });
-        let drained = config.wait_for(|c| c.draining.contains(&me.host));
+        let drained = config.wait_for(|c| c.draining.contains(&own_id.host));
         matches!(tokio::time::timeout(limit, drained).await, Ok(Ok(_)))
     }
 
@@ -266,8 +266,8 @@
                 }
             };
             let live = live_names(list);
-            let me = self.links.identity().name;
-            let gone = unlisted_members(&live, &me, &self.config());
+            let own_name = self.links.identity().name;
+            let gone = unlisted_members(&live, &own_name, &self.config());
             self.detector().set_unlisted(gone);
         }
     }
--- a/components/transport/src/peers/table.rs
+++ b/components/transport/src/peers/table.rs
@@ -17,7 +17,7 @@
 
 /// The peers that this host has a link to or messages for.
 pub struct LinkTable {
-    me: HostKey,
+    own_key: HostKey,
     peers: BTreeMap<HostKey, Peer>,
     serial: u64,
 }
@@ -64,9 +64,9 @@
 
 impl LinkTable {
     /// Returns a table without links.
-    pub fn new(me: HostKey) -> LinkTable {
+    pub fn new(own_key: HostKey) -> LinkTable {
         LinkTable {
-            me,
+            own_key,
             peers: BTreeMap::new(),
             serial: 0,
         }
@@ -157,9 +157,9 @@
 
     /// Returns whether to dial `host` now, and if so records that a dial is under way.
     pub fn start_dial(&mut self, host: HostKey, now: Moment) -> bool {
-        let me = self.me;
+        let own_key = self.own_key;
         let peer = self.peer(host);
-        let due = host != me && peer.active.is_none() && !peer.dialing && peer.retry_at <= now;
+        let due = host != own_key && peer.active.is_none() && !peer.dialing && peer.retry_at <= now;
         peer.dialing |= due;
         peer.dial_wanted &= !due;
         due
@@ -187,10 +187,10 @@
     /// Returns none during the back-off after a failed dial: a message queued
     /// then would be out of date before there is a link.
     pub fn route(&mut self, host: HostKey, now: Moment) -> Option<Route> {
-        let me = self.me;
+        let own_key = self.own_key;
         let peer = self.peer(host);
         let underway = peer.active.is_some() || peer.dialing;
-        if host == me || (!underway && now < peer.retry_at) {
+        if host == own_key || (!underway && now < peer.retry_at) {
             return None;
         }
         peer.last_used = now;
