--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -110,7 +110,8 @@
     /// Selects an endpoint, sends the request and reads the answer.
     ///
     /// Dropping the future cancels the attempt and closes its connection, so that
-    /// the endpoint stops and a late answer can't be taken for another one.
+    /// the endpoint stops and a late answer can't be taken for the answer to another
+    /// request.
     pub async fn run(&self, body: RequestBody) -> AttemptEnd {
         let found = self
             .gateway
--- a/components/transport/src/gateway/follow.rs
+++ b/components/transport/src/gateway/follow.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Waits until the next read by this host itself is due.
+    /// Waits until this host's own next read is due.
     async fn await_due(&self, topic: Topic) {
         loop {
             let due = self.with_schedule(topic, |schedule| schedule.due());
--- a/components/transport/src/gateway/group.rs
+++ b/components/transport/src/gateway/group.rs
@@ -1,7 +1,7 @@
 //! Membership in the store's group of entry hosts.
 //!
-//! The group assigns partitions to its members. A host's number of partitions
-//! tells its share of all hosts, and the list of members tells its neighbours.
+//! The group assigns partitions to its members. A host's share of all hosts
+//! follows from its number of partitions, and its neighbours from the list of members.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/components/transport/src/gateway/settings.rs
+++ b/components/transport/src/gateway/settings.rs
@@ -35,16 +35,16 @@
 /// The settings that a running host reloads from a changed settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Live {
-    /// The limits that the platform guarantees to operators.
+    /// The limits that are promised to operators.
     pub bounds: Bounds,
     /// Maximum number of open connections from callers.
     pub callers_limit: usize,
 }
 
-/// The limits that the platform guarantees to operators.
+/// The limits that are promised to operators, with the values that the platform sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// The time between the signal to stop and the end of the process.
+    /// How long the process may take to end after the signal to stop.
     pub grace: Duration,
     /// The number of retries allowed per request, as a ratio.
     pub repeat_ratio: f64,
--- a/components/transport/src/gateway/topic_cache.rs
+++ b/components/transport/src/gateway/topic_cache.rs
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Postpones this host's first read in proportion to the number of its neighbours.
+    /// Postpones this host's first read by a random time that grows with the number of
+    /// its neighbours.
     ///
     /// The neighbours are counted after the time in which they send greetings.
     async fn postpone_first_read(self: Rc<Self>) {
--- a/components/transport/tests/load_reports.rs
+++ b/components/transport/tests/load_reports.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// The system starts with backend servers that report to be warm. Each closes
+/// The system starts with backend servers that report that they are warm. Each closes
 /// its connection together with its report, and most reports were lost because
 /// of that close. Callers were then refused for more than a second while five of
 /// six slots were idle.
