--- a/components/transport/src/claims/worker.rs
+++ b/components/transport/src/claims/worker.rs
@@ -262,8 +262,8 @@
     fn resolve_append(&mut self, offset: Option<u64>) {
         match self.catch_up() {
             Ok(()) => {
-                let landed = offset.is_some_and(|o| o < self.home.table().next());
-                self.home.complete_append(landed, clock::now());
+                let is_appended = offset.is_some_and(|o| o < self.home.table().next());
+                self.home.complete_append(is_appended, clock::now());
             }
             Err(error) => self.fail_read(&error),
         }
--- a/components/transport/src/edge/body.rs
+++ b/components/transport/src/edge/body.rs
@@ -83,15 +83,15 @@
         }
     }
 
-    /// Reads until the end of the body, or until more than `most` bytes are buffered.
+    /// Reads until the end of the body, or until more than `max_bytes` are buffered.
     ///
     /// # Errors
     ///
     /// Returns why the body can't be read. No part of it has been sent on by then.
-    pub async fn read_prefix(mut self, most: usize) -> Result<BodyPrefix, BodyError> {
+    pub async fn read_prefix(mut self, max_bytes: usize) -> Result<BodyPrefix, BodyError> {
         let mut start = Bytes::new();
         let mut more = BytesMut::new();
-        while start.len() + more.len() <= most {
+        while start.len() + more.len() <= max_bytes {
             match std::future::poll_fn(|cx| self.poll_data(cx))
                 .await
                 .transpose()?
--- a/components/transport/src/edge/call.rs
+++ b/components/transport/src/edge/call.rs
@@ -164,8 +164,12 @@
 }
 
 /// Reads the body before a slot is acquired, until its end or until more than
-/// `most` bytes are held.
-async fn read_body(body: CallerBody, most: usize, deadline: Moment) -> Result<BodyPrefix, Fault> {
+/// `max_bytes` are held.
+async fn read_body(
+    body: CallerBody,
+    max_bytes: usize,
+    deadline: Moment,
+) -> Result<BodyPrefix, Fault> {
     if body.is_end() {
         return Ok(BodyPrefix {
             start: Bytes::new(),
@@ -173,7 +177,7 @@
         });
     }
     let left = clock::now().until(deadline);
-    match tokio::time::timeout(left, body.read_prefix(most)).await {
+    match tokio::time::timeout(left, body.read_prefix(max_bytes)).await {
         Ok(prefix) => Ok(prefix?),
         Err(_) => Err(Fault::Refused(Refusal::Expired)),
     }
--- a/components/transport/src/edge/route.rs
+++ b/components/transport/src/edge/route.rs
@@ -67,8 +67,8 @@
         return Ok(service.deadline());
     };
     let text = value.to_str().map_err(|_| Fault::BadDeadline)?;
-    let wish: u64 = text.trim().parse().map_err(|_| Fault::BadDeadline)?;
-    Ok(Duration::from_millis(wish).min(service.deadline()))
+    let millis: u64 = text.trim().parse().map_err(|_| Fault::BadDeadline)?;
+    Ok(Duration::from_millis(millis).min(service.deadline()))
 }
 
 /// Returns the idempotency key, none for an idempotent method or without the field.
--- a/components/transport/src/gateway/pool.rs
+++ b/components/transport/src/gateway/pool.rs
@@ -58,17 +58,17 @@
 
     /// Adds a connection whose last answer was read completely.
     ///
-    /// `limit` is the idle limit that the endpoint advertises, `most` the maximum
+    /// `limit` is the idle limit that the endpoint advertises, `max_idle` the maximum
     /// number of idle connections to the endpoint.
     pub fn put(
         &mut self,
         mut connection: Connection,
         limit: Option<Duration>,
-        most: usize,
+        max_idle: usize,
         now: Moment,
     ) {
         let kept = self.idle.entry(connection.endpoint).or_default();
-        if kept.len() >= most || !connection.is_usable() {
+        if kept.len() >= max_idle || !connection.is_usable() {
             return;
         }
         let time = limit.map_or(IDLE_TIMEOUT, |l| l.saturating_sub(CLOSE_MARGIN));
@@ -100,10 +100,10 @@
     /// The answer must have been read completely.
     pub(super) fn keep_connection(&self, connection: Connection, headers: &HeaderMap) {
         let limit = platform::headers::keep_alive_timeout(headers);
-        let most = self.max_idle(connection.endpoint);
+        let max_idle = self.max_idle(connection.endpoint);
         self.pool
             .borrow_mut()
-            .put(connection, limit, most, clock::now());
+            .put(connection, limit, max_idle, clock::now());
     }
 
     /// Returns how many idle connections this host may keep to an endpoint.
--- a/components/transport/src/upstream/exchange.rs
+++ b/components/transport/src/upstream/exchange.rs
@@ -167,13 +167,13 @@
 
     /// Reads the body of a backend server's rejection, so that the connection can be reused.
     ///
-    /// Beyond `most` bytes, or 100 ms, opening a new connection is cheaper.
-    pub async fn drain_rejection(mut self, body: &mut Incoming, most: usize) {
+    /// Beyond `max_bytes`, or 100 ms, opening a new connection is cheaper.
+    pub async fn drain_rejection(mut self, body: &mut Incoming, max_bytes: usize) {
         let read = async {
             let mut seen = 0;
             while let Some(chunk) = poll_fn(|cx| self.poll_data(body, cx)).await {
-                seen += chunk.as_ref().map_or(most, Bytes::len);
-                if seen >= most {
+                seen += chunk.as_ref().map_or(max_bytes, Bytes::len);
+                if seen >= max_bytes {
                     return false;
                 }
             }
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -153,18 +153,18 @@
 #[test]
 fn store_down() {
     let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
-    let patient = operator(&store);
-    accepted(&patient.submit(&put(ORDINARY)));
-    accepted(&patient.submit(&choose("ordinary")));
+    let operator = operator(&store);
+    accepted(&operator.submit(&put(ORDINARY)));
+    accepted(&operator.submit(&choose("ordinary")));
     let host = Arc::new(Follower::start(client(&store), FollowerOptions::default()));
     wait_config(&host, |c| c.revision == 2);
     store.change(|b| b.outage = Some(Outage::Refusing));
-    let hasty = Submission::new(
+    let short_submission = Submission::new(
         client(&store),
         Arc::clone(&host),
         Duration::from_millis(300),
     );
-    let outcome = hasty.submit(&put(PEAK));
+    let outcome = short_submission.submit(&put(PEAK));
     assert!(
         matches!(outcome, Outcome::Unreachable { .. }),
         "{outcome:?}"
@@ -172,7 +172,7 @@
     assert_eq!(host.config().borrow().revision, 2);
     store.change(|b| b.outage = None);
     host.resume();
-    assert_eq!(accepted(&patient.submit(&put(PEAK))), 3);
+    assert_eq!(accepted(&operator.submit(&put(PEAK))), 3);
     wait_config(&host, |c| c.revision == 3);
 }
 
