--- a/components/transport/src/peers/table.rs
+++ b/components/transport/src/peers/table.rs
@@ -17,7 +17,7 @@
 
 /// The peers that this host has a link to or messages for.
 pub struct LinkTable {
-    me: HostKey,
+    own_key: HostKey,
     peers: BTreeMap<HostKey, Peer>,
     serial: u64,
 }
@@ -64,15 +64,15 @@
 
 impl LinkTable {
     /// Returns a table without links.
-    pub fn new(me: HostKey) -> LinkTable {
+    pub fn new(own_key: HostKey) -> LinkTable {
         LinkTable {
-            me,
+            own_key,
             peers: BTreeMap::new(),
             serial: 0,
         }
     }
 
-    /// Returns the state of `host`, and adds it where it is missing.
+    /// Returns the state of `host`, and adds it if it is missing.
     pub fn peer(&mut self, host: HostKey) -> &mut Peer {
         self.peers.entry(host).or_insert_with(Peer::new)
     }
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Removes a closed link. Returns false where another link has replaced it.
+    /// Removes a closed link. Returns false if another link has replaced it.
     pub fn close(&mut self, host: HostKey, serial: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&host) else {
             return false;
@@ -157,9 +157,9 @@
 
     /// Returns whether to dial `host` now, and if so records that a dial is under way.
     pub fn start_dial(&mut self, host: HostKey, now: Moment) -> bool {
-        let me = self.me;
+        let own_key = self.own_key;
         let peer = self.peer(host);
-        let due = host != me && peer.active.is_none() && !peer.dialing && peer.retry_at <= now;
+        let due = host != own_key && peer.active.is_none() && !peer.dialing && peer.retry_at <= now;
         peer.dialing |= due;
         peer.dial_wanted &= !due;
         due
@@ -187,10 +187,10 @@
     /// Returns none during the back-off after a failed dial: a message queued
     /// then would be out of date before there is a link.
     pub fn route(&mut self, host: HostKey, now: Moment) -> Option<Route> {
-        let me = self.me;
+        let own_key = self.own_key;
         let peer = self.peer(host);
         let underway = peer.active.is_some() || peer.dialing;
-        if host == me || (!underway && now < peer.retry_at) {
+        if host == own_key || (!underway && now < peer.retry_at) {
             return None;
         }
         peer.last_used = now;
@@ -210,7 +210,7 @@
     /// Removes the peers for which `keep` returns false, and closes their links.
     ///
     /// The arguments of `keep` are the host and the incarnation at the other end
-    /// of its link, or none where there is no link.
+    /// of its link, or none if there is no link.
     pub fn retain(&mut self, keep: impl Fn(HostKey, Option<u64>) -> bool) {
         self.peers.retain(|host, peer| {
             let active = peer.active.as_ref();
