--- a/components/coordination/src/fragments.rs
+++ b/components/coordination/src/fragments.rs
@@ -36,7 +36,7 @@
 /// How long a message is kept after its last fragment arrived.
 ///
 /// Hosts that lost fragments request them in this time.
-pub const KEEP_TIME: Duration = Duration::from_secs(5);
+pub const MESSAGE_TTL: Duration = Duration::from_secs(5);
 
 /// Messages kept at once; the one whose last fragment is oldest is dropped first.
 const MAX_MESSAGES: usize = 8;
@@ -335,7 +335,7 @@
     /// Drops messages of which no fragment has arrived for a while.
     pub fn expire(&mut self, now: Moment) {
         self.messages
-            .retain(|_, m| now.since(m.last_fragment) < KEEP_TIME);
+            .retain(|_, m| now.since(m.last_fragment) < MESSAGE_TTL);
         while self.messages.len() > MAX_MESSAGES {
             let oldest = self.messages.iter().min_by_key(|(_, m)| m.last_fragment);
             let Some(key) = oldest.map(|(key, _)| *key) else {
--- a/components/transport/src/gateway/fragments.rs
+++ b/components/transport/src/gateway/fragments.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use coordination::fragment_queue::FragmentQueue;
 use coordination::fragments::{
-    self, Fragment, FragmentRequest, Inserted, KEEP_TIME, MessageKey, Reassembly, RequestTarget,
+    self, Fragment, FragmentRequest, Inserted, MESSAGE_TTL, MessageKey, Reassembly, RequestTarget,
 };
 use protocol::neighbour::{DATAGRAM_LIMIT, NeighbourMessage, RecordUpdate, Topic};
 use tokio::task::spawn_local;
@@ -94,7 +94,7 @@
 
     /// Frees the memory of expired messages.
     async fn expire_later(self: Rc<Self>) {
-        sleep(KEEP_TIME).await;
+        sleep(MESSAGE_TTL).await;
         self.transfers.borrow_mut().fragments.expire(clock::now());
     }
 
