--- a/components/state/src/fleet/placement.rs
+++ b/components/state/src/fleet/placement.rs
@@ -182,7 +182,7 @@
         }
         let registry = &*context.registry;
         let allowed = || {
-            let all = registry.of(request.service);
+            let all = registry.endpoints_of(request.service);
             all.filter(|(key, s)| self.may_use(*key, s, context))
         };
         let usable: Vec<Candidate<'_>> = allowed()
--- a/components/state/src/fleet/registry.rs
+++ b/components/state/src/fleet/registry.rs
@@ -192,7 +192,10 @@
     }
 
     /// Returns the endpoints of a service.
-    pub fn of(&self, service: ServiceKey) -> impl Iterator<Item = (EndpointKey, &EndpointState)> {
+    pub fn endpoints_of(
+        &self,
+        service: ServiceKey,
+    ) -> impl Iterator<Item = (EndpointKey, &EndpointState)> {
         self.endpoints
             .iter()
             .filter(move |(_, s)| s.endpoint.service == service)
