--- a/components/state/src/fleet/placement.rs
+++ b/components/state/src/fleet/placement.rs
@@ -47,7 +47,7 @@
     /// The service that the request is for.
     pub service: ServiceKey,
     /// The data centre of this host.
-    pub home: DataCentreKey,
+    pub centre: DataCentreKey,
     /// The time until which an answer has its full value to the caller.
     pub objective: Moment,
     /// The time from which an answer has no value to the caller.
@@ -192,7 +192,7 @@
                 state,
                 distance: context
                     .topology
-                    .distance(request.home, state.endpoint.centre),
+                    .distance(request.centre, state.endpoint.centre),
                 connected: (context.is_connected)(key),
                 limited: registry.limits().contains(key),
             })
--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -61,7 +61,7 @@
 fn request(objective: u64) -> Request {
     Request {
         service: ServiceKey::named("svc"),
-        home: DataCentreKey::named("near"),
+        centre: DataCentreKey::named("near"),
         objective: START + Duration::from_millis(objective),
         deadline: START + Duration::from_millis(2_000),
         service_time: SERVICE_TIME,
--- a/components/state/tests/unreachable_centre.rs
+++ b/components/state/tests/unreachable_centre.rs
@@ -72,7 +72,7 @@
         let began = self.now;
         let request = Request {
             service: ServiceKey::named("svc"),
-            home: DataCentreKey::named("near"),
+            centre: DataCentreKey::named("near"),
             objective: began + Duration::from_millis(1_200),
             deadline: began + Duration::from_millis(2_000),
             service_time: Duration::from_millis(450),
--- a/components/state/tests/wait_queue.rs
+++ b/components/state/tests/wait_queue.rs
@@ -77,7 +77,7 @@
     fn arrive(&mut self, number: usize, priority: u32, now: Moment) {
         let request = Request {
             service: ServiceKey::named("svc"),
-            home: DataCentreKey::named("near"),
+            centre: DataCentreKey::named("near"),
             objective: now + Duration::from_millis(600),
             deadline: now + Duration::from_millis(2_000),
             service_time: Duration::from_millis(60),
--- a/components/transport/src/gateway/call.rs
+++ b/components/transport/src/gateway/call.rs
@@ -312,7 +312,7 @@
             .with_service_time(self.route, |service_time| service_time.estimate());
         placement::Request {
             service: self.service,
-            home: self.gateway.home,
+            centre: self.gateway.home,
             objective: self.arrived + self.route.objective,
             deadline: self.deadline,
             service_time,
