--- a/components/state/src/fleet/load_sample.rs
+++ b/components/state/src/fleet/load_sample.rs
@@ -46,7 +46,7 @@
 ///
 /// The service times of nearly full endpoints show a knee: work takes 1.7 times as long
 /// once more than four slots of five are busy.
-const KNEE: f64 = 0.8;
+const KNEE_LOAD: f64 = 0.8;
 
 /// The factor on the service time above the knee.
 const KNEE_FACTOR: f64 = 1.7;
@@ -87,7 +87,7 @@
     /// Returns whether the endpoint would be above the knee with one more request.
     pub fn is_loaded(&self, sent: u32) -> bool {
         let slots = f64::from(self.slots.max(1));
-        f64::from(self.requests(sent)) + 1.0 > slots * KNEE
+        f64::from(self.requests(sent)) + 1.0 > slots * KNEE_LOAD
     }
 
     /// Returns the fraction of busy slots.
