--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -167,7 +167,7 @@
 /// that is expected to be fastest; rejecting them would fail every caller for lack of a
 /// probe.
 #[test]
-fn unasked_places() {
+fn placed_without_probe() {
     let mut fleet = Fleet::of(&[]);
     let entries = [("a", "near"), ("b", "near"), ("c", "far")];
     let entries = entries.map(|(n, c)| (n.to_owned(), Entry::Endpoint(endpoint(n, c))));
@@ -189,7 +189,7 @@
 /// All endpoints of the data centre are briefly disturbed. Traffic between data centres
 /// is expensive, so a request with time left must wait for one of them to recover.
 #[test]
-fn waits_near() {
+fn waits_in_centre() {
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "far")]);
     let mut now = START;
     let recovers = START + Duration::from_millis(100);
@@ -204,7 +204,7 @@
 /// every request of the burst waits for the disturbed one, it becomes full too, and
 /// callers get late answers while endpoints in the next data centre are idle.
 #[test]
-fn far_at_once() {
+fn leaves_centre_at_once() {
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "near"), ("c", "far")]);
     let mut now = START;
     let chosen = fleet.place(&request(800), &mut now, |k, at| match k {
@@ -219,7 +219,7 @@
 /// All endpoints of the data centre stay disturbed: the request must leave the data
 /// centre while it can still be in time.
 #[test]
-fn goes_far() {
+fn leaves_centre_in_time() {
     let mut fleet = Fleet::of(&[("a", "near"), ("b", "far")]);
     let mut now = START;
     let chosen = fleet.place(&request(600), &mut now, |k, at| {
@@ -256,7 +256,7 @@
 /// Hundreds of callers are rejected in the same burst. If all get the same delay, they
 /// retry at once; if the delay is too long, no retry can be in time.
 #[test]
-fn spread_return() {
+fn spread_retries() {
     let mut random = StdRng::seed_from_u64(5);
     let mut times: Vec<Duration> = (0..200)
         .map(|_| retry_after::retry_after(&request(600), random.random(), START))
@@ -271,7 +271,7 @@
 /// Endpoints reject half of their requests at random, full or not. Waiting for free slots
 /// would make a retry no more likely to succeed, only too late.
 #[test]
-fn return_at_once() {
+fn retry_at_once() {
     let mut random = StdRng::seed_from_u64(5);
     let mut times: Vec<Duration> = (0..200)
         .map(|_| retry_after::short_delay(random.random()))
@@ -525,7 +525,7 @@
 /// Operators add endpoints to a busy service. If hosts used only the endpoints they are
 /// connected to, the new ones would stay empty while callers wait.
 #[test]
-fn newcomers_found() {
+fn new_endpoints_used() {
     let mut fleet = Fleet::of(&[]);
     let entry = |name: &str| Entry::Endpoint(endpoint(name, "near"));
     let entries = ["a", "b", "c", "d"].map(|n| (n.to_owned(), entry(n)));
--- a/components/state/tests/quarantine.rs
+++ b/components/state/tests/quarantine.rs
@@ -156,7 +156,7 @@
 
 /// A delayed update must not quarantine a request that was answered in the meantime.
 #[test]
-fn late_reminder() {
+fn late_update() {
     let mut quarantine = quarantined();
     quarantine.note_answer(FATAL, at(2_000));
     assert!(!quarantine.apply(&update(3, 9_000, 1_100), at(2_100)));
--- a/components/state/tests/route_choice.rs
+++ b/components/state/tests/route_choice.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn weighted_parts() {
+fn weighted_services() {
     let mut route = route("split", "a.example", "/");
     route.weighted_services = vec![
         weighted("new", 100),
