--- a/components/stand_ins/src/load/bench.rs
+++ b/components/stand_ins/src/load/bench.rs
@@ -98,7 +98,7 @@
         lines.extend(run.measured.summary.phase_rows());
         for (centre, ms) in &run.measured.summary.servers.last_call_ms {
             lines.push(format!(
-                "{centre}: last new call {ms} ms after its leaving was accepted"
+                "{centre}: last new call {ms} ms after the command to leave was accepted"
             ));
         }
     }
