--- a/benches/http_libraries.rs
+++ b/benches/http_libraries.rs
@@ -1,8 +1,8 @@
-//! Whether `tiny_http` bears callers, beside the edge that was chosen instead.
+//! Compares `tiny_http` with the edge, which was chosen instead, under slow callers.
 //!
-//! Three burdens on each: callers that never end their head, callers that
-//! never send the body they announced, and what a prompt caller sees meanwhile.
-//! And whether `ureq` sends anything twice by itself.
+//! Some callers never finish their request head, others never send the body that
+//! they announced; a prompt caller measures how the server answers meanwhile. Also
+//! shows whether `ureq` repeats a request on its own.
 //!
 //! `cargo bench --bench http_libraries`
 
@@ -26,60 +26,64 @@
 const SLOW_BODIES: usize = 200;
 const WORKERS: usize = 64;
 
-/// How long the slow callers are watched, longer than the edge's limit for a head.
-const WATCH: Duration = Duration::from_secs(13);
+/// How long connections with unfinished heads are kept; longer than the edge's time-out for a head.
+const HOLD_TIME: Duration = Duration::from_secs(13);
 
-/// When a prompt caller gives up.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// The prompt caller's time-out.
+const PROMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() -> Result<()> {
     let server = start_tiny()?;
-    burden("tiny_http", server, "/hallboard/")?;
+    measure_slow_callers("tiny_http", server, "/hallboard/")?;
     let server = start_tiny()?;
     let (edge, _runtime) = start_edge(server)?;
-    burden("edge", edge, "/hallboard/")?;
+    measure_slow_callers("edge", edge, "/hallboard/")?;
     for method in ["GET", "POST"] {
-        let seen = sent_by_ureq(method)?;
-        println!("ureq {method} on a kept connection that is closed on receipt: sent {seen} times");
+        let received = count_ureq_sends(method)?;
+        println!(
+            "ureq {method} on a reused connection that the server closes on receipt: sent {received} times"
+        );
     }
     Ok(())
 }
 
-fn burden(name: &str, address: SocketAddr, path: &str) -> Result<()> {
-    let threads = threads()?;
+/// Opens slow requests to a server and prints how a prompt caller is answered meanwhile.
+fn measure_slow_callers(name: &str, address: SocketAddr, path: &str) -> Result<()> {
+    let threads = thread_count()?;
     let mut slow = Vec::new();
     for _ in 0..SLOW_HEADS {
-        slow.push(begin(address, "G")?);
+        slow.push(open_and_send(address, "G")?);
     }
     let prompt = prompt_call(address, path)?;
     println!(
-        "{name}: {SLOW_HEADS} unended heads: {} more threads, prompt caller {prompt}",
-        self::threads()?.saturating_sub(threads)
+        "{name}: {SLOW_HEADS} unfinished heads: {} more threads, prompt caller {prompt}",
+        self::thread_count()?.saturating_sub(threads)
     );
-    thread::sleep(WATCH);
+    thread::sleep(HOLD_TIME);
     let held = slow.iter().filter(|s| is_open(s)).count();
     println!(
-        "{name}: after {} s {held} of them are held",
-        WATCH.as_secs()
+        "{name}: after {} s {held} of them are still open",
+        HOLD_TIME.as_secs()
     );
     drop(slow);
     let start = format!("POST {path} HTTP/1.1\r\nhost: e\r\ncontent-length: 100000\r\n\r\nabc");
     let mut slow = Vec::new();
     for _ in 0..SLOW_BODIES {
-        slow.push(begin(address, &start)?);
+        slow.push(open_and_send(address, &start)?);
     }
     thread::sleep(Duration::from_millis(500));
     let prompt = prompt_call(address, path)?;
-    println!("{name}: {SLOW_BODIES} bodies that don't come: prompt caller {prompt}");
+    println!("{name}: {SLOW_BODIES} missing bodies: prompt caller {prompt}");
     Ok(())
 }
 
-fn begin(address: SocketAddr, bytes: &str) -> Result<TcpStream> {
+fn open_and_send(address: SocketAddr, bytes: &str) -> Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.write_all(bytes.as_bytes())?;
     Ok(stream)
 }
 
+/// Returns whether the server has left the connection open.
 fn is_open(mut stream: &TcpStream) -> bool {
     let mut sink = [0; 4096];
     if stream.set_nonblocking(true).is_err() {
@@ -94,32 +98,40 @@
     }
 }
 
+/// Sends a whole request and describes how it was answered.
 fn prompt_call(address: SocketAddr, path: &str) -> Result<String> {
     let start = Instant::now();
-    let mut stream = begin(
+    let mut stream = open_and_send(
         address,
         &format!("GET {path} HTTP/1.1\r\nhost: e\r\nconnection: close\r\n\r\n"),
     )?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(PROMPT_TIMEOUT))?;
     let mut byte = [0; 1];
     match stream.read(&mut byte) {
         Ok(1) => Ok(format!("answered in {} us", start.elapsed().as_micros())),
         Ok(_) => Ok("cut off".into()),
-        Err(_) => Ok(format!("not answered in {} s", PATIENCE.as_secs())),
+        Err(_) => Ok(format!("not answered in {} s", PROMPT_TIMEOUT.as_secs())),
     }
 }
 
-fn threads() -> Result<usize> {
+/// Returns the number of threads of this process.
+fn thread_count() -> Result<usize> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|l| l.strip_prefix("Threads:"));
-    Ok(line.ok_or_else(|| eyre!("no Threads"))?.trim().parse()?)
+    Ok(line
+        .ok_or_else(|| eyre!("/proc/self/status has no Threads line"))?
+        .trim()
+        .parse()?)
 }
 
-/// Starts a `tiny_http` server whose workers answer at once.
+/// Starts a `tiny_http` server with [`WORKERS`] threads that answer immediately.
 fn start_tiny() -> Result<SocketAddr> {
     let server = tiny_http::Server::http("127.0.0.1:0").map_err(|e| eyre!("{e}"))?;
     let server = Arc::new(server);
-    let address = server.server_addr().to_ip().ok_or_else(|| eyre!("no IP"))?;
+    let address = server
+        .server_addr()
+        .to_ip()
+        .ok_or_else(|| eyre!("the server does not listen on an IP address"))?;
     for _ in 0..WORKERS {
         let server = Arc::clone(&server);
         thread::spawn(move || {
@@ -131,16 +143,18 @@
     Ok(address)
 }
 
-/// Returns how often one call by `ureq` reached a server that closes on receipt.
-fn sent_by_ureq(method: &str) -> Result<usize> {
+/// Returns how often `ureq` sent one request to a server that closes the connection on receipt.
+///
+/// The first call succeeds, so that the second one reuses a connection.
+fn count_ureq_sends(method: &str) -> Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let seen = Arc::new(AtomicUsize::new(0));
-    let counter = Arc::clone(&seen);
+    let received = Arc::new(AtomicUsize::new(0));
+    let counter = Arc::clone(&received);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let counter = Arc::clone(&counter);
-            thread::spawn(move || answer_first(stream, &counter));
+            thread::spawn(move || answer_first_request(stream, &counter));
         }
     });
     let agent = ureq::Agent::new_with_defaults();
@@ -157,16 +171,18 @@
     call()?;
     let second = call();
     if second.is_ok() {
-        return Err(eyre!("the second call was answered"));
+        return Err(eyre!(
+            "the second call was answered although the server closes the connection"
+        ));
     }
-    Ok(seen.load(Ordering::SeqCst) - 1)
+    Ok(received.load(Ordering::SeqCst) - 1)
 }
 
-/// Answers the first request on the first connection, and closes on every other.
-fn answer_first(mut stream: TcpStream, seen: &AtomicUsize) {
+/// Answers the first request of all, and closes the connection on every later one.
+fn answer_first_request(mut stream: TcpStream, received: &AtomicUsize) {
     let mut bytes = [0; 4096];
     while let Ok(1..) = stream.read(&mut bytes) {
-        if seen.fetch_add(1, Ordering::SeqCst) > 0 {
+        if received.fetch_add(1, Ordering::SeqCst) > 0 {
             return;
         }
         let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
--- a/components/stand_ins/src/config_run/operators.rs
+++ b/components/stand_ins/src/config_run/operators.rs
@@ -1,4 +1,5 @@
-//! Operators who race: they choose, put, take out and bring back.
+//! Operators who concurrently put and choose presets and let data centres and hosts leave and
+//! return.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -18,78 +19,79 @@
 const MEMBERS: [&str; 3] = ["trent-1", "severn-1", "soar-1"];
 
 /// How long an operator waits for an answer.
-const LIMIT: Duration = Duration::from_millis(250);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often an operator asks again after the faults are over.
-const TRIES: usize = 100;
+/// How often an operator retries a command with an unknown outcome after the faults are over.
+const MAX_RETRIES: usize = 100;
 
-/// A command and what its author was told.
+/// A command and the answers that its operator got.
 #[value]
-pub struct Told {
-    /// The command, with its id where the author drew one.
+pub struct IssuedCommand {
+    /// The command, with its id if the operator drew one.
     pub request: CommandRequest,
-    /// The answers, in order: more than one where it was asked again.
+    /// The answers, in order; more than one if the command was retried.
     pub outcomes: Vec<Outcome>,
 }
 
-/// Gives `count` commands, one after the other, each at another host.
-pub(super) fn work(
+/// Submits `count` commands, one after the other, each through a random host.
+pub(super) fn issue(
     hosts: &Hosts,
     operator: usize,
     count: usize,
-    mut draw: StdRng,
-    told: &Mutex<Vec<Told>>,
+    mut rng: StdRng,
+    issued: &Mutex<Vec<IssuedCommand>>,
 ) {
     let mut seen_revision = 0;
     for number in 0..count {
-        let host = draw.random_range(0..hosts.count());
+        let host = rng.random_range(0..hosts.count());
         let fold = hosts.follower(host).fold();
-        let mark = fold.position();
-        let named = draw.random_bool(0.5);
-        let stale = draw.random_bool(0.3) && seen_revision > 0;
+        let position = fold.position();
+        let named = rng.random_bool(0.5);
+        let stale = rng.random_bool(0.3) && seen_revision > 0;
         let request = CommandRequest {
-            id: named.then(|| CommandId::new(mark.next, draw.random())),
+            id: named.then(|| CommandId::new(position.next, rng.random())),
             decided_on: match (stale, named) {
                 (true, _) => Some(seen_revision),
-                (false, true) => Some(mark.revision),
+                (false, true) => Some(position.revision),
                 (false, false) => None,
             },
-            change: change(operator * 10_000 + number, fold.config(), &mut draw),
+            change: change(operator * 10_000 + number, fold.config(), &mut rng),
         };
-        let outcome = hosts.submission(host, LIMIT).submit(&request);
-        seen_revision = mark.revision;
-        lock(told).push(Told {
+        let outcome = hosts.submission(host, ANSWER_TIMEOUT).submit(&request);
+        seen_revision = position.revision;
+        lock(issued).push(IssuedCommand {
             request,
             outcomes: vec![outcome],
         });
     }
 }
 
-/// Asks again for every command whose outcome is unknown.
-pub(super) fn ask_again(hosts: &Hosts, mut told: Vec<Told>) -> Vec<Told> {
-    for one in &mut told {
-        for n in 0..TRIES {
-            let Some(Outcome::Unknown { id }) = one.outcomes.last() else {
+/// Retries every command with an unknown outcome.
+pub(super) fn retry_unknown(hosts: &Hosts, mut issued: Vec<IssuedCommand>) -> Vec<IssuedCommand> {
+    for command in &mut issued {
+        for n in 0..MAX_RETRIES {
+            let Some(Outcome::Unknown { id }) = command.outcomes.last() else {
                 break;
             };
             let request = CommandRequest {
                 id: Some(*id),
-                ..one.request.clone()
+                ..command.request.clone()
             };
             let host = n % hosts.count();
-            one.outcomes
-                .push(hosts.submission(host, LIMIT).submit(&request));
+            command
+                .outcomes
+                .push(hosts.submission(host, ANSWER_TIMEOUT).submit(&request));
         }
     }
-    told
+    issued
 }
 
-/// Draws a change; puts and joins are unlike all others by `unique`.
-fn change(unique: usize, config: &Config, draw: &mut StdRng) -> Change {
-    let which = draw.random_range(0..3);
+/// Draws a change; `unique` makes each put and each join differ from all others.
+fn change(unique: usize, config: &Config, rng: &mut StdRng) -> Change {
+    let which = rng.random_range(0..3);
     let centre = CENTRES[which].to_owned();
     let member = MEMBERS[which].to_owned();
-    match draw.random_range(0..10) {
+    match rng.random_range(0..10) {
         0..=2 => Change::PutPreset {
             text: preset(PRESETS[which], unique),
         },
@@ -112,7 +114,7 @@
     }
 }
 
-/// Returns a small preset; `unique` is in its text and its queue limit.
+/// Returns the text of a small preset with `unique` as its queue limit.
 fn preset(name: &str, unique: usize) -> String {
     let centres: String = CENTRES
         .iter()
--- a/components/stand_ins/src/demo.rs
+++ b/components/stand_ins/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole site in this process, through a data centre's leaving and returning.
+//! The demo: a whole site in this process, of which a data centre leaves and returns.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,60 +9,60 @@
 
 use crate::fleet::Fleet;
 use crate::history::History;
-use crate::history::check::{Check, Fault, Tally};
+use crate::history::check::{Check, Tally, Violation};
 use crate::load::bench::BenchError;
 use crate::load::experiment::{Action, Experiment, ExperimentError};
 use crate::load::measure::{Summary, measure};
 use crate::load::report::Figures;
 use crate::site::{Site, SiteOptions};
 
-const FILE: &str = include_str!("../../../experiments/demo.toml");
-const PROGRESS: Duration = Duration::from_secs(1);
+const EXPERIMENT: &str = include_str!("../../../experiments/demo.toml");
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the demo could not run.
+/// The reason why the demo could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// Its experiment is at fault.
-    #[error("the demo's experiment is at fault: {0}")]
+    /// The demo's experiment file is invalid.
+    #[error("the demo's experiment file is invalid: {0}")]
     Experiment(#[from] ExperimentError),
     /// The site could not be started.
     #[error(transparent)]
     Bench(#[from] BenchError),
 }
 
-/// A site that is up, ready to be shown.
+/// A running site with its entry hosts.
 pub struct Demo {
     experiment: Arc<Experiment>,
     site: Arc<Site>,
     fleet: Fleet,
 }
 
-/// What the demo showed.
+/// The result of the demo.
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Shown {
-    /// The figures.
+pub struct DemoResult {
+    /// The figures of the run.
     pub summary: Summary,
-    /// Keys and unkeyed calls of which the work ran more than once.
+    /// Idempotency keys and calls without a key whose work ran more than once.
     pub run_twice: usize,
-    /// Each broken promise, as text.
+    /// Each violated guarantee, as text.
     pub broken_promises: Vec<String>,
-    /// Calls that broke off, were unknown or found no connection.
+    /// Calls that broke off, had an unknown outcome or found no connection.
     pub hurt_calls: u64,
 }
 
 impl Demo {
-    /// Starts the log, the backend servers and three entry hosts on loopback.
+    /// Starts the store, the backend servers and three entry hosts on loopback.
     ///
     /// # Errors
     ///
-    /// Fails where one of them can't be started.
+    /// Fails if one of them can't be started.
     ///
     /// # Panics
     ///
     /// Panics outside a tokio runtime.
     pub async fn start(seconds: Option<u64>) -> Result<Demo, DemoError> {
-        let mut experiment = Experiment::parse(FILE)?;
+        let mut experiment = Experiment::parse(EXPERIMENT)?;
         experiment.stretch(seconds);
         let deployment = experiment.deployment.clone();
         let site = Site::start(deployment, &SiteOptions::default(), History::default())
@@ -78,9 +78,9 @@
         })
     }
 
-    /// Returns lines that say where everything listens.
+    /// Returns lines with the address of each process.
     pub fn addresses(&self) -> Vec<String> {
-        let mut lines = vec![format!("log        {}", self.site.log.address())];
+        let mut lines = vec![format!("log        {}", self.site.store.address())];
         for (entry, target) in self.fleet.entries.iter().zip(self.fleet.targets.iter()) {
             let ports = entry.ports();
             lines.push(format!(
@@ -96,13 +96,13 @@
         lines
     }
 
-    /// Returns commands that can be tried while it is up.
+    /// Returns shell commands to try while the demo runs.
     pub fn hints(&self) -> Vec<String> {
         let entry = self.fleet.entries.first().map(|e| e.ports());
         let Some(ports) = entry else {
             return Vec::new();
         };
-        let log = self.site.log.address();
+        let log = self.site.store.address();
         vec![
             format!(
                 "curl -i 'http://{}/hallboard/free?work-ms=20'",
@@ -115,20 +115,24 @@
         ]
     }
 
-    /// Drives the load to its end; `progress` gets a line each second.
-    pub async fn drive(&self, progress: impl Fn(String) + Send + 'static) -> Shown {
-        let ticking = tokio::spawn(tick(
+    /// Runs the load to its end; `progress` receives a line each second.
+    pub async fn drive(&self, progress: impl Fn(String) + Send + 'static) -> DemoResult {
+        let progress_task = tokio::spawn(report_progress(
             Arc::clone(&self.experiment),
             self.site.history.clone(),
             progress,
         ));
         let targets = &self.fleet.targets;
         let measured = measure(&self.experiment, &self.site, targets, Policy::Shared.name()).await;
-        ticking.abort();
+        progress_task.abort();
         let all = &measured.summary.report.all;
-        Shown {
-            run_twice: count(&measured.faults, Check::AtMostOnce),
-            broken_promises: measured.faults.iter().map(Fault::to_string).collect(),
+        DemoResult {
+            run_twice: count_violations(&measured.violations, Check::AtMostOnce),
+            broken_promises: measured
+                .violations
+                .iter()
+                .map(Violation::to_string)
+                .collect(),
             hurt_calls: all.broken + all.unknown + all.unreachable,
             summary: measured.summary,
         }
@@ -140,13 +144,13 @@
     }
 }
 
-impl Shown {
-    /// Returns whether no promise was broken and no call hurt.
+impl DemoResult {
+    /// Returns whether no guarantee was violated and no call failed.
     pub fn is_good(&self) -> bool {
         self.broken_promises.is_empty() && self.hurt_calls == 0
     }
 
-    /// Returns the table for people.
+    /// Returns the results as a table for people.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:<14} {:>7} {:>8} {:>7} {:>9} {:>8} {:>8} {:>8}",
@@ -162,7 +166,7 @@
             servers.probe_permille, servers.probes
         ));
         lines.push(format!(
-            "calls at once  {} at most at one backend server of 6 slots; {} came above what it bore",
+            "calls at once  {} at most at one backend server of 6 slots; {} came above its limit",
             servers.peak, servers.above
         ));
         for (centre, ms) in &servers.last_call_ms {
@@ -171,15 +175,15 @@
             ));
         }
         lines.push(String::new());
-        lines.extend(self.promises());
+        lines.extend(self.guarantees());
         lines.join("\n")
     }
 
-    fn promises(&self) -> Vec<String> {
+    fn guarantees(&self) -> Vec<String> {
         let checks = &self.summary.checks;
         let mut lines: Vec<String> = checks
             .iter()
-            .map(|(check, faults)| match faults {
+            .map(|(check, violations)| match violations {
                 0 => format!("kept    {check}"),
                 n => format!("BROKEN  {check}: {n} times"),
             })
@@ -203,20 +207,20 @@
     )
 }
 
-fn count(faults: &[Fault], check: Check) -> usize {
-    faults.iter().filter(|f| f.check == check).count()
+fn count_violations(violations: &[Violation], check: Check) -> usize {
+    violations.iter().filter(|v| v.check == check).count()
 }
 
-async fn tick(experiment: Arc<Experiment>, history: History, progress: impl Fn(String)) {
-    let mut told = BTreeMap::new();
+async fn report_progress(experiment: Arc<Experiment>, history: History, progress: impl Fn(String)) {
+    let mut reported = BTreeMap::new();
     for second in 1.. {
-        tokio::time::sleep(PROGRESS).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
         let tally = Tally::of(&history.sorted());
         let happened = experiment
             .events
             .iter()
-            .filter(|e| e.at_ms <= second * 1_000 && told.insert(e.at_ms, ()).is_none());
-        let news: Vec<String> = happened
+            .filter(|e| e.at_ms <= second * 1_000 && reported.insert(e.at_ms, ()).is_none());
+        let lines: Vec<String> = happened
             .map(|e| match &e.action {
                 Action::Leave(centre) => format!("  operators take {centre} out"),
                 Action::Return(centre) => format!("  operators bring {centre} back"),
@@ -224,12 +228,12 @@
             })
             .collect();
         progress(format!(
-            "{second:>3} s  {} calls sent, {} answered, {} refused, {} hurt{}",
+            "{second:>3} s  {} calls sent, {} answered, {} refused, {} failed{}",
             tally.calls,
             tally.complete,
             tally.refused,
             tally.unknown + tally.broken + tally.unreachable,
-            news.concat()
+            lines.concat()
         ));
     }
 }
--- a/components/stand_ins/src/fleet.rs
+++ b/components/stand_ins/src/fleet.rs
@@ -1,44 +1,44 @@
-//! Entry hosts in this process, with the platform's balancer before them.
+//! Entry hosts in this process, behind a stand-in for the platform's balancer.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use state::policy::Policy;
-use transport::entry::{Entry, Settings, StartError};
+use transport::entry::{EntryHost, Settings, StartError};
 
-use crate::balancer::{Balancer, settled};
+use crate::balancer::{Balancer, is_converged};
 use crate::history::{Event, History};
 use crate::load::Target;
 use crate::load::warm_up::warm_up;
 use crate::site::Site;
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const DRAIN_LIMIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 const BASELINE_WARM_UP: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why entry hosts could not be started.
+/// The reason why entry hosts could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// One could not start.
+    /// An entry host could not start.
     #[error(transparent)]
     Start(#[from] StartError),
     /// A backend server stayed cold.
-    #[error("a backend server is still taken for cold after {READY_LIMIT:?}: see `status`")]
+    #[error("a backend server is still considered cold after {READY_TIMEOUT:?}: see `status`")]
     NotWarm,
-    /// One did not become ready.
-    #[error("entry host {0} is not ready after {READY_LIMIT:?}: see its log lines")]
+    /// An entry host did not become ready.
+    #[error("entry host {0} is not ready after {READY_TIMEOUT:?}: see its log lines")]
     NotReady(String),
 }
 
-/// Running entry hosts of a site.
+/// The running entry hosts of a site.
 pub struct Fleet {
-    /// Where calls are sent, in the order of the hosts.
+    /// The targets of calls, in the order of the entry hosts.
     pub targets: Arc<Vec<Target>>,
-    /// The hosts.
-    pub entries: Vec<Entry>,
+    /// The entry hosts.
+    pub entries: Vec<EntryHost>,
     history: History,
     balancer: Balancer,
     policy: Policy,
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where one doesn't start or doesn't become ready.
+    /// Fails if an entry host doesn't start or doesn't become ready.
     pub async fn start(site: &Site, policy: Policy) -> Result<Fleet, FleetError> {
         let mut entries = Vec::new();
         let mut targets = Vec::new();
@@ -61,12 +61,12 @@
                 callers: ANY_PORT,
                 peers: ANY_PORT,
                 admin: ANY_PORT,
-                log: site.log.address(),
+                log: site.store.address(),
                 policy,
-                drain: DRAIN_LIMIT,
+                drain: DRAIN_TIMEOUT,
                 trace_every: 0,
             };
-            let entry = Entry::start(settings).await?;
+            let entry = EntryHost::start(settings).await?;
             let target = Target::new(&name, entry.ports().callers);
             target.set_up(false);
             site.history.add(Event::Up { host: name });
@@ -83,10 +83,10 @@
             balancer,
             policy,
         };
-        fleet.ready().await?;
-        // A baseline has no notion of warmth: it is driven for a fixed time.
+        fleet.wait_ready().await?;
+        // Baseline policies don't track which endpoints are warm: they get a fixed warm-up time.
         let limit = match policy {
-            Policy::Shared => READY_LIMIT,
+            Policy::Shared => READY_TIMEOUT,
             _ => BASELINE_WARM_UP,
         };
         let warm = warm_up(&site.deployment, &fleet.targets, &admins, limit).await;
@@ -96,7 +96,7 @@
         Ok(fleet)
     }
 
-    /// Shuts all hosts down gracefully, all at once.
+    /// Shuts all entry hosts down gracefully, in parallel.
     pub async fn stop(self) {
         drop(self.balancer);
         let mut stopping = tokio::task::JoinSet::new();
@@ -109,27 +109,27 @@
         while stopping.join_next().await.is_some() {}
     }
 
-    async fn ready(&self) -> Result<(), FleetError> {
-        let end = Instant::now() + READY_LIMIT;
+    async fn wait_ready(&self) -> Result<(), FleetError> {
+        let end = Instant::now() + READY_TIMEOUT;
         while let Some(target) = self.targets.iter().find(|t| !t.is_up()) {
             if Instant::now() > end {
                 return Err(FleetError::NotReady(target.name.clone()));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        // A new site serves once its hosts have found each other.
-        while self.policy == Policy::Shared && !self.settled().await {
+        // A new site serves calls once its entry hosts are linked to each other.
+        while self.policy == Policy::Shared && !self.is_converged().await {
             if Instant::now() > end {
                 return Err(FleetError::NotReady("any".to_owned()));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    async fn settled(&self) -> bool {
+    async fn is_converged(&self) -> bool {
         let admins: Vec<_> = self.entries.iter().map(|e| e.ports().admin).collect();
-        let asked = tokio::task::spawn_blocking(move || settled(&admins));
-        asked.await.unwrap_or(false)
+        let checked = tokio::task::spawn_blocking(move || is_converged(&admins));
+        checked.await.unwrap_or(false)
     }
 }
--- a/components/stand_ins/src/load/bench.rs
+++ b/components/stand_ins/src/load/bench.rs
@@ -1,4 +1,4 @@
-//! An experiment over several policies in one run, its table, reports and plot.
+//! Runs an experiment with several policies; writes its table, reports and plot.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter};
@@ -9,16 +9,16 @@
 
 use super::experiment::Experiment;
 use super::measure::{Measured, Summary, measure};
-use super::plot::{Course, Curve, PlotError, draw};
-use super::report::Times;
+use super::plot::{Curve, PlotError, Timeline, draw};
+use super::report::TimeHistogram;
 use crate::fleet::{Fleet, FleetError};
 use crate::history::{History, Outcome, Record, write_lines};
 use crate::site::{Site, SiteError, SiteOptions};
 
-/// Why an experiment could not be run.
+/// The reason why an experiment could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// The log or a backend server could not be started.
+    /// The store or a backend server could not be started.
     #[error(transparent)]
     Site(#[from] SiteError),
     /// An entry host could not be started.
@@ -28,20 +28,20 @@
     #[error(transparent)]
     Plot(#[from] PlotError),
     /// A file could not be written.
-    #[error("can't write {path}: {source}; is the directory there?")]
+    #[error("can't write {path}: {source}; does the directory exist?")]
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// One policy's run.
+/// The run of one policy.
 pub struct Run {
-    /// The figures.
+    /// The measurements.
     pub measured: Measured,
-    /// Everything that was seen.
+    /// The complete history.
     pub records: Vec<Record>,
 }
 
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the deployment can't be started.
+/// Fails if the deployment can't be started.
 ///
 /// # Panics
 ///
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 ///
-/// Fails where a file can't be written or the plot not be drawn.
+/// Fails if a file can't be written or the plot can't be drawn.
 pub fn write(experiment: &Experiment, runs: &[Run], directory: &Path) -> Result<(), BenchError> {
     let file = |name: String| directory.join(name);
     for run in runs {
@@ -88,7 +88,7 @@
     })
 }
 
-/// Returns the table of `runs`, with the limit of the first.
+/// Returns the table of `runs`, with the limit computed for the first of them.
 pub fn table(runs: &[Run]) -> String {
     let mut lines = vec![Summary::heading()];
     lines.extend(runs.iter().map(|run| run.measured.summary.row()));
@@ -106,7 +106,7 @@
 }
 
 fn picture(experiment: &Experiment, runs: &[Run]) -> Result<String, PlotError> {
-    let mut lines: Vec<(String, Times)> = runs
+    let mut lines: Vec<(String, TimeHistogram)> = runs
         .iter()
         .map(|run| {
             let label = run.measured.summary.report.policy.clone();
@@ -125,16 +125,16 @@
             times,
         })
         .collect();
-    let course = Course {
+    let timeline = Timeline {
         experiment,
         plan: &first.plan,
         samples: &first.samples,
     };
-    draw(&curves, &course)
+    draw(&curves, &timeline)
 }
 
-fn latencies(experiment: &Experiment, measured: &Measured) -> Times {
-    let mut times = Times::default();
+fn latencies(experiment: &Experiment, measured: &Measured) -> TimeHistogram {
+    let mut times = TimeHistogram::default();
     for sample in &measured.samples {
         let warm = measured.plan.calls[sample.call].at.as_secs() >= experiment.warm_up;
         if warm && sample.outcome == Outcome::Complete {
@@ -144,8 +144,8 @@
     times
 }
 
-fn ideal(experiment: &Experiment, measured: &Measured) -> Times {
-    let mut times = Times::default();
+fn ideal(experiment: &Experiment, measured: &Measured) -> TimeHistogram {
+    let mut times = TimeHistogram::default();
     for (planned, ideal) in measured.plan.calls.iter().zip(&measured.ideals) {
         if planned.at.as_secs() >= experiment.warm_up {
             ideal.latency.into_iter().for_each(|l| times.add(l));
--- a/components/stand_ins/src/log/groups.rs
+++ b/components/stand_ins/src/store/groups.rs
@@ -1,18 +1,19 @@
-//! Groups, whose members share the partitions of topics evenly.
+//! Groups, whose members divide the partitions of the group's topics evenly.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use platform::store_server::{Join, PartitionOwner};
 
-/// Topics of a group whose partitions are dealt; the platform's store passes over the rest.
-const TOPICS: usize = 20;
+/// The most topics of a group whose partitions are assigned; the platform's store ignores the
+/// rest.
+const MAX_TOPICS: usize = 20;
 
 /// Partitions of each topic.
-const PARTS: u32 = 12;
+const PARTITIONS: u32 = 12;
 
 struct Member {
-    seen: Instant,
+    joined_at: Instant,
     timeout: Duration,
 }
 
@@ -28,54 +29,55 @@
 pub(super) struct Groups(BTreeMap<String, Group>);
 
 impl Groups {
-    /// Takes a member in, or keeps it; returns the generation and its partitions.
+    /// Adds or refreshes a member; returns the generation and the member's partitions.
     pub fn join(&mut self, join: Join) -> (u64, Vec<PartitionOwner>) {
         let group = self.0.entry(join.group).or_default();
-        group.lapse();
+        group.remove_expired();
         if group.topics != join.topics {
             group.topics = join.topics;
             group.generation += 1;
         }
         let member = Member {
-            seen: Instant::now(),
+            joined_at: Instant::now(),
             timeout: join.timeout,
         };
         if group.members.insert(join.member.clone(), member).is_none() {
             group.generation += 1;
         }
-        let mine = group.owned().filter(|o| o.member == join.member);
+        let mine = group.assignments().filter(|o| o.member == join.member);
         (group.generation, mine.collect())
     }
 
-    /// Returns who holds each partition of a group.
+    /// Returns the owner of each partition of a group.
     pub fn owners(&mut self, group: &str) -> Vec<PartitionOwner> {
         let Some(group) = self.0.get_mut(group) else {
             return Vec::new();
         };
-        group.lapse();
-        group.owned().collect()
+        group.remove_expired();
+        group.assignments().collect()
     }
 }
 
 impl Group {
-    /// Drops members that gave no sign of life for too long.
-    fn lapse(&mut self) {
+    /// Removes members that haven't joined again within their timeout.
+    fn remove_expired(&mut self) {
         let before = self.members.len();
-        self.members.retain(|_, m| m.seen.elapsed() < m.timeout);
+        self.members
+            .retain(|_, m| m.joined_at.elapsed() < m.timeout);
         if self.members.len() < before {
             self.generation += 1;
         }
     }
 
-    /// Deals the partitions to the members in turn.
-    fn owned(&self) -> impl Iterator<Item = PartitionOwner> {
-        let parts = self
+    /// Assigns the partitions to the members in turn (round-robin).
+    fn assignments(&self) -> impl Iterator<Item = PartitionOwner> {
+        let partitions = self
             .topics
             .iter()
-            .take(TOPICS)
-            .flat_map(|t| (0..PARTS).map(move |p| (t.clone(), p)));
+            .take(MAX_TOPICS)
+            .flat_map(|t| (0..PARTITIONS).map(move |p| (t.clone(), p)));
         let members = self.members.keys().cycle();
-        parts
+        partitions
             .zip(members)
             .map(|((topic, partition), member)| PartitionOwner {
                 topic,
--- a/components/stand_ins/tests/config_history.rs
+++ b/components/stand_ins/tests/config_history.rs
@@ -1,4 +1,4 @@
-//! Concurrent runs of the configuration by fixed seeds, and their checker.
+//! Concurrent runs of the configuration with fixed seeds, and the checks of their history.
 
 use std::sync::Arc;
 
@@ -6,13 +6,15 @@
 use coordination::config::{Change, Command, CommandId};
 use protocol::config_record::encode_command;
 use rstest::rstest;
-use stand_ins::config_run::{Broken, History, RunOptions, Shown, Told, check, run};
+use stand_ins::config_run::{
+    History, IssuedCommand, Observation, RunOptions, Violation, check, run,
+};
 use state::Config;
 use transport::log::{CommandRequest, Outcome};
 
-// Operators race at hosts whose links fail, while the log is down, slow, drops
-// its old records and loses its answers, and hosts are replaced. Nobody sees
-// an older configuration after a newer one, and every answer was true.
+// Operators race through hosts whose links fail, while the store is down, slow, trims old records
+// and loses answers, and hosts restart. No host shows an older configuration after a newer one,
+// and every answer agrees with the log.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -30,8 +32,12 @@
     };
     let history = run(options).unwrap();
     assert_eq!(check(&history), []);
-    assert_eq!(history.told.len(), 75);
-    assert!(history.last[0] > 5, "{:?}", history.last);
+    assert_eq!(history.issued.len(), 75);
+    assert!(
+        history.final_revisions[0] > 5,
+        "{:?}",
+        history.final_revisions
+    );
 }
 
 fn record(offset: u64, decided_on: u64, change: Change) -> Bytes {
@@ -48,8 +54,8 @@
     }
 }
 
-/// A sound history: two presets are put, and each is in force once.
-fn sound() -> History {
+/// A history without violations: two presets are put and then chosen one after the other.
+fn valid_history() -> History {
     let put = |text: &str| Change::PutPreset {
         text: text.to_owned(),
     };
@@ -63,7 +69,7 @@
         record(2, 2, choose("ordinary")),
         record(3, 3, choose("peak")),
     ];
-    let told = Told {
+    let issued = IssuedCommand {
         request: CommandRequest {
             id: Some(CommandId::new(3, 9)),
             decided_on: Some(3),
@@ -73,16 +79,16 @@
     };
     History {
         records,
-        told: vec![told],
-        last: vec![4],
+        issued: vec![issued],
+        final_revisions: vec![4],
         ..History::default()
     }
 }
 
-fn shown(revision: u64) -> Shown {
-    Shown {
+fn shown(revision: u64) -> Observation {
+    Observation {
         host: 0,
-        start: 0,
+        restarts: 0,
         config: Arc::new(Config {
             revision,
             ..Config::default()
@@ -90,22 +96,22 @@
     }
 }
 
-fn tell(outcome: Outcome) -> History {
-    let mut history = sound();
-    history.told[0].outcomes = vec![outcome];
+fn with_outcome(outcome: Outcome) -> History {
+    let mut history = valid_history();
+    history.issued[0].outcomes = vec![outcome];
     history
 }
 
 #[test]
-fn sound_history() {
-    assert_eq!(check(&sound()), []);
+fn no_violations() {
+    assert_eq!(check(&valid_history()), []);
 }
 
 #[test]
 fn planted_revert() {
-    let mut history = sound();
-    history.shown = vec![shown(4), shown(3)];
-    let revert = Broken::Reverted {
+    let mut history = valid_history();
+    history.observations = vec![shown(4), shown(3)];
+    let revert = Violation::Reverted {
         host: 0,
         from: 4,
         to: 3,
@@ -115,38 +121,41 @@
 
 #[test]
 fn planted_difference() {
-    let mut history = sound();
-    history.shown = vec![shown(3)];
-    let broken = Broken::Differs {
+    let mut history = valid_history();
+    history.observations = vec![shown(3)];
+    let violations = Violation::Differs {
         host: 0,
         revision: 3,
     };
-    assert_eq!(check(&history), [broken]);
+    assert_eq!(check(&history), [violations]);
 }
 
 #[rstest]
 #[case(Outcome::Accepted { revision: 3 })]
 #[case(Outcome::Refused { reason: "someone was first".to_owned() })]
 #[case(Outcome::Unreachable { reason: "down".to_owned() })]
-fn planted_untruth(#[case] outcome: Outcome) {
-    let broken = check(&tell(outcome));
-    assert!(matches!(broken[..], [Broken::Untrue { .. }]), "{broken:?}");
+fn planted_wrong_answer(#[case] outcome: Outcome) {
+    let violations = check(&with_outcome(outcome));
+    assert!(
+        matches!(violations[..], [Violation::Untrue { .. }]),
+        "{violations:?}"
+    );
 }
 
 #[test]
-fn planted_silence() {
+fn planted_unknown() {
     let id = CommandId::new(3, 9);
-    let broken = check(&tell(Outcome::Unknown { id }));
-    assert_eq!(broken, [Broken::Unsettled { id }]);
+    let violations = check(&with_outcome(Outcome::Unknown { id }));
+    assert_eq!(violations, [Violation::Unsettled { id }]);
 }
 
 #[test]
 fn planted_lag() {
-    let mut history = sound();
-    history.last = vec![4, 3];
-    let broken = Broken::Behind {
+    let mut history = valid_history();
+    history.final_revisions = vec![4, 3];
+    let violations = Violation::Behind {
         host: 1,
         revision: 3,
     };
-    assert_eq!(check(&history), [broken]);
+    assert_eq!(check(&history), [violations]);
 }
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -1,4 +1,4 @@
-//! The load tool sends what its file says and measures from the intended start.
+//! The load tool sends the calls of the experiment file and measures from their planned start.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 use stand_ins::history::check::{Limits, Tally, check};
 use stand_ins::history::{History, Outcome};
 use stand_ins::load::limit::limit;
-use stand_ins::load::plot::{Course, Curve, draw};
-use stand_ins::load::report::Times;
-use stand_ins::load::run::{Load, work_times};
+use stand_ins::load::plot::{Curve, Timeline, draw};
+use stand_ins::load::report::TimeHistogram;
+use stand_ins::load::run::{LoadGenerator, work_times};
 use stand_ins::load::{Caller, Experiment, ExperimentError, Plan, Report, Sample, Target};
 
 const FILE: &str = r#"
@@ -50,7 +50,7 @@
     history: History,
 }
 
-/// Runs the small experiment straight against two backend servers.
+/// Runs the small experiment directly against two backend servers.
 async fn small(knobs: Knobs) -> Ran {
     let experiment = Arc::new(Experiment::parse(FILE).unwrap());
     let plan = Arc::new(Plan::draw(&experiment));
@@ -71,7 +71,7 @@
     let caller = Caller {
         history: history.clone(),
     };
-    let load = Load {
+    let load = LoadGenerator {
         experiment: Arc::clone(&experiment),
         plan: Arc::clone(&plan),
         targets,
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn faults_named() {
+fn all_errors_named() {
     let text = FILE
         .replace("entry-hosts = 2", "entry-hosts = 0")
         .replace("service = \"hallboard\"\nmethod", "service = \"x\"\nmethod");
-    let Err(ExperimentError::Faults(faults)) = Experiment::parse(&text) else {
-        panic!("the faults were not found");
+    let Err(ExperimentError::Invalid(errors)) = Experiment::parse(&text) else {
+        panic!("the errors were not found");
     };
-    assert_eq!(faults.len(), 2);
+    assert_eq!(errors.len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,26 +116,26 @@
     let ideals = limit(&ran.experiment, &ran.plan, &work);
     let report = Report::of(&ran.experiment, "none", &ran.plan, &ran.samples, &ideals);
     assert_eq!(report.all.complete, tally.complete);
-    let mut times = Times::default();
+    let mut times = TimeHistogram::default();
     times.add(Duration::from_millis(3));
     let curve = Curve {
         label: "one".to_owned(),
         times: &times,
     };
-    let course = Course {
+    let timeline = Timeline {
         experiment: &ran.experiment,
         plan: &ran.plan,
         samples: &ran.samples,
     };
-    assert!(draw(&[curve], &course).unwrap().starts_with("<svg"));
+    assert!(draw(&[curve], &timeline).unwrap().starts_with("<svg"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_run_found() {
-    // Straight at the backend servers nobody agrees on keys: repeats run twice.
+    // Without entry hosts nothing deduplicates by key, so the work of repeats runs twice.
     let ran = small(Knobs::default()).await;
-    let faults = check(&ran.history.sorted(), &Limits::default());
-    assert!(!faults.is_empty());
+    let errors = check(&ran.history.sorted(), &Limits::default());
+    assert!(!errors.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -171,7 +171,7 @@
 
 #[test]
 fn long_times() {
-    let mut times = Times::default();
+    let mut times = TimeHistogram::default();
     times.add(Duration::from_millis(1));
     times.add(Duration::from_secs(20));
     let max = times.quantiles().max;
--- a/components/state/tests/fleet_placement.rs
+++ b/components/state/tests/fleet_placement.rs
@@ -15,7 +15,7 @@
 use state::topology::Topology;
 use state::{DataCentreKey, EndpointKey, Moment, RegionKey, ServiceKey};
 
-const USUAL: Duration = Duration::from_millis(200);
+const SERVICE_TIME: Duration = Duration::from_millis(200);
 const START: Moment = Moment::from_millis(10_000);
 
 struct Fleet {
@@ -64,7 +64,7 @@
         home: DataCentreKey::named("near"),
         objective: START + Duration::from_millis(objective),
         deadline: START + Duration::from_millis(2_000),
-        service_time: USUAL,
+        service_time: SERVICE_TIME,
         priority: 0,
     }
 }
@@ -141,7 +141,7 @@
 fn disturbed_machines() {
     let names = ["a", "b", "c", "d", "e"];
     let mut fleet = Fleet::of(&names.map(|n| (n, "near")));
-    let mut asks = 0;
+    let mut probes = 0;
     for round in 0..300 {
         let mut now = START + Duration::from_millis(round * 300);
         let mut noise = StdRng::seed_from_u64(round);
@@ -157,10 +157,10 @@
         let began = now;
         let slowness = |k: EndpointKey| if bad.contains(&k) { 400 } else { 100 };
         let chosen = fleet.place(&wanted, &mut now, |k, at| sample(slowness(k), 0, 0, at));
-        asks += now.since(began).as_millis();
+        probes += now.since(began).as_millis();
         assert!(!bad.contains(&chosen.expect("one endpoint is fast")));
     }
-    assert!(asks < 2 * 300, "{asks} probes for 300 requests");
+    assert!(probes < 2 * 300, "{probes} probes for 300 requests");
 }
 
 /// The probe budget is used up in a burst. Requests must still be placed, on the endpoint
@@ -455,7 +455,7 @@
 }
 
 /// A route's requests must stay in one region, and all endpoints there are gone. Sent
-/// elsewhere, the data of a public authority would leave the country.
+/// elsewhere, the files in the requests would leave the country.
 #[test]
 fn stays_in_region() {
     let mut fleet = Fleet::of(&[
--- a/components/transport/src/dispatch/mod.rs
+++ b/components/transport/src/dispatch/mod.rs
@@ -1,12 +1,13 @@
-//! Finds a slot for a call, or says why there is none.
+//! Acquires a slot of an endpoint for a call, or refuses the call.
 //!
-//! The decisions are made by `coordination::slots`; this module runs them:
-//! a lock, wake-ups of waiting calls, a timer, messages and probes.
+//! The decisions are made by `coordination::slots`. This module adds what that
+//! state machine needs to run: a lock, wake-ups of waiting calls, a timer,
+//! messages and probes.
 
+mod baseline;
 mod counters;
-mod naive;
 mod probe;
-mod shared;
+mod slot_dispatcher;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,157 +21,160 @@
 use state::policy::Policy;
 use state::{Config, EndpointKey, HostKey, Moment, ServiceKey};
 
-use naive::Naive;
-use shared::Shared;
+use baseline::BaselineDispatcher;
+use slot_dispatcher::SlotDispatcher;
 
-/// A call that asks for a slot.
+/// A call that needs a slot.
 #[value]
 pub struct Call {
     /// The service called.
     pub service: ServiceKey,
-    /// When its answer is of no more use.
+    /// When the call's answer is of no more use.
     pub deadline: Moment,
-    /// Endpoints that have already failed it, not to be tried again.
+    /// The endpoints at which earlier attempts of the call failed, not to be used again.
     pub tried: Vec<EndpointKey>,
 }
 
-/// How a started call ended.
+/// How a call that got a slot ended.
 #[tag]
 pub enum Ending {
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered,
-    /// The backend server refused it and said so.
+    /// The backend server rejected the call as not run.
     Shed,
     /// No connection could be opened, so that nothing was sent.
     Unreachable,
-    /// The connection broke or went silent after something was sent.
+    /// The connection broke or went silent after something had been sent.
     Broken,
-    /// The call was given up: the caller hung up or the deadline passed.
+    /// The call was abandoned: the caller hung up or the deadline passed.
     Cancelled,
 }
 
-/// Who this entry host is, and how it places its calls.
+/// The identity of this entry host, and how it chooses endpoints.
 #[value]
-pub struct Setup {
+pub struct DispatcherOptions {
     /// The host's key.
     pub host: HostKey,
-    /// Its incarnation, as in the configuration's members.
+    /// The host's incarnation, as in the configuration's members.
     pub incarnation: u64,
-    /// The name of the data centre it stands in.
+    /// The name of the data centre that the host runs in.
     pub data_centre: String,
-    /// How it places calls.
+    /// How endpoints are chosen for calls.
     pub policy: Policy,
 }
 
-/// Sends a message to another entry host; never blocks, may lose it.
+/// Sends a message to another entry host. Never blocks; the message may be lost.
 pub type SendMessage = Arc<dyn Fn(HostKey, SlotMessage) + Send + Sync>;
 
-/// A slot that a call may use, given back by [`Grant::finish`] or by dropping it unused.
+/// A slot that a call may use, released by [`Grant::finish`], or as unused by dropping it.
 pub struct Grant {
-    /// The endpoint the slot belongs to.
+    /// The endpoint that the slot belongs to.
     pub endpoint: EndpointKey,
-    /// Where the endpoint listens.
+    /// The address of the endpoint.
     pub address: SocketAddr,
     lease: Option<LeaseKey>,
     dispatcher: Arc<Dispatcher>,
     ended: bool,
 }
 
-/// Places calls on the endpoints of their services.
+/// Assigns calls to the endpoints of their services, by slots or by a baseline policy.
 #[derive(Default)]
 pub struct Dispatcher {
-    way: Way,
+    strategy: Strategy,
 }
 
-/// Ours, or a baseline.
-enum Way {
-    Naive(Naive),
-    Shared(Arc<Shared>),
+/// How endpoints are chosen: by leased slots, or by one of the baselines that
+/// leased slots are compared with.
+enum Strategy {
+    Baseline(BaselineDispatcher),
+    Slots(Arc<SlotDispatcher>),
 }
 
-impl Default for Way {
-    fn default() -> Way {
-        Way::Naive(Naive::new(Policy::LeastInFlight, None))
+impl Default for Strategy {
+    fn default() -> Strategy {
+        Strategy::Baseline(BaselineDispatcher::new(Policy::LeastInFlight, None))
     }
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher that places calls as `setup` says.
+    /// Returns a dispatcher with the identity and policy in `options`.
     ///
-    /// With [`Policy::Shared`] its timer and probes run on the current runtime
-    /// until it is dropped.
+    /// With [`Policy::Shared`] its timer and probes run on the current tokio
+    /// runtime until it is dropped.
     ///
     /// # Panics
     ///
-    /// Where no tokio runtime is entered.
-    pub fn new(setup: &Setup, send: SendMessage) -> Arc<Dispatcher> {
-        let way = match setup.policy {
-            Policy::Shared => Way::Shared(Shared::run(setup, send)),
-            policy => Way::Naive(Naive::new(policy, Some(setup.host))),
+    /// Panics with [`Policy::Shared`] outside a tokio runtime.
+    pub fn new(options: &DispatcherOptions, send: SendMessage) -> Arc<Dispatcher> {
+        let strategy = match options.policy {
+            Policy::Shared => Strategy::Slots(SlotDispatcher::start(options, send)),
+            policy => Strategy::Baseline(BaselineDispatcher::new(policy, Some(options.host))),
         };
-        Arc::new(Dispatcher { way })
+        Arc::new(Dispatcher { strategy })
     }
 
-    /// Takes over the configuration in force.
+    /// Applies the configuration in force.
     pub fn configure(&self, config: &Config) {
-        match &self.way {
-            Way::Naive(naive) => naive.configure(config),
-            Way::Shared(shared) => shared.configure(config),
+        match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.configure(config),
+            Strategy::Slots(slots) => slots.configure(config),
         }
     }
 
-    /// Takes over who is alive.
-    pub fn watch(&self, alive: BTreeSet<HostKey>) {
-        if let Way::Shared(shared) = &self.way {
-            shared.watch(alive);
+    /// Sets the members that are alive.
+    pub fn set_alive(&self, alive: BTreeSet<HostKey>) {
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.set_alive(alive);
         }
     }
 
-    /// Takes over this host's incarnation, where it has joined anew.
+    /// Sets this host's incarnation, which changes when the host joins again.
     pub fn renew_incarnation(&self, incarnation: u64) {
-        if let Way::Shared(shared) = &self.way {
-            shared.renew_incarnation(incarnation);
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.renew_incarnation(incarnation);
         }
     }
 
-    /// Notes that the configuration known here was shown to be current at `shown`.
+    /// Records that this host's configuration was proved to be current at the moment `proved_at`.
     ///
-    /// This host may act as an owner for some time after. To be called each
-    /// 100 ms or so with the failure detector's latest word.
-    pub fn confirm(&self, shown: Moment) {
-        if let Way::Shared(shared) = &self.way {
-            shared.confirm(shown);
+    /// This host may act as an owner for a limited time after that moment. To
+    /// be called about every 100 ms with the failure detector's latest result.
+    pub fn confirm(&self, proved_at: Moment) {
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.confirm(proved_at);
         }
     }
 
-    /// Takes in a message of another entry host.
+    /// Handles a message of another entry host.
     pub fn receive(&self, from: HostKey, message: SlotMessage) {
-        if let Way::Shared(shared) = &self.way {
-            shared.receive(from, message);
+        if let Strategy::Slots(slots) = &self.strategy {
+            slots.receive(from, message);
         }
     }
 
-    /// Starts no more calls, refuses those that wait and gives idle slots to other hosts.
+    /// Starts no more calls, refuses those that wait, and returns idle slots for
+    /// other hosts to use.
     pub fn stop(&self) {
-        match &self.way {
-            Way::Naive(naive) => naive.stop(),
-            Way::Shared(shared) => shared.stop(),
+        match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.stop(),
+            Strategy::Slots(slots) => slots.stop(),
         }
     }
 
-    /// Returns how a service stands at this host, for `status`.
-    pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
-        match &self.way {
-            Way::Naive(naive) => naive.standing(service),
-            Way::Shared(shared) => shared.standing(service),
+    /// Returns the calls and slots of a service at this host, none for an
+    /// unknown service.
+    pub fn service_status(&self, service: ServiceKey) -> Option<ServiceStatus> {
+        match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.service_status(service),
+            Strategy::Slots(slots) => slots.service_status(service),
         }
     }
 
-    /// Returns how the endpoints owned by this host stand, for `status`.
-    pub fn owned(&self) -> Vec<EndpointStanding> {
-        match &self.way {
-            Way::Naive(_) => Vec::new(),
-            Way::Shared(shared) => shared.owned(),
+    /// Returns the state of each endpoint that this host owns.
+    pub fn owned_endpoints(&self) -> Vec<EndpointStatus> {
+        match &self.strategy {
+            Strategy::Baseline(_) => Vec::new(),
+            Strategy::Slots(slots) => slots.owned_endpoints(),
         }
     }
 
@@ -178,74 +182,74 @@
     ///
     /// # Errors
     ///
-    /// Says why the call is refused; it has not run then.
+    /// Returns why the call is refused. A refused call has not run.
     pub async fn acquire(self: &Arc<Self>, call: &Call) -> Result<Grant, Refusal> {
-        let found = match &self.way {
-            Way::Naive(naive) => naive.acquire(call).await,
-            Way::Shared(shared) => shared.acquire(call).await,
+        let found = match &self.strategy {
+            Strategy::Baseline(baseline) => baseline.acquire(call).await,
+            Strategy::Slots(slots) => slots.acquire(call).await,
         };
         match found {
-            Ok(placed) => Ok(Grant {
-                endpoint: placed.endpoint,
-                address: placed.address,
-                lease: placed.lease,
+            Ok(placement) => Ok(Grant {
+                endpoint: placement.endpoint,
+                address: placement.address,
+                lease: placement.lease,
                 dispatcher: Arc::clone(self),
                 ended: false,
             }),
             Err(refusal) => {
-                counters::refused(&refusal);
+                counters::count_refusal(&refusal);
                 Err(refusal)
             }
         }
     }
 }
 
-/// How one endpoint stands at its owner.
+/// The state of one endpoint, as its owner knows it.
 #[value]
-pub struct EndpointStanding {
+pub struct EndpointStatus {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Slots that may be out now, over all entry hosts.
+    /// How many slots may be leased now, over all entry hosts.
     pub cap: u32,
-    /// Slots that are out.
-    pub out: u32,
-    /// It is slow or can't be reached, and gets only trials.
-    pub doubted: bool,
-    /// Its leases wait for the earlier owner's to end.
-    pub fenced: bool,
-    /// How long ago it answered a probe.
+    /// How many slots are leased.
+    pub leased: u32,
+    /// Whether the endpoint is slow or unreachable, and gets only trial calls.
+    pub is_degraded: bool,
+    /// Whether no slot may be leased until the previous owner's leases have ended.
+    pub is_fenced: bool,
+    /// The time since the endpoint last answered a probe, none if it never has.
     pub report_age: Option<Duration>,
 }
 
-/// Where a call may go.
-struct Placed {
+/// The endpoint chosen for a call, with the lease of its slot; a baseline has no leases.
+struct Placement {
     endpoint: EndpointKey,
     address: SocketAddr,
     lease: Option<LeaseKey>,
 }
 
 impl Grant {
-    /// Returns whether the slot may still be used. Ask right before sending.
+    /// Returns whether the slot may still be used. To be checked right before sending.
     ///
-    /// A process that was paused past its lease would otherwise send a call on
-    /// a slot that another host has been given meanwhile.
+    /// A process that was paused until after its lease's end would otherwise
+    /// send a call on a slot that has been leased to another host.
     pub fn may_send(&self) -> bool {
-        match (&self.dispatcher.way, self.lease) {
-            (Way::Shared(shared), Some(lease)) => shared.may_send(lease),
+        match (&self.dispatcher.strategy, self.lease) {
+            (Strategy::Slots(slots), Some(lease)) => slots.may_send(lease),
             _ => true,
         }
     }
 
-    /// Gives the slot back and says how the call ended.
+    /// Releases the slot and records how the call ended.
     pub fn finish(mut self, ending: Ending) {
         self.ended = true;
         self.release(Some(ending));
     }
 
     fn release(&self, ending: Option<Ending>) {
-        match (&self.dispatcher.way, self.lease) {
-            (Way::Shared(shared), Some(lease)) => shared.finish(lease, ending),
-            (Way::Naive(naive), _) => naive.release(self.endpoint),
+        match (&self.dispatcher.strategy, self.lease) {
+            (Strategy::Slots(slots), Some(lease)) => slots.finish(lease, ending),
+            (Strategy::Baseline(baseline), _) => baseline.release(self.endpoint),
             _ => {}
         }
     }
--- a/components/transport/src/entry/router.rs
+++ b/components/transport/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! Hands each message of a peer to the part it is for.
+//! Routes each message received from another entry host to the component it is for.
 
 use std::sync::{Arc, OnceLock};
 
@@ -7,9 +7,9 @@
 
 use crate::claims::Claims;
 use crate::dispatch::Dispatcher;
-use crate::peers::Receive;
+use crate::peers::MessageHandler;
 
-/// The parts that take messages, set once each as they start.
+/// The components that receive messages, each set once when it has been started.
 #[derive(Default)]
 pub struct Router {
     dispatcher: OnceLock<Arc<Dispatcher>>,
@@ -17,15 +17,16 @@
 }
 
 impl Router {
-    /// Sets where messages go; what came before is lost, as on a link that is not yet up.
+    /// Sets the receivers. Messages received before are dropped, as if the link had
+    /// not been up yet.
     pub fn set(&self, dispatcher: Arc<Dispatcher>, claims: Arc<Claims>) {
         let _ = self.dispatcher.set(dispatcher);
         let _ = self.claims.set(claims);
     }
 }
 
-impl Receive for Router {
-    fn receive(&self, from: HostKey, message: PeerMessage) {
+impl MessageHandler for Router {
+    fn handle(&self, from: HostKey, message: PeerMessage) {
         match (message, self.dispatcher.get(), self.claims.get()) {
             (PeerMessage::Slots(message), Some(dispatcher), _) => dispatcher.receive(from, message),
             (PeerMessage::Claim(message), _, Some(claims)) => claims.receive(from, message),
--- a/components/transport/src/log/reader.rs
+++ b/components/transport/src/log/reader.rs
@@ -15,61 +15,64 @@
 use super::follower::{Shared, lock};
 use crate::clock;
 
-/// The longest time that a read is waited for. A log that is slower can't be followed.
-const READ_LIMIT: Duration = Duration::from_secs(10);
+/// Time-out of a read. A store that takes longer can't be followed.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads in flight at once: at one more each time the patience is over, all
-/// that fit into [`READ_LIMIT`].
-const READS_AT_ONCE: usize = 10;
+/// Largest number of reads in flight at once.
+///
+/// While no answer arrives, another read is sent each time the hedge delay has
+/// passed. This is enough for all that are sent within [`READ_TIMEOUT`].
+const MAX_READS_IN_FLIGHT: usize = 10;
 
-/// What the reader's thread waits for.
+/// An input to the reader's thread.
 pub(super) enum Event {
     /// A read has ended.
-    Read(ReadEnd),
-    /// The log may be back: read at once.
+    Read(ReadResult),
+    /// The store may be available again, so the next read is due at once.
     Resume,
-    /// The follower is gone.
+    /// The follower was dropped.
     Stop,
 }
 
-/// A read and what came of it.
-pub(super) struct ReadEnd {
+/// A read that has ended, and its result.
+pub(super) struct ReadResult {
     from: u64,
     sent: Moment,
     page: Result<ReadAnswer, ReadError>,
 }
 
-/// Reads page after page, and a second time where the first read is silent.
+/// Reads page after page, and sends a second read where the first one is late.
 ///
-/// A link that goes silent for good, or a log that answers seconds late, would
-/// hold a host on an old configuration. With one read at a time it could only
-/// choose between giving up a slow log and waiting long on a silent link. So a
-/// read that is late stays, and another is sent beside it on a new connection.
+/// A connection that no longer delivers, or a store that answers seconds late,
+/// would keep a host on an old configuration. With one read at a time, the host
+/// would have to choose between giving up on a slow store and waiting long on a
+/// dead connection. So a late read stays in flight, and another one is sent in
+/// parallel on a new connection.
 pub(super) struct Reader {
     shared: Arc<Shared>,
     events: Sender<Event>,
     timer: Option<SnapshotTimer>,
-    pause: Duration,
+    retry_delay: Duration,
     failures: u32,
     in_flight: usize,
     next_read: Moment,
-    last_page: Option<Moment>,
+    last_success: Option<Moment>,
 }
 
 impl Reader {
-    /// Starts the thread; it ends with [`Event::Stop`].
+    /// Starts the thread, which ends on [`Event::Stop`], and returns the sender of its events.
     pub(super) fn start(shared: Arc<Shared>) -> Sender<Event> {
         let (sender, events) = mpsc::channel();
         let now = clock::now();
         let reader = Reader {
             timer: shared.options.snapshots.map(|s| SnapshotTimer::new(s, now)),
-            pause: shared.options.pause,
+            retry_delay: shared.options.retry_delay,
             shared,
             events: sender.clone(),
             failures: 0,
             in_flight: 0,
             next_read: now,
-            last_page: None,
+            last_success: None,
         };
         std::thread::Builder::new()
             .name("config-follower".to_owned())
@@ -81,15 +84,15 @@
     fn run(mut self, events: &Receiver<Event>) {
         loop {
             let now = clock::now();
-            if now >= self.next_read && self.in_flight < READS_AT_ONCE {
+            if now >= self.next_read && self.in_flight < MAX_READS_IN_FLIGHT {
                 self.send_read(now);
             }
             let wait = match self.in_flight {
-                READS_AT_ONCE.. => READ_LIMIT,
+                MAX_READS_IN_FLIGHT.. => READ_TIMEOUT,
                 _ => now.until(self.next_read),
             };
             match events.recv_timeout(wait) {
-                Ok(Event::Read(read)) => self.end_read(read),
+                Ok(Event::Read(read)) => self.handle_read(read),
                 Ok(Event::Resume) => self.next_read = clock::now(),
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
@@ -99,42 +102,42 @@
 
     fn send_read(&mut self, now: Moment) {
         if self.in_flight > 0 {
-            self.trouble("the log is late with its answer");
+            self.set_stale_reason("the log is late with its answer");
         }
         self.in_flight += 1;
         let options = &self.shared.options;
-        self.next_read = now + options.wait + options.patience;
+        self.next_read = now + options.wait + options.hedge_delay;
         let from = lock(&self.shared.fold).read_offset();
-        let (wait, kilobytes) = (options.wait, options.kilobytes);
-        let client = self.shared.client.waiting(READ_LIMIT);
+        let (wait, max_kilobytes) = (options.wait, options.max_kilobytes);
+        let client = self.shared.client.with_timeout(READ_TIMEOUT);
         let events = self.events.clone();
         std::thread::Builder::new()
             .name("config-read".to_owned())
             .spawn(move || {
-                let page = client.read(CONFIG_STREAM, from, kilobytes, wait);
+                let page = client.read(CONFIG_STREAM, from, max_kilobytes, wait);
                 let sent = now;
-                // The follower may be gone by now.
-                let _ = events.send(Event::Read(ReadEnd { from, sent, page }));
+                // Sending fails where the follower was dropped meanwhile.
+                let _ = events.send(Event::Read(ReadResult { from, sent, page }));
             })
             .expect("a thread can be started");
     }
 
-    fn end_read(&mut self, read: ReadEnd) {
+    fn handle_read(&mut self, read: ReadResult) {
         self.in_flight -= 1;
         let from = read.from;
         match read.page {
-            Ok(page) if page.end < from => self.fail(
+            Ok(page) if page.end < from => self.read_failed(
                 &format!(
-                    "the log ends at offset {}, before {from}, where this host has been",
+                    "the log ends at offset {}, but this host has already read up to {from}",
                     page.end
                 ),
                 read.sent,
             ),
             Ok(page) => {
-                self.recover(read.sent);
+                self.read_succeeded(read.sent);
                 self.fold(&page, read.sent);
             }
-            Err(error) => self.fail(&error.to_string(), read.sent),
+            Err(error) => self.read_failed(&error.to_string(), read.sent),
         }
     }
 
@@ -145,31 +148,31 @@
             let decoded = decode_record(record);
             note_snapshot(&mut self.timer, offset, &decoded);
             let step = fold.apply(offset, decoded);
-            report(offset, &step);
+            log_step(offset, &step);
             if let Applied::Decided(_, Answer::Accepted { .. }) = step {
                 self.shared.announce(&fold);
             }
         }
-        let mark = fold.position();
-        let at_end = !fold.is_behind() && mark.next >= page.end;
-        let trouble = trouble(&fold, page);
+        let position = fold.position();
+        let at_end = !fold.is_behind() && position.next >= page.end;
+        let stale_reason = stale_reason(&fold, page);
         self.shared.publish(&fold);
         drop(fold);
         self.shared.progress.send_modify(|p| {
-            p.mark = mark;
-            p.trouble = trouble;
+            p.position = position;
+            p.stale_reason = stale_reason;
             if at_end {
                 p.end_seen = p.end_seen.max(Some(sent));
             }
         });
-        metrics::gauge!("cardamomvale_config_revision").set(mark.revision as f64);
+        metrics::gauge!("cardamomvale_config_revision").set(position.revision as f64);
         if at_end {
             self.append_snapshot(page);
         }
     }
 
-    /// Appends a snapshot where one is due, on a thread of its own: a log that
-    /// does not answer must not hold up reading.
+    /// Appends a snapshot where one is due, on a thread of its own, so that a
+    /// store that does not answer can't hold up reading.
     fn append_snapshot(&mut self, page: &ReadAnswer) {
         let Some(timer) = &mut self.timer else {
             return;
@@ -203,46 +206,49 @@
             .expect("a thread can be started");
     }
 
-    /// Notes a read that went well. While another is still out, the next one
-    /// waits for it or for the patience to end: else the reads that a slow log
-    /// gathered would go on side by side for ever.
-    fn recover(&mut self, sent: Moment) {
+    /// Records a successful read and sets when the next one is due.
+    ///
+    /// While other reads are in flight, the next read waits until they have
+    /// ended or [`FollowerOptions::hedge_delay`](super::FollowerOptions::hedge_delay)
+    /// has passed. Otherwise the parallel reads that a slow store has
+    /// accumulated would never get fewer.
+    fn read_succeeded(&mut self, sent: Moment) {
         if self.failures > 0 {
             let failures = self.failures;
             log::info!("E0310 log-readable-again failures={failures}");
         }
         self.failures = 0;
-        self.pause = self.shared.options.pause;
-        self.last_page = self.last_page.max(Some(sent));
+        self.retry_delay = self.shared.options.retry_delay;
+        self.last_success = self.last_success.max(Some(sent));
         if self.in_flight == 0 {
             self.next_read = clock::now();
         }
     }
 
-    /// Notes a failed read and pauses, jittered so that hosts don't all come
-    /// back to a log that has just recovered in the same moment.
-    fn fail(&mut self, error: &str, sent: Moment) {
+    /// Records a failed read and delays the next one. The delay has jitter, so
+    /// that the hosts don't all read at once from a store that has just recovered.
+    fn read_failed(&mut self, error: &str, sent: Moment) {
         metrics::counter!("cardamomvale_log_read_failures_total").increment(1);
-        if self.last_page > Some(sent) {
-            // A later read went well: only the link of this one was lost.
+        if self.last_success > Some(sent) {
+            // A later read succeeded, so only the connection of this one failed.
             return;
         }
-        // One line an outage: the metric counts the rest.
+        // Logs one line an outage; the metric counts every failure.
         if self.failures == 0 {
             log::warn!("E0301 log-unreadable error=\"{error}\"");
         }
         self.failures += 1;
-        self.trouble(error);
+        self.set_stale_reason(error);
         let jitter = rand::rng().random_range(0.5..1.0);
-        self.next_read = clock::now() + self.pause.mul_f64(jitter);
-        self.pause = (self.pause * 2).min(self.shared.options.longest_pause);
+        self.next_read = clock::now() + self.retry_delay.mul_f64(jitter);
+        self.retry_delay = (self.retry_delay * 2).min(self.shared.options.max_retry_delay);
     }
 
-    fn trouble(&self, error: &str) {
-        let trouble = format!("the log can't be followed: {error}");
+    fn set_stale_reason(&self, error: &str) {
+        let stale_reason = format!("the log can't be followed: {error}");
         self.shared
             .progress
-            .send_modify(|p| p.trouble = Some(trouble));
+            .send_modify(|p| p.stale_reason = Some(stale_reason));
     }
 }
 
@@ -256,8 +262,8 @@
     }
 }
 
-/// Says why the configuration is missing or old, for readiness and status.
-fn trouble(fold: &Fold, page: &ReadAnswer) -> Option<String> {
+/// Returns why the configuration is missing or old, for readiness and status.
+fn stale_reason(fold: &Fold, page: &ReadAnswer) -> Option<String> {
     match fold.skipped_newer() {
         _ if fold.is_behind() => Some(format!(
             "the log's records before {} are gone and no snapshot has come yet",
@@ -271,7 +277,7 @@
     }
 }
 
-fn report(offset: u64, step: &Applied) {
+fn log_step(offset: u64, step: &Applied) {
     match step {
         Applied::Decided(id, Answer::Accepted { revision }) => {
             log::info!("E0302 command-accepted id={id} offset={offset} revision={revision}");
@@ -283,11 +289,11 @@
             log::error!("E0304 record-skipped offset={offset} reason=\"{unreadable}\"");
             metrics::counter!("cardamomvale_config_records_skipped_total").increment(1);
         }
-        Applied::Replaced(mark) => {
+        Applied::Replaced(position) => {
             log::info!(
                 "E0308 snapshot-taken next={} revision={}",
-                mark.next,
-                mark.revision
+                position.next,
+                position.revision
             );
         }
         Applied::Repeated(..) | Applied::Ignored => {}
--- a/components/transport/src/peers/handshake.rs
+++ b/components/transport/src/peers/handshake.rs
@@ -1,4 +1,4 @@
-//! The first exchange on a link: who speaks, and whether it is a member.
+//! The handshake of a link: each end names itself and checks that the other one is a member.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,39 +17,39 @@
 use tokio::time::timeout;
 use tokio_util::codec::{FramedRead, LengthDelimitedCodec};
 
-use super::links::Receive;
+use super::links::MessageHandler;
 use super::outbox::frame;
-use super::{HELLO_TIMEOUT, counters};
+use super::{HANDSHAKE_TIMEOUT, counters};
 
 /// Reads the frames of one link.
 pub type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// A link whose peer has said who it is.
-pub struct Met {
+/// A link whose handshake is complete.
+pub struct PeerConnection {
     /// The peer's key.
     pub peer: HostKey,
-    /// What the peer said.
+    /// The peer's hello message.
     pub hello: Hello,
-    /// The frames that come in.
+    /// The incoming frames.
     pub reader: Reader,
-    /// Where frames go out.
+    /// The sending half of the connection.
     pub writer: OwnedWriteHalf,
 }
 
-/// Why two hosts did not meet.
+/// Why a handshake failed.
 #[derive(Debug, Error)]
-pub enum MeetError {
+pub enum HandshakeError {
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The peer said nothing in time, or hung up.
-    #[error("the peer said nothing")]
+    /// The peer did not answer in time, or closed the connection.
+    #[error("the peer did not answer")]
     Silent,
-    /// The peer's bytes are no message.
+    /// The peer's bytes can't be decoded as a message.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The peer only asked for the configuration.
-    #[error("the peer asked for the configuration")]
+    /// The peer requested the configuration only; no link was wanted.
+    #[error("the peer requested the configuration only")]
     Asked,
     /// This host refused the peer.
     #[error("the peer was refused: {0:?}")]
@@ -59,81 +59,83 @@
     RefusedBy(Refused),
 }
 
-impl MeetError {
-    /// Returns whether one of the two is not known to the other as a member.
-    pub fn is_no_member(&self) -> bool {
+impl HandshakeError {
+    /// Returns whether one of the two hosts does not know the other one as a member.
+    pub fn is_membership_error(&self) -> bool {
         match self {
-            MeetError::Refused(reason) => *reason == RefusedReason::NoMember,
-            MeetError::RefusedBy(refused) => refused.reason == RefusedReason::NoMember,
+            HandshakeError::Refused(reason) => *reason == RefusedReason::NoMember,
+            HandshakeError::RefusedBy(refused) => refused.reason == RefusedReason::NoMember,
             _ => false,
         }
     }
 
-    /// Returns the reason's name, as metrics name it.
+    /// Returns the reason as the metrics' label.
     pub fn label(&self) -> &'static str {
         match self {
-            MeetError::Io(e) if e.kind() == io::ErrorKind::InvalidData => "oversized",
-            MeetError::Io(_) => "broken",
-            MeetError::Silent => "silent",
-            MeetError::Protocol(ProtocolError::Version(_)) => "version",
-            MeetError::Protocol(_) => "damaged",
-            MeetError::Asked => "asked",
-            MeetError::Refused(RefusedReason::NoMember) => "no_member",
-            MeetError::Refused(_) => "no_hello",
-            MeetError::RefusedBy(_) => "refused_by_peer",
+            HandshakeError::Io(e) if e.kind() == io::ErrorKind::InvalidData => "oversized",
+            HandshakeError::Io(_) => "broken",
+            HandshakeError::Silent => "silent",
+            HandshakeError::Protocol(ProtocolError::Version(_)) => "version",
+            HandshakeError::Protocol(_) => "damaged",
+            HandshakeError::Asked => "asked",
+            HandshakeError::Refused(RefusedReason::NoMember) => "no_member",
+            HandshakeError::Refused(_) => "no_hello",
+            HandshakeError::RefusedBy(_) => "refused_by_peer",
         }
     }
 }
 
-/// Meets a peer that this host dialled.
+/// Performs the handshake with a peer that this host dialled.
 ///
 /// # Errors
 ///
-/// Says why the two did not meet.
-pub async fn greet(
+/// Returns why the handshake failed.
+pub async fn initiate(
     stream: TcpStream,
     hello: &Hello,
     config: impl Fn() -> Arc<Config>,
-) -> Result<Met, MeetError> {
+) -> Result<PeerConnection, HandshakeError> {
     let (reader, mut writer) = stream.into_split();
-    let mut reader = limited(reader);
+    let mut reader = limited_reader(reader);
     write(&mut writer, &PeerMessage::Hello(hello.clone())).await?;
     match read(&mut reader).await? {
         PeerMessage::Hello(theirs) => {
-            check(&theirs, &hello.name, &config()).map_err(MeetError::Refused)?;
-            Ok(met(theirs, reader, writer))
+            check_hello(&theirs, &hello.name, &config()).map_err(HandshakeError::Refused)?;
+            Ok(connection(theirs, reader, writer))
         }
-        PeerMessage::Refused(refused) => Err(MeetError::RefusedBy(refused)),
-        _ => Err(MeetError::Refused(RefusedReason::NoHello)),
+        PeerMessage::Refused(refused) => Err(HandshakeError::RefusedBy(refused)),
+        _ => Err(HandshakeError::Refused(RefusedReason::NoHello)),
     }
 }
 
-/// Meets a peer that dialled this host. `hello` lacks the peer's name yet.
+/// Performs the handshake with a peer that dialled this host.
+///
+/// The field `to` of `hello` is filled in here, with the name that the peer gives.
 ///
 /// # Errors
 ///
-/// Says why the two did not meet.
-pub async fn answer(
+/// Returns why the handshake failed.
+pub async fn accept(
     stream: TcpStream,
     mut hello: Hello,
     config: impl Fn() -> Arc<Config>,
-    receive: &Arc<dyn Receive>,
-) -> Result<Met, MeetError> {
+    handler: &Arc<dyn MessageHandler>,
+) -> Result<PeerConnection, HandshakeError> {
     let (reader, mut writer) = stream.into_split();
-    let mut reader = limited(reader);
+    let mut reader = limited_reader(reader);
     let checked = match read(&mut reader).await? {
         PeerMessage::AskConfig => {
-            hand_over(&mut writer, receive).await?;
-            return Err(MeetError::Asked);
+            send_config(&mut writer, handler).await?;
+            return Err(HandshakeError::Asked);
         }
-        PeerMessage::Hello(theirs) => check(&theirs, &hello.name, &config()).map(|()| theirs),
+        PeerMessage::Hello(theirs) => check_hello(&theirs, &hello.name, &config()).map(|()| theirs),
         _ => Err(RefusedReason::NoHello),
     };
     match checked {
         Ok(theirs) => {
             hello.to.clone_from(&theirs.name);
             write(&mut writer, &PeerMessage::Hello(hello)).await?;
-            Ok(met(theirs, reader, writer))
+            Ok(connection(theirs, reader, writer))
         }
         Err(reason) => {
             let refused = Refused {
@@ -142,49 +144,49 @@
                 offset: hello.offset,
             };
             write(&mut writer, &PeerMessage::Refused(refused)).await?;
-            Err(MeetError::Refused(reason))
+            Err(HandshakeError::Refused(reason))
         }
     }
 }
 
-/// Hands the configuration to a host that starts while the log is down.
-async fn hand_over(
+/// Sends the configuration to a host that starts while the store is down.
+async fn send_config(
     writer: &mut OwnedWriteHalf,
-    receive: &Arc<dyn Receive>,
-) -> Result<(), MeetError> {
-    let receive = Arc::clone(receive);
-    let offer = tokio::task::spawn_blocking(move || receive.offer()).await;
+    handler: &Arc<dyn MessageHandler>,
+) -> Result<(), HandshakeError> {
+    let handler = Arc::clone(handler);
+    let offer = tokio::task::spawn_blocking(move || handler.config_offer()).await;
     match offer {
         Ok(Some(offer)) => write(writer, &PeerMessage::Config(offer)).await,
-        _ => Err(MeetError::Silent),
+        _ => Err(HandshakeError::Silent),
     }
 }
 
-/// Asks the host at `address` for its configuration, without being a member.
+/// Requests the configuration from the host at `address`; the caller need not be a member.
 ///
 /// # Errors
 ///
-/// Says why none came.
-pub async fn fetch_config(address: SocketAddr) -> Result<ConfigOffer, MeetError> {
-    let stream = timeout(HELLO_TIMEOUT, TcpStream::connect(address))
+/// Returns why no configuration was received.
+pub async fn fetch_config(address: SocketAddr) -> Result<ConfigOffer, HandshakeError> {
+    let stream = timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| MeetError::Silent)??;
+        .map_err(|_| HandshakeError::Silent)??;
     let (reader, mut writer) = stream.into_split();
-    let mut reader = limited(reader);
+    let mut reader = limited_reader(reader);
     reader.decoder_mut().set_max_frame_length(MESSAGE_LIMIT);
     write(&mut writer, &PeerMessage::AskConfig).await?;
     match read(&mut reader).await? {
         PeerMessage::Config(offer) => Ok(offer),
-        PeerMessage::Refused(refused) => Err(MeetError::RefusedBy(refused)),
-        _ => Err(MeetError::Refused(RefusedReason::NoHello)),
+        PeerMessage::Refused(refused) => Err(HandshakeError::RefusedBy(refused)),
+        _ => Err(HandshakeError::Refused(RefusedReason::NoHello)),
     }
 }
 
-/// Checks that a hello is meant for this host and comes from a member.
+/// Checks that a hello is addressed to this host and comes from a current member.
 ///
-/// A host that was removed while it was paused still believes itself a member;
-/// its messages about slots it no longer owns must reach nobody.
-fn check(hello: &Hello, me: &str, config: &Config) -> Result<(), RefusedReason> {
+/// A host that was removed while it was paused still takes itself for a member;
+/// its messages about slots that it no longer owns must be refused.
+fn check_hello(hello: &Hello, me: &str, config: &Config) -> Result<(), RefusedReason> {
     let member = config.members.get(&HostKey::named(&hello.name));
     match member {
         _ if hello.to != me || hello.name == me => Err(RefusedReason::OtherHost),
@@ -193,17 +195,19 @@
     }
 }
 
-/// Limits frames to a hello's size, so that a stranger can't make this host set memory aside.
-fn limited(reader: OwnedReadHalf) -> Reader {
+/// Returns a reader that limits frames to a hello's size.
+///
+/// An unknown peer could otherwise make this host allocate memory for a large frame.
+fn limited_reader(reader: OwnedReadHalf) -> Reader {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(HELLO_LIMIT)
         .new_codec();
     FramedRead::with_capacity(reader, codec, HELLO_LIMIT)
 }
 
-fn met(hello: Hello, mut reader: Reader, writer: OwnedWriteHalf) -> Met {
+fn connection(hello: Hello, mut reader: Reader, writer: OwnedWriteHalf) -> PeerConnection {
     reader.decoder_mut().set_max_frame_length(MESSAGE_LIMIT);
-    Met {
+    PeerConnection {
         peer: HostKey::named(&hello.name),
         hello,
         reader,
@@ -211,28 +215,30 @@
     }
 }
 
-async fn read(reader: &mut Reader) -> Result<PeerMessage, MeetError> {
-    let frame = timeout(HELLO_TIMEOUT, reader.next())
+async fn read(reader: &mut Reader) -> Result<PeerMessage, HandshakeError> {
+    let frame = timeout(HANDSHAKE_TIMEOUT, reader.next())
         .await
         .ok()
         .flatten()
-        .ok_or(MeetError::Silent)??;
-    counters::received(frame.len());
+        .ok_or(HandshakeError::Silent)??;
+    counters::count_received(frame.len());
     Ok(PeerMessage::decode(frame.freeze())?)
 }
 
-async fn write(writer: &mut OwnedWriteHalf, message: &PeerMessage) -> Result<(), MeetError> {
+async fn write(writer: &mut OwnedWriteHalf, message: &PeerMessage) -> Result<(), HandshakeError> {
     let bytes: Bytes = message.encode();
     let mut buffer = BytesMut::new();
     frame(&mut buffer, &bytes);
-    counters::sent(buffer.len());
-    within(HELLO_TIMEOUT, writer.write_all(&buffer)).await
+    counters::count_sent(buffer.len());
+    within(HANDSHAKE_TIMEOUT, writer.write_all(&buffer)).await
 }
 
 async fn within(
     limit: Duration,
     write: impl Future<Output = io::Result<()>>,
-) -> Result<(), MeetError> {
-    let written = timeout(limit, write).await.map_err(|_| MeetError::Silent)?;
+) -> Result<(), HandshakeError> {
+    let written = timeout(limit, write)
+        .await
+        .map_err(|_| HandshakeError::Silent)?;
     Ok(written?)
 }
--- a/components/transport/tests/claims_run.rs
+++ b/components/transport/tests/claims_run.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys claimed at several entry hosts, with the log at its worst.
+//! Claims of idempotency keys at several entry hosts, with failures of hosts and of the store.
 
 mod entry_hosts;
 
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use coordination::claims::ClaimKey;
 use entry_hosts::{Host, Site, request, until};
-use stand_ins::log::{Loss, Outage};
+use stand_ins::store::{Loss, Outage};
 use transport::claims::{CachedAnswer, ClaimEnding, ClaimTicket, Verdict, WorkerOptions};
 
-const PATIENCE: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn answer() -> CachedAnswer {
     CachedAnswer {
@@ -21,11 +21,11 @@
 }
 
 async fn claim(host: &Host, key: &str) -> Verdict {
-    host.claims.claim(request(key, 0, PATIENCE)).await
+    host.claims.claim(request(key, 0, CALL_TIMEOUT)).await
 }
 
-/// Claims until the verdict is not "not run", as a caller that comes again does.
-async fn claim_at_last(host: &Host, key: &str) -> Verdict {
+/// Claims until the verdict is not "not run", like a caller that retries.
+async fn claim_with_retries(host: &Host, key: &str) -> Verdict {
     for _ in 0..200 {
         match claim(host, key).await {
             Verdict::NotRun(_) => tokio::time::sleep(Duration::from_millis(50)).await,
@@ -37,15 +37,15 @@
 
 fn ticket(verdict: &Verdict) -> ClaimTicket {
     match verdict {
-        Verdict::Go(ticket) => *ticket,
-        other => panic!("no go: {other:?}"),
+        Verdict::Granted(ticket) => *ticket,
+        other => panic!("the claim was not granted: {other:?}"),
     }
 }
 
-// One deposit comes to three entry hosts at once: a client library that sends
-// again without waiting. One of them runs it, the others pass its answer on.
+// A client library sends one deposit to three entry hosts at once. Exactly one
+// of them may run it; the others must return its answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn same_moment() {
+async fn concurrent_claims() {
     let site = Site::start(3, WorkerOptions::default()).await;
     for round in 0..10 {
         let key = format!("deposit-{round}");
@@ -58,26 +58,26 @@
 
 async fn claim_and_run(host: &Host, key: &str) -> bool {
     let mut verdict = claim(host, key).await;
-    // On a busy machine the first call may run for longer than a repeat waits.
+    // On a busy machine, the first call may run for longer than a repeated call waits.
     while verdict == Verdict::Started {
         verdict = claim(host, key).await;
     }
     match verdict {
-        Verdict::Go(ticket) => {
+        Verdict::Granted(ticket) => {
             tokio::time::sleep(Duration::from_millis(5)).await;
             host.claims.end(ticket, ClaimEnding::Answered(answer()));
             true
         }
-        Verdict::Known(kept) => {
-            assert_eq!(kept, answer());
+        Verdict::Known(cached) => {
+            assert_eq!(cached, answer());
             false
         }
         other => panic!("{other:?}"),
     }
 }
 
-// An hour later a clerk sends the form again, at another host; and somebody
-// uses the key for another deposit.
+// A completed deposit is sent again at every host and must get the first answer.
+// A different deposit with the same key must be refused as a mismatch.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeat_and_mismatch() {
     let site = Site::start(3, WorkerOptions::default()).await;
@@ -87,39 +87,42 @@
         .end(ran, ClaimEnding::Answered(answer()));
     for host in &site.hosts {
         assert_eq!(claim(host, "deposit").await, Verdict::Known(answer()));
-        let other = host.claims.claim(request("deposit", 1, PATIENCE)).await;
+        let other = host.claims.claim(request("deposit", 1, CALL_TIMEOUT)).await;
         assert_eq!(other, Verdict::Mismatch);
     }
 }
 
-// The first deposit hangs at its backend server, and the clerk sends the form again
-// with ten minutes of patience. The final word is that it was started; it used to
-// be held back until nearly the end of those ten minutes.
+// The first deposit hangs at its backend server, and a repeated call has a
+// deadline of ten minutes. The verdict that the first call was started must be
+// returned soon; it used to be delayed until shortly before that deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn hung_first_call() {
     let site = Site::start(2, WorkerOptions::default()).await;
     ticket(&claim(&site.hosts[0], "deposit").await);
-    let patience = Duration::from_secs(600);
-    let repeat = site.hosts[1].claims.claim(request("deposit", 0, patience));
+    let timeout = Duration::from_secs(600);
+    let repeat = site.hosts[1].claims.claim(request("deposit", 0, timeout));
     let verdict = tokio::time::timeout(Duration::from_secs(30), repeat).await;
-    assert_eq!(verdict.expect("the word comes at once"), Verdict::Started);
+    assert_eq!(
+        verdict.expect("the verdict is returned before the deadline"),
+        Verdict::Started
+    );
 }
 
-// The backend server shed the call: nothing ran, and the caller comes again.
+// The backend server shed the call, so nothing ran and a retry must be granted.
 #[tokio::test(flavor = "multi_thread")]
-async fn shed_and_again() {
+async fn retry_after_shed() {
     let site = Site::start(2, WorkerOptions::default()).await;
     let shed = ticket(&claim(&site.hosts[0], "deposit").await);
     site.hosts[0].claims.end(shed, ClaimEnding::NotRun);
-    ticket(&claim_at_last(&site.hosts[0], "deposit").await);
+    ticket(&claim_with_retries(&site.hosts[0], "deposit").await);
     let repeat = site.hosts[1]
         .claims
         .claim(request("deposit", 0, Duration::from_millis(500)));
     assert_eq!(repeat.await, Verdict::Started);
 }
 
-// The entry host that ran a deposit dies between "sent" and "answered". The
-// clerk asks elsewhere and must hear that it was started, not see it run again.
+// The entry host that sent a deposit crashes before the answer arrives. A retry
+// at another host must get the verdict that it was started, and must not run it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn runner_killed() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
@@ -130,12 +133,12 @@
     let dead = site.kill(runner);
     for host in &site.hosts {
         until(|| !host.links.view().borrow().is_alive(dead)).await;
-        assert_eq!(claim_at_last(host, "deposit").await, Verdict::Started);
+        assert_eq!(claim_with_retries(host, "deposit").await, Verdict::Started);
     }
 }
 
-// The key's home dies. Another host takes its place, reads the stream, and
-// knows what was started.
+// The key's home crashes. Another host must become home, read the stream, and
+// return the verdict that the call was started.
 #[tokio::test(flavor = "multi_thread")]
 async fn home_killed() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
@@ -145,23 +148,23 @@
     ticket(&claim(&site.hosts[runner], "deposit").await);
     site.kill(index);
     for host in &site.hosts {
-        assert_eq!(claim_at_last(host, "deposit").await, Verdict::Started);
+        assert_eq!(claim_with_retries(host, "deposit").await, Verdict::Started);
     }
-    ticket(&claim_at_last(&site.hosts[0], "another").await);
+    ticket(&claim_with_retries(&site.hosts[0], "another").await);
 }
 
 fn home(site: &Site, key: &str) -> state::HostKey {
     let view = site.hosts[0].links.view().borrow().clone();
-    let key: ClaimKey = transport::claims::key_of(&request(key, 0, PATIENCE));
+    let key: ClaimKey = transport::claims::claim_key(&request(key, 0, CALL_TIMEOUT));
     transport::claims::home_of(key.stream(), &view).unwrap()
 }
 
-// The log takes the claim and its answer is lost. Reading it tells that the
-// claim landed; the caller notices nothing but a longer wait.
+// The store appends the claim, but the answer to the append is lost. The home
+// must read the stream and find the claim; the caller only waits longer.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_lost() {
     let site = Site::start(2, WorkerOptions::default()).await;
-    ticket(&claim_at_last(&site.hosts[0], "before").await);
+    ticket(&claim_with_retries(&site.hosts[0], "before").await);
     site.log.change(|b| {
         b.loss = Some(Loss::Gateway);
         b.losses = 1;
@@ -173,28 +176,29 @@
     assert_eq!(repeat.await, Verdict::Started);
 }
 
-// The log is down for a while. Deposits are refused at once, and it is true
-// that they did not run: afterwards the same key runs once.
+// The store is down for a while. Deposits must be refused at once as not run,
+// and afterwards the same key must run exactly once.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_down() {
+async fn store_down() {
     let site = Site::start(2, WorkerOptions::default()).await;
     site.log.change(|b| b.outage = Some(Outage::Refusing));
     for host in &site.hosts {
         assert!(matches!(claim(host, "deposit").await, Verdict::NotRun(_)));
     }
     site.log.change(|b| b.outage = None);
-    let ran = ticket(&claim_at_last(&site.hosts[0], "deposit").await);
+    let ran = ticket(&claim_with_retries(&site.hosts[0], "deposit").await);
     site.hosts[0].claims.end(ran, ClaimEnding::Unknown);
     assert_eq!(
-        claim_at_last(&site.hosts[1], "deposit").await,
+        claim_with_retries(&site.hosts[1], "deposit").await,
         Verdict::Started
     );
 }
 
-// The log says nothing for a while, and lands what it got when it is back.
-// Callers gave up meanwhile; what lands late runs nowhere and blocks no repeat.
+// The store does not answer for a while, and appends what it received once it
+// is back. The caller has given up meanwhile, so the late claim must neither run
+// a call nor block a retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_silent() {
+async fn silent_store() {
     let site = Site::start(2, WorkerOptions::default()).await;
     site.log.change(|b| b.outage = Some(Outage::Silent));
     let refused = site.hosts[0]
@@ -202,12 +206,13 @@
         .claim(request("deposit", 0, Duration::from_millis(300)));
     assert!(matches!(refused.await, Verdict::NotRun(_)));
     site.log.change(|b| b.outage = None);
-    ticket(&claim_at_last(&site.hosts[1], "deposit").await);
+    ticket(&claim_with_retries(&site.hosts[1], "deposit").await);
 }
 
-// The log is slower than a home waits for it, so that appends land unanswered.
+// The store is slower than the home's time-out, so claims are appended without
+// an answer. They must be refused as not run and must not block a retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_slow() {
+async fn slow_store() {
     let site = Site::start(2, WorkerOptions::default()).await;
     site.log.change(|b| b.slow_ms = 5_000);
     let refused = site.hosts[0]
@@ -215,24 +220,24 @@
         .claim(request("deposit", 0, Duration::from_secs(4)));
     assert!(matches!(refused.await, Verdict::NotRun(_)));
     site.log.change(|b| b.slow_ms = 0);
-    ticket(&claim_at_last(&site.hosts[1], "deposit").await);
+    ticket(&claim_with_retries(&site.hosts[1], "deposit").await);
 }
 
-// The caller hangs up while its key is being claimed: the claim is given up,
-// and the caller's next try runs.
+// The caller closes its connection while its key is being claimed. The claim
+// must be given up, so that the caller's retry is granted.
 #[tokio::test(flavor = "multi_thread")]
-async fn hung_up() {
+async fn caller_disconnects() {
     let site = Site::start(2, WorkerOptions::default()).await;
     for round in 0..20 {
         let key = format!("deposit-{round}");
-        let hurried = claim(&site.hosts[0], &key);
-        let hurried = tokio::time::timeout(Duration::from_micros(300 * round), hurried).await;
-        match hurried {
+        let outcome = claim(&site.hosts[0], &key);
+        let outcome = tokio::time::timeout(Duration::from_micros(300 * round), outcome).await;
+        match outcome {
             Ok(verdict) => {
                 ticket(&verdict);
             }
             Err(_) => {
-                ticket(&claim_at_last(&site.hosts[1], &key).await);
+                ticket(&claim_with_retries(&site.hosts[1], &key).await);
             }
         }
     }
--- a/components/transport/tests/config_log.rs
+++ b/components/transport/tests/config_log.rs
@@ -1,4 +1,4 @@
-//! The follower and the commands against the log stand-in, and what fails there.
+//! The follower and commands against the store stand-in, with failures of the store and its links.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,30 +6,30 @@
 use bytes::Bytes;
 use coordination::config::{Change, CommandId, SnapshotPolicy};
 use protocol::config_record::encode_command;
-use stand_ins::log::{Behaviour, LogStandIn, Loss, Outage};
 use stand_ins::proxy::{Fault, Proxy};
+use stand_ins::store::{Behaviour, Loss, Outage, StoreStandIn};
 use state::Config;
 use transport::log::{
-    AppendError, CONFIG_STREAM, CommandRequest, Follower, FollowerOptions, LogClient, Outcome,
-    PATIENCE, Submission,
+    AppendError, BlockingStoreClient, CONFIG_STREAM, CommandRequest, Follower, FollowerOptions,
+    Outcome, STORE_TIMEOUT, Submission,
 };
 
 const ORDINARY: &str = include_str!("../../../examples/midlands.toml");
 const PEAK: &str = include_str!("../../../examples/midlands-peak.toml");
 const LIMIT: Duration = Duration::from_secs(20);
 
-fn client(log: &LogStandIn) -> LogClient {
-    LogClient::new(log.address(), Duration::from_millis(400))
+fn client(store: &StoreStandIn) -> BlockingStoreClient {
+    BlockingStoreClient::new(store.address(), Duration::from_millis(400))
 }
 
-fn operator(log: &LogStandIn) -> Submission {
+fn operator(store: &StoreStandIn) -> Submission {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
-        longest_pause: Duration::from_millis(100),
+        max_retry_delay: Duration::from_millis(100),
         ..FollowerOptions::default()
     };
-    let follower = Arc::new(Follower::start(client(log), options));
-    Submission::new(client(log), follower, LIMIT)
+    let follower = Arc::new(Follower::start(client(store), options));
+    Submission::new(client(store), follower, LIMIT)
 }
 
 fn request(change: Change) -> CommandRequest {
@@ -59,11 +59,11 @@
     }
 }
 
-/// Starts a host that appends snapshots as often as the tests are short.
+/// Starts a host that appends a snapshot every 8 records, for the few records of a test.
 fn host_at(address: std::net::SocketAddr) -> Follower {
     let options = FollowerOptions {
         wait: Duration::from_millis(100),
-        patience: Duration::from_millis(100),
+        hedge_delay: Duration::from_millis(100),
         snapshots: Some(SnapshotPolicy {
             max_age: Duration::from_secs(60),
             max_records: 8,
@@ -71,7 +71,7 @@
         }),
         ..FollowerOptions::default()
     };
-    let client = LogClient::new(address, PATIENCE);
+    let client = BlockingStoreClient::new(address, STORE_TIMEOUT);
     Follower::start(client, options)
 }
 
@@ -84,8 +84,8 @@
     })
 }
 
-/// Puts and chooses the ordinary preset.
-fn open(operator: &Submission) {
+/// Submits the ordinary preset and puts it in force.
+fn choose_ordinary(operator: &Submission) {
     accepted(&operator.submit(&put(ORDINARY)));
     accepted(&operator.submit(&choose("ordinary")));
 }
@@ -113,9 +113,9 @@
 
 #[test]
 fn put_and_choose() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let operator = operator(&log);
-    let host = Follower::start(client(&log), FollowerOptions::default());
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let operator = operator(&store);
+    let host = Follower::start(client(&store), FollowerOptions::default());
     assert_eq!(accepted(&operator.submit(&put(ORDINARY))), 1);
     assert_eq!(accepted(&operator.submit(&choose("ordinary"))), 2);
     let config = wait_config(&host, |c| c.revision == 2);
@@ -125,69 +125,74 @@
         Outcome::Refused { .. }
     ));
     assert_eq!(
-        log.counts().appends,
+        store.counts().appends,
         2,
         "a refusal known beforehand costs no append"
     );
 }
 
-// Something between host and log gives up on an append, or goes silent, after
-// the record has landed. The operator still learns the true answer, and the
-// change is made once.
+// A device between host and store fails an append, or stops delivering, after
+// the record was appended. The operator must still get the true outcome, and the
+// change must be made only once.
 #[rstest::rstest]
 #[case(Loss::Gateway)]
 #[case(Loss::Silence)]
 fn answer_lost(#[case] loss: Loss) {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let operator = operator(&log);
-    log.change(|b| (b.loss, b.losses) = (Some(loss), 3));
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let operator = operator(&store);
+    store.change(|b| (b.loss, b.losses) = (Some(loss), 3));
     assert_eq!(accepted(&operator.submit(&put(ORDINARY))), 1);
     assert_eq!(accepted(&operator.submit(&choose("ordinary"))), 2);
-    let raw = client(&log).append("other", &"x".into());
+    let raw = client(&store).append("other", &"x".into());
     assert!(matches!(raw, Err(AppendError::Unanswered(_))), "{raw:?}");
 }
 
-// The log is down for a while when an operator chooses a preset. Hosts go on
-// with what they have, the operator is told that nothing was done, and once
-// the log is back the command goes through.
+// The store is down when an operator submits a preset. Hosts must keep their
+// configuration, the command must end as unreachable, and it must be accepted
+// once the store is back.
 #[test]
-fn log_down() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let patient = operator(&log);
+fn store_down() {
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let patient = operator(&store);
     accepted(&patient.submit(&put(ORDINARY)));
     accepted(&patient.submit(&choose("ordinary")));
-    let host = Arc::new(Follower::start(client(&log), FollowerOptions::default()));
+    let host = Arc::new(Follower::start(client(&store), FollowerOptions::default()));
     wait_config(&host, |c| c.revision == 2);
-    log.change(|b| b.outage = Some(Outage::Refusing));
-    let hasty = Submission::new(client(&log), Arc::clone(&host), Duration::from_millis(300));
+    store.change(|b| b.outage = Some(Outage::Refusing));
+    let hasty = Submission::new(
+        client(&store),
+        Arc::clone(&host),
+        Duration::from_millis(300),
+    );
     let outcome = hasty.submit(&put(PEAK));
     assert!(
         matches!(outcome, Outcome::Unreachable { .. }),
         "{outcome:?}"
     );
     assert_eq!(host.config().borrow().revision, 2);
-    log.change(|b| b.outage = None);
+    store.change(|b| b.outage = None);
     host.resume();
     assert_eq!(accepted(&patient.submit(&put(PEAK))), 3);
     wait_config(&host, |c| c.revision == 3);
 }
 
-// The log has dropped its first records long ago when a host starts, or while
-// a host is cut off. Hosts have appended snapshots in time, so the new host and
-// the cut-off one have the configuration in force, whole, and follow on.
+// The store has trimmed its first records before a host starts, or while a host
+// is cut off. With the snapshots that other hosts have appended, both the new
+// host and the cut-off one must get the complete configuration in force and
+// follow later changes.
 #[test]
-fn first_records_gone() {
+fn trimmed_records() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _inside = runtime.enter();
-    let log = LogStandIn::on_loopback(Behaviour {
+    let store = StoreStandIn::on_loopback(Behaviour {
         keep_records: Some(40),
         ..Behaviour::default()
     })
     .unwrap();
-    let proxy = Proxy::start(log.address()).unwrap();
-    let (keeper, cut_off) = (host_at(log.address()), host_at(proxy.address()));
-    let operator = operator(&log);
-    open(&operator);
+    let proxy = Proxy::start(store.address()).unwrap();
+    let (keeper, cut_off) = (host_at(store.address()), host_at(proxy.address()));
+    let operator = operator(&store);
+    choose_ordinary(&operator);
     wait_config(&cut_off, |c| c.revision == 2);
     proxy.set(Fault::LoseRequests);
     for n in 0..100 {
@@ -195,7 +200,7 @@
     }
     let config = wait_config(&keeper, |c| c.revision == 102);
     proxy.set(Fault::Pass);
-    let new = host_at(log.address());
+    let new = host_at(store.address());
     for host in [&cut_off, &new] {
         assert_eq!(wait_config(host, |c| c.revision == 102), config);
     }
@@ -205,49 +210,49 @@
     }
 }
 
-// A host starts while the log is down. Alone it is not ready and says why; a
-// peer's word gives it the configuration in force. A word that is older than
-// what it has changes nothing.
+// A host starts while the store is down. It must not be ready and must state
+// why, until a peer's snapshot gives it the configuration in force. An older
+// snapshot must change nothing.
 #[test]
-fn start_without_log() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let operator = operator(&log);
-    let peer = host_at(log.address());
-    open(&operator);
+fn start_without_store() {
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let operator = operator(&store);
+    let peer = host_at(store.address());
+    choose_ordinary(&operator);
     wait_config(&peer, |c| c.revision == 2);
-    let (old_mark, old_word) = peer.offer().unwrap();
+    let (old_position, old_snapshot) = peer.snapshot_record().unwrap();
     accepted(&operator.submit(&put(PEAK)));
     accepted(&operator.submit(&choose("peak")));
     wait_config(&peer, |c| c.revision == 4);
-    let (mark, word) = peer.offer().unwrap();
-    assert!((old_mark.revision, mark.revision) == (2, 4));
-    log.change(|b| b.outage = Some(Outage::Refusing));
-    let new = host_at(log.address());
+    let (position, snapshot) = peer.snapshot_record().unwrap();
+    assert!((old_position.revision, position.revision) == (2, 4));
+    store.change(|b| b.outage = Some(Outage::Refusing));
+    let new = host_at(store.address());
     wait_for("no reason given", || {
         new.ready()
             .is_err_and(|reason| reason.contains("status 503"))
     });
-    assert!(new.take_record(&word));
-    assert!(!new.take_record(&old_word));
-    assert!(!new.take_record(&Bytes::from_static(b"noise")));
+    assert!(new.install_record(&snapshot));
+    assert!(!new.install_record(&old_snapshot));
+    assert!(!new.install_record(&Bytes::from_static(b"noise")));
     assert_eq!(new.ready(), Ok(()));
     assert_eq!(new.config().borrow().chosen.as_deref(), Some("peak"));
-    log.change(|b| b.outage = None);
+    store.change(|b| b.outage = None);
     accepted(&operator.submit(&choose("ordinary")));
     wait_config(&new, |c| c.revision == 5);
 }
 
-// Something between host and log has lost track of the connection: it is
-// silent for good while new ones work. The change is in force all the same.
+// A device between host and store has lost the state of the connection, which
+// no longer delivers while new ones work. Changes must still come into force.
 #[test]
 fn silent_link() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _inside = runtime.enter();
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let proxy = Proxy::start(log.address()).unwrap();
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let proxy = Proxy::start(store.address()).unwrap();
     let host = host_at(proxy.address());
-    let operator = operator(&log);
-    open(&operator);
+    let operator = operator(&store);
+    choose_ordinary(&operator);
     wait_config(&host, |c| c.revision == 2);
     for revision in 3..6 {
         proxy.silence();
@@ -256,15 +261,15 @@
     }
 }
 
-// The log answers each request late by many times what a read should take.
-// Hosts go on following it, late as it is.
+// The store answers every request many times later than a read should take.
+// Hosts must still follow the stream.
 #[test]
-fn slow_log() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    let host = host_at(log.address());
-    let operator = operator(&log);
-    open(&operator);
-    log.change(|b| b.slow_ms = 1_000);
+fn slow_store() {
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    let host = host_at(store.address());
+    let operator = operator(&store);
+    choose_ordinary(&operator);
+    store.change(|b| b.slow_ms = 1_000);
     let command = coordination::config::Command {
         id: CommandId::new(2, 1),
         decided_on: 2,
@@ -272,41 +277,40 @@
             name: "soar".to_owned(),
         },
     };
-    log.append(CONFIG_STREAM, encode_command(&command));
+    store.append(CONFIG_STREAM, encode_command(&command));
     wait_config(&host, |c| c.leaving_centres.contains("soar"));
 }
 
-// A record on the log is damaged. No host stops there, and what comes after
-// it is in force.
+// A record of the stream is damaged. Hosts must skip it and apply the records after it.
 #[test]
 fn damaged_record() {
-    let log = LogStandIn::on_loopback(Behaviour::default()).unwrap();
-    log.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
-    let host = host_at(log.address());
-    let operator = operator(&log);
-    open(&operator);
-    log.append(CONFIG_STREAM, Bytes::new());
+    let store = StoreStandIn::on_loopback(Behaviour::default()).unwrap();
+    store.append(CONFIG_STREAM, Bytes::from_static(b"noise"));
+    let host = host_at(store.address());
+    let operator = operator(&store);
+    choose_ordinary(&operator);
+    store.append(CONFIG_STREAM, Bytes::new());
     accepted(&operator.submit(&join("trent-1")));
     wait_config(&host, |c| c.revision == 3);
     assert_eq!(host.ready(), Ok(()));
 }
 
-// More is appended in a second than the log takes. What is over is refused,
-// which is surely not on the log, and reading goes on.
+// More records are appended in a second than the store accepts. The rest must be
+// refused and not be in the stream, and reads must still work.
 #[test]
 fn append_budget() {
-    let log = LogStandIn::on_loopback(Behaviour {
+    let store = StoreStandIn::on_loopback(Behaviour {
         appends_second: 5,
         ..Behaviour::default()
     })
     .unwrap();
-    log.keep_journal();
-    let client = client(&log);
+    store.record_journal();
+    let client = client(&store);
     let appended: Vec<_> = (0..12)
         .map(|_| client.append("claims-0", &"x".into()))
         .collect();
     let taken = appended.iter().filter(|a| a.is_ok()).count();
-    assert_eq!(taken, log.journal("claims-0").len());
+    assert_eq!(taken, store.journal("claims-0").len());
     assert!(
         appended
             .iter()
--- a/components/transport/tests/entry_hosts/mod.rs
+++ b/components/transport/tests/entry_hosts/mod.rs
@@ -1,4 +1,5 @@
-//! Entry hosts without a caller port: links, members and claims, with a log stand-in.
+//! Entry hosts without a port for callers: links, members and claims, with a
+//! stand-in for the store.
 #![allow(dead_code)]
 
 use std::sync::{Arc, OnceLock};
@@ -6,17 +7,17 @@
 
 use coordination::members::watch::WATCHERS;
 use protocol::PeerMessage;
-use stand_ins::log::{Behaviour, LogStandIn};
+use stand_ins::store::{Behaviour, StoreStandIn};
 use state::{HostKey, Moment, ServiceKey};
 use tokio::net::TcpListener;
 use transport::claims::{ClaimRequest, Claims, ClaimsOptions, WorkerOptions};
 use transport::clock;
-use transport::log::{Follower, FollowerOptions, LogClient, Submission};
-use transport::peers::{FULL_SET, Identity, Links, Members, MembersOptions, Receive};
+use transport::log::{BlockingStoreClient, Follower, FollowerOptions, Submission};
+use transport::peers::{FULL_MESH_LIMIT, Identity, Links, Members, MembersOptions, MessageHandler};
 
 const CENTRES: [&str; 3] = ["trent", "severn", "soar"];
 
-/// One entry host.
+/// The components of one entry host.
 pub struct Host {
     pub links: Arc<Links>,
     pub members: Arc<Members>,
@@ -25,17 +26,17 @@
     pub key: HostKey,
 }
 
-/// The log and its entry hosts.
+/// A store and the entry hosts that use it.
 pub struct Site {
-    pub log: LogStandIn,
+    pub log: StoreStandIn,
     pub hosts: Vec<Host>,
 }
 
 #[derive(Default)]
 struct Router(OnceLock<Arc<Claims>>);
 
-impl Receive for Router {
-    fn receive(&self, from: HostKey, message: PeerMessage) {
+impl MessageHandler for Router {
+    fn handle(&self, from: HostKey, message: PeerMessage) {
         if let (PeerMessage::Claim(message), Some(claims)) = (message, self.0.get()) {
             claims.receive(from, message);
         }
@@ -43,13 +44,13 @@
 }
 
 impl Site {
-    /// Starts a log and `count` hosts, and waits until they are members together.
+    /// Starts a store and `count` hosts, and waits until all are members with their links up.
     pub async fn start(count: usize, worker: WorkerOptions) -> Site {
         let behaviour = Behaviour {
             appends_second: 10_000,
             ..Behaviour::default()
         };
-        let log = LogStandIn::on_loopback(behaviour).unwrap();
+        let log = StoreStandIn::on_loopback(behaviour).unwrap();
         let mut site = Site {
             log,
             hosts: Vec::new(),
@@ -60,7 +61,7 @@
                 .await;
             site.hosts.push(host);
         }
-        let wanted = match count <= FULL_SET {
+        let wanted = match count <= FULL_MESH_LIMIT {
             true => count - 1,
             false => WATCHERS,
         };
@@ -68,7 +69,7 @@
             until(|| {
                 let view = host.links.view();
                 let view = view.borrow();
-                let linked = host.links.linked();
+                let linked = host.links.link_count();
                 view.peers.len() == count && linked >= wanted
             })
             .await;
@@ -80,7 +81,7 @@
         let client = self.client();
         let options = FollowerOptions {
             wait: Duration::from_millis(200),
-            longest_pause: Duration::from_millis(200),
+            max_retry_delay: Duration::from_millis(200),
             ..FollowerOptions::default()
         };
         let follower = Arc::new(Follower::start(client.clone(), options));
@@ -103,7 +104,7 @@
                 Duration::from_secs(5),
             ),
         };
-        let receive = Arc::clone(&router) as Arc<dyn Receive>;
+        let receive = Arc::clone(&router) as Arc<dyn MessageHandler>;
         let members = Members::start(options, listener, Arc::clone(&links), receive);
         let claims = Claims::start(ClaimsOptions {
             client,
@@ -111,7 +112,7 @@
             worker,
         });
         let _ = router.0.set(Arc::clone(&claims));
-        let key = links.me();
+        let key = links.own_key();
         Host {
             links,
             members,
@@ -121,11 +122,11 @@
         }
     }
 
-    pub fn client(&self) -> LogClient {
-        LogClient::new(self.log.address(), Duration::from_millis(700))
+    pub fn client(&self) -> BlockingStoreClient {
+        BlockingStoreClient::new(self.log.address(), Duration::from_millis(700))
     }
 
-    /// Stops a host without a word, as its process's death would.
+    /// Stops a host without notice, as a crash of its process would.
     pub fn kill(&mut self, index: usize) -> HostKey {
         let host = self.hosts.remove(index);
         host.members.stop();
@@ -134,29 +135,29 @@
     }
 }
 
-/// Waits until `holds`, generously.
+/// Waits until `holds` returns true, and panics after 30 seconds.
 pub async fn until(holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(
             start.elapsed() < Duration::from_secs(30),
-            "the condition did not come to hold"
+            "the condition did not hold within 30 seconds"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Returns a call with a key.
-pub fn request(key: &str, digest: u8, patience: Duration) -> ClaimRequest {
+/// Returns the claim of `key` by a call whose deadline is in `timeout`.
+pub fn request(key: &str, digest: u8, timeout: Duration) -> ClaimRequest {
     ClaimRequest {
         service: ServiceKey::named("ledgerhouse"),
         key: key.to_owned(),
         digest: [digest; 32],
-        keep: Duration::from_secs(7_200),
-        deadline: deadline(patience),
+        ttl: Duration::from_secs(7_200),
+        deadline: deadline(timeout),
     }
 }
 
-pub fn deadline(patience: Duration) -> Moment {
-    clock::now() + patience
+pub fn deadline(timeout: Duration) -> Moment {
+    clock::now() + timeout
 }
--- a/components/transport/tests/load_reports.rs
+++ b/components/transport/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What an owner learns from the load reports of its endpoints.
+//! How an owner reads the load reports of its endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -13,9 +13,9 @@
 use state::{Config, HostKey};
 use tokio::time::{sleep, timeout};
 use transport::clock;
-use transport::dispatch::{Dispatcher, Setup};
+use transport::dispatch::{Dispatcher, DispatcherOptions};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WARM_TIMEOUT: Duration = Duration::from_secs(20);
 const SLOTS: u32 = 6;
 
 fn service(backends: &[Backend]) -> Service {
@@ -57,12 +57,12 @@
     }
 }
 
-/// A site starts, and the first calls come. The backend servers are warm and
-/// say so, but each closes its connection together with its report, and most
-/// reports were lost to that. Callers were refused for a second and more while
-/// five of six slots stood idle.
+/// The system starts with backend servers that report to be warm. Each closes
+/// its connection together with its report, and most reports were lost because
+/// of that close. Callers were then refused for more than a second while five of
+/// six slots were idle.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn warm_at_once() {
+async fn reports_read_despite_close() {
     let history = History::default();
     let backends: Vec<Backend> = (0..8)
         .map(|_| {
@@ -71,15 +71,15 @@
         })
         .collect();
     let host = HostKey::named("north");
-    let setup = Setup {
+    let options = DispatcherOptions {
         host,
         incarnation: 1,
         data_centre: "trent".to_owned(),
         policy: Policy::Shared,
     };
-    let dispatcher = Dispatcher::new(&setup, Arc::new(|_, _| {}));
+    let dispatcher = Dispatcher::new(&options, Arc::new(|_, _| {}));
     let mut config = config(service(&backends));
-    dispatcher.watch(BTreeSet::from([host]));
+    dispatcher.set_alive(BTreeSet::from([host]));
     dispatcher.configure(&config);
     config.revision = 2;
     let member = Member {
@@ -96,14 +96,14 @@
     let all_warm = async {
         loop {
             dispatcher.confirm(clock::now());
-            let owned = dispatcher.owned();
+            let owned = dispatcher.owned_endpoints();
             if owned.len() == backends.len() && owned.iter().all(|e| e.cap == SLOTS) {
                 return;
             }
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PATIENCE, all_warm)
+    timeout(WARM_TIMEOUT, all_warm)
         .await
         .expect("every endpoint is known to be warm");
 }
--- a/components/transport/tests/slot_dispatch.rs
+++ b/components/transport/tests/slot_dispatch.rs
@@ -1,4 +1,5 @@
-//! Entry hosts that share the slots of backend servers, with their own clocks and timers.
+//! Dispatchers of several entry hosts that share the slots of backend servers, in
+//! real time and without network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, OnceLock, Weak};
@@ -10,11 +11,11 @@
 use state::{Config, HostKey, Moment, ServiceKey};
 use tokio::time::timeout;
 use transport::clock;
-use transport::dispatch::{Call, Dispatcher, Ending, Refusal, SendMessage, Setup};
+use transport::dispatch::{Call, Dispatcher, DispatcherOptions, Ending, Refusal, SendMessage};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Some entry hosts whose messages go straight to each other.
+/// The dispatchers of some entry hosts, whose messages are delivered directly.
 struct Site {
     config: Config,
     hosts: Vec<(HostKey, Arc<Dispatcher>)>,
@@ -24,8 +25,7 @@
 
 /// Returns a configuration of one service with `endpoints` and no members.
 ///
-/// Nothing listens at the endpoints: what is tested ends where a call is given
-/// its slot.
+/// Nothing listens at the endpoints: the tests end where a call gets its slot.
 fn config(endpoints: u16) -> Config {
     let service = Service {
         name: "hallboard".to_owned(),
@@ -64,7 +64,7 @@
 }
 
 impl Site {
-    /// Starts `count` hosts that join one after the other.
+    /// Starts `count` hosts that join one after another.
     fn start(count: u64, endpoints: u16) -> Site {
         let peers: Peers = Arc::default();
         let mut site = Site {
@@ -94,13 +94,13 @@
                 }
             });
         });
-        let setup = Setup {
+        let options = DispatcherOptions {
             host,
             incarnation: 100 + n,
             data_centre: "trent".to_owned(),
             policy: Policy::Shared,
         };
-        self.hosts.push((host, Dispatcher::new(&setup, send)));
+        self.hosts.push((host, Dispatcher::new(&options, send)));
     }
 
     fn join(&mut self, n: u64) {
@@ -123,7 +123,7 @@
     fn configure(&self) {
         let alive: BTreeSet<HostKey> = self.hosts.iter().map(|(k, _)| *k).collect();
         for (_, host) in &self.hosts {
-            host.watch(alive.clone());
+            host.set_alive(alive.clone());
             host.configure(&self.config);
         }
     }
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Keeps every host's authority fresh until the site is dropped.
+    /// Confirms every 100 ms that each host's configuration is current, until
+    /// the site is dropped.
     fn confirm(&self) {
         for (_, host) in &self.hosts {
             let host = Arc::downgrade(host);
@@ -165,54 +166,54 @@
 async fn slot_waits_for_release() {
     let site = Site::start(1, 1);
     let host = site.host(0);
-    let first = host.acquire(&call(PATIENCE)).await.ok().unwrap();
-    let second = host.acquire(&call(PATIENCE)).await.ok().unwrap();
+    let first = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
+    let second = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
     assert!(first.may_send());
     let third = host.acquire(&call(Duration::from_millis(30))).await;
     assert_eq!(third.err(), Some(Refusal::Expired));
     first.finish(Ending::Answered);
-    let fourth = host.acquire(&call(PATIENCE)).await.ok().unwrap();
+    let fourth = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
     drop(fourth);
     second.finish(Ending::Answered);
 }
 
-// All callers come to one entry host, then to another. The slots must follow
-// them; with a fixed share the second host's callers would wait for ever.
+// All calls arrive at one entry host, then at another. The slots must move to
+// it; with a fixed share the second host's calls would wait forever.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn slots_follow_callers() {
     let site = Site::start(3, 2);
     for n in [0, 1, 2, 0] {
         let mut grants = Vec::new();
         for _ in 0..4 {
-            let found = site.host(n).acquire(&call(PATIENCE)).await;
+            let found = site.host(n).acquire(&call(ACQUIRE_TIMEOUT)).await;
             grants.push(found.ok().unwrap());
         }
         let most = grants
             .iter()
             .filter(|g| g.endpoint == grants[0].endpoint)
             .count();
-        assert_eq!(most, 2, "more than a cold endpoint bears");
+        assert_eq!(most, 2, "more calls than the slots of a cold endpoint");
         for grant in grants {
             grant.finish(Ending::Answered);
         }
     }
 }
 
-// A caller hangs up while its call waits. The slot that comes free must go to
-// the next call, not to the one that is gone.
+// A caller hangs up while its call waits. The next free slot must go to another
+// call, not to the cancelled one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hung_up_caller() {
+async fn cancelled_call() {
     let site = Site::start(1, 1);
     let host = site.host(0);
-    let first = host.acquire(&call(PATIENCE)).await.ok().unwrap();
-    let second = host.acquire(&call(PATIENCE)).await.ok().unwrap();
-    let asked = call(PATIENCE);
+    let first = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
+    let second = host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap();
+    let asked = call(ACQUIRE_TIMEOUT);
     let gone = host.acquire(&asked);
     assert!(timeout(Duration::from_millis(20), gone).await.is_err());
     let service = ServiceKey::named("hallboard");
-    assert_eq!(host.standing(service).unwrap().waiting, 0);
+    assert_eq!(host.service_status(service).unwrap().waiting, 0);
     first.finish(Ending::Answered);
-    assert!(host.acquire(&call(PATIENCE)).await.is_ok());
+    assert!(host.acquire(&call(ACQUIRE_TIMEOUT)).await.is_ok());
     drop(second);
 }
 
@@ -221,33 +222,33 @@
     let site = Site::start(1, 1);
     let host = Arc::clone(site.host(0));
     let held = [
-        host.acquire(&call(PATIENCE)).await.ok().unwrap(),
-        host.acquire(&call(PATIENCE)).await.ok().unwrap(),
+        host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap(),
+        host.acquire(&call(ACQUIRE_TIMEOUT)).await.ok().unwrap(),
     ];
     let waiter = Arc::clone(&host);
-    let waiting = tokio::spawn(async move { waiter.acquire(&call(PATIENCE)).await.err() });
+    let waiting = tokio::spawn(async move { waiter.acquire(&call(ACQUIRE_TIMEOUT)).await.err() });
     let service = ServiceKey::named("hallboard");
-    while host.standing(service).unwrap().waiting == 0 {
+    while host.service_status(service).unwrap().waiting == 0 {
         tokio::task::yield_now().await;
     }
     host.stop();
     assert_eq!(waiting.await.unwrap(), Some(Refusal::Stopping));
-    let late = host.acquire(&call(PATIENCE)).await;
+    let late = host.acquire(&call(ACQUIRE_TIMEOUT)).await;
     assert_eq!(late.err(), Some(Refusal::Stopping));
     assert!(held.iter().all(|g| g.may_send()));
 }
 
-// An entry host that has heard of no member can't know who else leases slots.
-// It starts nothing, and its callers hear "not run" in time.
+// An entry host that knows no members can't know which other hosts lease slots.
+// It must start no call, and refuse each one by its deadline.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_members() {
-    let setup = Setup {
+    let options = DispatcherOptions {
         host: HostKey(1),
         incarnation: 1,
         data_centre: "trent".to_owned(),
         policy: Policy::Shared,
     };
-    let host = Dispatcher::new(&setup, Arc::new(|_, _| {}));
+    let host = Dispatcher::new(&options, Arc::new(|_, _| {}));
     host.configure(&config(1));
     host.confirm(clock::now());
     let found = host.acquire(&call(Duration::from_millis(30))).await;
--- a/components/transport/tests/support/mod.rs
+++ b/components/transport/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An edge on loopback, scripted backend servers, and callers that write raw bytes.
+//! A test edge on loopback, scripted backend servers, and callers that send raw bytes.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only a part of the module")]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use transport::dispatch::{Dispatcher, Setup};
+use transport::dispatch::{Dispatcher, DispatcherOptions};
 use transport::edge::{Edge, Limits};
 use transport::trace::Tracing;
 
-/// Longer than anything that is waited for, on a busy machine too.
+/// Time-out of every wait, long enough for a busy machine.
 pub const GENEROUS: Duration = Duration::from_secs(30);
 
 /// What a scripted backend server does with one request.
@@ -30,56 +30,58 @@
     Close(String),
     /// Writes these bytes and then nothing, until the other end closes.
     Hang(String),
-    /// Writes nothing and keeps its end open, whatever the other end does.
-    Deaf,
+    /// Writes nothing and keeps the connection open, even when the other end closes it.
+    Ignore,
 }
 
-/// A request as a scripted backend server saw it.
+/// A request that a scripted backend server received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// Its head, as it came.
+pub struct RecordedRequest {
+    /// The request line and the header fields, as received.
     pub head: String,
-    /// Its body.
+    /// The body, with the framing of a chunked one.
     pub body: Vec<u8>,
-    /// Which connection it came on, counted from 0.
+    /// The index of the connection, counted from 0.
     pub connection: usize,
 }
 
-/// What happened at a scripted backend server.
+/// The requests and connections that a scripted backend server has recorded.
 #[derive(Default)]
-pub struct Journal {
-    /// Whole requests.
-    pub seen: Vec<Seen>,
-    /// Connections that the other end closed while a reply hung.
+pub struct ServerRecord {
+    /// The complete requests.
+    pub requests: Vec<RecordedRequest>,
+    /// Number of connections that the other end closed while a reply hung.
     pub cancelled: usize,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub accepted: usize,
 }
 
 /// A scripted backend server.
-pub struct Server {
-    /// Where it listens.
+pub struct ScriptedServer {
+    /// The listening address.
     pub address: SocketAddr,
-    journal: Arc<Mutex<Journal>>,
+    record: Arc<Mutex<ServerRecord>>,
     task: JoinHandle<()>,
 }
 
-impl Server {
-    /// Starts one that answers its n-th request as `script` says.
-    pub async fn start(script: impl Fn(usize, &Seen) -> Reply + Send + Sync + 'static) -> Server {
+impl ScriptedServer {
+    /// Starts a server that answers its n-th request with what `script` returns.
+    pub async fn start(
+        script: impl Fn(usize, &RecordedRequest) -> Reply + Send + Sync + 'static,
+    ) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let journal = Arc::new(Mutex::new(Journal::default()));
-        let shared = Arc::clone(&journal);
+        let record = Arc::new(Mutex::new(ServerRecord::default()));
+        let shared = Arc::clone(&record);
         let script = Arc::new(script);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let number = {
-                    let mut journal = shared.lock().expect("the journal");
-                    journal.accepted += 1;
-                    journal.accepted - 1
+                    let mut record = shared.lock().expect("the record");
+                    record.accepted += 1;
+                    record.accepted - 1
                 };
-                tokio::spawn(converse(
+                tokio::spawn(serve_connection(
                     stream,
                     number,
                     Arc::clone(&shared),
@@ -87,54 +89,54 @@
                 ));
             }
         });
-        Server {
+        ScriptedServer {
             address,
-            journal,
+            record,
             task,
         }
     }
 
-    /// Starts one that always answers the same.
-    pub async fn always(reply: Reply) -> Server {
-        Server::start(move |_, _| reply.clone()).await
+    /// Starts a server that answers every request with `reply`.
+    pub async fn always(reply: Reply) -> ScriptedServer {
+        ScriptedServer::start(move |_, _| reply.clone()).await
     }
 
-    /// Returns the requests seen so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.journal.lock().expect("the journal").seen.clone()
+    /// Returns the requests received so far.
+    pub fn requests(&self) -> Vec<RecordedRequest> {
+        self.record.lock().expect("the record").requests.clone()
     }
 
-    /// Returns how many hanging replies were cancelled.
+    /// Returns the number of hanging replies whose connection the other end closed.
     pub fn cancelled(&self) -> usize {
-        self.journal.lock().expect("the journal").cancelled
+        self.record.lock().expect("the record").cancelled
     }
 
-    /// Returns how many connections were accepted.
+    /// Returns the number of accepted connections.
     pub fn accepted(&self) -> usize {
-        self.journal.lock().expect("the journal").accepted
+        self.record.lock().expect("the record").accepted
     }
 }
 
-impl Drop for Server {
+impl Drop for ScriptedServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-async fn converse(
+async fn serve_connection(
     mut stream: TcpStream,
     connection: usize,
-    journal: Arc<Mutex<Journal>>,
-    script: Arc<impl Fn(usize, &Seen) -> Reply + Send + Sync + 'static>,
+    record: Arc<Mutex<ServerRecord>>,
+    script: Arc<impl Fn(usize, &RecordedRequest) -> Reply + Send + Sync + 'static>,
 ) {
-    while let Some(seen) = read_request(&mut stream, connection).await {
+    while let Some(request) = read_request(&mut stream, connection).await {
         let number = {
-            let mut journal = journal.lock().expect("the journal");
-            journal.seen.push(seen.clone());
-            journal.seen.len() - 1
+            let mut record = record.lock().expect("the record");
+            record.requests.push(request.clone());
+            record.requests.len() - 1
         };
-        let (text, more) = match script(number, &seen) {
-            Reply::Deaf => return std::future::pending().await,
+        let (text, more) = match script(number, &request) {
+            Reply::Ignore => return std::future::pending().await,
             Reply::Keep(text) => (text, None),
             Reply::Close(text) => (text, Some(false)),
             Reply::Hang(text) => (text, Some(true)),
@@ -148,14 +150,14 @@
             Some(true) => {
                 let mut sink = [0; 1024];
                 while let Ok(1..) = stream.read(&mut sink).await {}
-                journal.lock().expect("the journal").cancelled += 1;
+                record.lock().expect("the record").cancelled += 1;
                 return;
             }
         }
     }
 }
 
-async fn read_request(stream: &mut TcpStream, connection: usize) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, connection: usize) -> Option<RecordedRequest> {
     let mut bytes = Vec::new();
     let head = loop {
         match bytes.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -177,7 +179,7 @@
     while bytes.len() < whole {
         read_some(stream, &mut bytes).await?;
     }
-    Some(Seen {
+    Some(RecordedRequest {
         head: text,
         body: bytes.split_off(head),
         connection,
@@ -191,7 +193,7 @@
     }
 }
 
-/// Returns the value of a header field in `head`.
+/// Returns the value of the header field `name` in `head`.
 pub fn field(head: &str, name: &str) -> Option<String> {
     head.lines()
         .take_while(|line| !line.is_empty())
@@ -200,7 +202,7 @@
         .map(|(_, value)| value.trim().to_owned())
 }
 
-/// Returns a whole answer with `body`.
+/// Returns a complete answer with status 200 and `body`.
 pub fn ok(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
@@ -209,49 +211,53 @@
 }
 
 /// An edge with one service, `hallboard`.
-pub struct Site {
-    /// Where callers connect.
+pub struct EdgeServer {
+    /// The address for callers.
     pub address: SocketAddr,
-    /// The edge itself.
+    /// The edge under test.
     pub edge: Arc<Edge>,
     _config: watch::Sender<Arc<Config>>,
     task: JoinHandle<()>,
 }
 
-impl Site {
-    /// Starts an edge before `servers`.
-    pub async fn start(servers: &[&Server]) -> Site {
-        Site::with(servers, |_| {}, Limits::default()).await
+impl EdgeServer {
+    /// Starts an edge with `servers` as the service's endpoints.
+    pub async fn start(servers: &[&ScriptedServer]) -> EdgeServer {
+        EdgeServer::with(servers, |_| {}, Limits::default()).await
     }
 
-    /// Starts an edge whose calls are traced.
-    pub async fn traced(servers: &[&Server], tracing: Tracing) -> Site {
-        Site::build(servers, |_| {}, Limits::default(), tracing).await
+    /// Starts an edge that records traces with `tracing`.
+    pub async fn traced(servers: &[&ScriptedServer], tracing: Tracing) -> EdgeServer {
+        EdgeServer::build(servers, |_| {}, Limits::default(), tracing).await
     }
 
-    /// Starts an edge whose service and limits are changed first.
-    pub async fn with(servers: &[&Server], change: impl Fn(&mut Service), limits: Limits) -> Site {
-        Site::build(servers, change, limits, Tracing::off()).await
+    /// Starts an edge with `limits`, and with the service's settings adjusted by `change`.
+    pub async fn with(
+        servers: &[&ScriptedServer],
+        change: impl Fn(&mut Service),
+        limits: Limits,
+    ) -> EdgeServer {
+        EdgeServer::build(servers, change, limits, Tracing::disabled()).await
     }
 
     async fn build(
-        servers: &[&Server],
+        servers: &[&ScriptedServer],
         change: impl Fn(&mut Service),
         limits: Limits,
         tracing: Tracing,
-    ) -> Site {
+    ) -> EdgeServer {
         let addresses: Vec<_> = servers.iter().map(|s| s.address).collect();
         let mut service = hallboard(&addresses);
         change(&mut service);
         let config = Arc::new(config(service));
-        let dispatcher = Dispatcher::new(&alone(), Arc::new(|_, _| {}));
+        let dispatcher = Dispatcher::new(&single_host(), Arc::new(|_, _| {}));
         dispatcher.configure(&config);
         let (sender, receiver) = watch::channel(config);
-        let edge = Edge::traced(limits, dispatcher, receiver, tracing);
+        let edge = Edge::with_tracing(limits, dispatcher, receiver, tracing);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let task = tokio::spawn(Arc::clone(&edge).serve(listener));
-        Site {
+        EdgeServer {
             address,
             edge,
             _config: sender,
@@ -259,15 +265,15 @@
         }
     }
 
-    /// Connects a caller.
+    /// Opens a caller's connection.
     pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address)
             .await
-            .expect("the edge accepts")
+            .expect("the edge accepts the connection")
     }
 
-    /// Sends `request` on a connection of its own and returns all that comes back.
-    pub async fn ask(&self, request: &str) -> Answer {
+    /// Sends `request` on a new connection and returns the answer.
+    pub async fn call(&self, request: &str) -> Answer {
         let mut stream = self.connect().await;
         stream
             .write_all(request.as_bytes())
@@ -277,25 +283,25 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for EdgeServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// What a caller received until its connection ended.
+/// What a caller received until its connection was closed.
 #[derive(Debug)]
 pub struct Answer {
     /// The status line and the header fields.
     pub head: String,
-    /// All after it.
+    /// All bytes after the head.
     pub body: Vec<u8>,
     /// Whether the connection was reset.
     pub reset: bool,
 }
 
 impl Answer {
-    /// Reads until the connection ends.
+    /// Reads until the connection is closed.
     pub async fn read(stream: &mut TcpStream) -> Answer {
         let mut bytes = Vec::new();
         let end = tokio::time::timeout(GENEROUS, stream.read_to_end(&mut bytes)).await;
@@ -312,13 +318,13 @@
         }
     }
 
-    /// Returns the status, 0 where there is none.
+    /// Returns the status, or 0 where the head has none.
     pub fn status(&self) -> u16 {
         let status = self.head.split(' ').nth(1);
         status.and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Returns the outcome it states.
+    /// Returns the value of the outcome header, or an empty string where it is missing.
     pub fn outcome(&self) -> String {
         field(&self.head, "cardamomvale-outcome").unwrap_or_default()
     }
@@ -329,19 +335,19 @@
     }
 }
 
-/// Returns a GET of `path` that ends its connection.
+/// Returns a GET of `path` on a connection that is closed afterwards.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n\r\n")
 }
 
-/// Returns a GET of `path` with a deadline, that ends its connection.
+/// Returns a GET of `path` with a deadline, on a connection that is closed afterwards.
 pub fn get_within(path: &str, millis: u64) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nhost: e\r\ncardamomvale-deadline-ms: {millis}\r\nconnection: close\r\n\r\n"
     )
 }
 
-/// Returns a POST of `path` with a body, that ends its connection.
+/// Returns a POST of `path` with a body, on a connection that is closed afterwards.
 pub fn post(path: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -361,9 +367,9 @@
         .expect("the condition comes to hold");
 }
 
-/// Returns the setup of the only entry host: all slots are its own, and no more.
-fn alone() -> Setup {
-    Setup {
+/// Returns the setup of a single entry host, which owns all slots.
+fn single_host() -> DispatcherOptions {
+    DispatcherOptions {
         host: HostKey::named("alone"),
         incarnation: 1,
         data_centre: "trent".into(),
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -14,7 +14,7 @@
 /// Runs an experiment file and prints a table of results.
 ///
 /// Exits with 1 if a guarantee was violated under the policy `shared`. The other
-/// policies are baselines, which don't keep all guarantees.
+/// policies are baselines for comparison and don't affect the exit code.
 ///
 /// # Errors
 ///
@@ -45,7 +45,7 @@
     let ours = runs
         .iter()
         .filter(|r| r.measured.summary.report.policy == Policy::Shared.name());
-    let violations: Vec<_> = ours.flat_map(|r| &r.measured.faults).collect();
+    let violations: Vec<_> = ours.flat_map(|r| &r.measured.violations).collect();
     for violation in violations.iter().take(10) {
         eprintln!("violated guarantee: {violation}");
     }
--- a/tests/host_settings.rs
+++ b/tests/host_settings.rs
@@ -1,9 +1,9 @@
-//! The settings file of `serve`, checked whole before anything starts.
+//! The settings file of `serve`, validated as a whole before anything starts.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-const WHOLE: &str = r#"
+const VALID: &str = r#"
 name = "edge-1"
 data_centre = "here"
 caller_address = "127.0.0.1:8000"
@@ -16,27 +16,27 @@
 fn check(name: &str, text: &str) -> Output {
     let path: PathBuf =
         std::env::temp_dir().join(format!("settings-{name}-{}.toml", std::process::id()));
-    std::fs::write(&path, text).expect("it is written");
+    std::fs::write(&path, text).expect("the settings file is written");
     let output = Command::new(env!("CARGO_BIN_EXE_cardamomvale"))
         .arg("check-settings")
         .arg(&path)
         .output()
-        .expect("it runs");
-    std::fs::remove_file(&path).expect("it is removed");
+        .expect("the command runs");
+    std::fs::remove_file(&path).expect("the settings file is removed");
     output
 }
 
-/// The platform adds fields at times: an unknown one is no fault.
+/// The platform may add fields, so an unknown key is no error.
 #[test]
-fn whole_file() {
-    let output = check("whole", WHOLE);
+fn valid_file() {
+    let output = check("whole", VALID);
     assert!(output.status.success());
 }
 
-/// All faults are told at once, each with what to mend, and nothing starts.
+/// All errors of a file must be reported at once, each with its key.
 #[test]
-fn all_faults() {
-    let text = WHOLE
+fn all_errors() {
+    let text = VALID
         .replace("edge-1", "")
         .replace("127.0.0.1:8000", "somewhere")
         .replace(
@@ -45,7 +45,7 @@
         );
     let output = check("faults", &text);
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     for key in [
         "name:",
         "caller_address:",
@@ -53,7 +53,10 @@
         "probes_per_second:",
         "grace_seconds:",
     ] {
-        assert!(told.contains(key), "{key} is missing in {told}");
+        assert!(
+            stderr.contains(key),
+            "{key} is missing in the output: {stderr}"
+        );
     }
 }
 
@@ -62,6 +65,6 @@
     let output = Command::new(env!("CARGO_BIN_EXE_cardamomvale"))
         .args(["serve", "--settings", "/nowhere/host.toml"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     assert_eq!(output.status.code(), Some(2));
 }
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands as processes: what they print and how they end.
+//! The operators' commands as processes: their output and exit codes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
@@ -6,70 +6,70 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand_ins::log::{Behaviour, LogStandIn, Loss};
+use stand_ins::store::{Behaviour, Loss, StoreStandIn};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_cardamomvale");
 const ORDINARY: &str = "examples/midlands.toml";
 const PEAK: &str = "examples/midlands-peak.toml";
 
-/// What a command came to.
-struct Ended {
+/// The exit code and output of a command.
+struct CommandResult {
     code: i32,
     out: String,
     err: String,
 }
 
-fn operate(arguments: &[&str]) -> Ended {
+fn run_command(arguments: &[&str]) -> CommandResult {
     let output: Output = Command::new(BINARY)
         .args(arguments)
         .env_remove("CARDAMOMVALE_LOG_ADDRESS")
         .output()
         .unwrap();
-    Ended {
+    CommandResult {
         code: output.status.code().unwrap(),
         out: String::from_utf8(output.stdout).unwrap(),
         err: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-/// Runs a command against a log and returns its exit code and all it printed.
-fn at(log: &LogStandIn, arguments: &[&str]) -> (i32, String) {
-    let address = log.address().to_string();
-    let ended = operate(&[arguments, &["--log-address", &address]].concat());
+/// Runs a command against a store and returns the exit code and the whole output.
+fn run_with_store(store: &StoreStandIn, arguments: &[&str]) -> (i32, String) {
+    let address = store.address().to_string();
+    let ended = run_command(&[arguments, &["--log-address", &address]].concat());
     (ended.code, ended.out + &ended.err)
 }
 
-fn log() -> LogStandIn {
-    LogStandIn::on_loopback(Behaviour::default()).unwrap()
+fn start_store() -> StoreStandIn {
+    StoreStandIn::on_loopback(Behaviour::default()).unwrap()
 }
 
-/// Puts both presets and brings the ordinary one into force.
-fn opened() -> LogStandIn {
-    let log = log();
+/// Starts a store that holds both presets, with the ordinary one in force.
+fn store_with_presets() -> StoreStandIn {
+    let store = start_store();
     for arguments in [
         ["preset", "put", ORDINARY],
         ["preset", "put", PEAK],
         ["preset", "choose", "ordinary"],
     ] {
-        assert_eq!(at(&log, &arguments).0, 0);
+        assert_eq!(run_with_store(&store, &arguments).0, 0);
     }
-    log
+    store
 }
 
 #[test]
-fn first_day() {
-    let log = log();
-    let (code, text) = at(&log, &["preset", "put", ORDINARY]);
+fn first_commands() {
+    let store = start_store();
+    let (code, text) = run_with_store(&store, &["preset", "put", ORDINARY]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 1: preset ordinary is put\n")
     );
-    let (code, text) = at(&log, &["preset", "choose", "ordinary"]);
+    let (code, text) = run_with_store(&store, &["preset", "choose", "ordinary"]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 2: preset ordinary is in force\n")
     );
-    let (code, text) = at(&log, &["data-centre", "leave", "soar"]);
+    let (code, text) = run_with_store(&store, &["data-centre", "leave", "soar"]);
     assert_eq!(
         (code, text.as_str()),
         (
@@ -77,12 +77,12 @@
             "accepted, revision 3: data centre soar gets no new work\n"
         )
     );
-    let (code, text) = at(&log, &["host", "leave", "127.1.1.1"]);
+    let (code, text) = run_with_store(&store, &["host", "leave", "127.1.1.1"]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 4: host 127.1.1.1 gets no new work\n")
     );
-    let (code, text) = at(&log, &["preset", "list"]);
+    let (code, text) = run_with_store(&store, &["preset", "list"]);
     assert_eq!(code, 0);
     for line in [
         "revision 4",
@@ -92,14 +92,13 @@
     ] {
         assert!(text.contains(line), "{text}");
     }
-    let (code, text) = at(&log, &["preset", "show", "--json"]);
+    let (code, text) = run_with_store(&store, &["preset", "show", "--json"]);
     assert!(code == 0 && text.contains("\"hallboard\""), "{text}");
 }
 
-// A file has faults in two places. Nothing of it is taken, and one message
-// names both with their lines.
+// A preset file with two errors must be rejected as a whole, with one message that names both.
 #[test]
-fn faulty_file() {
+fn invalid_file() {
     let path = std::env::temp_dir().join(format!("faulty-{}.toml", std::process::id()));
     let text = std::fs::read_to_string(ORDINARY).unwrap();
     let text = text.replacen("slots = 6", "slot = 6", 1) + "\n[extra]\n";
@@ -108,9 +107,9 @@
         .write_all(text.as_bytes())
         .unwrap();
     let file = path.to_str().unwrap();
-    let log = log();
-    let checked = operate(&["preset", "check", file]);
-    let (code, put) = at(&log, &["preset", "put", file]);
+    let store = start_store();
+    let checked = run_command(&["preset", "check", file]);
+    let (code, put) = run_with_store(&store, &["preset", "put", file]);
     std::fs::remove_file(&path).unwrap();
     assert_eq!((checked.code, code), (2, 2));
     assert_eq!(checked.err, put);
@@ -121,8 +120,8 @@
     ] {
         assert!(put.contains(part), "{put}");
     }
-    assert_eq!(log.counts().appends, 0);
-    assert_eq!(operate(&["preset", "check", ORDINARY]).code, 0);
+    assert_eq!(store.counts().appends, 0);
+    assert_eq!(run_command(&["preset", "check", ORDINARY]).code, 0);
 }
 
 #[rstest]
@@ -135,59 +134,66 @@
 #[case(&["preset", "choose", "peak", "--id", "yes"], 2, "--id is no id")]
 #[case(&["preset", "show", "summer"], 2, "see `preset list`")]
 #[case(&["preset", "put", "no-such-file.toml"], 2, "no-such-file.toml")]
-fn told_why(#[case] arguments: &[&str], #[case] code: i32, #[case] message: &str) {
-    let log = opened();
-    let (ended, text) = at(&log, arguments);
+fn refusal_reasons(#[case] arguments: &[&str], #[case] code: i32, #[case] message: &str) {
+    let store = store_with_presets();
+    let (ended, text) = run_with_store(&store, arguments);
     assert!(ended == code && text.contains(message), "{ended} {text}");
-    assert_eq!(log.counts().appends, 3, "nothing was written");
+    assert_eq!(store.counts().appends, 3, "the command wrote to the store");
 }
 
-// The log takes an operator's choice, and is gone before it can say so. The
-// operator is told that it may have been done and how to ask again; asking
-// again finds the first one's answer, and the choice stands once.
+// The store accepts an operator's command and fails before it answers. The command must report
+// that it may have been applied and how to retry it. The retry with the same ID must return the
+// first outcome and must not apply the command again.
 #[test]
 fn lost_answer() {
-    let log = opened();
-    log.change(|b| {
+    let store = store_with_presets();
+    store.change(|b| {
         (b.loss, b.losses, b.down_after_loss) = (Some(Loss::Gateway), 1, true);
     });
-    let (code, text) = at(&log, &["preset", "choose", "peak"]);
+    let (code, text) = run_with_store(&store, &["preset", "choose", "peak"]);
     assert!(
         code == 3 && text.contains("ask again with --id "),
         "{code} {text}"
     );
     let id = text.trim().rsplit(' ').next().unwrap();
-    log.change(|b| b.outage = None);
-    assert_eq!(at(&log, &["preset", "choose", "ordinary"]).0, 0);
-    let (code, text) = at(&log, &["preset", "choose", "peak", "--id", id]);
+    store.change(|b| b.outage = None);
+    assert_eq!(
+        run_with_store(&store, &["preset", "choose", "ordinary"]).0,
+        0
+    );
+    let (code, text) = run_with_store(&store, &["preset", "choose", "peak", "--id", id]);
     assert_eq!(
         (code, text.as_str()),
         (0, "accepted, revision 4: preset peak is in force\n")
     );
-    assert!(at(&log, &["preset", "list"]).1.contains("revision 5"));
+    assert!(
+        run_with_store(&store, &["preset", "list"])
+            .1
+            .contains("revision 5")
+    );
 }
 
-// Every entry host was gone while the log dropped its records. Putting a preset
-// can't work any more, and says so; beginning anew does, once, and a new entry
-// host is ready with that preset. Where the log still knows, it is refused.
+// The store has trimmed records while no entry host was running to write a snapshot. `preset put`
+// must fail with a clear message, and `preset begin` must work, so that a new entry host is ready
+// with its preset. `preset begin` is refused while the store still holds all records.
 #[test]
-fn forgotten_log() {
-    let log = opened();
-    let (code, text) = at(&log, &["preset", "begin", PEAK]);
+fn trimmed_records() {
+    let store = store_with_presets();
+    let (code, text) = run_with_store(&store, &["preset", "begin", PEAK]);
     assert!(
         code == 1 && text.contains("use put and choose"),
         "{code} {text}"
     );
-    log.change(|b| b.keep_records = Some(1));
+    store.change(|b| b.keep_records = Some(1));
     for _ in 0..2 {
-        log.append("config", "noise".into());
+        store.append("config", "noise".into());
     }
-    let (code, text) = at(&log, &["preset", "put", PEAK]);
+    let (code, text) = run_with_store(&store, &["preset", "put", PEAK]);
     assert!(
         code == 4 && text.contains("no snapshot has come yet"),
         "{code} {text}"
     );
-    let (code, text) = at(&log, &["preset", "begin", PEAK]);
+    let (code, text) = run_with_store(&store, &["preset", "begin", PEAK]);
     assert_eq!(
         (code, text.as_str()),
         (
@@ -195,21 +201,21 @@
             "accepted, revision 6: all begins anew with preset peak in force\n"
         )
     );
-    let host = EntryHost::start(&log);
+    let host = EntryHost::start(&store);
     let start = Instant::now();
-    let listed = || operate(&["preset", "list", "--entry", &host.admin]).out;
+    let listed = || run_command(&["preset", "list", "--entry", &host.admin]).out;
     while !listed().contains("endpoints  in force") {
         assert!(start.elapsed() < Duration::from_secs(20), "{}", listed());
     }
 }
 
 #[test]
-fn nobody_there() {
+fn unreachable_address() {
     let free = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = free.local_addr().unwrap().to_string();
     drop(free);
     for flag in ["--log-address", "--entry"] {
-        let ended = operate(&["preset", "choose", "peak", flag, &address]);
+        let ended = run_command(&["preset", "choose", "peak", flag, &address]);
         assert_eq!(ended.code, 4, "{}", ended.err);
         assert!(
             ended.err.starts_with("unreachable, nothing was done: "),
@@ -217,19 +223,19 @@
             ended.err
         );
     }
-    let ended = operate(&["preset", "list"]);
+    let ended = run_command(&["preset", "list"]);
     assert!(ended.code == 2 && ended.err.contains("--log-address IP:port, --entry IP:port"));
 }
 
-/// An entry host as a process, ended when dropped.
+/// An entry host as a process, killed when dropped.
 struct EntryHost {
     child: Child,
     admin: String,
 }
 
 impl EntryHost {
-    fn start(log: &LogStandIn) -> EntryHost {
-        let address = log.address().to_string();
+    fn start(store: &StoreStandIn) -> EntryHost {
+        let address = store.address().to_string();
         let mut child = Command::new(BINARY)
             .args(["entry", "--name", "trent-1", "--data-centre", "trent"])
             .args([
@@ -262,12 +268,12 @@
 }
 
 #[test]
-fn through_entry() {
-    let log = opened();
-    let host = EntryHost::start(&log);
-    let entry = |arguments: &[&str]| operate(&[arguments, &["--entry", &host.admin]].concat());
+fn through_host() {
+    let store = store_with_presets();
+    let host = EntryHost::start(&store);
+    let entry = |arguments: &[&str]| run_command(&[arguments, &["--entry", &host.admin]].concat());
     let chosen = entry(&["preset", "choose", "peak"]);
-    // The host's own joining is a change too, before the choice or after it.
+    // The host's own joining also takes a revision, before or after the command's.
     let revision = match chosen.out.as_str() {
         "accepted, revision 4: preset peak is in force\n" => 4,
         "accepted, revision 5: preset peak is in force\n" => 5,
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -1,33 +1,35 @@
-//! A request that crashes the endpoints that run it, through real entry hosts.
+//! Requests that crash the endpoints that run them, through real entry hosts.
 
 mod site;
 
 use std::net::SocketAddr;
 
 use site::endpoint::Behaviour;
-use site::{Answer, Endpoint, Host, Store, peers, until};
+use site::{Answer, Endpoint, Host, Store, peer_addresses, until};
 
 /// The path whose requests crash endpoints.
-const FATAL: &str = "/read/fatal";
+const CRASHING_PATH: &str = "/read/fatal";
 
-/// Arrivals of the request after all hosts reject it, before it is a fault.
-const REPEATS: usize = 3;
+/// The most times that the request may reach endpoints after all hosts reject it.
+const MAX_ARRIVALS: usize = 3;
 
-/// A store, endpoints that `FATAL` crashes, and hosts that know each other.
+/// A store, endpoints that crash on `CRASHING_PATH`, and connected hosts.
 struct Site {
     store: Store,
     endpoints: Vec<Endpoint>,
     hosts: Vec<Host>,
-    /// Where hosts hear each other, for those still to be started as well.
+    /// The peer addresses of the hosts, also of the one that starts later.
     addresses: Vec<SocketAddr>,
 }
 
 impl Site {
     async fn start() -> Site {
-        let (store, endpoints) = site::endpoints(8).await;
-        endpoints.iter().for_each(|e| e.crash_on(FATAL, &store));
-        let addresses = peers(4);
-        let hosts = site::hosts(&store, &addresses[..3]).await;
+        let (store, endpoints) = site::store_and_endpoints(8).await;
+        endpoints
+            .iter()
+            .for_each(|e| e.crash_on(CRASHING_PATH, &store));
+        let addresses = peer_addresses(4);
+        let hosts = site::start_hosts(&store, &addresses[..3]).await;
         Site {
             store,
             endpoints,
@@ -36,32 +38,33 @@
         }
     }
 
-    /// Starts one more host, which greets the first.
+    /// Starts one more host, which joins through the first.
     async fn add_host(&mut self) {
         let seed = Some(self.addresses[0]);
-        let host = Host::start_beside("late", &self.store, self.addresses[3], seed).await;
+        let host = Host::start_at("late", &self.store, self.addresses[3], seed).await;
         until("the host is ready", async || host.readiness().await == 200).await;
         self.hosts.push(host);
     }
 
-    /// Returns how often an endpoint has begun to run the request.
+    /// Returns how often endpoints have started to run the request.
     fn crashes(&self) -> usize {
         let runs = self.endpoints.iter().flat_map(Endpoint::runs);
         runs.filter(|id| id.starts_with("fatal")).count()
     }
 
-    /// Sends the request to each host in turn; true where all reject it unrun.
+    /// Sends the request to each host in turn, and returns whether all reject it without running
+    /// it and serve other requests.
     async fn all_reject(&self) -> bool {
         let before = self.crashes();
         let mut all = true;
         for host in &self.hosts {
-            let answer = host.request("GET", FATAL, "fatal").await;
-            all &= answer.status == 503 && answer.has("retry-after");
+            let answer = host.request("GET", CRASHING_PATH, "fatal").await;
+            all &= answer.status == 503 && answer.has_header("retry-after");
         }
         all && self.crashes() == before && self.serves().await
     }
 
-    /// Returns whether every host serves other requests, and those beside them.
+    /// Returns whether every host serves another request.
     async fn serves(&self) -> bool {
         for host in &self.hosts {
             let answer: Answer = host.request("GET", "/read/popular", "popular").await;
@@ -73,62 +76,67 @@
     }
 }
 
-/// A request that crashes every endpoint that runs it must not reach one endpoint after
-/// the other, sent again by its caller to another host each time.
+/// A request that crashes every endpoint must not reach one endpoint after the other while its
+/// caller retries it at all hosts.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request() {
     let site = Site::start().await;
-    until("all hosts reject it and serve the rest", async || {
-        site.all_reject().await
-    })
+    until(
+        "all hosts reject the request and serve others",
+        async || site.all_reject().await,
+    )
     .await;
     let before = site.crashes();
     for _ in 0..10 {
-        until("the rest is served", async || site.serves().await).await;
+        until("other requests are served", async || site.serves().await).await;
         for host in &site.hosts {
-            host.request("GET", FATAL, "fatal").await;
+            host.request("GET", CRASHING_PATH, "fatal").await;
         }
     }
-    let repeats = site.crashes() - before;
+    let arrivals = site.crashes() - before;
     assert!(
-        repeats <= REPEATS,
-        "it reached endpoints {repeats} times more"
+        arrivals <= MAX_ARRIVALS,
+        "the request reached endpoints {arrivals} times more"
     );
 }
 
-/// A host that starts after a request was quarantined must not let it crash endpoints anew.
+/// A host that starts after a request was quarantined must reject the request too.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_host() {
     let mut site = Site::start().await;
-    until("all hosts reject it and serve the rest", async || {
-        site.all_reject().await
-    })
+    until(
+        "all hosts reject the request and serve others",
+        async || site.all_reject().await,
+    )
     .await;
     site.add_host().await;
     let before = site.crashes();
-    until("the new host rejects it too", async || {
+    until("the new host rejects the request too", async || {
         site.all_reject().await
     })
     .await;
-    let repeats = site.crashes() - before;
+    let arrivals = site.crashes() - before;
     assert!(
-        repeats <= REPEATS,
-        "it reached endpoints {repeats} times more"
+        arrivals <= MAX_ARRIVALS,
+        "the request reached endpoints {arrivals} times more"
     );
 }
 
-/// A popular request must not be quarantined because connections are reset under it while
-/// its endpoints live.
+/// A request whose connections are reset while its endpoints keep running must not be quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn reset_connections() {
     let site = Site::start().await;
-    site.endpoints.iter().for_each(|e| e.set(Behaviour::Reset));
+    site.endpoints
+        .iter()
+        .for_each(|e| e.set_behaviour(Behaviour::Reset));
     for host in &site.hosts {
         for _ in 0..3 {
             let answer = host.request("GET", "/read/popular", "popular").await;
             assert_ne!(answer.status, 200);
         }
     }
-    site.endpoints.iter().for_each(|e| e.set(Behaviour::Serve));
+    site.endpoints
+        .iter()
+        .for_each(|e| e.set_behaviour(Behaviour::Serve));
     assert!(site.serves().await);
 }
--- a/tests/site/endpoint.rs
+++ b/tests/site/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint in small, which behaves as a test says.
+//! An endpoint that handles requests as a test sets it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,58 +21,60 @@
 
 use super::store::Store;
 
-/// How an endpoint treats requests.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It runs them.
+    /// Runs requests and answers at once.
     Serve,
-    /// It runs them and takes this many milliseconds.
-    Take(u64),
-    /// It says that it did not run them.
+    /// Runs requests and answers after this many milliseconds.
+    Delay(u64),
+    /// Answers 503 with `Not-Executed: 1`, without running the request.
     Reject,
-    /// It runs them and fails.
+    /// Runs requests and answers 500.
     Fail,
-    /// It runs them and says 503, without saying that it did not.
-    FailAsFull,
-    /// It runs them and breaks its answers off.
+    /// Runs requests and answers 503 without `Not-Executed`.
+    Unavailable,
+    /// Runs requests and breaks the connection before the answer is complete.
     Cut,
-    /// It runs them and answers as if to another request.
-    Foreign,
-    /// It runs them and doesn't sign.
+    /// Runs requests and answers with another request's `Attempt-Id`.
+    WrongAttempt,
+    /// Runs requests and answers without `Server-Signature`.
     Unsigned,
-    /// It runs them and encodes the body.
+    /// Runs requests and answers with `Content-Encoding: gzip`.
     Encoded,
-    /// It runs them and never answers.
+    /// Runs requests and never answers (within a test's time).
     Hang,
-    /// It runs them and closes the connection.
+    /// Runs requests and closes the connection without an answer.
     Reset,
 }
 
-/// A path whose requests crash the endpoint, after it has begun to run them.
+/// A path whose requests crash the endpoint while it runs them.
 struct Crash {
     path: &'static str,
     store: Store,
 }
 
 /// How long an endpoint runs a request that crashes it.
-const CRASH_AFTER: Duration = Duration::from_millis(60);
+const CRASH_DELAY: Duration = Duration::from_millis(60);
 
-/// How long a crashed endpoint is down.
-const DOWN: Duration = Duration::from_millis(500);
+/// The time from a crash to the endpoint's restart.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 struct Inner {
     id: String,
-    /// How often it has crashed.
-    life: Mutex<u64>,
+    /// How often the endpoint has crashed; names the present instance.
+    restarts: Mutex<u64>,
     crash: Mutex<Option<Crash>>,
-    /// Wakes the task that ends this life.
+    /// Notified when a request crashes the endpoint.
     crashed: Notify,
     behaviour: Mutex<Behaviour>,
-    slowness: Mutex<u32>,
-    /// The rate limit that it advertises in its answers to requests.
-    limit: Mutex<Option<f64>>,
+    /// The latency factor that health checks report, in percent.
+    latency_percent: Mutex<u32>,
+    /// The rate limit, in requests a second, that answers to requests advertise.
+    rate_limit: Mutex<Option<f64>>,
     runs: Mutex<Vec<(String, Instant)>>,
-    gone: Mutex<u32>,
+    /// How many requests were cancelled while they ran.
+    cancel_count: Mutex<u32>,
 }
 
 /// A running endpoint.
@@ -87,76 +89,105 @@
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let address = listener.local_addr().expect("it has an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let inner = Arc::new(Inner {
             id: id.to_owned(),
-            life: Mutex::default(),
+            restarts: Mutex::default(),
             crash: Mutex::default(),
             crashed: Notify::new(),
             behaviour: Mutex::new(Behaviour::Serve),
-            slowness: Mutex::new(100),
-            limit: Mutex::default(),
+            latency_percent: Mutex::new(100),
+            rate_limit: Mutex::default(),
             runs: Mutex::default(),
-            gone: Mutex::default(),
+            cancel_count: Mutex::default(),
         });
         let shared = Arc::clone(&inner);
         tokio::spawn(async move {
             let mut listener = listener;
             loop {
-                live(listener, &shared).await;
+                accept_until_crash(listener, &shared).await;
                 listener = shared.restart(address).await;
             }
         });
         Endpoint { address, inner }
     }
 
-    /// Writes its entry into the store.
+    /// Writes the endpoint's record into the store.
     pub fn register(&self, store: &Store, state: &str) {
         self.inner.register(self.address, store, state);
     }
 
-    /// Has requests of this path crash it; it is back after a moment, in another life.
+    /// Sets a path whose requests crash the endpoint; it restarts as a new instance.
     pub fn crash_on(&self, path: &'static str, store: &Store) {
         let store = store.clone();
-        *self.inner.crash.lock().expect("no test panics here") = Some(Crash { path, store });
+        *self
+            .inner
+            .crash
+            .lock()
+            .expect("no test panics with the lock held") = Some(Crash { path, store });
     }
 
-    pub fn set(&self, behaviour: Behaviour) {
-        *self.inner.behaviour.lock().expect("no test panics here") = behaviour;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self
+            .inner
+            .behaviour
+            .lock()
+            .expect("no test panics with the lock held") = behaviour;
     }
 
-    /// Sets how long work takes on its machine, in hundredths of the usual.
-    pub fn slow(&self, slowness: u32) {
-        *self.inner.slowness.lock().expect("no test panics here") = slowness;
+    /// Sets the reported latency factor, in percent of the usual latency.
+    pub fn set_latency(&self, latency_percent: u32) {
+        *self
+            .inner
+            .latency_percent
+            .lock()
+            .expect("no test panics with the lock held") = latency_percent;
     }
 
-    /// Returns the ids of the requests that it ran.
+    /// Returns the attempt IDs of the requests that the endpoint has started to run.
     pub fn runs(&self) -> Vec<String> {
         self.arrivals().into_iter().map(|(id, _)| id).collect()
     }
 
-    /// Returns the ids of the requests that it ran, and when each came.
+    /// Returns the attempt IDs of the requests that the endpoint has started to run, and when
+    /// each arrived.
     pub fn arrivals(&self) -> Vec<(String, Instant)> {
-        self.inner.runs.lock().expect("no test panics here").clone()
+        self.inner
+            .runs
+            .lock()
+            .expect("no test panics with the lock held")
+            .clone()
     }
 
-    /// Has it advertise a limit of requests a second, or none.
-    pub fn limit(&self, rate: Option<f64>) {
-        *self.inner.limit.lock().expect("no test panics here") = rate;
+    /// Sets the advertised rate limit in requests a second, or none.
+    pub fn set_rate_limit(&self, rate: Option<f64>) {
+        *self
+            .inner
+            .rate_limit
+            .lock()
+            .expect("no test panics with the lock held") = rate;
     }
 
-    /// Returns how many requests were given up while it was at work.
-    pub fn given_up(&self) -> u32 {
-        *self.inner.gone.lock().expect("no test panics here")
+    /// Returns how many requests were cancelled while the endpoint ran them.
+    pub fn cancelled(&self) -> u32 {
+        *self
+            .inner
+            .cancel_count
+            .lock()
+            .expect("no test panics with the lock held")
     }
 }
 
 impl Inner {
-    /// Returns the name of its present life.
+    /// Returns the ID of the present instance.
     fn instance(&self) -> String {
-        match *self.life.lock().expect("no test panics here") {
+        match *self
+            .restarts
+            .lock()
+            .expect("no test panics with the lock held")
+        {
             0 => self.id.clone(),
-            life => format!("{}-{life}", self.id),
+            restarts => format!("{}-{restarts}", self.id),
         }
     }
 
@@ -167,33 +198,44 @@
         store.put("keyed.servers", &self.instance(), Some(&entry));
     }
 
-    /// Returns whether requests of this path crash it.
+    /// Returns whether requests of this path crash the endpoint.
     fn crashes_on(&self, path: &str) -> bool {
-        let crash = self.crash.lock().expect("no test panics here");
+        let crash = self
+            .crash
+            .lock()
+            .expect("no test panics with the lock held");
         crash.as_ref().is_some_and(|c| c.path == path)
     }
 
-    /// Begins another life at the same address.
+    /// Starts a new instance at the same address.
     async fn restart(&self, address: SocketAddr) -> TcpListener {
         let store = {
-            let crash = self.crash.lock().expect("no test panics here");
-            crash.as_ref().expect("it has crashed").store.clone()
+            let crash = self
+                .crash
+                .lock()
+                .expect("no test panics with the lock held");
+            crash.as_ref().expect("a crash is set").store.clone()
         };
         store.put("keyed.servers", &self.instance(), None);
-        sleep(DOWN).await;
-        let listener = TcpListener::bind(address).await.expect("it is free again");
-        *self.life.lock().expect("no test panics here") += 1;
+        sleep(RESTART_DELAY).await;
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("the port is free again");
+        *self
+            .restarts
+            .lock()
+            .expect("no test panics with the lock held") += 1;
         self.register(address, &store, "ready");
         listener
     }
 }
 
-/// Accepts connections until the endpoint crashes, and then breaks them all.
-async fn live(listener: TcpListener, inner: &Arc<Inner>) {
+/// Accepts connections until the endpoint crashes, then closes all of them.
+async fn accept_until_crash(listener: TcpListener, inner: &Arc<Inner>) {
     let mut connections = JoinSet::new();
     loop {
         let stream = tokio::select! {
-            accepted = listener.accept() => accepted.expect("it listens").0,
+            accepted = listener.accept() => accepted.expect("the listener accepts").0,
             () = inner.crashed.notified() => return,
         };
         let inner = Arc::clone(inner);
@@ -206,76 +248,90 @@
     }
 }
 
-/// Counts a request as given up unless it is told that it ended.
-struct Work<'a> {
+/// Counts a request as cancelled when dropped before `completed` is set.
+struct CancelGuard<'a> {
     inner: &'a Inner,
-    ended: bool,
+    completed: bool,
 }
 
-impl Drop for Work<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if !self.ended {
-            *self.inner.gone.lock().expect("no test panics here") += 1;
+        if !self.completed {
+            *self
+                .inner
+                .cancel_count
+                .lock()
+                .expect("no test panics with the lock held") += 1;
         }
     }
 }
 
-async fn serve(request: Request<Incoming>, inner: Arc<Inner>) -> io::Result<Response<Part>> {
-    let field = |name: &str| {
+async fn serve(request: Request<Incoming>, inner: Arc<Inner>) -> io::Result<Response<AnswerBody>> {
+    let header = |name: &str| {
         let value = request.headers().get(name);
         value
             .and_then(|v| v.to_str().ok())
             .unwrap_or_default()
             .to_owned()
     };
-    let slowness = *inner.slowness.lock().expect("no test panics here");
+    let latency_percent = *inner
+        .latency_percent
+        .lock()
+        .expect("no test panics with the lock held");
     if request.uri().path() == "/health" {
         let mut response = respond(StatusCode::OK, "", "");
-        set(&mut response, "instance-id", &inner.instance());
-        set(&mut response, "server-load", &format!("0,0,6,{slowness}"));
+        set_header(&mut response, "instance-id", &inner.instance());
+        set_header(
+            &mut response,
+            "server-load",
+            &format!("0,0,6,{latency_percent}"),
+        );
         return Ok(response);
     }
-    let id = field("attempt-id");
-    if field("expected-instance") != inner.instance() {
+    let id = header("attempt-id");
+    if header("expected-instance") != inner.instance() {
         return Ok(respond(StatusCode::MISDIRECTED_REQUEST, "", &id));
     }
-    let behaviour = *inner.behaviour.lock().expect("no test panics here");
+    let behaviour = *inner
+        .behaviour
+        .lock()
+        .expect("no test panics with the lock held");
     if behaviour == Behaviour::Reject {
         let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "", &id);
-        set(&mut response, "not-executed", "1");
+        set_header(&mut response, "not-executed", "1");
         return Ok(response);
     }
     inner
         .runs
         .lock()
-        .expect("no test panics here")
+        .expect("no test panics with the lock held")
         .push((id.clone(), Instant::now()));
-    let mut work = Work {
+    let mut guard = CancelGuard {
         inner: &inner,
-        ended: false,
+        completed: false,
     };
     if inner.crashes_on(request.uri().path()) {
-        sleep(CRASH_AFTER).await;
+        sleep(CRASH_DELAY).await;
         inner.crashed.notify_one();
         std::future::pending::<()>().await;
     }
     match behaviour {
-        Behaviour::Take(millis) => sleep(Duration::from_millis(millis)).await,
+        Behaviour::Delay(millis) => sleep(Duration::from_millis(millis)).await,
         Behaviour::Hang => sleep(Duration::from_secs(3_600)).await,
         _ => {}
     }
-    work.ended = true;
+    guard.completed = true;
     if behaviour == Behaviour::Reset {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     let mut response = match behaviour {
         Behaviour::Fail => respond(StatusCode::INTERNAL_SERVER_ERROR, "failed", &id),
-        Behaviour::FailAsFull => respond(StatusCode::SERVICE_UNAVAILABLE, "full", &id),
-        Behaviour::Foreign => respond(StatusCode::OK, "whole", "another"),
+        Behaviour::Unavailable => respond(StatusCode::SERVICE_UNAVAILABLE, "full", &id),
+        Behaviour::WrongAttempt => respond(StatusCode::OK, "whole", "another"),
         _ => respond(StatusCode::OK, "whole", &id),
     };
     if behaviour != Behaviour::Unsigned {
-        set(
+        set_header(
             &mut response,
             "server-signature",
             &format!("by-{}", inner.instance()),
@@ -285,38 +341,41 @@
         let encoding = HeaderValue::from_static("gzip");
         response.headers_mut().insert(CONTENT_ENCODING, encoding);
     }
-    let limit = *inner.limit.lock().expect("no test panics here");
-    if let Some(rate) = limit {
-        set(&mut response, "server-limit", &rate.to_string());
+    let rate_limit = *inner
+        .rate_limit
+        .lock()
+        .expect("no test panics with the lock held");
+    if let Some(rate) = rate_limit {
+        set_header(&mut response, "server-limit", &rate.to_string());
     }
     response.body_mut().cut = behaviour == Behaviour::Cut;
     Ok(response)
 }
 
-fn respond(status: StatusCode, text: &'static str, id: &str) -> Response<Part> {
-    let mut response = Response::new(Part {
+fn respond(status: StatusCode, text: &'static str, id: &str) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody {
         text: Bytes::from_static(text.as_bytes()),
         cut: false,
     });
     *response.status_mut() = status;
     if !id.is_empty() {
-        set(&mut response, "attempt-id", id);
+        set_header(&mut response, "attempt-id", id);
     }
     response
 }
 
-fn set(response: &mut Response<Part>, name: &'static str, value: &str) {
-    let value = HeaderValue::try_from(value).expect("a plain value");
+fn set_header(response: &mut Response<AnswerBody>, name: &'static str, value: &str) {
+    let value = HeaderValue::try_from(value).expect("a valid header value");
     response.headers_mut().insert(name, value);
 }
 
-/// A body that may break off after its first half.
-struct Part {
+/// A body that fails with a connection reset where `cut` is set.
+struct AnswerBody {
     text: Bytes,
     cut: bool,
 }
 
-impl Body for Part {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/tests/site/raw.rs
+++ b/tests/site/raw.rs
@@ -1,4 +1,4 @@
-//! An endpoint that writes its answers byte by byte, as no library would let it.
+//! An endpoint that writes its answers as raw bytes, so that they may break HTTP's rules.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,78 +8,80 @@
 
 use super::Store;
 
-/// The answer to a question for its health.
+/// The answer to a health check.
 const HEALTHY: &str =
     "HTTP/1.1 200 OK\r\nInstance-Id: i-raw\r\nServer-Load: 0,0,6,100\r\nContent-Length: 0\r\n\r\n";
 
-/// A request as it came in.
+/// A request as received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The connection on which it came, counted from 0.
+pub struct ReceivedRequest {
+    /// The connection of the request, counted from 0.
     pub connection: usize,
-    /// The request line and the fields.
+    /// The request line and the headers.
     pub head: String,
-    /// The body, taken out of its chunks.
+    /// The body, decoded where it is chunked.
     pub body: Vec<u8>,
 }
 
-impl Seen {
-    /// Returns what the client named its attempt.
+impl ReceivedRequest {
+    /// Returns the request's `Attempt-Id`, empty where there is none.
     pub fn id(&self) -> &str {
-        field(&self.head, "attempt-id").unwrap_or_default()
+        header(&self.head, "attempt-id").unwrap_or_default()
     }
 }
 
-/// What the endpoint does with one request.
+/// How the endpoint answers one request.
 pub enum Reply {
-    /// It writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Keep(String),
-    /// It writes these bytes and ends the connection in order.
+    /// Writes these bytes and closes the connection with FIN.
     Close(String),
-    /// It writes these bytes and resets the connection.
+    /// Writes these bytes and resets the connection.
     Reset(String),
-    /// It writes these bytes before it has read the body, then reads on.
+    /// Writes these bytes before reading the request's body, then reads the body.
     Early(String),
-    /// It falls silent on this connection, for good.
-    Mute,
+    /// Writes nothing, and neither reads nor closes the connection any more.
+    Silent,
 }
 
-type Script = dyn Fn(&Seen) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
-/// A running endpoint.
+/// A running endpoint, registered as instance `i-raw`.
 pub struct RawEndpoint {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl RawEndpoint {
-    /// Starts an endpoint that asks `script` what to do with each request.
-    pub async fn start(script: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> RawEndpoint {
+    /// Starts an endpoint that answers each request as `script` returns.
+    pub async fn start(
+        script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+    ) -> RawEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let address = listener.local_addr().expect("it has an address");
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = Arc::clone(&seen);
+        let address = listener.local_addr().expect("the listener has an address");
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let shared = Arc::clone(&received);
         let script: Arc<Script> = Arc::new(script);
         tokio::spawn(async move {
             let mut connection = 0;
             while let Ok((stream, _)) = listener.accept().await {
-                let served = Served {
+                let opened = Connection {
                     connection,
                     stream,
                     buffer: Vec::new(),
                     script: Arc::clone(&script),
-                    seen: Arc::clone(&shared),
+                    received: Arc::clone(&shared),
                 };
-                tokio::spawn(served.run());
+                tokio::spawn(opened.run());
                 connection += 1;
             }
         });
-        RawEndpoint { address, seen }
+        RawEndpoint { address, received }
     }
 
-    /// Writes its entry into the store.
+    /// Writes the endpoint's record into the store.
     pub fn register(&self, store: &Store, service: &str) {
         let entry = format!(
             r#"{{"service":"{service}","address":"{}","zone":"here","version":"v1","slots":6,"state":"ready","warmupRemainingS":0,"sequence":1,"born":1}}"#,
@@ -88,50 +90,53 @@
         store.put("keyed.servers", "i-raw", Some(&entry));
     }
 
-    /// Returns the requests that came, without the questions for its health.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no test panics here").clone()
+    /// Returns the requests received, without health checks.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received
+            .lock()
+            .expect("no test panics with the lock held")
+            .clone()
     }
 }
 
-/// One connection of an endpoint.
-struct Served {
+/// One accepted connection of the endpoint.
+struct Connection {
     connection: usize,
     stream: TcpStream,
     buffer: Vec<u8>,
     script: Arc<Script>,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Served {
-    /// Serves request after request; nothing where the other end has gone.
+impl Connection {
+    /// Serves requests until the connection ends, with `None` where the peer ended it.
     async fn run(mut self) -> Option<()> {
         loop {
-            let head = self.head().await?;
+            let head = self.read_head().await?;
             if head.starts_with("GET /health ") {
                 self.stream.write_all(HEALTHY.as_bytes()).await.ok()?;
                 continue;
             }
-            let mut seen = Seen {
+            let mut received = ReceivedRequest {
                 connection: self.connection,
                 head,
                 body: Vec::new(),
             };
-            if let Reply::Early(bytes) = (self.script)(&seen) {
+            if let Reply::Early(bytes) = (self.script)(&received) {
                 self.stream.write_all(bytes.as_bytes()).await.ok()?;
-                seen.body = self.body(&seen.head).await?;
-                self.note(seen);
+                received.body = self.read_body(&received.head).await?;
+                self.record(received);
                 continue;
             }
-            seen.body = self.body(&seen.head).await?;
-            let reply = (self.script)(&seen);
-            self.note(seen);
+            received.body = self.read_body(&received.head).await?;
+            let reply = (self.script)(&received);
+            self.record(received);
             let (Reply::Keep(bytes)
             | Reply::Close(bytes)
             | Reply::Reset(bytes)
             | Reply::Early(bytes)) = &reply
             else {
-                // Kept open and never read again.
+                // `Silent`: the connection stays open.
                 std::future::pending::<()>().await;
                 return None;
             };
@@ -147,36 +152,39 @@
         }
     }
 
-    fn note(&self, seen: Seen) {
-        self.seen.lock().expect("no test panics here").push(seen);
+    fn record(&self, received: ReceivedRequest) {
+        self.received
+            .lock()
+            .expect("no test panics with the lock held")
+            .push(received);
     }
 
-    async fn head(&mut self) -> Option<String> {
+    async fn read_head(&mut self) -> Option<String> {
         loop {
             let end = self.buffer.windows(4).position(|w| w == b"\r\n\r\n");
             if let Some(end) = end {
                 let head: Vec<u8> = self.buffer.drain(..end + 4).collect();
                 return String::from_utf8(head).ok();
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn body(&mut self, head: &str) -> Option<Vec<u8>> {
-        if field(head, "transfer-encoding").is_some() {
-            return self.chunks().await;
+    async fn read_body(&mut self, head: &str) -> Option<Vec<u8>> {
+        if header(head, "transfer-encoding").is_some() {
+            return self.read_chunks().await;
         }
-        let length: usize = field(head, "content-length").map_or(Some(0), |l| l.parse().ok())?;
-        self.take(length).await
+        let length: usize = header(head, "content-length").map_or(Some(0), |l| l.parse().ok())?;
+        self.read_bytes(length).await
     }
 
-    async fn chunks(&mut self) -> Option<Vec<u8>> {
+    async fn read_chunks(&mut self) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let length = usize::from_str_radix(line.trim(), 16).ok()?;
-            let chunk = self.take(length).await?;
-            self.line().await?;
+            let chunk = self.read_bytes(length).await?;
+            self.read_line().await?;
             if length == 0 {
                 return Some(body);
             }
@@ -184,24 +192,24 @@
         }
     }
 
-    async fn line(&mut self) -> Option<String> {
+    async fn read_line(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 return String::from_utf8(line).ok();
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn take(&mut self, length: usize) -> Option<Vec<u8>> {
+    async fn read_bytes(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.buffer.len() < length {
-            self.more().await?;
+            self.read_more().await?;
         }
         Some(self.buffer.drain(..length).collect())
     }
 
-    async fn more(&mut self) -> Option<()> {
+    async fn read_more(&mut self) -> Option<()> {
         let mut piece = [0; 16 * 1024];
         let count = self.stream.read(&mut piece).await.ok()?;
         self.buffer.extend_from_slice(&piece[..count]);
@@ -209,8 +217,8 @@
     }
 }
 
-/// Returns a field of a head, by its name in small letters.
-pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of a header of `head`; `name` may be in any case.
+pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (key, value) = line.split_once(':')?;
         key.eq_ignore_ascii_case(name).then(|| value.trim())
