--- a/components/protocol/src/neighbour.rs
+++ b/components/protocol/src/neighbour.rs
@@ -21,7 +21,7 @@
 /// Datagrams of any other version are refused.
 const VERSION: u8 = 3;
 
-/// Maximum size in bytes of records sent in one datagram.
+/// Maximum size in bytes of a message, or of the records of an update, sent in one datagram.
 ///
 /// The limit is well below the maximum payload of a datagram.
 pub const DATAGRAM_LIMIT: usize = 16 * 1024;
@@ -46,7 +46,8 @@
     ReadStarted(Topic),
     /// Reports that the sender failed to read this topic from the store.
     ReadFailed(Topic),
-    /// Requests all records of this topic, since the sender has none and can't read the store.
+    /// Requests a snapshot of this topic, since the sender has no records of it and can't
+    /// read the store.
     SnapshotRequest(Topic),
     /// Contains the newest record of each key of a topic.
     Snapshot(TopicSnapshot),
@@ -70,8 +71,8 @@
 
 /// Probes lent to a neighbour, in answer to its request.
 ///
-/// The lender may send fewer probes to endpoints and the borrower more, so that all
-/// hosts together keep the limit.
+/// The lender gives up as many probes as the borrower gets, so that all hosts together
+/// keep within the limit.
 #[tag]
 pub struct ProbeLoan {
     /// The identifier of the request that is answered.
@@ -168,7 +169,7 @@
     /// In a hello, whether the sender requests the hosts that the receiver knows.
     #[prost(bool, tag = "8")]
     wants_hosts: bool,
-    /// Whether all records of the topic are requested.
+    /// Whether a snapshot of the topic is requested.
     #[prost(bool, tag = "9")]
     snapshot_request: bool,
     /// Whether the records are the newest of each key.
--- a/components/stand_ins/src/backend.rs
+++ b/components/stand_ins/src/backend.rs
@@ -1,6 +1,6 @@
-//! A backend server with every fault the brief names, to be caused at will.
+//! A stand-in for a backend server, with every fault the brief names, injected on demand.
 //!
-//! docs/backend-servers.md describes what it speaks.
+//! docs/backend-servers.md describes its protocol.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -11,46 +11,48 @@
 
 use crate::history::{Event, History};
 
+mod admission;
 mod answer;
-mod bearing;
+mod connection;
 mod control;
 mod knobs;
-mod line;
 mod service;
 
+pub use admission::{Admission, Counts};
 pub use answer::pattern;
-pub use bearing::{Bearing, Counts};
 pub use control::Control;
 pub use knobs::{Knobs, Report};
 
-/// Header field with a call's number, sent by callers and echoed by the backend server.
-pub const CALL_FIELD: &str = "stand-in-call";
-/// Header field with the number whose text the answer repeats: for repeats of
-/// one idempotency key the number of the first, since each may get any's answer.
-pub const ANSWER_FIELD: &str = "stand-in-answer";
-/// Header field of an answer with the time the work really took, in microseconds.
-pub const WORK_FIELD: &str = "stand-in-work-us";
-
-/// What a backend server is like.
+/// Request header with the call's number, written into the backend server's history.
+pub const CALL_HEADER: &str = "stand-in-call";
+/// Header, in requests and answers, with the call number that the answer's body is made of.
+///
+/// Calls with the same idempotency key carry the number of the first of them, since any of
+/// them may get the answer of any other.
+pub const ANSWER_HEADER: &str = "stand-in-answer";
+/// Answer header with the time that the work actually took, in microseconds.
+pub const WORK_HEADER: &str = "stand-in-work-us";
+
+/// Configuration of one backend server.
 #[value]
 pub struct Options {
-    /// The data centre it stands in.
+    /// The backend server's data centre.
     pub data_centre: String,
-    /// Calls it bears at once.
+    /// Calls that the backend server can run at once when warm.
     pub slots: u32,
-    /// Calls it bears at once while cold.
+    /// Calls that the backend server can run at once while cold.
     pub cold_slots: u32,
-    /// Whether it starts cold.
+    /// Whether the backend server starts cold.
     pub cold: bool,
-    /// Calls done well after which a cold one is warm.
+    /// Completed calls after which a cold backend server becomes warm.
     pub warm_calls: u32,
-    /// Milliseconds after which a cold one is warm.
+    /// Milliseconds after which a cold backend server becomes warm.
     pub warm_ms: u64,
-    /// Milliseconds for which a cold one sheds all calls after too many came at once.
-    pub fall_ms: u64,
-    /// Milliseconds of one slot that a load report costs.
+    /// Milliseconds for which a cold backend server sheds all calls after it was overloaded.
+    pub overload_ms: u64,
+    /// Milliseconds of one slot's time that a load report costs.
     pub probe_ms: u64,
-    /// Connections it accepts at once.
+    /// The most connections open at once.
     pub connections: u32,
 }
 
@@ -63,7 +65,7 @@
             cold: false,
             warm_calls: 50,
             warm_ms: 10_000,
-            fall_ms: 1_000,
+            overload_ms: 1_000,
             probe_ms: 6,
             connections: 250,
         }
@@ -73,17 +75,17 @@
 /// A running backend server. Dropping it closes its listener and all connections.
 pub struct Backend {
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
-/// What the connections of one backend server share.
+/// State shared by all connections of one backend server.
 struct Shared {
     address: SocketAddr,
     options: Options,
     history: History,
-    bearing: Mutex<Bearing>,
+    admission: Mutex<Admission>,
     knobs: Mutex<Knobs>,
-    lines: line::Lines,
+    connections: connection::Connections,
 }
 
 impl Backend {
@@ -91,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the listener can't be used.
+    /// Fails if the listener can't be used.
     ///
     /// # Panics
     ///
@@ -107,42 +109,47 @@
         });
         let shared = Arc::new(Shared {
             address,
-            bearing: Mutex::new(Bearing::new(options.clone(), transport::clock::now())),
+            admission: Mutex::new(Admission::new(options.clone(), transport::clock::now())),
             options,
             history,
             knobs: Mutex::default(),
-            lines: line::Lines::default(),
+            connections: connection::Connections::default(),
         });
-        let accepting = tokio::spawn(service::accept(listener, Arc::clone(&shared)));
-        Ok(Backend { shared, accepting })
+        let accept_task = tokio::spawn(service::accept(listener, Arc::clone(&shared)));
+        Ok(Backend {
+            shared,
+            accept_task,
+        })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the backend server listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Changes its faults.
+    /// Sets the faults that are present in `knobs`; the others stay as they are.
     pub fn set(&self, knobs: &Knobs) {
         self.shared.set(knobs);
     }
 
-    /// Returns what it counted so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
-        self.shared.bearing().counts()
+        self.shared.admission().counts()
     }
 }
 
 impl Drop for Backend {
     fn drop(&mut self) {
-        self.accepting.abort();
-        self.shared.lines.cut();
+        self.accept_task.abort();
+        self.shared.connections.close_all();
     }
 }
 
 impl Shared {
-    fn bearing(&self) -> MutexGuard<'_, Bearing> {
-        self.bearing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn admission(&self) -> MutexGuard<'_, Admission> {
+        self.admission
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn knobs(&self) -> MutexGuard<'_, Knobs> {
@@ -152,24 +159,24 @@
     fn set(&self, knobs: &Knobs) {
         let now = transport::clock::now();
         if let Some(draining) = knobs.draining {
-            self.bearing().drain(draining);
+            self.admission().drain(draining);
             self.history.add(Event::Draining {
                 endpoint: self.address,
                 draining,
             });
         }
         if knobs.turn_cold || knobs.restart {
-            self.bearing().turn_cold(now);
+            self.admission().turn_cold(now);
             self.history.add(Event::TurnedCold {
                 endpoint: self.address,
             });
         }
         if knobs.restart {
-            self.lines.cut();
+            self.connections.close_all();
         }
         if knobs.silence {
-            self.lines.silence();
+            self.connections.silence();
         }
-        self.knobs().take(knobs);
+        self.knobs().merge(knobs);
     }
 }
--- a/components/stand_ins/src/backend/line.rs
+++ b/components/stand_ins/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! Connections that can be cut or go silent for good.
+//! Connections that can be closed, or made silent for good, from outside.
 
 use std::io;
 use std::pin::Pin;
@@ -10,52 +10,52 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The connections of one backend server.
+/// All connections of one backend server, numbered in the order in which they were opened.
 #[derive(Default)]
-pub(super) struct Lines {
+pub(super) struct Connections {
     opened: AtomicU64,
     silent_below: Arc<AtomicU64>,
-    cut_below: watch::Sender<u64>,
+    close_below: watch::Sender<u64>,
 }
 
-/// One connection.
-pub(super) struct Line {
+/// One connection; it is silent or closed once its number is below the matching bound.
+pub(super) struct Connection {
     stream: TcpStream,
     number: u64,
     silent_below: Arc<AtomicU64>,
-    cut_below: watch::Receiver<u64>,
+    close_below: watch::Receiver<u64>,
 }
 
-impl Lines {
-    pub(super) fn open(&self, stream: TcpStream) -> Line {
-        Line {
+impl Connections {
+    pub(super) fn open(&self, stream: TcpStream) -> Connection {
+        Connection {
             stream,
             number: self.opened.fetch_add(1, Ordering::SeqCst),
             silent_below: Arc::clone(&self.silent_below),
-            cut_below: self.cut_below.subscribe(),
+            close_below: self.close_below.subscribe(),
         }
     }
 
-    /// Makes all connections open now silent for good, without closing them.
+    /// Makes all connections that are open now silent for good, without closing them.
     pub(super) fn silence(&self) {
         let next = self.opened.load(Ordering::SeqCst);
         self.silent_below.store(next, Ordering::SeqCst);
     }
 
-    /// Closes all connections open now.
-    pub(super) fn cut(&self) {
-        self.cut_below
+    /// Closes all connections that are open now.
+    pub(super) fn close_all(&self) {
+        self.close_below
             .send_replace(self.opened.load(Ordering::SeqCst));
     }
 }
 
-impl Line {
-    /// Returns what completes when this connection is to be closed.
-    pub(super) fn cut(&self) -> impl Future<Output = ()> + use<> {
-        let mut below = self.cut_below.clone();
+impl Connection {
+    /// Returns a future that completes when this connection has to be closed.
+    pub(super) fn closed(&self) -> impl Future<Output = ()> + use<> {
+        let mut below = self.close_below.clone();
         let number = self.number;
         async move {
-            // An error says that the backend server is gone, which closes its connections too.
+            // An error means that the backend server was dropped, which closes its connections too.
             let _ = below.wait_for(|below| number < *below).await;
         }
     }
@@ -65,7 +65,7 @@
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -81,7 +81,7 @@
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for Connection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/components/stand_ins/src/config_run/check.rs
+++ b/components/stand_ins/src/config_run/check.rs
@@ -1,4 +1,4 @@
-//! Holds a run's history against what stands on its log.
+//! Checks a run's history against the records of its log.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,71 +12,71 @@
 use transport::log::{CommandRequest, Outcome};
 
 use super::History;
-use super::operators::Told;
+use super::operators::IssuedCommand;
 
-/// A promise that a run broke.
+/// A violation of a guarantee in a run.
 #[value]
-pub enum Broken {
+pub enum Violation {
     /// A host showed a lower revision than before.
     Reverted {
         /// The host.
         host: usize,
-        /// The revision it had shown.
+        /// The revision that the host had shown before.
         from: u64,
-        /// The revision it showed then.
+        /// The lower revision that the host showed afterwards.
         to: u64,
     },
-    /// A host showed a configuration that the log does not give at its revision.
+    /// A host showed a configuration that differs from the log's at the same revision.
     Differs {
         /// The host.
         host: usize,
         /// The revision.
         revision: u64,
     },
-    /// No preset was in force after the first choice.
+    /// The preset in force is not the last one chosen, or there is one before the first choice.
     NoPreset {
         /// The revision.
         revision: u64,
     },
-    /// A choice was accepted whose author had not seen another one.
+    /// A choice was accepted whose operator had not seen the choice before it.
     LostChoice {
         /// The revision of the choice that was overwritten.
         revision: u64,
     },
-    /// A command was decided again under the same id.
+    /// A command was decided twice under the same id.
     Repeated {
         /// The id.
         id: CommandId,
     },
-    /// An operator was told what is not so.
+    /// An operator got an answer that contradicts the log.
     Untrue {
         /// The command.
         request: Box<CommandRequest>,
-        /// What its author was told.
+        /// The answer that the operator got.
         outcome: Outcome,
     },
-    /// An operator never learnt what came of a command.
+    /// The outcome of a command stayed unknown to its operator.
     Unsettled {
         /// The command's id.
         id: CommandId,
     },
-    /// A host does not have the last revision in force though all faults are over.
+    /// A host doesn't have the last revision in force although all faults are over.
     Behind {
         /// The host.
         host: usize,
-        /// Its revision.
+        /// The revision in force at the host.
         revision: u64,
     },
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
 }
 
-/// What the log says, folded once from its first record.
-struct Truth {
+/// The state of the log, folded once from the first record.
+struct LogTruth {
     configs: BTreeMap<u64, Arc<Config>>,
     answers: BTreeMap<CommandId, Answer>,
     texts: BTreeSet<String>,
@@ -92,57 +92,64 @@
     name: String,
 }
 
-/// Returns every promise that the run broke.
-pub fn check(history: &History) -> Vec<Broken> {
-    let truth = Truth::of(&history.records);
-    let mut broken = Vec::new();
-    broken.extend(reverts(history));
-    broken.extend(differences(history, &truth));
-    broken.extend(truth.missing_presets());
-    broken.extend(truth.lost_choices());
-    broken.extend(truth.repeated.iter().map(|id| Broken::Repeated { id: *id }));
-    broken.extend(history.told.iter().flat_map(|t| truth.untruths(t)));
-    broken.extend(left_behind(history, &truth));
-    broken
+/// Returns every violation in the run.
+pub fn check(history: &History) -> Vec<Violation> {
+    let truth = LogTruth::of(&history.records);
+    let mut violations = Vec::new();
+    violations.extend(reverts(history));
+    violations.extend(differences(history, &truth));
+    violations.extend(truth.missing_presets());
+    violations.extend(truth.lost_choices());
+    violations.extend(
+        truth
+            .repeated
+            .iter()
+            .map(|id| Violation::Repeated { id: *id }),
+    );
+    violations.extend(history.issued.iter().flat_map(|c| truth.wrong_answers(c)));
+    violations.extend(left_behind(history, &truth));
+    violations
 }
 
-fn reverts(history: &History) -> Vec<Broken> {
+fn reverts(history: &History) -> Vec<Violation> {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
-    let mut broken = Vec::new();
-    for shown in &history.shown {
-        let to = shown.config.revision;
-        let from = last.insert((shown.host, shown.start), to).unwrap_or(0);
+    let mut violations = Vec::new();
+    for observation in &history.observations {
+        let to = observation.config.revision;
+        let from = last
+            .insert((observation.host, observation.restarts), to)
+            .unwrap_or(0);
         if to < from {
-            let host = shown.host;
-            broken.push(Broken::Reverted { host, from, to });
+            let host = observation.host;
+            violations.push(Violation::Reverted { host, from, to });
         }
     }
-    broken
+    violations
 }
 
-fn differences(history: &History, truth: &Truth) -> Vec<Broken> {
+fn differences(history: &History, truth: &LogTruth) -> Vec<Violation> {
     let differs = |config: &Arc<Config>| truth.configs.get(&config.revision) != Some(config);
-    let shown = history.shown.iter().filter(|s| differs(&s.config));
-    shown
-        .map(|s| Broken::Differs {
+    let differing = history.observations.iter().filter(|s| differs(&s.config));
+    differing
+        .map(|s| Violation::Differs {
             host: s.host,
             revision: s.config.revision,
         })
         .collect()
 }
 
-fn left_behind(history: &History, truth: &Truth) -> Vec<Broken> {
+fn left_behind(history: &History, truth: &LogTruth) -> Vec<Violation> {
     let end = truth.configs.keys().next_back().copied().unwrap_or(0);
-    let last = history.last.iter().copied().enumerate();
+    let last = history.final_revisions.iter().copied().enumerate();
     last.filter(|(_, revision)| *revision != end)
-        .map(|(host, revision)| Broken::Behind { host, revision })
+        .map(|(host, revision)| Violation::Behind { host, revision })
         .collect()
 }
 
-impl Truth {
-    fn of(records: &[bytes::Bytes]) -> Truth {
+impl LogTruth {
+    fn of(records: &[bytes::Bytes]) -> LogTruth {
         let mut fold = Fold::default();
-        let mut truth = Truth {
+        let mut truth = LogTruth {
             configs: BTreeMap::from([(0, Arc::clone(fold.config()))]),
             answers: BTreeMap::new(),
             texts: BTreeSet::new(),
@@ -162,17 +169,17 @@
                 .configs
                 .insert(fold.position().revision, Arc::clone(fold.config()));
             if let (Some(command), Applied::Decided(id, answer)) = (command, step) {
-                truth.decided(id, answer);
+                truth.record_decision(id, answer);
                 let changed = fold.position().revision > before;
-                truth.note(command, changed.then_some(fold.position().revision));
+                truth.record_change(command, changed.then_some(fold.position().revision));
             }
         }
         truth
     }
 
-    /// Notes a decision. A command that is forgotten may be decided once more,
-    /// if only as too old.
-    fn decided(&mut self, id: CommandId, answer: Answer) {
+    /// Records a decision. A command that was dropped from the recent commands may be decided
+    /// once more, but only as too old.
+    fn record_decision(&mut self, id: CommandId, answer: Answer) {
         let refusal = Refusal::TooOld;
         match self.answers.entry(id) {
             Entry::Vacant(entry) => {
@@ -183,7 +190,7 @@
         }
     }
 
-    fn note(&mut self, command: Command, changed: Option<u64>) {
+    fn record_change(&mut self, command: Command, changed: Option<u64>) {
         match (command.change, changed) {
             (Change::PutPreset { text }, _) => {
                 self.texts.insert(text);
@@ -200,8 +207,9 @@
         }
     }
 
-    /// Checks by the accepted choices alone which preset has to be in force.
-    fn missing_presets(&self) -> Vec<Broken> {
+    /// Derives from the accepted choices alone which preset must be in force, and returns the
+    /// revisions with another one.
+    fn missing_presets(&self) -> Vec<Violation> {
         let wanted = |revision: u64| {
             let before = self.choices.iter().take_while(|c| c.revision <= revision);
             before.last().map(|c| &c.name)
@@ -212,40 +220,40 @@
         };
         let wrong = self.configs.values().filter(|c| !holds(c));
         wrong
-            .map(|c| Broken::NoPreset {
+            .map(|c| Violation::NoPreset {
                 revision: c.revision,
             })
             .collect()
     }
 
-    fn lost_choices(&self) -> Vec<Broken> {
+    fn lost_choices(&self) -> Vec<Violation> {
         let pairs = self.choices.windows(2);
         let lost = pairs.filter(|pair| pair[1].decided_on < pair[0].revision);
-        lost.map(|pair| Broken::LostChoice {
+        lost.map(|pair| Violation::LostChoice {
             revision: pair[0].revision,
         })
         .collect()
     }
 
-    fn untruths(&self, told: &Told) -> Vec<Broken> {
-        let mut ids = told.outcomes.iter().filter_map(|o| match o {
+    fn wrong_answers(&self, command: &IssuedCommand) -> Vec<Violation> {
+        let mut ids = command.outcomes.iter().filter_map(|o| match o {
             Outcome::Unknown { id } => Some(*id),
             _ => None,
         });
-        let id = told.request.id.or(ids.next());
-        let mut broken: Vec<Broken> = told
+        let id = command.request.id.or(ids.next());
+        let mut violations: Vec<Violation> = command
             .outcomes
             .iter()
-            .filter(|o| !self.is_true(&told.request, id, o))
-            .map(|o| Broken::Untrue {
-                request: Box::new(told.request.clone()),
+            .filter(|o| !self.is_true(&command.request, id, o))
+            .map(|o| Violation::Untrue {
+                request: Box::new(command.request.clone()),
                 outcome: o.clone(),
             })
             .collect();
-        if let Some(Outcome::Unknown { id }) = told.outcomes.last() {
-            broken.push(Broken::Unsettled { id: *id });
+        if let Some(Outcome::Unknown { id }) = command.outcomes.last() {
+            violations.push(Violation::Unsettled { id: *id });
         }
-        broken
+        violations
     }
 
     fn is_true(&self, request: &CommandRequest, id: Option<CommandId>, outcome: &Outcome) -> bool {
@@ -256,16 +264,18 @@
                 revision == r
             }
             (Outcome::Accepted { revision }, None) if id.is_none() => {
-                self.is_so(&request.change, *revision)
+                self.was_in_force(&request.change, *revision)
             }
             (Outcome::Accepted { .. }, _) => false,
             (Outcome::Refused { .. }, answer) => !matches!(answer, Some(Answer::Accepted { .. })),
-            (Outcome::Unreachable { .. }, _) => answer.is_none() && !self.stands(&request.change),
+            (Outcome::Unreachable { .. }, _) => {
+                answer.is_none() && !self.is_on_log(&request.change)
+            }
         }
     }
 
-    /// Returns whether what a change asks for was so at `revision`.
-    fn is_so(&self, change: &Change, revision: u64) -> bool {
+    /// Returns whether the effect of a change was in force at `revision`.
+    fn was_in_force(&self, change: &Change, revision: u64) -> bool {
         let Some(config) = self.configs.get(&revision) else {
             return false;
         };
@@ -290,8 +300,8 @@
         }
     }
 
-    /// Returns whether a put or a join, which no other command is like, stands on the log.
-    fn stands(&self, change: &Change) -> bool {
+    /// Returns whether a put or a join, each of which is unique, is on the log.
+    fn is_on_log(&self, change: &Change) -> bool {
         match change {
             Change::PutPreset { text } => self.texts.contains(text),
             Change::Join { incarnation, .. } => self.incarnations.contains(incarnation),
--- a/components/stand_ins/src/config_run/hosts.rs
+++ b/components/stand_ins/src/config_run/hosts.rs
@@ -1,4 +1,4 @@
-//! Followers in place of entry hosts, each behind a proxy of its own.
+//! Followers in place of entry hosts, each behind its own proxy.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -10,19 +10,19 @@
 use state::Config;
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
-use transport::log::{Follower, FollowerOptions, LogClient, Submission};
+use transport::log::{BlockingStoreClient, Follower, FollowerOptions, Submission};
 
 use super::lock;
-use crate::log::LogStandIn;
 use crate::proxy::{Fault, Proxy};
+use crate::store::StoreStandIn;
 
 /// A configuration that a host showed.
 #[value]
-pub struct Shown {
+pub struct Observation {
     /// The host.
     pub host: usize,
-    /// Counts the host's starts: a new process remembers nothing.
-    pub start: usize,
+    /// How often the host had been restarted; a new process has no state of the old one.
+    pub restarts: usize,
     /// The configuration.
     pub config: Arc<Config>,
 }
@@ -30,33 +30,37 @@
 struct Host {
     proxy: Proxy,
     follower: Mutex<Arc<Follower>>,
-    starts: Mutex<usize>,
+    restarts: Mutex<usize>,
 }
 
 /// All hosts of a run.
 pub(super) struct Hosts<'a> {
     hosts: Vec<Host>,
-    shown: Arc<Mutex<Vec<Shown>>>,
+    observations: Arc<Mutex<Vec<Observation>>>,
     runtime: &'a Runtime,
 }
 
 impl<'a> Hosts<'a> {
-    pub(super) fn start(count: usize, log: &LogStandIn, runtime: &'a Runtime) -> io::Result<Self> {
+    pub(super) fn start(
+        count: usize,
+        store: &StoreStandIn,
+        runtime: &'a Runtime,
+    ) -> io::Result<Self> {
         let _inside = runtime.enter();
-        let shown = Arc::default();
+        let observations = Arc::default();
         let mut hosts = Hosts {
             hosts: Vec::new(),
-            shown,
+            observations,
             runtime,
         };
         for number in 0..count {
-            let proxy = Proxy::start(log.address())?;
-            let follower = follow(&proxy);
+            let proxy = Proxy::start(store.address())?;
+            let follower = start_follower(&proxy);
             hosts.watch(number, 0, follower.config());
             hosts.hosts.push(Host {
                 proxy,
                 follower: Mutex::new(follower),
-                starts: Mutex::new(0),
+                restarts: Mutex::new(0),
             });
         }
         Ok(hosts)
@@ -70,7 +74,7 @@
         Arc::clone(&lock(&self.hosts[number].follower))
     }
 
-    /// Returns what an operator at this host hands commands to.
+    /// Returns a submission of commands through this host.
     pub(super) fn submission(&self, number: usize, limit: Duration) -> Submission {
         let client = client(&self.hosts[number].proxy);
         Submission::new(client, self.follower(number), limit)
@@ -84,26 +88,29 @@
         self.hosts[number].proxy.silence();
     }
 
-    /// Replaces a host's process by a new one that knows nothing.
+    /// Replaces a host's process by a new one without state.
     pub(super) fn restart(&self, number: usize) {
         let host = &self.hosts[number];
-        let follower = follow(&host.proxy);
-        let mut starts = lock(&host.starts);
-        *starts += 1;
-        self.watch(number, *starts, follower.config());
+        let follower = start_follower(&host.proxy);
+        let mut restarts = lock(&host.restarts);
+        *restarts += 1;
+        self.watch(number, *restarts, follower.config());
         *lock(&host.follower) = follower;
     }
 
-    /// Returns what a host would hand to a peer.
-    pub(super) fn word(&self, number: usize) -> Option<Bytes> {
-        self.follower(number).offer().map(|(_, record)| record)
+    /// Returns the record that a host would send to a peer.
+    pub(super) fn offered_record(&self, number: usize) -> Option<Bytes> {
+        self.follower(number)
+            .snapshot_record()
+            .map(|(_, record)| record)
     }
 
-    /// Waits until every host has folded the whole log; returns their revisions.
-    pub(super) fn settle(&self, log: &LogStandIn, deadline: Instant) -> Vec<u64> {
+    /// Waits until every host has folded the whole log, or until `deadline`; returns the hosts'
+    /// revisions.
+    pub(super) fn wait_converged(&self, store: &StoreStandIn, deadline: Instant) -> Vec<u64> {
         let end = |f: &Arc<Follower>| {
             let fold = f.fold();
-            let next = log.journal(transport::log::CONFIG_STREAM).len() as u64;
+            let next = store.journal(transport::log::CONFIG_STREAM).len() as u64;
             !fold.is_behind() && fold.position().next == next
         };
         while Instant::now() < deadline && !(0..self.count()).all(|n| end(&self.follower(n))) {
@@ -113,18 +120,18 @@
         (0..self.count()).map(revision).collect()
     }
 
-    pub(super) fn shown(&self) -> Vec<Shown> {
-        lock(&self.shown).clone()
+    pub(super) fn observations(&self) -> Vec<Observation> {
+        lock(&self.observations).clone()
     }
 
-    fn watch(&self, host: usize, start: usize, mut config: watch::Receiver<Arc<Config>>) {
-        let shown = Arc::clone(&self.shown);
+    fn watch(&self, host: usize, restarts: usize, mut config: watch::Receiver<Arc<Config>>) {
+        let observations = Arc::clone(&self.observations);
         self.runtime.spawn(async move {
             loop {
                 let config_now = Arc::clone(&config.borrow_and_update());
-                lock(&shown).push(Shown {
+                lock(&observations).push(Observation {
                     host,
-                    start,
+                    restarts,
                     config: config_now,
                 });
                 if config.changed().await.is_err() {
@@ -135,18 +142,18 @@
     }
 }
 
-fn client(proxy: &Proxy) -> LogClient {
-    LogClient::new(proxy.address(), Duration::from_millis(150))
+fn client(proxy: &Proxy) -> BlockingStoreClient {
+    BlockingStoreClient::new(proxy.address(), Duration::from_millis(150))
 }
 
-/// Starts a follower that is as quick to notice and to snapshot as the run is short.
-fn follow(proxy: &Proxy) -> Arc<Follower> {
+/// Starts a follower with short timeouts and frequent snapshots, to match the short run.
+fn start_follower(proxy: &Proxy) -> Arc<Follower> {
     let options = FollowerOptions {
         wait: Duration::from_millis(50),
-        pause: Duration::from_millis(5),
-        longest_pause: Duration::from_millis(50),
-        patience: Duration::from_millis(100),
-        kilobytes: Some(1),
+        retry_delay: Duration::from_millis(5),
+        max_retry_delay: Duration::from_millis(50),
+        hedge_delay: Duration::from_millis(100),
+        max_kilobytes: Some(1),
         snapshots: Some(SnapshotPolicy {
             max_age: Duration::from_secs(1),
             max_records: 16,
--- a/components/stand_ins/src/config_run/mod.rs
+++ b/components/stand_ins/src/config_run/mod.rs
@@ -1,7 +1,7 @@
-//! Concurrent runs of the configuration: hosts that follow one log, operators who race, and faults.
+//! Concurrent runs of the configuration: hosts that follow one log, racing operators and faults.
 //!
-//! A run writes down what each host showed and what each operator was told.
-//! [`check`] then holds that against what stands on the log.
+//! A run records what each host showed and which answers each operator got.
+//! [`check`] then compares that with the records on the log.
 
 mod check;
 mod faults;
@@ -17,88 +17,88 @@
 use rand::rngs::StdRng;
 use transport::log::CONFIG_STREAM;
 
-use crate::log::{Behaviour, LogStandIn};
+use crate::store::{Behaviour, StoreStandIn};
 
-pub use check::{Broken, check};
+pub use check::{Violation, check};
 pub use faults::FaultCounts;
-pub use hosts::Shown;
-pub use operators::Told;
+pub use hosts::Observation;
+pub use operators::IssuedCommand;
 
 use hosts::Hosts;
 
-/// How large a run is.
+/// The size of a run.
 #[tag]
 pub struct RunOptions {
-    /// Decides commands, faults and their order.
+    /// The seed of the commands, the faults and their order.
     pub seed: u64,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub hosts: usize,
-    /// Operators who race.
+    /// The number of operators, who work concurrently.
     pub operators: usize,
-    /// Commands of each operator.
+    /// The number of commands of each operator.
     pub commands: usize,
-    /// Faults, one after the other, while the operators are at work.
+    /// The number of faults, injected one after the other while the operators work.
     pub faults: usize,
 }
 
-/// What was seen in a run.
+/// What was observed in a run.
 #[value]
 #[derive(Default)]
 pub struct History {
-    /// What hosts showed, in each host's own order.
-    pub shown: Vec<Shown>,
-    /// What operators were told.
-    pub told: Vec<Told>,
-    /// Every record of the log, in its order.
+    /// The configurations that hosts showed, in order for each host.
+    pub observations: Vec<Observation>,
+    /// The commands of the operators and their answers.
+    pub issued: Vec<IssuedCommand>,
+    /// All records of the log, in order.
     pub records: Vec<bytes::Bytes>,
-    /// The revision in force at each host when all had read to the end.
-    pub last: Vec<u64>,
-    /// The faults that were caused.
+    /// The revision in force at each host after all had read to the end of the log.
+    pub final_revisions: Vec<u64>,
+    /// The injected faults.
     pub faults: FaultCounts,
 }
 
-/// How long hosts may take to come to the log's end after the last fault.
-const HEAL_LIMIT: Duration = Duration::from_secs(20);
+/// How long hosts may take to read to the log's end after the last fault.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs hosts, operators and faults, and returns what was seen.
+/// Runs hosts, operators and faults, and returns what was observed.
 ///
 /// # Errors
 ///
-/// Says why the stand-ins can't be started.
+/// Fails if the stand-ins can't be started.
 pub fn run(options: RunOptions) -> io::Result<History> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let log = LogStandIn::on_loopback(Behaviour {
+    let store = StoreStandIn::on_loopback(Behaviour {
         keep_records: Some(96),
         ..Behaviour::default()
     })?;
-    log.keep_journal();
-    let hosts = Hosts::start(options.hosts, &log, &runtime)?;
-    let told = Mutex::new(Vec::new());
+    store.record_journal();
+    let hosts = Hosts::start(options.hosts, &store, &runtime)?;
+    let issued = Mutex::new(Vec::new());
     let mut faults = FaultCounts::default();
     std::thread::scope(|scope| {
         for operator in 0..options.operators {
-            let (hosts, told) = (&hosts, &told);
-            let draw = generator(options.seed, 1 + operator as u64);
-            scope.spawn(move || operators::work(hosts, operator, options.commands, draw, told));
+            let (hosts, issued) = (&hosts, &issued);
+            let rng = seeded_rng(options.seed, 1 + operator as u64);
+            scope.spawn(move || operators::issue(hosts, operator, options.commands, rng, issued));
         }
-        faults = faults::cause(&log, &hosts, options.faults, generator(options.seed, 0));
+        faults = faults::inject(&store, &hosts, options.faults, seeded_rng(options.seed, 0));
     });
-    let told = operators::ask_again(&hosts, told.into_inner().unwrap_or_default());
-    let last = hosts.settle(&log, Instant::now() + HEAL_LIMIT);
+    let issued = operators::retry_unknown(&hosts, issued.into_inner().unwrap_or_default());
+    let final_revisions = hosts.wait_converged(&store, Instant::now() + CONVERGENCE_TIMEOUT);
     Ok(History {
-        shown: hosts.shown(),
-        told,
-        records: log.journal(CONFIG_STREAM),
-        last,
+        observations: hosts.observations(),
+        issued,
+        records: store.journal(CONFIG_STREAM),
+        final_revisions,
         faults,
     })
 }
 
-fn generator(seed: u64, part: u64) -> StdRng {
-    StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(part))
+fn seeded_rng(seed: u64, stream: u64) -> StdRng {
+    StdRng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(stream))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/components/stand_ins/src/history/check/answers.rs
+++ b/components/stand_ins/src/history/check/answers.rs
@@ -1,19 +1,19 @@
-//! Checks of what callers were told.
+//! Checks of the answers that callers got.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Check, Fault, Limits};
+use super::{Check, Limits, Violation};
 use crate::history::{Event, Outcome, Record};
 
-/// Every call is answered in time, and a whole answer is the call's own.
+/// Checks that every call is answered in time, and that a complete answer belongs to its call.
 ///
-/// Lateness is excused where the call's entry host was gone meanwhile: killed,
-/// or paused by the test.
-pub(super) fn own_answer(records: &[Record], limits: &Limits) -> Vec<Fault> {
-    let mut faults = Vec::new();
+/// A late answer is allowed if the call's entry host was gone in the meantime: killed, or
+/// paused by the test.
+pub(super) fn own_answer(records: &[Record], limits: &Limits) -> Vec<Violation> {
+    let mut violations = Vec::new();
     let mut open = BTreeMap::new();
     let mut gone: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
-    let fault = |at, seen| Fault {
+    let report = |at, seen| Violation {
         check: Check::OwnAnswer,
         at,
         seen,
@@ -26,7 +26,7 @@
                 deadline_ms,
                 ..
             } => {
-                let end = record.at + deadline_ms * 1_000 + limits.answer_slack;
+                let end = record.at + deadline_ms * 1_000 + limits.answer_grace;
                 open.insert(*call, (record.at, end, host));
             }
             Event::Gone { host } => {
@@ -39,17 +39,21 @@
             }
             Event::Answered { call, outcome, own } => {
                 match open.remove(call) {
-                    None => faults.push(fault(record.at, format!("call {call} answered twice"))),
+                    None => {
+                        violations.push(report(record.at, format!("call {call} answered twice")));
+                    }
                     Some((sent, end, host))
                         if record.at > end && !was_gone(&gone, host, sent, record.at) =>
                     {
-                        faults.push(fault(record.at, format!("call {call} answered too late")));
+                        violations
+                            .push(report(record.at, format!("call {call} answered too late")));
                     }
                     Some(_) => {}
                 }
                 if *outcome == Outcome::Complete && !own {
-                    let seen = format!("call {call} got a part, or another call's answer");
-                    faults.push(fault(record.at, seen));
+                    let seen =
+                        format!("call {call} got an incomplete answer or that of another call");
+                    violations.push(report(record.at, seen));
                 }
             }
             _ => {}
@@ -57,8 +61,8 @@
     }
     let unanswered = open.keys().map(|call| format!("call {call} not answered"));
     let last = records.last().map_or(0, |r| r.at);
-    faults.extend(unanswered.map(|seen| fault(last, seen)));
-    faults
+    violations.extend(unanswered.map(|seen| report(last, seen)));
+    violations
 }
 
 /// Returns whether `host` was gone at some time from `sent` to `answered`.
@@ -67,13 +71,14 @@
         .is_some_and(|(from, to)| *from < answered && *to > sent)
 }
 
-/// A call refused as not run never reached the work, nor had any other call of its key.
-pub(super) fn not_run(records: &[Record]) -> Vec<Fault> {
+/// Checks that a call refused as not run never started, and that no call with the same key had
+/// started before the refusal.
+pub(super) fn not_run(records: &[Record]) -> Vec<Violation> {
     let keys: BTreeMap<u64, &String> = records.iter().filter_map(key_of).collect();
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
     let mut refused = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Received {
@@ -93,33 +98,36 @@
                 refused.insert(*call, record.at);
                 let key = keys.get(call).filter(|key| started_keys.contains(*key));
                 if let Some(key) = key {
-                    faults.push(Fault {
+                    violations.push(Violation {
                         check: Check::NotRun,
                         at: record.at,
-                        seen: format!("call {call} told not run, but its key {key} had run"),
+                        seen: format!(
+                            "call {call} was refused as not run, but its key {key} had run"
+                        ),
                     });
                 }
             }
             _ => {}
         }
     }
-    let lies = refused
+    let wrong = refused
         .into_iter()
         .filter(|(c, _)| started_calls.contains(c));
-    faults.extend(lies.map(|(call, at)| Fault {
+    violations.extend(wrong.map(|(call, at)| Violation {
         check: Check::NotRun,
         at,
-        seen: format!("call {call} told not run, but it was started"),
+        seen: format!("call {call} was refused as not run, but it was started"),
     }));
-    faults
+    violations
 }
 
-/// Non-idempotent calls are started once, and so are all calls of one key together.
-pub(super) fn at_most_once(records: &[Record]) -> Vec<Fault> {
-    let mut once = BTreeSet::new();
+/// Checks that each non-idempotent call starts at most once, and that of all calls with one key
+/// at most one starts.
+pub(super) fn at_most_once(records: &[Record]) -> Vec<Violation> {
+    let mut non_idempotent = BTreeSet::new();
     let mut started_calls = BTreeSet::new();
     let mut started_keys = BTreeSet::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         let twice = match &record.event {
             Event::Sent {
@@ -127,7 +135,7 @@
                 idempotent: false,
                 ..
             } => {
-                once.insert(*call);
+                non_idempotent.insert(*call);
                 None
             }
             Event::Received {
@@ -136,7 +144,7 @@
                 started: true,
                 ..
             } => {
-                let first = started_calls.insert(*call) || !once.contains(call);
+                let first = started_calls.insert(*call) || !non_idempotent.contains(call);
                 let first_key = key.as_ref().is_none_or(|key| started_keys.insert(key));
                 match (first, first_key) {
                     (false, _) => Some(format!("call {call} started twice")),
@@ -146,20 +154,20 @@
             }
             _ => None,
         };
-        faults.extend(twice.map(|seen| Fault {
+        violations.extend(twice.map(|seen| Violation {
             check: Check::AtMostOnce,
             at: record.at,
             seen,
         }));
     }
-    faults
+    violations
 }
 
-/// No call breaks at an entry host between its order to stop and its next start.
-pub(super) fn shutdown(records: &[Record]) -> Vec<Fault> {
+/// Checks that no call breaks at an entry host between its graceful shutdown and its next start.
+pub(super) fn shutdown(records: &[Record]) -> Vec<Violation> {
     let mut sent_to = BTreeMap::new();
     let mut stopping = BTreeSet::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Sent { call, host, .. } => {
@@ -177,16 +185,16 @@
                 ..
             } => {
                 let host = sent_to.get(call).filter(|host| stopping.contains(*host));
-                faults.extend(host.map(|host| Fault {
+                violations.extend(host.map(|host| Violation {
                     check: Check::Shutdown,
                     at: record.at,
-                    seen: format!("call {call} was cut off by {host}, which shut down"),
+                    seen: format!("call {call} was cut off by {host}, which was shutting down"),
                 }));
             }
             _ => {}
         }
     }
-    faults
+    violations
 }
 
 fn key_of(record: &Record) -> Option<(u64, &String)> {
--- a/components/stand_ins/src/history/check/servers.rs
+++ b/components/stand_ins/src/history/check/servers.rs
@@ -1,16 +1,16 @@
-//! Checks of what backend servers got.
+//! Checks of the calls and probes that backend servers got.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Check, Fault, Limits};
+use super::{Check, Limits, Violation};
 use crate::history::{Event, Order, Record};
 
-/// Load reports take no more than their share of a backend server's slot time.
-pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Fault> {
+/// Checks that load reports take no more of a backend server's slot time than their budget.
+pub(super) fn probe_budget(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut slots = BTreeMap::new();
     let mut spent: BTreeMap<SocketAddr, u64> = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Endpoint {
@@ -27,7 +27,7 @@
                 let slot_time = (record.at - since) * slots;
                 let budget = slot_time * limits.probe_permille / 1_000 + limits.probe_burst;
                 if *spent > budget {
-                    faults.push(Fault {
+                    violations.push(Violation {
                         check: Check::ProbeBudget,
                         at: record.at,
                         seen: format!("{endpoint}: {spent} us of load reports, {budget} allowed"),
@@ -37,17 +37,17 @@
             _ => {}
         }
     }
-    faults
+    violations
 }
 
-/// No backend server gets more calls at once than it bears, cold or warm.
-pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Fault> {
-    let mut turned = BTreeMap::new();
-    let mut faults = Vec::new();
+/// Checks that no backend server, cold or warm, gets more calls at once than it can run.
+pub(super) fn overload(records: &[Record], limits: &Limits) -> Vec<Violation> {
+    let mut cold_since = BTreeMap::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::TurnedCold { endpoint } => {
-                turned.insert(*endpoint, record.at);
+                cold_since.insert(*endpoint, record.at);
             }
             Event::Received {
                 endpoint,
@@ -56,31 +56,32 @@
                 cold,
                 ..
             } if running > bears => {
-                let unseen = turned
+                let in_grace = cold_since
                     .get(endpoint)
-                    .is_some_and(|at| record.at < at + limits.cold_notice);
+                    .is_some_and(|at| record.at < at + limits.cold_grace);
                 let check = match cold {
-                    true if unseen => continue,
+                    true if in_grace => continue,
                     true => Check::Cold,
                     false => Check::Slots,
                 };
-                faults.push(Fault {
+                violations.push(Violation {
                     check,
                     at: record.at,
-                    seen: format!("{endpoint}: {running} calls at once, it bears {bears}"),
+                    seen: format!("{endpoint}: {running} calls at once, its limit is {bears}"),
                 });
             }
             _ => {}
         }
     }
-    faults
+    violations
 }
 
-/// What is leaving, by data centre, by host or by its own word, gets no new work.
-pub(super) fn leaving(records: &[Record], limits: &Limits) -> Vec<Fault> {
+/// Checks that no new work goes to what is leaving: a data centre, a host, or a backend server
+/// that reports draining.
+pub(super) fn leaving(records: &[Record], limits: &Limits) -> Vec<Violation> {
     let mut centres = BTreeMap::new();
-    let mut out = Out::default();
-    let mut faults = Vec::new();
+    let mut leaving_now = Leaving::default();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             Event::Endpoint {
@@ -90,62 +91,65 @@
             } => {
                 centres.insert(*endpoint, data_centre);
             }
-            Event::Asked { order, name } => out.asked(*order, name),
-            Event::Ordered { order, name, .. } => out.order(*order, name, record.at),
+            Event::Asked { order, name } => leaving_now.apply_request(*order, name),
+            Event::Ordered { order, name, .. } => leaving_now.apply(*order, name, record.at),
             Event::Draining {
                 endpoint,
                 draining: true,
             } => {
-                out.servers.insert(endpoint.to_string(), record.at);
+                leaving_now.servers.insert(endpoint.to_string(), record.at);
             }
             Event::Draining { endpoint, .. } => {
-                out.servers.remove(&endpoint.to_string());
+                leaving_now.servers.remove(&endpoint.to_string());
             }
             Event::Received { endpoint, call, .. } => {
-                let since = |at: &u64| record.at > at + limits.leave_notice;
-                let centre = centres.get(endpoint).and_then(|c| out.centres.get(*c));
-                let server = out
+                let since = |at: &u64| record.at > at + limits.leave_grace;
+                let centre = centres
+                    .get(endpoint)
+                    .and_then(|c| leaving_now.centres.get(*c));
+                let server = leaving_now
                     .servers
                     .get(&endpoint.to_string())
-                    .or_else(|| out.servers.get(&endpoint.ip().to_string()));
+                    .or_else(|| leaving_now.servers.get(&endpoint.ip().to_string()));
                 let check = match (centre, server) {
                     (Some(at), _) if since(at) => Check::CentreOut,
                     (_, Some(at)) if since(at) => Check::ServerLeaving,
                     _ => continue,
                 };
-                faults.push(Fault {
+                violations.push(Violation {
                     check,
                     at: record.at,
-                    seen: format!("{endpoint} got call {call} long after it was taken out"),
+                    seen: format!("{endpoint} got call {call} too long after it began to leave"),
                 });
             }
             _ => {}
         }
     }
-    faults
+    violations
 }
 
-/// What has been taken out, and when.
+/// Data centres and backend servers that are leaving, with the time at which each began to leave,
+/// in microseconds since 1970.
 #[derive(Default)]
-struct Out {
+struct Leaving {
     centres: BTreeMap<String, u64>,
     servers: BTreeMap<String, u64>,
 }
 
-impl Out {
-    /// Ends what is out as soon as an operator asks for its return.
+impl Leaving {
+    /// Applies a return as soon as an operator requests it.
     ///
-    /// Entry hosts act on the return before its author has the answer: calls
-    /// that came between the two were once taken for calls to a data centre
-    /// that had left.
-    fn asked(&mut self, order: Order, name: &str) {
+    /// Entry hosts act on the return before the operator gets the answer. If only the accepted
+    /// command counted, calls between the two would be reported as calls to a data centre that
+    /// has left.
+    fn apply_request(&mut self, order: Order, name: &str) {
         match order {
-            Order::CentreReturns | Order::HostReturns => self.order(order, name, 0),
+            Order::CentreReturns | Order::HostReturns => self.apply(order, name, 0),
             Order::CentreLeaves | Order::HostLeaves | Order::Choose => {}
         }
     }
 
-    fn order(&mut self, order: Order, name: &str, at: u64) {
+    fn apply(&mut self, order: Order, name: &str, at: u64) {
         match order {
             Order::CentreLeaves => {
                 self.centres.entry(name.to_owned()).or_insert(at);
--- a/components/stand_ins/src/load.rs
+++ b/components/stand_ins/src/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: open-loop load from an experiment file, its report and plot.
+//! The load tool: generates open-loop load from an experiment file, reports and plots it.
 //!
 //! docs/operators/load.md describes the experiment file.
 
@@ -15,5 +15,5 @@
 
 pub use caller::{Call, Caller, Reply, Target};
 pub use experiment::{Experiment, ExperimentError};
-pub use plan::{Plan, Planned};
+pub use plan::{Plan, PlannedCall};
 pub use report::{Report, Sample};
--- a/components/stand_ins/src/load/caller.rs
+++ b/components/stand_ins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends calls to entry hosts and says what became of each.
+//! A caller, which sends calls to entry hosts and records the outcome of each.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use crate::backend::{ANSWER_FIELD, CALL_FIELD, WORK_FIELD, pattern};
+use crate::backend::{ANSWER_HEADER, CALL_HEADER, WORK_HEADER, pattern};
 use crate::history::{Event, History, Outcome};
 
-const DEADLINE_FIELD: &str = "cardamomvale-deadline-ms";
-const OUTCOME_FIELD: &str = "cardamomvale-outcome";
-const NOT_RUN_FIELD: &str = "cardamomvale-not-run";
-/// So much of a refusal's text is kept.
-const LINE_LIMIT: usize = 200;
-/// A caller waits so much longer than its deadline before it gives up.
-const PATIENCE: Duration = Duration::from_secs(2);
+const DEADLINE_HEADER: &str = "cardamomvale-deadline-ms";
+const OUTCOME_HEADER: &str = "cardamomvale-outcome";
+const NOT_RUN_HEADER: &str = "cardamomvale-not-run";
+/// The most bytes of a refusal's text that are kept.
+const MAX_REASON_SIZE: usize = 200;
+/// How much longer than its deadline a caller waits before it gives up.
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
-/// An entry host, or a backend server called without one.
+/// The target of calls: an entry host, or a backend server that is called directly.
 pub struct Target {
-    /// Its name in the history.
+    /// The target's name in the history.
     pub name: String,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Whether the platform's balancer sends it new calls.
+    /// Whether the platform's balancer sends new calls to the target.
     up: AtomicBool,
     idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
 }
@@ -41,55 +41,57 @@
 /// One call.
 #[value]
 pub struct Call {
-    /// Its number, unique in the history.
+    /// The call's number, unique in the history.
     pub number: u64,
     /// The HTTP method.
     pub method: String,
     /// The path and query.
     pub path: String,
-    /// Its `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` header.
     pub key: Option<String>,
-    /// The number of the first call of its key: the answer to any of them is its own.
+    /// The number of the first call with this key, if this is a repeat.
+    ///
+    /// All calls with the key expect the answer to the first.
     pub repeats: Option<u64>,
     /// How long the caller waits for an answer.
     pub deadline: Duration,
-    /// Bytes of the answer.
+    /// The expected size of the answer, in bytes.
     pub size: u64,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[value]
 pub struct Reply {
-    /// What the caller was told.
+    /// The outcome that the caller observed.
     pub outcome: Outcome,
-    /// The HTTP status, where there was one.
+    /// The HTTP status, if an answer arrived.
     pub status: Option<u16>,
-    /// The time the work took at the backend server, where it said so.
+    /// The time that the work took, if the backend server reported it.
     pub work: Option<Duration>,
-    /// Whether the answer was whole and the call's own.
+    /// Whether the answer was complete and belonged to this call.
     pub own: bool,
-    /// When the caller is told to come back.
+    /// The value of the answer's `Retry-After` header.
     pub retry_after: Option<String>,
-    /// The line that says why it was not answered whole.
+    /// The text of a refusal or failure; empty for a complete answer.
     pub why: String,
 }
 
-/// Sends calls and writes them into a history.
+/// Sends calls and records them in a history.
 #[derive(Clone, Default)]
 pub struct Caller {
-    /// The history written.
+    /// The history in which calls are recorded.
     pub history: History,
 }
 
 impl Call {
-    /// Returns the number whose text its answer repeats.
-    fn answer(&self) -> u64 {
+    /// Returns the call number that the body of the answer is made of.
+    fn answer_number(&self) -> u64 {
         self.repeats.unwrap_or(self.number)
     }
 }
 
 impl Target {
-    /// Returns a target that is up.
+    /// Returns a target to which the platform's balancer sends new calls.
     pub fn new(name: impl Into<String>, address: SocketAddr) -> Target {
         Target {
             name: name.into(),
@@ -99,12 +101,12 @@
         }
     }
 
-    /// Says whether the platform's balancer sends it new calls.
+    /// Sets whether the platform's balancer sends new calls to the target.
     pub fn set_up(&self, up: bool) {
         self.up.store(up, Ordering::SeqCst);
     }
 
-    /// Returns whether the platform's balancer sends it new calls.
+    /// Returns whether the platform's balancer sends new calls to the target.
     pub fn is_up(&self) -> bool {
         self.up.load(Ordering::SeqCst)
     }
@@ -119,7 +121,7 @@
         None
     }
 
-    fn keep(&self, sender: SendRequest<Full<Bytes>>) {
+    fn put_idle(&self, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.push(sender);
     }
@@ -130,14 +132,14 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
-        // Its error comes up at the call that it breaks.
+        // An error of the connection shows up in the call that it breaks.
         tokio::spawn(connection);
         Ok(sender)
     }
 }
 
 impl Caller {
-    /// Sends `call` to `target` and waits for what becomes of it.
+    /// Sends `call` to `target` and waits for its result.
     pub async fn call(&self, target: &Target, call: &Call) -> Reply {
         let method: hyper::Method = call.method.parse().unwrap_or_default();
         self.history.add(Event::Sent {
@@ -147,7 +149,7 @@
             key: call.key.clone(),
             deadline_ms: u64::try_from(call.deadline.as_millis()).unwrap_or(u64::MAX),
         });
-        let reply = tokio::time::timeout(call.deadline + PATIENCE, send(target, call))
+        let reply = tokio::time::timeout(call.deadline + ANSWER_GRACE, send(target, call))
             .await
             .unwrap_or_else(|_| Reply::ended(Outcome::Broken));
         self.history.add(Event::Answered {
@@ -171,24 +173,24 @@
         }
     }
 
-    fn of(call: &Call, status: StatusCode, fields: &HeaderMap) -> Reply {
-        let field = |name| fields.get(name)?.to_str().ok();
-        let number = |name| field(name)?.parse::<u64>().ok();
-        let outcome = match field(OUTCOME_FIELD) {
+    fn of(call: &Call, status: StatusCode, headers: &HeaderMap) -> Reply {
+        let header = |name| headers.get(name)?.to_str().ok();
+        let number = |name| header(name)?.parse::<u64>().ok();
+        let outcome = match header(OUTCOME_HEADER) {
             Some("complete") => Outcome::Complete,
             Some("not-run") => Outcome::NotRun,
             Some("unknown") => Outcome::Unknown,
-            // A backend server called without an entry host before it.
-            None if field(NOT_RUN_FIELD).is_some() => Outcome::NotRun,
+            // The target is a backend server without an entry host before it.
+            None if header(NOT_RUN_HEADER).is_some() => Outcome::NotRun,
             None if status.is_success() => Outcome::Complete,
             _ => Outcome::Unknown,
         };
         Reply {
             outcome,
             status: Some(status.as_u16()),
-            work: number(WORK_FIELD).map(Duration::from_micros),
-            own: number(ANSWER_FIELD) == Some(call.answer()),
-            retry_after: field("retry-after").map(str::to_owned),
+            work: number(WORK_HEADER).map(Duration::from_micros),
+            own: number(ANSWER_HEADER) == Some(call.answer_number()),
+            retry_after: header("retry-after").map(str::to_owned),
             why: String::new(),
         }
     }
@@ -196,8 +198,8 @@
 
 async fn send(target: &Target, call: &Call) -> Reply {
     let mut request = request(call);
-    // A kept connection may have been closed meanwhile: where hyper gives the
-    // request back, not a byte of it was sent, and a new connection is safe.
+    // An idle connection may have been closed in the meantime. If hyper returns the request,
+    // no byte of it was sent, and sending it on a new connection is safe.
     while let Some(mut sender) = target.take_idle() {
         match sender.try_send_request(request).await {
             Ok(response) => return finish(target, call, sender, response).await,
@@ -225,8 +227,8 @@
     let (head, body) = response.into_parts();
     let mut reply = Reply::of(call, head.status, &head.headers);
     let own = match (reply.outcome, head.status) {
-        (Outcome::Complete, StatusCode::OK) => read(call, body).await,
-        _ => line(body).await.map(|why| {
+        (Outcome::Complete, StatusCode::OK) => read_answer(call, body).await,
+        _ => read_text(body).await.map(|why| {
             reply.why = why;
             reply.own
         }),
@@ -234,40 +236,40 @@
     match own {
         Ok(own) => {
             reply.own = own && (reply.own || reply.outcome != Outcome::Complete);
-            target.keep(sender);
+            target.put_idle(sender);
             reply
         }
         Err(_) => Reply::ended(Outcome::Broken),
     }
 }
 
-/// Reads the answer and says whether it is whole and the call's own.
-async fn read(call: &Call, mut body: Incoming) -> Result<bool, hyper::Error> {
-    let text = pattern(call.answer());
+/// Reads the answer; returns whether it is complete and belongs to the call.
+async fn read_answer(call: &Call, mut body: Incoming) -> Result<bool, hyper::Error> {
+    let text = pattern(call.answer_number());
     let mut length = 0;
     let mut whole = true;
     while let Some(frame) = body.frame().await {
         let Some(data) = frame?.into_data().ok() else {
             continue;
         };
-        whole &= follows(&text, length, &data);
+        whole &= matches_pattern(&text, length, &data);
         length += data.len();
     }
     Ok(whole && length as u64 == call.size)
 }
 
-fn follows(text: &str, offset: usize, data: &[u8]) -> bool {
+fn matches_pattern(text: &str, offset: usize, data: &[u8]) -> bool {
     let from = offset % text.len();
     let text = text.as_bytes().iter().cycle().skip(from);
     data.iter().zip(text).all(|(a, b)| a == b)
 }
 
-/// Reads a body to its end and returns the start of it as text.
-async fn line(mut body: Incoming) -> Result<String, hyper::Error> {
+/// Reads a body to its end and returns its beginning as text.
+async fn read_text(mut body: Incoming) -> Result<String, hyper::Error> {
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
         let data = frame?.into_data().unwrap_or_default();
-        let room = LINE_LIMIT.saturating_sub(text.len()).min(data.len());
+        let room = MAX_REASON_SIZE.saturating_sub(text.len()).min(data.len());
         text.extend_from_slice(&data[..room]);
     }
     Ok(String::from_utf8_lossy(&text).trim().to_owned())
@@ -279,13 +281,13 @@
         .method(call.method.as_str())
         .uri(&call.path)
         .header("host", "cardamomvale")
-        .header(CALL_FIELD, call.number)
-        .header(ANSWER_FIELD, call.answer())
-        .header(DEADLINE_FIELD, deadline);
+        .header(CALL_HEADER, call.number)
+        .header(ANSWER_HEADER, call.answer_number())
+        .header(DEADLINE_HEADER, deadline);
     if let Some(key) = &call.key {
         request = request.header("idempotency-key", key);
     }
     request
         .body(Full::default())
-        .expect("a checked method and path")
+        .expect("a valid method, path and headers")
 }
--- a/components/stand_ins/src/load/warm_up.rs
+++ b/components/stand_ins/src/load/warm_up.rs
@@ -1,8 +1,8 @@
-//! Brings a new site to an ordinary day: every backend server warm.
+//! Warms up a new site until every backend server is warm.
 //!
-//! Entry hosts take a backend server that they have never seen for cold and
-//! give it little until it has proved itself. That is as it should be, and no
-//! measure of an ordinary day: so a new site is driven until all are warm.
+//! Entry hosts consider an unknown backend server cold and send it few calls at first. That is
+//! intended, but measurements need the steady state, so a new site gets calls until all
+//! backend servers are warm.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 
 use super::caller::{Call, Caller, Target};
 use super::experiment::Deployment;
-use crate::balancer::warm;
+use crate::balancer::all_endpoints_warm;
 use crate::history::Outcome;
 
-/// Numbers of these calls, far from all others.
-pub const FIRST: u64 = 1 << 40;
-const DEADLINE: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(50);
+/// The number of the first warm-up call, far above the numbers of all other calls.
+pub const FIRST_CALL: u64 = 1 << 40;
+const CALL_DEADLINE: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Calls all services of `deployment` until every endpoint is warm, at most for `limit`.
+/// Calls all services of `deployment` until every endpoint is warm, for at most `limit`.
 ///
 /// Returns whether all are warm.
 ///
@@ -35,7 +35,7 @@
     limit: Duration,
 ) -> bool {
     let stop = Arc::new(AtomicBool::new(false));
-    let next = Arc::new(AtomicU64::new(FIRST));
+    let next = Arc::new(AtomicU64::new(FIRST_CALL));
     let mut callers = JoinSet::new();
     for service in &deployment.services {
         for _ in 0..service.endpoints * service.slots {
@@ -43,7 +43,7 @@
             let (targets, next, stop) = (Arc::clone(targets), Arc::clone(&next), Arc::clone(&stop));
             callers.spawn(async move {
                 while !stop.load(Ordering::SeqCst) {
-                    one(&targets, next.fetch_add(1, Ordering::SeqCst), &path).await;
+                    send_call(&targets, next.fetch_add(1, Ordering::SeqCst), &path).await;
                 }
             });
         }
@@ -51,11 +51,11 @@
     let all_warm = async {
         loop {
             let admins = admins.to_vec();
-            let asked = tokio::task::spawn_blocking(move || warm(&admins));
-            if asked.await.unwrap_or(false) {
+            let checked = tokio::task::spawn_blocking(move || all_endpoints_warm(&admins));
+            if checked.await.unwrap_or(false) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     let warm = tokio::time::timeout(limit, all_warm).await.is_ok();
@@ -64,19 +64,19 @@
     warm
 }
 
-async fn one(targets: &[Target], number: u64, path: &str) {
-    let place = usize::try_from(number).unwrap_or(0) % targets.len();
+async fn send_call(targets: &[Target], number: u64, path: &str) {
+    let index = usize::try_from(number).unwrap_or(0) % targets.len();
     let call = Call {
         number,
         method: "GET".to_owned(),
         path: path.to_owned(),
         key: None,
         repeats: None,
-        deadline: DEADLINE,
+        deadline: CALL_DEADLINE,
         size: 64,
     };
-    let reply = Caller::default().call(&targets[place], &call).await;
+    let reply = Caller::default().call(&targets[index], &call).await;
     if reply.outcome != Outcome::Complete {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/components/stand_ins/tests/load_tool.rs
+++ b/components/stand_ins/tests/load_tool.rs
@@ -1,4 +1,4 @@
-//! The load tool sends what its file says and measures from the intended start.
+//! The load tool sends the calls of the experiment file and measures from their planned start.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 use stand_ins::history::check::{Limits, Tally, check};
 use stand_ins::history::{History, Outcome};
 use stand_ins::load::limit::limit;
-use stand_ins::load::plot::{Course, Curve, draw};
-use stand_ins::load::report::Times;
-use stand_ins::load::run::{Load, work_times};
+use stand_ins::load::plot::{Curve, Timeline, draw};
+use stand_ins::load::report::TimeHistogram;
+use stand_ins::load::run::{LoadGenerator, work_times};
 use stand_ins::load::{Caller, Experiment, ExperimentError, Plan, Report, Sample, Target};
 
-const FILE: &str = r#"
+const EXPERIMENT: &str = r#"
 name = "small"
 seed = 3
 seconds = 1
@@ -43,16 +43,16 @@
 repeats = 0.5
 "#;
 
-struct Ran {
+struct RunResult {
     experiment: Arc<Experiment>,
     plan: Arc<Plan>,
     samples: Vec<Sample>,
     history: History,
 }
 
-/// Runs the small experiment straight against two backend servers.
-async fn small(knobs: Knobs) -> Ran {
-    let experiment = Arc::new(Experiment::parse(FILE).unwrap());
+/// Runs the small experiment directly against two backend servers.
+async fn run_small(knobs: Knobs) -> RunResult {
+    let experiment = Arc::new(Experiment::parse(EXPERIMENT).unwrap());
     let plan = Arc::new(Plan::draw(&experiment));
     let history = History::default();
     let start = |_| {
@@ -71,7 +71,7 @@
     let caller = Caller {
         history: history.clone(),
     };
-    let load = Load {
+    let load = LoadGenerator {
         experiment: Arc::clone(&experiment),
         plan: Arc::clone(&plan),
         targets,
@@ -80,7 +80,7 @@
         stop: Arc::default(),
     };
     let samples = load.run().await;
-    Ran {
+    RunResult {
         experiment,
         plan,
         samples,
@@ -90,24 +90,24 @@
 
 #[test]
 fn same_plan() {
-    let experiment = Experiment::parse(FILE).unwrap();
+    let experiment = Experiment::parse(EXPERIMENT).unwrap();
     assert_eq!(Plan::draw(&experiment), Plan::draw(&experiment));
 }
 
 #[test]
-fn faults_named() {
-    let text = FILE
+fn all_errors_named() {
+    let text = EXPERIMENT
         .replace("entry-hosts = 2", "entry-hosts = 0")
         .replace("service = \"hallboard\"\nmethod", "service = \"x\"\nmethod");
-    let Err(ExperimentError::Faults(faults)) = Experiment::parse(&text) else {
-        panic!("the faults were not found");
+    let Err(ExperimentError::Invalid(errors)) = Experiment::parse(&text) else {
+        panic!("the errors were not found");
     };
-    assert_eq!(faults.len(), 2);
+    assert_eq!(errors.len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_answered() {
-    let ran = small(Knobs::default()).await;
+    let ran = run_small(Knobs::default()).await;
     assert_eq!(ran.samples.len(), ran.plan.calls.len());
     assert!(ran.samples.iter().all(|s| s.outcome == Outcome::Complete));
     let tally = Tally::of(&ran.history.sorted());
@@ -116,31 +116,31 @@
     let ideals = limit(&ran.experiment, &ran.plan, &work);
     let report = Report::of(&ran.experiment, "none", &ran.plan, &ran.samples, &ideals);
     assert_eq!(report.all.complete, tally.complete);
-    let mut times = Times::default();
+    let mut times = TimeHistogram::default();
     times.add(Duration::from_millis(3));
     let curve = Curve {
         label: "one".to_owned(),
         times: &times,
     };
-    let course = Course {
+    let timeline = Timeline {
         experiment: &ran.experiment,
         plan: &ran.plan,
         samples: &ran.samples,
     };
-    assert!(draw(&[curve], &course).unwrap().starts_with("<svg"));
+    assert!(draw(&[curve], &timeline).unwrap().starts_with("<svg"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_run_found() {
-    // Straight at the backend servers nobody agrees on keys: repeats run twice.
-    let ran = small(Knobs::default()).await;
-    let faults = check(&ran.history.sorted(), &Limits::default());
-    assert!(!faults.is_empty());
+    // Without entry hosts nothing deduplicates by key, so the work of repeats runs twice.
+    let ran = run_small(Knobs::default()).await;
+    let errors = check(&ran.history.sorted(), &Limits::default());
+    assert!(!errors.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_answers_seen() {
-    let ran = small(Knobs {
+    let ran = run_small(Knobs {
         cut_answers: Some(5),
         ..Knobs::default()
     })
@@ -151,7 +151,7 @@
 
 #[test]
 fn limit_waits() {
-    let text = FILE
+    let text = EXPERIMENT
         .replace("slots = 50", "slots = 1")
         .replace("exponential = 5.0", "fixed = 5.0");
     let experiment = Experiment::parse(&text).unwrap();
@@ -171,7 +171,7 @@
 
 #[test]
 fn long_times() {
-    let mut times = Times::default();
+    let mut times = TimeHistogram::default();
     times.add(Duration::from_millis(1));
     times.add(Duration::from_secs(20));
     let max = times.quantiles().max;
--- a/components/transport/src/dispatch/naive.rs
+++ b/components/transport/src/dispatch/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines: each entry host alone, without leases.
+//! The baseline policies: each entry host chooses endpoints by itself, without leases.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,23 +11,23 @@
 use state::{Config, EndpointKey, HostKey, ServiceKey};
 use tokio::sync::Notify;
 
-use super::{Call, Placed, Refusal};
+use super::{Call, Placement, Refusal};
 use crate::clock;
 
-/// Places calls by a baseline.
-pub struct Naive {
+/// Chooses endpoints for calls by a baseline policy.
+pub struct BaselineDispatcher {
     policy: Policy,
-    me: Option<HostKey>,
-    board: Mutex<Board>,
+    own_key: Option<HostKey>,
+    state: Mutex<State>,
     freed: Notify,
     stopping: AtomicBool,
 }
 
 #[derive(Default)]
-struct Board {
+struct State {
     services: BTreeMap<ServiceKey, Vec<Target>>,
     running: BTreeMap<EndpointKey, u32>,
-    turn: u64,
+    calls: u64,
 }
 
 #[derive(Clone, Copy)]
@@ -37,26 +37,26 @@
     share: u32,
 }
 
-/// What looking for an endpoint came to.
+/// The result of looking for an endpoint.
 enum Search {
-    Found(Placed),
+    Found(Placement),
     Busy,
     Refused(Refusal),
 }
 
-impl Naive {
-    /// Returns a baseline that knows no configuration yet.
-    pub fn new(policy: Policy, me: Option<HostKey>) -> Naive {
-        Naive {
+impl BaselineDispatcher {
+    /// Returns a dispatcher with no configuration yet; `own_key` is the key of this host.
+    pub fn new(policy: Policy, own_key: Option<HostKey>) -> BaselineDispatcher {
+        BaselineDispatcher {
             policy,
-            me,
-            board: Mutex::default(),
+            own_key,
+            state: Mutex::default(),
             freed: Notify::new(),
             stopping: AtomicBool::new(false),
         }
     }
 
-    /// Takes over the configuration in force.
+    /// Applies the configuration in force.
     pub fn configure(&self, config: &Config) {
         let mut services = BTreeMap::new();
         for service in config.services() {
@@ -72,16 +72,17 @@
                 .collect();
             services.insert(service.key(), targets);
         }
-        self.board().services = services;
+        self.state().services = services;
         self.freed.notify_waiters();
     }
 
-    /// Finds an endpoint; only a fixed share ever waits.
-    pub async fn acquire(&self, call: &Call) -> Result<Placed, Refusal> {
+    /// Chooses an endpoint. Waits only with [`Policy::FixedShare`], until a slot of
+    /// this host's is free.
+    pub async fn acquire(&self, call: &Call) -> Result<Placement, Refusal> {
         loop {
             let freed = self.freed.notified();
-            match self.search(call) {
-                Search::Found(placed) => return Ok(placed),
+            match self.choose_endpoint(call) {
+                Search::Found(placement) => return Ok(placement),
                 Search::Refused(refusal) => return Err(refusal),
                 Search::Busy => {}
             }
@@ -92,9 +93,9 @@
         }
     }
 
-    /// Takes an endpoint back.
+    /// Counts one call less in flight at `endpoint`.
     pub fn release(&self, endpoint: EndpointKey) {
-        if let Some(running) = self.board().running.get_mut(&endpoint) {
+        if let Some(running) = self.state().running.get_mut(&endpoint) {
             *running = running.saturating_sub(1);
         }
         self.freed.notify_one();
@@ -106,13 +107,13 @@
         self.freed.notify_waiters();
     }
 
-    /// Returns how a service stands.
-    pub fn standing(&self, service: ServiceKey) -> Option<ServiceStatus> {
-        let board = self.board();
-        let targets = board.services.get(&service)?;
+    /// Returns the calls in flight of a service, none for an unknown service.
+    pub fn service_status(&self, service: ServiceKey) -> Option<ServiceStatus> {
+        let state = self.state();
+        let targets = state.services.get(&service)?;
         let running = targets
             .iter()
-            .filter_map(|t| board.running.get(&t.endpoint))
+            .filter_map(|t| state.running.get(&t.endpoint))
             .sum();
         Some(ServiceStatus {
             waiting: 0,
@@ -121,24 +122,24 @@
         })
     }
 
-    fn search(&self, call: &Call) -> Search {
+    fn choose_endpoint(&self, call: &Call) -> Search {
         if self.stopping.load(Ordering::Relaxed) {
             return Search::Refused(Refusal::Stopping);
         }
-        let mut board = self.board();
-        let Some(targets) = board.services.get(&call.service) else {
+        let mut state = self.state();
+        let Some(targets) = state.services.get(&call.service) else {
             return Search::Refused(Refusal::UnknownService);
         };
-        let open: Vec<Target> = targets
+        let untried: Vec<Target> = targets
             .iter()
             .filter(|t| !call.tried.contains(&t.endpoint))
             .copied()
             .collect();
-        if open.is_empty() {
+        if untried.is_empty() {
             return Search::Refused(Refusal::NoBackend);
         }
-        let running = |t: &Target| board.running.get(&t.endpoint).copied().unwrap_or(0);
-        let choices: Vec<Choice> = open
+        let running = |t: &Target| state.running.get(&t.endpoint).copied().unwrap_or(0);
+        let choices: Vec<Choice> = untried
             .iter()
             .filter(|t| self.policy != Policy::FixedShare || running(t) < t.share)
             .map(|t| Choice {
@@ -146,20 +147,21 @@
                 running: running(t),
             })
             .collect();
-        let chosen = self.policy.choose(&choices, board.turn, rand::random());
-        board.turn += 1;
-        let Some(target) = open.iter().find(|t| Some(t.endpoint) == chosen) else {
+        let chosen = self.policy.choose(&choices, state.calls, rand::random());
+        state.calls += 1;
+        let Some(target) = untried.iter().find(|t| Some(t.endpoint) == chosen) else {
             return Search::Busy;
         };
-        *board.running.entry(target.endpoint).or_default() += 1;
-        Search::Found(Placed {
+        *state.running.entry(target.endpoint).or_default() += 1;
+        Search::Found(Placement {
             endpoint: target.endpoint,
             address: target.address,
             lease: None,
         })
     }
 
-    /// Returns this host's slots of an endpoint: each slot goes to a member by rendezvous.
+    /// Returns how many slots of an endpoint belong to this host: each slot is
+    /// assigned to a member by rendezvous hashing.
     fn share(&self, config: &Config, endpoint: EndpointKey, slots: u32) -> u32 {
         let owner = |slot: u32| {
             let item = endpoint.0 ^ u64::from(slot);
@@ -169,11 +171,11 @@
                 .max_by_key(|host| rendezvous(host.0, item))
                 .copied()
         };
-        let own = |slot: &u32| owner(*slot).is_none_or(|host| Some(host) == self.me);
+        let own = |slot: &u32| owner(*slot).is_none_or(|host| Some(host) == self.own_key);
         (0..slots).filter(own).count() as u32
     }
 
-    fn board(&self) -> MutexGuard<'_, Board> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/components/transport/src/edge/caller.rs
+++ b/components/transport/src/edge/caller.rs
@@ -1,4 +1,4 @@
-//! The stream of one caller's connection, as the HTTP library sees it.
+//! The byte stream of one caller's connection, as the HTTP library reads and writes it.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// What the calls of one connection and its stream tell each other.
+/// State shared by the calls of one connection and its stream.
 #[derive(Default)]
 pub struct CallerState {
     answering: AtomicBool,
@@ -21,23 +21,23 @@
 }
 
 impl CallerState {
-    /// Notes that a call has begun: what is written now is its answer.
+    /// Records that a call has begun: whatever is written from now on is its answer.
     pub fn begin(&self) {
         self.ended.store(false, Ordering::Relaxed);
         self.answering.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that the answer's body has been handed over whole, or given up.
+    /// Records that the answer's body was dropped, after its end or before.
     pub fn body_ended(&self) {
         self.ended.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that the answer broke after its head had gone out.
-    pub fn break_off(&self) {
+    /// Records that the answer broke after its head had been sent.
+    pub fn mark_broken(&self) {
         self.broken.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the answer broke after its head had gone out.
+    /// Returns whether the answer broke after its head had been sent.
     pub fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Relaxed)
     }
@@ -53,20 +53,20 @@
     }
 }
 
-/// A caller's stream with a limit on how slowly it may read its answers.
+/// A caller's stream, with a limit on how slowly the caller may read its answers.
 ///
-/// The HTTP library answers a head that it can't parse by itself, with an
-/// empty body and without an outcome. Such an answer is the only thing it
-/// writes while no call is under way: it is swallowed here, and the connection
-/// then gives the caller one that says what is wrong.
+/// The HTTP library itself answers a head that it can't parse, with an empty
+/// body and without an outcome. Such an answer is the only thing that it writes
+/// while no call is in progress. The stream discards those bytes, and
+/// the connection then sends an answer that states the fault.
 pub struct CallerStream {
     stream: TcpStream,
     state: Arc<CallerState>,
     stall: StallTimer,
-    waiting: Option<Waiting>,
+    waiting: Option<StallWait>,
 }
 
-struct Waiting {
+struct StallWait {
     since: Instant,
     timer: Pin<Box<Sleep>>,
 }
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Returns the bare stream.
+    /// Returns the underlying TCP stream.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    fn paced(
+    fn track_stall(
         &mut self,
         cx: &mut Context<'_>,
         result: Poll<io::Result<usize>>,
@@ -101,13 +101,13 @@
                 Poll::Ready(Ok(n))
             }
             Poll::Ready(Err(e)) => Poll::Ready(Err(e)),
-            Poll::Pending => self.poll_patience(cx),
+            Poll::Pending => self.poll_stall(cx),
         }
     }
 
-    fn poll_patience(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let left = self.stall.remaining();
-        let waiting = self.waiting.get_or_insert_with(|| Waiting {
+        let waiting = self.waiting.get_or_insert_with(|| StallWait {
             since: Instant::now(),
             timer: Box::pin(tokio::time::sleep(left)),
         });
@@ -139,7 +139,7 @@
             return Poll::Ready(Ok(bytes.len()));
         }
         let result = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.paced(cx, result)
+        self.track_stall(cx, result)
     }
 
     fn poll_write_vectored(
@@ -151,7 +151,7 @@
             return Poll::Ready(Ok(slices.iter().map(|s| s.len()).sum()));
         }
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
-        self.paced(cx, result)
+        self.track_stall(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/components/transport/src/edge/keyed.rs
+++ b/components/transport/src/edge/keyed.rs
@@ -1,4 +1,5 @@
-//! Calls with an idempotency key: claimed before they are sent, and their answers kept.
+//! Calls with an idempotency key: the key is claimed before the call is sent,
+//! and the answer is cached for repeats of the key.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,88 +16,89 @@
 
 use super::answer::AnswerBody;
 use super::fault::Fault;
-use super::outcome::{OUTCOME, Outcome};
+use super::outcome::{OUTCOME_HEADER, Outcome};
 use crate::claims::{CachedAnswer, ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use crate::clock;
 
-/// The largest body of an answer that is kept for repeats of its key.
-const KEEP_LIMIT: usize = 64 * 1024;
+/// The largest body of an answer, in bytes, that is cached for repeats of its key.
+const MAX_CACHED_BODY: usize = 64 * 1024;
 
-/// When to come back where no claims can be agreed at all.
-const UNCLAIMED_WAIT: Duration = Duration::from_secs(1);
+/// The `Retry-After` of a call whose claim was not decided in time, or that
+/// came before the claims were set.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Agrees on who may run the call with a key.
+/// Decides, among all entry hosts, which call with an idempotency key may run.
 pub trait KeyClaims: Send + Sync {
-    /// Claims a key for one call.
+    /// Claims the key of `request` for one call.
     fn claim(&self, request: ClaimRequest) -> Pin<Box<dyn Future<Output = Verdict> + Send + '_>>;
 
-    /// Says how a claimed call ended.
+    /// Records how the call that holds the claim `ticket` ended.
     fn end(&self, ticket: ClaimTicket, ending: ClaimEnding);
 }
 
-/// A claim that this call holds, ended when the call ends.
+/// A claim that a call holds, ended when the call ends.
 ///
-/// Dropped without a word, as when the caller hangs up, it counts as unknown
-/// once the call has been sent, and as not run before.
+/// A claim that is dropped without an ending, as when the caller hangs up, ends
+/// as unknown if the call has been sent, and as not run otherwise.
 pub struct Claim {
     claims: Arc<dyn KeyClaims>,
     ticket: Option<ClaimTicket>,
     sent: bool,
 }
 
-/// What the claim of a call's key came to.
+/// The result of claiming a call's key.
 pub enum Claimed {
-    /// The call is to be sent.
-    Mine(Claim),
-    /// It was answered before, so.
-    Before(Box<Response<AnswerBody>>),
+    /// The claim was granted: the call is to be sent.
+    Granted(Claim),
+    /// The first call with this key was answered already: its cached answer.
+    Answered(Box<Response<AnswerBody>>),
 }
 
 /// Claims the key of a call, waiting until `deadline` at most.
 ///
 /// # Errors
 ///
-/// Says why the call must not be sent.
+/// Returns the fault because of which the call must not be sent.
 pub async fn claim(
     claims: Option<&Arc<dyn KeyClaims>>,
     request: ClaimRequest,
     deadline: Moment,
 ) -> Result<Claimed, Fault> {
-    let claims = claims.ok_or(Fault::KeyUnclaimed(UNCLAIMED_WAIT))?;
-    let waiting = ask(Arc::clone(claims), request);
+    let claims = claims.ok_or(Fault::KeyUnclaimed(CLAIM_RETRY_DELAY))?;
+    let waiting = spawn_claim(Arc::clone(claims), request);
     let left = clock::now().until(deadline);
     match tokio::time::timeout(left, waiting).await {
-        Ok(Ok(Verdict::Go(ticket))) => Ok(Claimed::Mine(Claim {
+        Ok(Ok(Verdict::Granted(ticket))) => Ok(Claimed::Granted(Claim {
             claims: Arc::clone(claims),
             ticket: Some(ticket),
             sent: false,
         })),
-        Ok(Ok(Verdict::Known(kept))) => Ok(Claimed::Before(Box::new(replay(kept)))),
+        Ok(Ok(Verdict::Known(cached))) => Ok(Claimed::Answered(Box::new(replay(cached)))),
         Ok(Ok(Verdict::Started)) => Err(Fault::KeyStarted),
         Ok(Ok(Verdict::Mismatch)) => Err(Fault::KeyMismatch),
         Ok(Ok(Verdict::NotRun(wait))) => Err(Fault::KeyUnclaimed(wait)),
-        Ok(Err(_)) | Err(_) => Err(Fault::KeyUnclaimed(UNCLAIMED_WAIT)),
+        Ok(Err(_)) | Err(_) => Err(Fault::KeyUnclaimed(CLAIM_RETRY_DELAY)),
     }
 }
 
-/// Asks for the claim on a task of its own.
+/// Claims a key in a task of its own, which outlives the call.
 ///
-/// If the caller hung up, or its deadline passed, while the claim is on its way
-/// to the log, the claim may still land. Nobody would run the call then, and
-/// every repeat would be told that it was started. So whoever comes too late
-/// for the caller gives the claim back.
-fn ask(claims: Arc<dyn KeyClaims>, request: ClaimRequest) -> oneshot::Receiver<Verdict> {
+/// If the caller hangs up or the deadline passes while the claim is being
+/// written to the store, the claim may still be granted. No one would run the
+/// call then, and every repeat would get the answer that it was started. So the
+/// task ends a claim that is granted too late as not run.
+fn spawn_claim(claims: Arc<dyn KeyClaims>, request: ClaimRequest) -> oneshot::Receiver<Verdict> {
     let (sender, receiver) = oneshot::channel();
     tokio::spawn(async move {
         let verdict = claims.claim(request).await;
-        if let Err(Verdict::Go(ticket)) = sender.send(verdict) {
+        if let Err(Verdict::Granted(ticket)) = sender.send(verdict) {
             claims.end(ticket, ClaimEnding::NotRun);
         }
     });
     receiver
 }
 
-/// Returns what tells two requests with one key apart.
+/// Returns the SHA-256 of a request, which distinguishes two requests with the same key.
 pub fn digest(service: ServiceKey, method: &Method, uri: &Uri, body: &[u8]) -> [u8; 32] {
     let mut hash = Sha256::new();
     hash.update(service.0.to_le_bytes());
@@ -109,13 +111,13 @@
 }
 
 impl Claim {
-    /// Notes that the call is about to be sent.
-    pub fn sending(&mut self) {
+    /// Records that the call is about to be sent.
+    pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
-    /// Ends the claim of a call that got no answer.
-    pub fn failed(mut self, outcome: Outcome) {
+    /// Ends the claim of a call that got no answer, by the call's `outcome`.
+    pub fn end_unanswered(mut self, outcome: Outcome) {
         match outcome {
             Outcome::NotRun => self.end(ClaimEnding::NotRun),
             Outcome::Complete | Outcome::Unknown => self.end(ClaimEnding::Unknown),
@@ -138,38 +140,38 @@
     }
 }
 
-/// Gathers a claimed call's answer as it passes, for repeats of its key.
-pub struct Keeper {
+/// Records the answer of a claimed call while it is relayed, for repeats of its key.
+pub struct AnswerRecorder {
     claim: Claim,
     status: u16,
     fields: Vec<(String, Bytes)>,
     body: BytesMut,
-    large: bool,
+    is_too_large: bool,
 }
 
-impl Keeper {
-    /// Returns the keeper of the answer with this head.
-    pub fn new(claim: Claim, head: &response::Parts) -> Keeper {
-        Keeper {
+impl AnswerRecorder {
+    /// Starts to record the answer whose head is `head`.
+    pub fn new(claim: Claim, head: &response::Parts) -> AnswerRecorder {
+        AnswerRecorder {
             claim,
             status: head.status.as_u16(),
-            fields: kept_fields(&head.headers),
+            fields: cached_fields(&head.headers),
             body: BytesMut::new(),
-            large: false,
+            is_too_large: false,
         }
     }
 
-    /// Takes the next piece of the body.
+    /// Records the next piece of the body.
     pub fn add(&mut self, data: &Bytes) {
-        self.large |= self.body.len() + data.len() > KEEP_LIMIT;
-        if !self.large {
+        self.is_too_large |= self.body.len() + data.len() > MAX_CACHED_BODY;
+        if !self.is_too_large {
             self.body.extend_from_slice(data);
         }
     }
 
-    /// Ends the claim: the answer came whole.
+    /// Ends the claim with the complete answer.
     pub fn finish(mut self) {
-        let ending = match self.large {
+        let ending = match self.is_too_large {
             true => ClaimEnding::AnsweredLarge,
             false => ClaimEnding::Answered(CachedAnswer {
                 status: self.status,
@@ -181,19 +183,19 @@
     }
 }
 
-fn kept_fields(fields: &HeaderMap) -> Vec<(String, Bytes)> {
+fn cached_fields(fields: &HeaderMap) -> Vec<(String, Bytes)> {
     fields
         .iter()
-        .filter(|(name, _)| **name != OUTCOME)
+        .filter(|(name, _)| **name != OUTCOME_HEADER)
         .map(|(name, value)| (name.to_string(), Bytes::copy_from_slice(value.as_bytes())))
         .collect()
 }
 
-/// Returns a kept answer as it was first given.
-fn replay(kept: CachedAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::line(kept.body));
-    *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    for (name, value) in kept.fields {
+/// Returns a cached answer as a response with the same status, header fields and body.
+fn replay(cached: CachedAnswer) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::buffered(cached.body));
+    *response.status_mut() = StatusCode::from_u16(cached.status).unwrap_or(StatusCode::OK);
+    for (name, value) in cached.fields {
         let name = HeaderName::try_from(name);
         let value = HeaderValue::from_maybe_shared(value);
         if let (Ok(name), Ok(value)) = (name, value) {
@@ -202,6 +204,6 @@
     }
     response
         .headers_mut()
-        .insert(OUTCOME, Outcome::Complete.value());
+        .insert(OUTCOME_HEADER, Outcome::Complete.value());
     response
 }
--- a/components/transport/src/gateway/attempt.rs
+++ b/components/transport/src/gateway/attempt.rs
@@ -16,7 +16,7 @@
 
 use super::Gateway;
 use crate::clock;
-use crate::edge::fields::remove_hop_by_hop;
+use crate::edge::headers::remove_hop_by_hop;
 use crate::upstream::connection::RequestError;
 use crate::upstream::{Connection, RequestBody};
 
@@ -110,7 +110,8 @@
     /// Selects an endpoint, sends the request and reads the answer.
     ///
     /// Dropping the future cancels the attempt and closes its connection, so that
-    /// the endpoint stops and a late answer can't be taken for another one.
+    /// the endpoint stops and a late answer can't be taken for the answer to another
+    /// request.
     pub async fn run(&self, body: RequestBody) -> AttemptEnd {
         let found = self
             .gateway
--- a/components/transport/src/log/remote.rs
+++ b/components/transport/src/log/admin_client.rs
@@ -1,4 +1,4 @@
-//! Hands a command to an entry host's admin port, and reads the configuration there.
+//! A client of an entry host's admin port, which submits commands and reads the configuration.
 
 use std::io;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use super::submit::{CommandRequest, Outcome};
 
-/// The largest configuration that is read, in bytes.
-const CONFIG_LIMIT: u64 = 16 * 1024 * 1024;
+/// The largest configuration that is accepted, in bytes.
+const MAX_CONFIG_SIZE: u64 = 16 * 1024 * 1024;
 
 /// Returns the configuration in force at the entry host with this admin address. Blocks.
 ///
 /// # Errors
 ///
-/// Says why there is none.
-pub fn read_by_entry(address: &str, limit: Duration) -> Result<Config, String> {
+/// Returns why the configuration could not be read.
+pub fn read_from_host(address: &str, limit: Duration) -> Result<Config, String> {
     let mut response = agent(limit)
         .get(format!("http://{address}/config"))
         .call()
@@ -27,18 +27,19 @@
         200 => {}
         status => return Err(format!("the entry host answers with status {status}")),
     }
-    let body = response.body_mut().with_config().limit(CONFIG_LIMIT);
+    let body = response.body_mut().with_config().limit(MAX_CONFIG_SIZE);
     let bytes = body.read_to_vec().map_err(|e| e.to_string())?;
     serde_json::from_slice(&bytes).map_err(|e| e.to_string())
 }
 
-/// Hands a command to the entry host with this admin address. Blocks.
+/// Submits a command to the entry host with this admin address. Blocks.
 ///
-/// The id is drawn here and not at the entry host: were its answer lost, the
-/// operator could not ask again. The revision is left to the host, which first
-/// reads the log to its end: one that has just started shows an old one here.
-pub fn submit_by_entry(address: &str, request: &CommandRequest, limit: Duration) -> Outcome {
-    let config = match (request.id, read_by_entry(address, limit)) {
+/// The command's id is drawn here and not at the entry host. If the host drew it
+/// and its answer were lost, the operator could not repeat the command under the
+/// same id. The revision is left to the host, which first reads the stream to
+/// its end; a host that has just started returns an old configuration here.
+pub fn submit_to_host(address: &str, request: &CommandRequest, limit: Duration) -> Outcome {
+    let config = match (request.id, read_from_host(address, limit)) {
         (_, Ok(config)) => config,
         (Some(id), Err(_)) => return Outcome::Unknown { id },
         (None, Err(reason)) => return Outcome::Unreachable { reason },
@@ -46,13 +47,13 @@
     let id = request
         .id
         .unwrap_or_else(|| CommandId::new(config.offset, rand::rng().random()));
-    let named = CommandRequest {
+    let with_id = CommandRequest {
         id: Some(id),
         decided_on: request.decided_on,
         change: request.change.clone(),
     };
     let repeated = request.id.is_some();
-    let body = serde_json::to_vec(&named).unwrap_or_default();
+    let body = serde_json::to_vec(&with_id).unwrap_or_default();
     let posted = agent(limit)
         .post(format!("http://{address}/commands"))
         .send(&body[..]);
@@ -72,7 +73,7 @@
     }
 }
 
-/// Returns whether the error came before a byte could be sent.
+/// Returns whether the error occurred before any byte was sent.
 fn never_sent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Timeout(timeout) => matches!(timeout, ureq::Timeout::Connect),
--- a/components/transport/src/trace.rs
+++ b/components/transport/src/trace.rs
@@ -1,8 +1,9 @@
-//! Traces of calls: a span for each hop, under the caller's `traceparent`.
+//! Traces of calls: a span for the call and for each step of it, under the
+//! caller's `traceparent`.
 //!
-//! Spans are made and written by the OpenTelemetry library. The call's path
-//! only puts a finished span into a bounded queue; when that is full the span
-//! is dropped and counted.
+//! Spans are made and exported by the OpenTelemetry library. A call only puts
+//! its finished spans into a bounded queue; when the queue is full, a span is
+//! dropped and counted.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -23,19 +24,19 @@
     SdkTracer, SdkTracerProvider, Span, SpanData, SpanExporter, SpanProcessor,
 };
 
-/// The header field that names the trace (W3C Trace Context).
-const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
+/// The header field that carries trace id and parent span id (W3C Trace Context).
+const TRACEPARENT_HEADER: HeaderName = HeaderName::from_static("traceparent");
 
-/// Finished spans that may wait to be written.
-const QUEUE_LIMIT: usize = 4_096;
+/// How many finished spans may wait to be exported.
+const MAX_QUEUED_SPANS: usize = 4_096;
 
-/// Spans written at once.
-const BATCH_LIMIT: usize = 512;
+/// How many spans are exported at once.
+const MAX_BATCH_SIZE: usize = 512;
 
-/// How long a finished span waits for others.
-const BATCH_TIME: Duration = Duration::from_millis(500);
+/// How long a batch that is not full waits for another span.
+const BATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Decides which calls are traced, and makes their spans.
+/// Decides which calls are traced, and creates their spans.
 pub struct Tracing {
     every: u64,
     count: AtomicU64,
@@ -43,18 +44,18 @@
     tracer: Option<SdkTracer>,
 }
 
-/// One call's trace, where it has one.
+/// The trace of one call; without effect for a call that isn't traced.
 pub struct CallTrace {
     tracer: Option<SdkTracer>,
-    root: Hop,
+    root: CallSpan,
 }
 
-/// One span of a call's trace, which ends when it is dropped.
-pub struct Hop(Option<Context>);
+/// One span of a call's trace, which ends when dropped; none if the call isn't traced.
+pub struct CallSpan(Option<Context>);
 
 impl Tracing {
-    /// Returns tracing that traces nothing.
-    pub fn off() -> Tracing {
+    /// Returns a tracing that samples no call.
+    pub fn disabled() -> Tracing {
         Tracing {
             every: 0,
             count: AtomicU64::new(0),
@@ -63,10 +64,11 @@
         }
     }
 
-    /// Traces one call in `every`, none where 0, and writes the spans by `exporter`.
+    /// Returns a tracing that samples one call in `every`, none if 0, and exports
+    /// the spans by `exporter` with the attribute `host.name`.
     pub fn new(every: u64, host: &str, exporter: impl SpanExporter + 'static) -> Tracing {
         if every == 0 {
-            return Tracing::off();
+            return Tracing::disabled();
         }
         let resource = Resource::builder()
             .with_service_name("cardamomvale")
@@ -74,7 +76,7 @@
             .build();
         let provider = SdkTracerProvider::builder()
             .with_resource(resource)
-            .with_span_processor(Queue::start(exporter))
+            .with_span_processor(SpanQueue::start(exporter))
             .build();
         Tracing {
             every,
@@ -84,12 +86,13 @@
         }
     }
 
-    /// Begins the trace of a call with these header fields, if it is one to be traced.
+    /// Begins the trace of a call with the header fields `headers`, if the call is sampled.
     ///
-    /// A caller that asks not to be sampled is not. One that asks for it still
-    /// gets its share only: callers must not decide what tracing costs here.
-    pub fn begin(&self, fields: &HeaderMap) -> CallTrace {
-        let parent = fields.get(TRACEPARENT).and_then(parse);
+    /// A call whose caller declines sampling is not sampled. One whose caller
+    /// requests it is still sampled at the configured rate only: callers must
+    /// not decide what tracing costs this host.
+    pub fn start_call(&self, headers: &HeaderMap) -> CallTrace {
+        let parent = headers.get(TRACEPARENT_HEADER).and_then(parse_traceparent);
         let declined = parent.as_ref().is_some_and(|p| !p.is_sampled());
         match &self.tracer {
             Some(tracer) if !declined && self.is_due() => {
@@ -97,7 +100,7 @@
                     Some(parent) => Context::new().with_remote_span_context(parent),
                     None => Context::new(),
                 };
-                let root = hop(tracer, "call", SpanKind::Server, &context);
+                let root = start_span(tracer, "call", SpanKind::Server, &context);
                 CallTrace {
                     tracer: Some(tracer.clone()),
                     root,
@@ -105,12 +108,12 @@
             }
             _ => CallTrace {
                 tracer: None,
-                root: Hop(None),
+                root: CallSpan(None),
             },
         }
     }
 
-    /// Writes what still waits.
+    /// Exports the spans that are still queued.
     pub fn flush(&self) {
         if let Some(provider) = &self.provider {
             let _ = provider.force_flush();
@@ -126,46 +129,51 @@
 
 impl CallTrace {
     /// Begins a span within the entry host.
-    pub fn inner(&self, name: &'static str) -> Hop {
+    pub fn internal_span(&self, name: &'static str) -> CallSpan {
         self.child(name, SpanKind::Internal)
     }
 
-    /// Begins a span for the call to a backend server, and passes the trace on to it.
+    /// Begins a span for the call to a backend server, and sets `traceparent` to that span.
     ///
-    /// Without a span of ours the caller's own field travels on unchanged.
-    pub fn onward(&self, name: &'static str, fields: &mut HeaderMap) -> Hop {
-        let hop = self.child(name, SpanKind::Client);
-        match hop.header() {
-            Some(value) => drop(fields.insert(TRACEPARENT, value)),
-            None if fields.get(TRACEPARENT).is_some_and(|v| parse(v).is_none()) => {
-                fields.remove(TRACEPARENT);
+    /// For a call that isn't traced, a valid `traceparent` of the caller's is
+    /// forwarded unchanged, and a malformed one is removed.
+    pub fn client_span(&self, name: &'static str, headers: &mut HeaderMap) -> CallSpan {
+        let span = self.child(name, SpanKind::Client);
+        match span.header() {
+            Some(value) => drop(headers.insert(TRACEPARENT_HEADER, value)),
+            None if headers
+                .get(TRACEPARENT_HEADER)
+                .is_some_and(|v| parse_traceparent(v).is_none()) =>
+            {
+                headers.remove(TRACEPARENT_HEADER);
             }
             None => {}
         }
-        hop
+        span
     }
 
-    /// Returns whether this call is traced, so that a note is worth making.
-    pub fn is_on(&self) -> bool {
+    /// Returns whether this call is traced, so that computing an attribute's value is
+    /// worthwhile.
+    pub fn is_sampled(&self) -> bool {
         self.tracer.is_some()
     }
 
-    /// Notes something about the whole call.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
-        self.root.note(key, value);
+    /// Sets an attribute of the span of the whole call.
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+        self.root.set_attribute(key, value);
     }
 
-    fn child(&self, name: &'static str, kind: SpanKind) -> Hop {
+    fn child(&self, name: &'static str, kind: SpanKind) -> CallSpan {
         match (&self.tracer, &self.root.0) {
-            (Some(tracer), Some(context)) => hop(tracer, name, kind, context),
-            _ => Hop(None),
+            (Some(tracer), Some(context)) => start_span(tracer, name, kind, context),
+            _ => CallSpan(None),
         }
     }
 }
 
-impl Hop {
-    /// Notes something about this hop.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+impl CallSpan {
+    /// Sets an attribute of the span.
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         if let Some(context) = &self.0 {
             context.span().set_attribute(KeyValue::new(key, value));
         }
@@ -178,14 +186,19 @@
     }
 }
 
-fn hop(tracer: &SdkTracer, name: &'static str, kind: SpanKind, parent: &Context) -> Hop {
+fn start_span(
+    tracer: &SdkTracer,
+    name: &'static str,
+    kind: SpanKind,
+    parent: &Context,
+) -> CallSpan {
     let builder = SpanBuilder::from_name(name).with_kind(kind);
     let span = tracer.build_with_context(builder, parent);
-    Hop(Some(parent.with_span(span)))
+    CallSpan(Some(parent.with_span(span)))
 }
 
-/// Reads a `traceparent` field, nothing where it is malformed.
-fn parse(value: &HeaderValue) -> Option<SpanContext> {
+/// Parses a `traceparent` field, none if it is malformed.
+fn parse_traceparent(value: &HeaderValue) -> Option<SpanContext> {
     let mut parts = value.to_str().ok()?.split('-');
     let version = parts.next()?;
     let trace = TraceId::from_hex(parts.next().filter(|t| t.len() == 32)?).ok()?;
@@ -201,9 +214,9 @@
     }
 }
 
-/// Finished spans on their way to a thread that writes them.
+/// The queue of finished spans for the thread that exports them.
 #[derive(Debug)]
-struct Queue {
+struct SpanQueue {
     sender: SyncSender<Item>,
 }
 
@@ -212,33 +225,33 @@
     Flush(SyncSender<()>),
 }
 
-impl Queue {
-    fn start(exporter: impl SpanExporter + 'static) -> Queue {
-        let (sender, receiver) = sync_channel(QUEUE_LIMIT);
-        thread::spawn(move || write(&receiver, &exporter));
-        Queue { sender }
+impl SpanQueue {
+    fn start(exporter: impl SpanExporter + 'static) -> SpanQueue {
+        let (sender, receiver) = sync_channel(MAX_QUEUED_SPANS);
+        thread::spawn(move || export_spans(&receiver, &exporter));
+        SpanQueue { sender }
     }
 
-    fn dropped() -> Counter {
+    fn drop_counter() -> Counter {
         counter!("cardamomvale_spans_dropped_total")
     }
 }
 
-impl SpanProcessor for Queue {
+impl SpanProcessor for SpanQueue {
     fn on_start(&self, _span: &mut Span, _context: &Context) {}
 
     fn on_end(&self, span: SpanData) {
         if self.sender.try_send(Item::Span(Box::new(span))).is_err() {
-            Queue::dropped().increment(1);
+            SpanQueue::drop_counter().increment(1);
         }
     }
 
     fn force_flush(&self) -> OTelSdkResult {
         let (done, wait) = sync_channel(1);
         let sent = self.sender.try_send(Item::Flush(done));
-        match sent.map(|()| wait.recv_timeout(BATCH_TIME * 4)) {
+        match sent.map(|()| wait.recv_timeout(BATCH_TIMEOUT * 4)) {
             Ok(Ok(())) => Ok(()),
-            _ => Err(OTelSdkError::Timeout(BATCH_TIME * 4)),
+            _ => Err(OTelSdkError::Timeout(BATCH_TIMEOUT * 4)),
         }
     }
 
@@ -247,14 +260,14 @@
     }
 }
 
-/// Writes spans in batches until nobody makes any more.
-fn write(receiver: &Receiver<Item>, exporter: &impl SpanExporter) {
+/// Exports spans in batches, until the queue's sending end is dropped.
+fn export_spans(receiver: &Receiver<Item>, exporter: &impl SpanExporter) {
     let mut batch = Vec::new();
     loop {
-        let flushed = match receiver.recv_timeout(BATCH_TIME) {
+        let flushed = match receiver.recv_timeout(BATCH_TIMEOUT) {
             Ok(Item::Span(span)) => {
                 batch.push(*span);
-                if batch.len() < BATCH_LIMIT {
+                if batch.len() < MAX_BATCH_SIZE {
                     continue;
                 }
                 None
@@ -264,14 +277,15 @@
             Err(RecvTimeoutError::Disconnected) => return,
         };
         if !batch.is_empty() {
-            // An exporter that has to wait would hold up the rest: its batch is given up.
+            // The batch is dropped if the exporter can't finish at once: waiting for
+            // it would delay the spans that follow.
             let written = exporter.export(std::mem::take(&mut batch)).now_or_never();
             if !matches!(written, Some(Ok(()))) {
-                Queue::dropped().increment(1);
+                SpanQueue::drop_counter().increment(1);
             }
         }
         if let Some(done) = flushed {
-            // Whoever asked may have given up waiting.
+            // The receiver may have timed out.
             let _ = done.send(());
         }
     }
--- a/components/transport/tests/admin_port.rs
+++ b/components/transport/tests/admin_port.rs
@@ -1,4 +1,4 @@
-//! The admin port under commands that wait.
+//! The admin port while commands block.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -7,14 +7,14 @@
 
 use transport::admin::{Admin, Host};
 
-/// A host whose commands wait until they are let go.
-struct Slow {
-    begun: Mutex<Sender<()>>,
-    go_on: Mutex<Receiver<()>>,
+/// A host whose commands block until the test releases them.
+struct BlockedHost {
+    started_sender: Mutex<Sender<()>>,
+    release: Mutex<Receiver<()>>,
 }
 
-impl Host for Slow {
-    fn unready(&self) -> Option<String> {
+impl Host for BlockedHost {
+    fn unready_reason(&self) -> Option<String> {
         None
     }
 
@@ -27,8 +27,8 @@
     }
 
     fn command(&self, _: &[u8]) -> (u16, String) {
-        self.begun.lock().unwrap().send(()).unwrap();
-        self.go_on.lock().unwrap().recv().unwrap();
+        self.started_sender.lock().unwrap().send(()).unwrap();
+        self.release.lock().unwrap().recv().unwrap();
         (200, "{}".to_owned())
     }
 }
@@ -44,31 +44,32 @@
     })
 }
 
-/// The log hangs, and operators' commands wait for it. The port had two workers,
-/// so that two commands held up `/readyz`, and the platform's balancer took a
-/// good host out. With commands on threads of their own it still hung in one run of
-/// twenty: the library counted a thread that it had just woken as idle, so that a
-/// new connection was given to nobody until another one closed. Its port serves
-/// connections by itself now.
+/// The store hangs, and the maximum number of commands wait for it. `/readyz`
+/// must still be answered, or the platform's balancer takes a healthy host out
+/// of service. With two worker threads for all requests, two commands blocked
+/// it. With commands on threads of their own, one run in twenty still hung: the
+/// HTTP server library then in use counted a thread it had just woken as idle, so
+/// that a new connection was not served until another one closed. The port now
+/// accepts and serves connections itself.
 #[test]
-fn commands_wait_apart() {
-    let (begun, begins) = channel();
-    let (go_on, waits) = channel();
-    let host: Arc<dyn Host> = Arc::new(Slow {
-        begun: Mutex::new(begun),
-        go_on: Mutex::new(waits),
+fn ready_despite_blocked_commands() {
+    let (started_sender, started) = channel();
+    let (release, released) = channel();
+    let host: Arc<dyn Host> = Arc::new(BlockedHost {
+        started_sender: Mutex::new(started_sender),
+        release: Mutex::new(released),
     });
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let admin = Admin::open(listener, &host, None).unwrap();
     let address = admin.address();
     let waiting: Vec<_> = (0..8).map(|_| post(address)).collect();
-    begins.recv().unwrap();
+    started.recv().unwrap();
     let ready = ureq::get(format!("http://{address}/readyz"))
         .call()
         .unwrap();
     assert_eq!(ready.status().as_u16(), 200);
     for _ in 0..8 {
-        go_on.send(()).unwrap();
+        release.send(()).unwrap();
     }
     for command in waiting {
         assert_eq!(command.join().unwrap(), 200);
--- a/components/transport/tests/bad_input.rs
+++ b/components/transport/tests/bad_input.rs
@@ -1,7 +1,7 @@
-//! Requests that are broken, too large, too slow or not HTTP at all.
+//! Requests that are malformed, too large, too slow or not HTTP at all.
 //!
-//! Each gets an answer of the 4xx kind that says "not run" and, in one line,
-//! what is wrong; the backend server sees none of it.
+//! Most get a 4xx answer with the outcome "not-run" and one line that states
+//! what is wrong, and no backend server receives them.
 
 mod support;
 
@@ -10,17 +10,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use support::{Answer, Reply, Server, Site, get, ok};
+use support::{Answer, EdgeServer, Reply, ScriptedServer, get, ok};
 use tokio::io::AsyncWriteExt;
 use transport::edge::Limits;
 
-fn endless_fields() -> String {
+fn too_many_fields() -> String {
     let fields: String = (0..5_000).map(|n| format!("x-{n}: filler\r\n")).collect();
     format!("GET /hallboard/ HTTP/1.1\r\nhost: entry\r\n{fields}")
 }
 
-/// A caller's program is faulty, or somebody tries what the host bears. The
-/// caller has to learn what is wrong, and that nothing ran.
+/// A faulty or hostile caller sends an invalid request. The answer must state
+/// what is wrong, and that nothing ran.
 #[rstest]
 #[case::not_http("\u{1}\u{2}\u{3} hello\r\n\r\n".into(), 400, "valid HTTP/1.1")]
 #[case::http_2("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".into(), 400, "valid HTTP/1.1")]
@@ -40,7 +40,7 @@
     "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nabc\r\n".into(),
     400, "body of the request is broken"
 )]
-#[case::endless_fields(endless_fields(), 431, "head of the request is too large")]
+#[case::too_many_fields(too_many_fields(), 431, "head of the request is too large")]
 #[case::long_field(
     format!("GET /hallboard/ HTTP/1.1\r\nx: {}", "a".repeat(100_000)),
     431, "head of the request is too large"
@@ -65,26 +65,27 @@
 )]
 #[tokio::test]
 async fn refused(#[case] request: String, #[case] status: u16, #[case] line: &str) {
-    let server = Server::always(Reply::Keep(ok("reached"))).await;
-    let site = Site::start(&[&server]).await;
-    let answer = site.ask(&request).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let answer = edge_server.call(&request).await;
     assert_eq!(answer.status(), status, "{answer:?}");
     assert_eq!(answer.outcome(), "not-run", "{answer:?}");
     assert!(answer.text().contains(line), "{answer:?}");
     assert_eq!(answer.text().lines().count(), 1, "{answer:?}");
-    assert_eq!(server.seen(), [], "the backend server saw something");
+    assert_eq!(server.requests(), [], "the backend server saw something");
 }
 
-/// A good call comes first, and the bytes after it on the same connection are
-/// none. The good call's answer must be untouched by the refusal.
+/// A valid call is followed by bytes that are no request, on the same
+/// connection. The call must still get its own answer.
 #[tokio::test]
 async fn garbage_after_call() {
-    let server = Server::always(Reply::Keep(ok("HTTP/1.1 400 is what the page is about"))).await;
-    let site = Site::start(&[&server]).await;
-    let mut stream = site.connect().await;
+    let server =
+        ScriptedServer::always(Reply::Keep(ok("HTTP/1.1 400 is what the page is about"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    let mut stream = edge_server.connect().await;
     let call = "GET /hallboard/ HTTP/1.1\r\nhost: entry\r\n\r\n";
     stream.write_all(call.as_bytes()).await.expect("sent");
-    support::until(|| server.seen().len() == 1).await;
+    support::until(|| server.requests().len() == 1).await;
     stream
         .write_all(b"and now for nonsense\r\n\r\n")
         .await
@@ -98,21 +99,22 @@
     );
 }
 
-/// A request has a length and chunked coding, and the two disagree. A balancer
-/// in front that goes by the length takes the rest for part of the body; here it
-/// would run as a second call, in the name of another caller.
+/// Request smuggling: a request has both a Content-Length and chunked coding,
+/// and the two disagree. A balancer in front that uses the length takes the rest
+/// as part of the body. The entry host must not run that rest as a second call,
+/// which would count as another caller's.
 #[tokio::test]
 async fn smuggled_call() {
-    let server = Server::always(Reply::Keep(ok("first"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("first"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let hidden = "GET /hallboard/hidden HTTP/1.1\r\nhost: e\r\n\r\n";
     let length = hidden.len() + 5;
     let request = format!(
         "POST /hallboard/a HTTP/1.1\r\nhost: e\r\ncontent-length: {length}\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"
     );
-    let answer = site.ask(&request).await;
+    let answer = edge_server.call(&request).await;
     assert_eq!(answer.text(), "first", "{answer:?}");
-    let seen = server.seen();
+    let seen = server.requests();
     assert_eq!(seen.len(), 1, "{seen:?}");
     assert_eq!(
         support::field(&seen[0].head, "content-length").as_deref(),
@@ -120,23 +122,23 @@
     );
 }
 
-/// A caller's connection is so slow, or so hostile, that a head never ends.
-/// A thousand of these must not keep another caller from its answer.
+/// A thousand slow or hostile callers never finish the head of their request.
+/// Another caller must still be answered, and each of the thousand times out.
 #[tokio::test]
 async fn slow_heads() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
-        head_time: Duration::from_millis(500),
+        head_timeout: Duration::from_millis(500),
         ..Limits::default()
     };
-    let site = Site::with(&[&server], |_| {}, limits).await;
+    let edge_server = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut slow = Vec::new();
     for _ in 0..1_000 {
-        let mut stream = site.connect().await;
+        let mut stream = edge_server.connect().await;
         stream.write_all(b"GET /hallboard/ HT").await.expect("sent");
         slow.push(stream);
     }
-    assert_eq!(site.ask(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "prompt");
     for stream in &mut slow {
         let answer = Answer::read(stream).await;
         assert_eq!(
@@ -147,39 +149,39 @@
     }
 }
 
-/// A caller announces a body and sends only its beginning. It must hold no
-/// slot meanwhile: the body is read before the call is placed.
+/// Callers announce a body and send only its beginning. They must occupy no
+/// slots: a body this small is read before a slot is acquired.
 #[tokio::test]
 async fn slow_bodies_hold_no_slot() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let mut slow = Vec::new();
     for _ in 0..200 {
-        let mut stream = site.connect().await;
+        let mut stream = edge_server.connect().await;
         let start = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ncontent-length: 60000\r\n\r\nabc";
         stream.write_all(start.as_bytes()).await.expect("sent");
         slow.push(stream);
     }
-    assert_eq!(site.ask(&get("/hallboard/")).await.text(), "prompt");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// More callers connect than the host takes. Each beyond the limit is told so
-/// at once, and that nothing ran.
+/// More callers connect than the limit allows. Each one beyond the limit must get
+/// a 503 with the outcome "not-run" at once.
 #[tokio::test]
 async fn too_many_callers() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
-        callers: 3,
+        max_callers: 3,
         ..Limits::default()
     };
-    let site = Site::with(&[&server], |_| {}, limits).await;
+    let edge_server = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut held = Vec::new();
     for _ in 0..3 {
-        held.push(site.connect().await);
+        held.push(edge_server.connect().await);
     }
-    support::until(|| site.edge.callers() == 3).await;
-    let answer = site.ask(&get("/hallboard/")).await;
+    support::until(|| edge_server.edge.callers() == 3).await;
+    let answer = edge_server.call(&get("/hallboard/")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
@@ -188,15 +190,15 @@
     assert!(support::field(&answer.head, "retry-after").is_some());
 }
 
-/// A chunked body goes past the limit after its beginning has been passed on.
-/// The backend server never saw its end, but may have begun: "unknown" is true.
+/// A chunked body exceeds the limit after its beginning has been forwarded. The
+/// backend server never gets its end, but may have started: the outcome is "unknown".
 #[tokio::test]
 async fn chunked_over_limit() {
-    let server = Server::always(Reply::Keep(ok("reached"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("reached"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     let chunk = format!("10000\r\n{}\r\n", "a".repeat(0x10000));
     let head = "POST /hallboard/ HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\n";
-    let mut stream = site.connect().await;
+    let mut stream = edge_server.connect().await;
     let (mut reading, mut writing) = stream.split();
     let send = async {
         writing.write_all(head.as_bytes()).await?;
@@ -215,37 +217,37 @@
     let (_, answer) = tokio::join!(send, receive);
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
     assert!(answer.contains("cardamomvale-outcome: unknown"), "{answer}");
-    assert_eq!(server.seen(), [], "no whole request arrived");
+    assert_eq!(server.requests(), [], "no whole request arrived");
 }
 
-/// Bytes of all kinds arrive at the callers' port. Each connection gets an
-/// answer with an outcome or is closed, and the host serves on.
+/// Randomly mutated requests arrive. Each must get an answer with an outcome or
+/// have its connection closed, and the host must go on serving.
 #[tokio::test]
 async fn random_bytes() {
-    let server = Server::always(Reply::Keep(ok("prompt"))).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("prompt"))).await;
     let limits = Limits {
-        head_time: Duration::from_millis(200),
+        head_timeout: Duration::from_millis(200),
         ..Limits::default()
     };
-    let site = Site::with(&[&server], |_| {}, limits).await;
+    let edge_server = EdgeServer::with(&[&server], |_| {}, limits).await;
     let mut random = SmallRng::seed_from_u64(24);
     for round in 0..300 {
         let request = mutated(&mut random);
-        let mut stream = site.connect().await;
+        let mut stream = edge_server.connect().await;
         stream.write_all(&request).await.expect("sent");
         stream.shutdown().await.expect("half closed");
         let answer = Answer::read(&mut stream).await;
-        let told = answer.head.is_empty() || !answer.outcome().is_empty();
+        let answered_or_closed = answer.head.is_empty() || !answer.outcome().is_empty();
         assert!(
-            told,
+            answered_or_closed,
             "round {round}: {answer:?} to {:?}",
             request.escape_ascii().to_string()
         );
     }
-    assert_eq!(site.ask(&get("/hallboard/")).await.text(), "prompt");
+    assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "prompt");
 }
 
-/// Returns a good request with some of its bytes changed, lost or doubled.
+/// Returns a valid request with some of its bytes changed, removed or duplicated.
 fn mutated(random: &mut SmallRng) -> Vec<u8> {
     let whole = "POST /hallboard/x HTTP/1.1\r\nhost: e\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut bytes = whole.as_bytes().to_vec();
--- a/components/transport/tests/keyed_calls.rs
+++ b/components/transport/tests/keyed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls with an idempotency key, on the path of one call.
+//! Calls with an idempotency key at the edge, with claims kept in memory.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use coordination::claims::{ClaimId, ClaimKey};
-use support::{Reply, Server, Site, field, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, field, ok, until};
 use tokio::io::AsyncWriteExt;
 use transport::claims::{ClaimEnding, ClaimRequest, ClaimTicket, Verdict};
 use transport::edge::KeyClaims;
 
-/// Claims agreed by one table in memory.
+/// Claims of keys, held in memory.
 #[derive(Default)]
-struct Table {
+struct ClaimTable {
     rows: Mutex<BTreeMap<String, Row>>,
     down: Mutex<bool>,
 }
@@ -27,7 +27,7 @@
     ending: Option<ClaimEnding>,
 }
 
-impl KeyClaims for Table {
+impl KeyClaims for ClaimTable {
     fn claim(&self, request: ClaimRequest) -> Pin<Box<dyn Future<Output = Verdict> + Send + '_>> {
         Box::pin(async move { self.decide(request) })
     }
@@ -44,7 +44,7 @@
     }
 }
 
-impl Table {
+impl ClaimTable {
     fn decide(&self, request: ClaimRequest) -> Verdict {
         let mut rows = self.rows.lock().expect("rows");
         let id = ClaimId(rows.len() as u128);
@@ -60,7 +60,7 @@
                         ending: None,
                     },
                 );
-                Verdict::Go(ClaimTicket {
+                Verdict::Granted(ClaimTicket {
                     id,
                     key: ClaimKey(0),
                 })
@@ -78,16 +78,16 @@
         self.rows.lock().expect("rows").get(key)?.ending.clone()
     }
 
-    fn knows(&self, key: &str) -> bool {
+    fn is_claimed(&self, key: &str) -> bool {
         self.rows.lock().expect("rows").contains_key(key)
     }
 }
 
-async fn site(server: &Server) -> (Site, Arc<Table>) {
-    let site = Site::start(&[server]).await;
-    let table = Arc::new(Table::default());
-    site.edge.claim_by(Arc::clone(&table) as _);
-    (site, table)
+async fn edge_with_claims(server: &ScriptedServer) -> (EdgeServer, Arc<ClaimTable>) {
+    let edge_server = EdgeServer::start(&[server]).await;
+    let table = Arc::new(ClaimTable::default());
+    edge_server.edge.set_claims(Arc::clone(&table) as _);
+    (edge_server, table)
 }
 
 fn deposit(key: &str, body: &str) -> String {
@@ -97,15 +97,15 @@
     )
 }
 
-/// A secretary's answer is lost on its way, and the deposit is sent again with
-/// its key. It must be taken once, and the second answer be the first one.
+/// A caller loses the answer to its call and repeats the call with the same key.
+/// The call must run once, and each repeat must get the first answer.
 #[tokio::test]
 async fn repeat_gets_first_answer() {
     let reply = "HTTP/1.1 201 Created\r\nx-receipt: 17\r\ncontent-length: 5\r\n\r\ntaken";
-    let server = Server::always(Reply::Keep(reply.into())).await;
-    let (site, _table) = site(&server).await;
+    let server = ScriptedServer::always(Reply::Keep(reply.into())).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
     for _ in 0..3 {
-        let answer = site.ask(&deposit("k1", "12 pounds")).await;
+        let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
         assert_eq!(
             (answer.status(), answer.outcome().as_str()),
             (201, "complete"),
@@ -114,126 +114,129 @@
         assert_eq!(field(&answer.head, "x-receipt").as_deref(), Some("17"));
         assert_eq!(answer.text(), "taken");
     }
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// One key is used for two different deposits by mistake. The second must be
-/// neither taken nor answered as if it were the first.
+/// One key is used for two different requests by mistake. The second must
+/// neither run nor get the answer of the first.
 #[tokio::test]
 async fn other_body_refused() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
-    let (site, _table) = site(&server).await;
-    site.ask(&deposit("k1", "12 pounds")).await;
-    let answer = site.ask(&deposit("k1", "13 pounds")).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
+    edge_server.call(&deposit("k1", "12 pounds")).await;
+    let answer = edge_server.call(&deposit("k1", "13 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (422, "not-run"),
         "{answer:?}"
     );
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// The connection breaks after the deposit was sent. A repeat must not send it
-/// again: it may have been taken.
+/// The connection breaks after the call has been sent. A repeat of its key must
+/// not send it again: it may have run.
 #[tokio::test]
 async fn broken_then_unknown() {
-    let server = Server::always(Reply::Close(String::new())).await;
-    let (site, _table) = site(&server).await;
+    let server = ScriptedServer::always(Reply::Close(String::new())).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
     for status in [502, 504] {
-        let answer = site.ask(&deposit("k1", "12 pounds")).await;
+        let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
         assert_eq!(
             (answer.status(), answer.outcome().as_str()),
             (status, "unknown"),
             "{answer:?}"
         );
     }
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// The backend server refuses the deposit and says that it did not run. The
-/// key is free again, so that a repeat may succeed.
+/// The backend server rejects the call as not run. The key must be released, so
+/// that a repeat can succeed.
 #[tokio::test]
 async fn shed_frees_key() {
     let shed = "HTTP/1.1 503 Busy\r\ncardamomvale-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let server = Server::start(move |n, _| match n {
+    let server = ScriptedServer::start(move |n, _| match n {
         0 => Reply::Keep(shed.into()),
         _ => Reply::Keep(ok("taken")),
     })
     .await;
-    let (site, _table) = site(&server).await;
-    let first = site.ask(&deposit("k1", "12 pounds")).await;
+    let (edge_server, _table) = edge_with_claims(&server).await;
+    let first = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (first.status(), first.outcome().as_str()),
         (503, "not-run"),
         "{first:?}"
     );
-    let second = site.ask(&deposit("k1", "12 pounds")).await;
+    let second = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (second.text().as_str(), second.outcome().as_str()),
         ("taken", "complete")
     );
 }
 
-/// The caller hangs up in the middle. Whether the deposit ran is not known, and
-/// a repeat must be told so.
+/// The caller disconnects while the call is running. Whether it ran is not
+/// known, and a repeat must get the outcome "unknown".
 #[tokio::test]
 async fn hang_up_is_unknown() {
-    let server = Server::always(Reply::Hang(String::new())).await;
-    let (site, table) = site(&server).await;
-    let mut stream = site.connect().await;
+    let server = ScriptedServer::always(Reply::Hang(String::new())).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
+    let mut stream = edge_server.connect().await;
     stream
         .write_all(deposit("k1", "12 pounds").as_bytes())
         .await
         .expect("sent");
-    until(|| server.seen().len() == 1).await;
+    until(|| server.requests().len() == 1).await;
     drop(stream);
     until(|| table.ending("k1") == Some(ClaimEnding::Unknown)).await;
-    let answer = site.ask(&deposit("k1", "12 pounds")).await;
+    let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (504, "unknown")
     );
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// The log is down: no claim can be agreed, and nothing may be sent.
+/// The store is down, so that no claim can be granted: the call must not be sent.
 #[tokio::test]
 async fn claims_down() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
-    let (site, table) = site(&server).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
     *table.down.lock().expect("down") = true;
-    let answer = site.ask(&deposit("k1", "12 pounds")).await;
+    let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
         "{answer:?}"
     );
     assert_eq!(field(&answer.head, "retry-after").as_deref(), Some("3"));
-    assert_eq!(server.seen(), []);
+    assert_eq!(server.requests(), []);
 }
 
-/// An answer too large to keep is still passed on whole, and not sent for twice.
+/// An answer too large to be cached must still be relayed completely, and a
+/// repeat must not run the call again.
 #[tokio::test]
 async fn large_answer_not_kept() {
     let large = "a".repeat(200_000);
-    let server = Server::always(Reply::Keep(ok(&large))).await;
-    let (site, table) = site(&server).await;
-    let answer = site.ask(&deposit("k1", "12 pounds")).await;
+    let server = ScriptedServer::always(Reply::Keep(ok(&large))).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
+    let answer = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(answer.body.len(), 200_000);
     until(|| table.ending("k1") == Some(ClaimEnding::AnsweredLarge)).await;
-    let again = site.ask(&deposit("k1", "12 pounds")).await;
+    let again = edge_server.call(&deposit("k1", "12 pounds")).await;
     assert_eq!(again.outcome(), "unknown");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// A body beyond what is compared can't be claimed: nothing is sent.
+/// A body larger than the limit for calls with a key: the key must not be
+/// claimed, and the call not be sent.
 #[tokio::test]
 async fn large_body_refused() {
-    let server = Server::always(Reply::Keep(ok("taken"))).await;
-    let site = Site::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
-    let table = Arc::new(Table::default());
-    site.edge.claim_by(Arc::clone(&table) as _);
-    let mut stream = site.connect().await;
+    let server = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let edge_server =
+        EdgeServer::with(&[&server], |s| s.body_limit = 64 << 20, Default::default()).await;
+    let table = Arc::new(ClaimTable::default());
+    edge_server.edge.set_claims(Arc::clone(&table) as _);
+    let mut stream = edge_server.connect().await;
     let request = deposit("k1", &"a".repeat(1_100_000));
     stream.write_all(request.as_bytes()).await.expect("sent");
     let answer = support::Answer::read(&mut stream).await;
@@ -242,16 +245,16 @@
         (413, "not-run"),
         "{answer:?}"
     );
-    assert!(!table.knows("k1"));
-    assert_eq!(server.seen(), []);
+    assert!(!table.is_claimed("k1"));
+    assert_eq!(server.requests(), []);
 }
 
-/// A lookup needs no claim, with a key or without.
+/// An idempotent method needs no claim, even with a key.
 #[tokio::test]
 async fn lookup_needs_none() {
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let (site, table) = site(&server).await;
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let (edge_server, table) = edge_with_claims(&server).await;
     let request = "GET /hallboard/halls HTTP/1.1\r\nhost: e\r\nidempotency-key: k1\r\nconnection: close\r\n\r\n";
-    assert_eq!(site.ask(request).await.text(), "free");
-    assert!(!table.knows("k1"));
+    assert_eq!(edge_server.call(request).await.text(), "free");
+    assert!(!table.is_claimed("k1"));
 }
--- a/components/transport/tests/members_run.rs
+++ b/components/transport/tests/members_run.rs
@@ -1,11 +1,11 @@
-//! Hosts join through the log, lose each other, and come back.
+//! Membership of entry hosts: joining, leaving, removal after a crash, and joining again.
 
 mod entry_hosts;
 
 use std::time::Duration;
 
 use entry_hosts::{Site, until};
-use stand_ins::log::Outage;
+use stand_ins::store::Outage;
 use transport::claims::WorkerOptions;
 use transport::peers::fetch_config;
 
@@ -24,10 +24,10 @@
     assert!(!site.hosts[0].members.may_act());
 }
 
-// A host dies without a word. The others notice, and one of them has it
-// removed, so that its slots get another owner.
+// A host crashes without leaving. The others must detect it, and one of them
+// must submit its removal; otherwise its slots would keep a dead owner.
 #[tokio::test(flavor = "multi_thread")]
-async fn dead_host() {
+async fn crashed_host() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
     let dead = site.kill(1);
     for host in &site.hosts {
@@ -38,11 +38,12 @@
     }
 }
 
-// The log is down when a host dies: nobody can be removed, and an empty list of
-// hosts, or none at all, must not shrink the members either. The living go on:
-// their watchers tell them that nothing newer is known.
+// The store is down when a host crashes, so no removal can be written. Neither
+// an empty list of hosts nor a missing one may remove a member. The hosts that
+// are alive must be able to act as owners: their watchers confirm that no newer
+// configuration is known.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_down() {
+async fn store_down() {
     let mut site = Site::start(4, WorkerOptions::default()).await;
     site.log.set_hosts(Vec::new());
     site.log.change(|b| b.outage = Some(Outage::Refusing));
@@ -65,16 +66,17 @@
     }
 }
 
-// A host was paused for long and has been removed. It notices, begins anew as
-// another member, and the others take it in again.
+// A host was removed, as happens after a long pause of its process. It must
+// notice the removal and join again under a new incarnation, and the others must
+// link to it again.
 #[tokio::test(flavor = "multi_thread")]
-async fn removed_and_back() {
+async fn removed_and_rejoined() {
     use coordination::config::Change;
     use transport::log::{CommandRequest, Outcome, Submission};
 
     let site = Site::start(3, WorkerOptions::default()).await;
     let host = &site.hosts[0];
-    let old = host.members.me();
+    let old = host.members.own_id();
     let follower = std::sync::Arc::clone(&site.hosts[1].follower);
     let submission = Submission::new(site.client(), follower, Duration::from_secs(10));
     let request = CommandRequest {
@@ -89,7 +91,7 @@
         .await
         .unwrap();
     assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
-    until(|| host.members.me() != old && host.members.is_member()).await;
+    until(|| host.members.own_id() != old && host.members.is_member()).await;
     for other in &site.hosts[1..] {
         until(|| other.links.is_linked(host.key) && other.links.view().borrow().is_alive(host.key))
             .await;
@@ -97,8 +99,8 @@
     until(|| host.members.may_act()).await;
 }
 
-// A new host starts while the log is down. A peer's word gives it the
-// configuration, with its revision.
+// A new host starts while the store is down. It must get the configuration, with
+// its revision, from a peer.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_from_peer() {
     let site = Site::start(2, WorkerOptions::default()).await;
@@ -109,7 +111,7 @@
         .start_host("entry-9", 9, WorkerOptions::default())
         .await;
     let offer = fetch_config(address).await.unwrap();
-    assert!(late.follower.take_record(&offer.body));
+    assert!(late.follower.install_record(&offer.body));
     until(|| late.follower.config().borrow().revision == config.revision).await;
     assert_eq!(late.follower.config().borrow().members, config.members);
 }
--- a/components/transport/tests/retries.rs
+++ b/components/transport/tests/retries.rs
@@ -1,10 +1,10 @@
-//! What is tried again, and what never is.
+//! Which failed calls are retried, and which must not be.
 
 mod support;
 
 use std::net::SocketAddr;
 
-use support::{Answer, Reply, Server, Site, field, get, ok, post};
+use support::{Answer, EdgeServer, Reply, ScriptedServer, field, get, ok, post};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use transport::edge::Limits;
@@ -17,47 +17,53 @@
     listener.local_addr().expect("an address")
 }
 
-/// A backend server refuses a deposit and says that it did not run. It is
-/// safe, and kinder to the caller, to ask another one.
+/// A backend server rejects a non-idempotent call as not run. It is safe to
+/// retry the call at another one, and the caller gets its answer.
 #[tokio::test]
-async fn shed_goes_elsewhere() {
-    let full = Server::always(Reply::Keep(SHED.into())).await;
-    let free = Server::always(Reply::Keep(ok("taken"))).await;
-    let site = Site::start(&[&full, &free]).await;
+async fn rejection_retried() {
+    let full = ScriptedServer::always(Reply::Keep(SHED.into())).await;
+    let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
+    let edge_server = EdgeServer::start(&[&full, &free]).await;
     for _ in 0..4 {
-        let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+        let answer = edge_server
+            .call(&post("/hallboard/deposits", "12 pounds"))
+            .await;
         assert_eq!(
             (answer.text().as_str(), answer.outcome().as_str()),
             ("taken", "complete")
         );
     }
-    assert_eq!(free.seen().len(), 4);
+    assert_eq!(free.requests().len(), 4);
 }
 
-/// All refuse: the caller learns that nothing ran, and when to come back.
+/// All backend servers reject the call: the answer must be "not-run" with the
+/// `Retry-After` of the backend server.
 #[tokio::test]
-async fn all_shed() {
+async fn all_reject() {
     let servers = [
-        Server::always(Reply::Keep(SHED.into())).await,
-        Server::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
-    let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let answer = edge_server
+        .call(&post("/hallboard/deposits", "12 pounds"))
+        .await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (503, "not-run"),
         "{answer:?}"
     );
     assert_eq!(field(&answer.head, "retry-after").as_deref(), Some("7"));
-    assert_eq!(servers[0].seen().len() + servers[1].seen().len(), 2);
+    assert_eq!(servers[0].requests().len() + servers[1].requests().len(), 2);
 }
 
-/// A backend server is down: nothing was sent, so even a deposit may go elsewhere.
+/// A backend server is down: nothing was sent, so that even a non-idempotent
+/// call must be retried at another one.
 #[tokio::test]
-async fn unreachable_goes_elsewhere() {
-    let free = Server::always(Reply::Keep(ok("taken"))).await;
+async fn unreachable_retried() {
+    let free = ScriptedServer::always(Reply::Keep(ok("taken"))).await;
     let down = closed_port().await;
-    let site = Site::with(
+    let edge_server = EdgeServer::with(
         &[&free],
         |service| {
             let mut endpoint = service.endpoints[0].clone();
@@ -68,53 +74,57 @@
     )
     .await;
     for _ in 0..4 {
-        let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+        let answer = edge_server
+            .call(&post("/hallboard/deposits", "12 pounds"))
+            .await;
         assert_eq!(answer.text(), "taken", "{answer:?}");
     }
 }
 
-/// A backend server takes a deposit and its connection breaks before the
-/// answer. The deposit may be taken: sending it again might take it twice.
+/// The connection breaks after a non-idempotent call has been sent. The call may
+/// have run, so a retry could run it twice.
 #[tokio::test]
-async fn deposit_sent_once() {
+async fn non_idempotent_sent_once() {
     let servers = [
-        Server::always(Reply::Close(String::new())).await,
-        Server::always(Reply::Close(String::new())).await,
+        ScriptedServer::always(Reply::Close(String::new())).await,
+        ScriptedServer::always(Reply::Close(String::new())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
-    let answer = site.ask(&post("/hallboard/deposits", "12 pounds")).await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let answer = edge_server
+        .call(&post("/hallboard/deposits", "12 pounds"))
+        .await;
     assert_eq!(
         (answer.status(), answer.outcome().as_str()),
         (502, "unknown"),
         "{answer:?}"
     );
-    assert_eq!(servers[0].seen().len() + servers[1].seen().len(), 1);
+    assert_eq!(servers[0].requests().len() + servers[1].requests().len(), 1);
 }
 
-/// The same break with a lookup: asking again does no harm.
+/// The connection breaks after an idempotent call has been sent: a retry is safe.
 #[tokio::test]
-async fn lookup_sent_again() {
-    let broken = Server::always(Reply::Close(String::new())).await;
-    let well = Server::always(Reply::Keep(ok("free on Friday"))).await;
-    let site = Site::start(&[&broken, &well]).await;
+async fn idempotent_retried() {
+    let broken = ScriptedServer::always(Reply::Close(String::new())).await;
+    let healthy = ScriptedServer::always(Reply::Keep(ok("free on Friday"))).await;
+    let edge_server = EdgeServer::start(&[&broken, &healthy]).await;
     for _ in 0..4 {
-        let answer = site.ask(&get("/hallboard/halls")).await;
+        let answer = edge_server.call(&get("/hallboard/halls")).await;
         assert_eq!(answer.text(), "free on Friday", "{answer:?}");
     }
 }
 
-/// A lookup may have run at one backend server and is then refused by the
-/// rest. "Not run" would be untrue of it.
+/// An idempotent call may have run at one backend server, and the others then
+/// reject its retry. The outcome must not be "not-run".
 #[tokio::test]
 async fn unknown_stays_unknown() {
-    let broken = Server::always(Reply::Close(String::new())).await;
-    let full = Server::start(|_, _| Reply::Keep(SHED.into())).await;
-    let site = Site::start(&[&broken, &full]).await;
+    let broken = ScriptedServer::always(Reply::Close(String::new())).await;
+    let full = ScriptedServer::start(|_, _| Reply::Keep(SHED.into())).await;
+    let edge_server = EdgeServer::start(&[&broken, &full]).await;
     let mut outcomes = Vec::new();
     for _ in 0..4 {
-        let before = broken.seen().len();
-        let answer = site.ask(&get("/hallboard/halls")).await;
-        let reached = broken.seen().len() > before;
+        let before = broken.requests().len();
+        let answer = edge_server.call(&get("/hallboard/halls")).await;
+        let reached = broken.requests().len() > before;
         outcomes.push((reached, answer.outcome()));
     }
     assert!(outcomes.contains(&(true, "unknown".into())), "{outcomes:?}");
@@ -124,31 +134,32 @@
     );
 }
 
-/// Everything fails for a while. Without a budget each call would become two,
-/// and the backend servers would be kept down by the retries.
+/// All calls fail for a while. Without a retry budget each call would be sent
+/// twice, and the retries would keep the backend servers overloaded.
 #[tokio::test]
-async fn budget_holds() {
+async fn retry_budget_limits() {
     let servers = [
-        Server::always(Reply::Keep(SHED.into())).await,
-        Server::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
     for _ in 0..200 {
-        site.ask(&get("/hallboard/halls")).await;
+        edge_server.call(&get("/hallboard/halls")).await;
     }
-    let sent = servers[0].seen().len() + servers[1].seen().len();
+    let sent = servers[0].requests().len() + servers[1].requests().len();
     assert!(sent <= 200 + 20 + 20, "200 calls became {sent}");
 }
 
-/// A body too long to keep is sent once: its beginning is gone by then.
+/// A body too long to be buffered must be sent only once: its beginning can't be
+/// sent again.
 #[tokio::test]
 async fn long_body_sent_once() {
     let servers = [
-        Server::always(Reply::Keep(SHED.into())).await,
-        Server::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
+        ScriptedServer::always(Reply::Keep(SHED.into())).await,
     ];
-    let site = Site::start(&[&servers[0], &servers[1]]).await;
-    let mut stream = site.connect().await;
+    let edge_server = EdgeServer::start(&[&servers[0], &servers[1]]).await;
+    let mut stream = edge_server.connect().await;
     let request = post("/hallboard/scores", &"a".repeat(300_000));
     stream.write_all(request.as_bytes()).await.expect("sent");
     let answer = Answer::read(&mut stream).await;
@@ -157,7 +168,7 @@
         (503, "not-run"),
         "{answer:?}"
     );
-    let seen = [servers[0].seen(), servers[1].seen()].concat();
+    let seen = [servers[0].requests(), servers[1].requests()].concat();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].body.len(), 300_000);
 }
--- a/components/transport/tests/silence.rs
+++ b/components/transport/tests/silence.rs
@@ -1,63 +1,62 @@
-//! Connections to backend servers that go silent, and kept ones that are closed.
+//! Connections to backend servers that go silent, and idle ones that are closed.
 
 mod support;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use support::{Reply, Server, Site, get, get_within, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, get, get_within, ok, until};
 
-/// Something between the two ends loses track of all open connections. The
-/// first call on a kept one is lost; those after it must not try the others.
+/// A middlebox loses track of all open connections. The first call on a reused
+/// connection is lost; later ones must not use the other old connections.
 #[tokio::test]
-async fn kept_connections_doubted() {
+async fn idle_connections_dropped() {
     let lost = Arc::new(AtomicUsize::new(0));
     let lost_below = Arc::clone(&lost);
-    let server =
-        Server::start(
-            move |_, seen| match seen.connection < lost_below.load(Ordering::SeqCst) {
-                true => Reply::Hang(String::new()),
-                false => Reply::Keep(ok("well")),
-            },
-        )
-        .await;
-    let site = Site::start(&[&server]).await;
-    while site.edge.kept_connections() < 2 {
-        assert_eq!(site.ask(&get("/hallboard/")).await.text(), "well");
+    let server = ScriptedServer::start(move |_, seen| {
+        match seen.connection < lost_below.load(Ordering::SeqCst) {
+            true => Reply::Hang(String::new()),
+            false => Reply::Keep(ok("well")),
+        }
+    })
+    .await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    while edge_server.edge.idle_connections() < 2 {
+        assert_eq!(edge_server.call(&get("/hallboard/")).await.text(), "well");
     }
     lost.store(server.accepted(), Ordering::SeqCst);
-    let first = site.ask(&get_within("/hallboard/", 1_000)).await;
+    let first = edge_server.call(&get_within("/hallboard/", 1_000)).await;
     assert_eq!(
         (first.status(), first.outcome().as_str()),
         (504, "unknown"),
         "{first:?}"
     );
     for _ in 0..5 {
-        let next = site.ask(&get("/hallboard/")).await;
+        let next = edge_server.call(&get("/hallboard/")).await;
         assert_eq!(next.text(), "well", "{next:?}");
     }
 }
 
 /// A backend server closes its idle connections. A call must not be sent on a
-/// closed one, where it would be lost between the two ends.
+/// closed one, where it would be lost.
 #[tokio::test]
 async fn closed_while_idle() {
-    let server = Server::always(Reply::Close(ok("well"))).await;
-    let site = Site::start(&[&server]).await;
+    let server = ScriptedServer::always(Reply::Close(ok("well"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
     for n in 0..20 {
         let request = support::post("/hallboard/deposits", "12 pounds");
-        let answer = site.ask(&request).await;
+        let answer = edge_server.call(&request).await;
         assert_eq!(answer.outcome(), "complete", "call {n}: {answer:?}");
     }
-    assert_eq!(server.seen().len(), 20);
+    assert_eq!(server.requests().len(), 20);
 }
 
-/// Idle connections are given up before the backend server would close them.
+/// Idle connections must be closed before the backend server would close them.
 #[tokio::test]
-async fn idle_aged_out() {
-    let server = Server::always(Reply::Keep(ok("well"))).await;
-    let site = Site::start(&[&server]).await;
-    site.ask(&get("/hallboard/")).await;
-    assert!(site.edge.kept_connections() > 0);
-    until(|| site.edge.kept_connections() == 0).await;
+async fn idle_expired() {
+    let server = ScriptedServer::always(Reply::Keep(ok("well"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    edge_server.call(&get("/hallboard/")).await;
+    assert!(edge_server.edge.idle_connections() > 0);
+    until(|| edge_server.edge.idle_connections() == 0).await;
 }
--- a/components/transport/tests/traces.rs
+++ b/components/transport/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop, under the caller's own.
+//! Traces of calls: their spans, the caller's `traceparent`, and sampling.
 
 mod support;
 
@@ -6,22 +6,22 @@
 
 use opentelemetry_sdk::error::OTelSdkResult;
 use opentelemetry_sdk::trace::{SpanData, SpanExporter};
-use support::{Reply, Server, Site, field, ok, until};
+use support::{EdgeServer, Reply, ScriptedServer, field, ok, until};
 use transport::trace::Tracing;
 
-const CALLERS: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+const CALLER_TRACEPARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 #[derive(Clone, Debug, Default)]
-struct Kept(Arc<Mutex<Vec<SpanData>>>);
+struct CollectedSpans(Arc<Mutex<Vec<SpanData>>>);
 
-impl SpanExporter for Kept {
+impl SpanExporter for CollectedSpans {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         self.0.lock().expect("spans").extend(batch);
         Ok(())
     }
 }
 
-impl Kept {
+impl CollectedSpans {
     fn spans(&self) -> Vec<SpanData> {
         self.0.lock().expect("spans").clone()
     }
@@ -39,57 +39,71 @@
     )
 }
 
-/// Somebody on call follows one slow lookup through all its hops.
+/// A traced call gets a span for itself, for its wait for a slot and for the
+/// backend server, all in the caller's trace.
 #[tokio::test]
 async fn span_each_hop() {
-    let kept = Kept::default();
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let site = Site::traced(&[&server], Tracing::new(1, "entry-1", kept.clone())).await;
-    assert_eq!(site.ask(&get_traced(CALLERS)).await.text(), "free");
-    until(|| kept.spans().len() == 3).await;
-    let call = kept.named("call");
+    let collected = CollectedSpans::default();
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let edge_server =
+        EdgeServer::traced(&[&server], Tracing::new(1, "entry-1", collected.clone())).await;
+    assert_eq!(
+        edge_server
+            .call(&get_traced(CALLER_TRACEPARENT))
+            .await
+            .text(),
+        "free"
+    );
+    until(|| collected.spans().len() == 3).await;
+    let call = collected.named("call");
     let trace = "0af7651916cd43dd8448eb211c80319c";
     assert_eq!(call.span_context.trace_id().to_string(), trace);
     assert_eq!(call.parent_span_id.to_string(), "b7ad6b7169203331");
-    let backend = kept.named("backend");
-    for span in [&kept.named("queue"), &backend] {
+    let backend = collected.named("backend");
+    for span in [&collected.named("queue"), &backend] {
         assert_eq!(span.span_context.trace_id().to_string(), trace);
         assert_eq!(span.parent_span_id, call.span_context.span_id());
     }
-    let told = field(&server.seen()[0].head, "traceparent").expect("a traceparent");
+    let forwarded = field(&server.requests()[0].head, "traceparent").expect("a traceparent");
     assert_eq!(
-        told,
+        forwarded,
         format!("00-{trace}-{}-01", backend.span_context.span_id())
     );
 }
 
-/// Without a span of this host's the caller's trace must not be torn.
+/// A call that isn't traced must forward a valid `traceparent` unchanged, and drop
+/// a malformed one.
 #[tokio::test]
-async fn untraced_passes_on() {
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let site = Site::start(&[&server]).await;
-    site.ask(&get_traced(CALLERS)).await;
-    site.ask(&get_traced("00-nonsense")).await;
-    let told: Vec<_> = server
-        .seen()
+async fn untraced_forwards() {
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let edge_server = EdgeServer::start(&[&server]).await;
+    edge_server.call(&get_traced(CALLER_TRACEPARENT)).await;
+    edge_server.call(&get_traced("00-nonsense")).await;
+    let forwarded: Vec<_> = server
+        .requests()
         .iter()
         .map(|s| field(&s.head, "traceparent"))
         .collect();
-    assert_eq!(told, [Some(CALLERS.to_owned()), None]);
+    assert_eq!(forwarded, [Some(CALLER_TRACEPARENT.to_owned()), None]);
 }
 
-/// A caller that asks not to be sampled is not, and the rest by their share.
+/// A call whose caller declines sampling isn't sampled; of the others one in three is.
 #[tokio::test]
-async fn sampled_by_share() {
-    let kept = Kept::default();
-    let server = Server::always(Reply::Keep(ok("free"))).await;
-    let site = Site::traced(&[&server], Tracing::new(3, "entry-1", kept.clone())).await;
-    let declined = CALLERS.replace("-01", "-00");
+async fn sampled_at_rate() {
+    let collected = CollectedSpans::default();
+    let server = ScriptedServer::always(Reply::Keep(ok("free"))).await;
+    let edge_server =
+        EdgeServer::traced(&[&server], Tracing::new(3, "entry-1", collected.clone())).await;
+    let declined = CALLER_TRACEPARENT.replace("-01", "-00");
     for _ in 0..6 {
-        site.ask(&get_traced(&declined)).await;
-        site.ask(&get_traced(CALLERS)).await;
+        edge_server.call(&get_traced(&declined)).await;
+        edge_server.call(&get_traced(CALLER_TRACEPARENT)).await;
     }
-    until(|| kept.spans().len() >= 6).await;
-    let calls = kept.spans().iter().filter(|s| s.name == "call").count();
+    until(|| collected.spans().len() >= 6).await;
+    let calls = collected
+        .spans()
+        .iter()
+        .filter(|s| s.name == "call")
+        .count();
     assert_eq!(calls, 2);
 }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -5,32 +5,33 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use site::{Endpoint, Host, peers};
+use site::{Endpoint, Host, peer_addresses};
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Requests a second that an endpoint in need takes from all hosts together.
-const LIMIT: f64 = 1.5;
+/// The rate that a limited endpoint advertises, in requests a second from all hosts together.
+const RATE_LIMIT: f64 = 1.5;
 
 /// The window in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Arrivals granted in a window at an endpoint that advertises the limit.
-const GRANTED: usize = 14;
+/// The most arrivals allowed in a window at a limited endpoint.
+const MAX_ARRIVALS: usize = 14;
 
-/// How long after an endpoint first named its limit all hosts have to act on it.
-const TOLD: Duration = Duration::from_millis(500);
+/// The time from an endpoint's first request, whose answer advertises the limit, until all
+/// hosts must apply the limit.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Endpoints in need, of eight.
-const LIMITED: usize = 4;
+/// How many of the eight endpoints are limited.
+const LIMITED_COUNT: usize = 4;
 
-const HOSTS: usize = 5;
+const HOST_COUNT: usize = 5;
 
-/// The pause between two requests of the load.
-const PAUSE: Duration = Duration::from_millis(10);
+/// The time between two requests of the load.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Requests of the load.
-const REQUESTS: usize = 650;
+/// How many requests the load has.
+const REQUEST_COUNT: usize = 650;
 
 struct Site {
     endpoints: Vec<Endpoint>,
@@ -39,24 +40,24 @@
 
 impl Site {
     async fn start() -> Site {
-        let (store, endpoints) = site::endpoints(8).await;
-        let hosts = site::hosts(&store, &peers(HOSTS)).await;
+        let (store, endpoints) = site::store_and_endpoints(8).await;
+        let hosts = site::start_hosts(&store, &peer_addresses(HOST_COUNT)).await;
         let hosts = hosts.into_iter().map(Arc::new).collect();
         Site { endpoints, hosts }
     }
 
     fn limited(&self) -> &[Endpoint] {
-        &self.endpoints[..LIMITED]
+        &self.endpoints[..LIMITED_COUNT]
     }
 
-    /// Sends so many requests to all hosts in turn, and returns how many were served.
-    async fn load(&self, requests: usize) -> usize {
-        let mut ticks = interval(PAUSE);
+    /// Sends `requests` requests to all hosts in turn, and returns how many were served.
+    async fn send_load(&self, requests: usize) -> usize {
+        let mut ticks = interval(REQUEST_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut running = JoinSet::new();
         for number in 0..requests {
             ticks.tick().await;
-            let at = number % HOSTS;
+            let at = number % HOST_COUNT;
             let host = Arc::clone(&self.hosts[at]);
             let id = format!("{at}");
             running.spawn(async move { host.request("GET", "/read/x", &id).await.status });
@@ -66,10 +67,10 @@
     }
 }
 
-/// Returns the most arrivals in one window that begins once all hosts have to know.
-fn busiest(endpoint: &Endpoint) -> usize {
+/// Returns the most arrivals in any window that starts after all hosts must apply the limit.
+fn max_arrivals(endpoint: &Endpoint) -> usize {
     let arrivals: Vec<Instant> = endpoint.arrivals().into_iter().map(|(_, at)| at).collect();
-    let known = arrivals.first().map(|first| *first + TOLD);
+    let known = arrivals.first().map(|first| *first + APPLY_TIMEOUT);
     let counted: Vec<Instant> = arrivals
         .iter()
         .copied()
@@ -84,15 +85,18 @@
     windows.max().unwrap_or_default()
 }
 
-/// An endpoint that takes a few requests a second from all hosts together must not get
-/// as many from each, while the others have room.
+/// An endpoint's advertised rate limit holds for all hosts together. Without coordination each
+/// host would send as many requests as the limit allows. All requests must still be served, by the
+/// endpoints without a limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn advertised_limit() {
     let site = Site::start().await;
-    site.limited().iter().for_each(|e| e.limit(Some(LIMIT)));
-    assert_eq!(site.load(REQUESTS).await, REQUESTS);
+    site.limited()
+        .iter()
+        .for_each(|e| e.set_rate_limit(Some(RATE_LIMIT)));
+    assert_eq!(site.send_load(REQUEST_COUNT).await, REQUEST_COUNT);
     for endpoint in site.limited() {
-        let most = busiest(endpoint);
-        assert!(most <= GRANTED, "{most} requests in {WINDOW:?}");
+        let most = max_arrivals(endpoint);
+        assert!(most <= MAX_ARRIVALS, "{most} requests in {WINDOW:?}");
     }
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -1,4 +1,6 @@
-//! A small site for tests: the platform's store, endpoints, and entry hosts as processes.
+//! A small site for tests of `cardamomvale serve`: a stand-in of the platform's store,
+//! scripted endpoints, and entry hosts as processes.
+// Each test file compiles this module and uses only some of its items.
 #![allow(dead_code, unused_imports)]
 
 pub mod endpoint;
@@ -18,21 +20,21 @@
 pub use endpoint::Endpoint;
 pub use store::Store;
 
-/// How long a condition is waited for before a test gives up.
-const LIMIT: Duration = Duration::from_secs(20);
+/// The longest wait for a condition or an answer before a test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The routes that most tests use: one idempotent, one not.
+/// The routes of most tests: one idempotent (`safe`), one not (`unsafe`).
 pub const ROUTES: &str = r#"["read","a.example","/read/","safe",2.0,0.5,2,null,2,"svc"],["write","a.example","/write/","unsafe",2.0,0.5,1,null,2,"svc"]"#;
 
-/// Returns a configuration with these rows of routes and one service.
+/// Returns the JSON of a configuration with these rows of routes and one service, `svc`.
 pub fn config(version: u64, routes: &str) -> String {
     format!(
         r#"{{"version":{version},"routes":{{"columns":["name","host","pathPrefix","kind","timeoutS","targetLatencyS","priority","weightedServices","maxAttempts","service"],"rows":[{routes}]}},"services":{{"columns":["name","healthCheckPath","maxConnections","protocol","tls","warmupS","coldPerS"],"rows":[["svc","/health",220,"h1",false,3.0,6.0]]}},"limits":{{"maxHeaderBytes":16384,"maxBodyBytes":1048576,"headerTimeoutS":3,"idleTimeoutS":15}},"baseVersion":0}}"#
     )
 }
 
-/// Starts a store with this configuration, and an endpoint that is ready.
-pub async fn served(config: &str) -> (Store, Endpoint) {
+/// Starts a store that holds this configuration, and one endpoint registered as ready.
+pub async fn store_and_endpoint(config: &str) -> (Store, Endpoint) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(config));
     let endpoint = Endpoint::start("i-1").await;
@@ -40,7 +42,7 @@
     (store, endpoint)
 }
 
-/// An entry host as a process of its own.
+/// An entry host as a process, killed when dropped.
 pub struct Host {
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
@@ -49,16 +51,16 @@
 }
 
 impl Host {
-    /// Starts an entry host and waits until it can be asked.
+    /// Starts an entry host and waits until its readiness port answers.
     pub async fn start(name: &str, store: &Store) -> Host {
-        Host::start_beside(name, store, free_port(), None).await
+        Host::start_at(name, store, free_port(), None).await
     }
 
-    /// Starts an entry host at this peer address, which greets `seed` first.
-    pub async fn start_beside(
+    /// Starts an entry host at this peer address, which joins the others through `seed`.
+    pub async fn start_at(
         name: &str,
         store: &Store,
-        peers: SocketAddr,
+        peer_address: SocketAddr,
         seed: Option<SocketAddr>,
     ) -> Host {
         let callers = free_port();
@@ -66,7 +68,7 @@
         let seeds = seed.map_or(String::new(), |s| format!("\"{s}\""));
         let settings = std::env::temp_dir().join(format!("{name}-{}.toml", callers.port()));
         let text = format!(
-            "name = \"{name}\"\ndata_centre = \"here\"\ncaller_address = \"{callers}\"\nreadiness_address = \"{readiness}\"\npeer_address = \"{peers}\"\nseeds = [{seeds}]\nlog_address = \"{}\"\ngrace_seconds = 6\nrepeat_slack = 50\n",
+            "name = \"{name}\"\ndata_centre = \"here\"\ncaller_address = \"{callers}\"\nreadiness_address = \"{readiness}\"\npeer_address = \"{peer_address}\"\nseeds = [{seeds}]\nlog_address = \"{}\"\ngrace_seconds = 6\nrepeat_slack = 50\n",
             store.address
         );
         std::fs::write(&settings, text).expect("the settings file is written");
@@ -83,7 +85,10 @@
             process,
             settings,
         };
-        until("the host answers", async || host.readiness().await != 0).await;
+        until("the readiness port answers", async || {
+            host.readiness().await != 0
+        })
+        .await;
         host
     }
 
@@ -94,15 +99,16 @@
         host
     }
 
-    /// Changes the settings file, and tells the process of it.
+    /// Replaces `old` by `new` in the settings file and sends SIGHUP to the process.
     pub fn change_settings(&self, old: &str, new: &str) {
-        let text = std::fs::read_to_string(&self.settings).expect("it is there");
+        let text = std::fs::read_to_string(&self.settings).expect("the settings file is read");
         assert!(text.contains(old), "{old} is not in {text}");
-        std::fs::write(&self.settings, text.replace(old, new)).expect("it is written");
+        std::fs::write(&self.settings, text.replace(old, new))
+            .expect("the settings file is written");
         self.signal(nix::sys::signal::Signal::SIGHUP);
     }
 
-    /// Returns the status of the readiness port, 0 where it can't be reached.
+    /// Returns the HTTP status of the readiness port, 0 if the port can't be reached.
     pub async fn readiness(&self) -> u16 {
         match exchange(
             self.readiness,
@@ -115,14 +121,14 @@
         }
     }
 
-    /// Sends one request and returns the answer.
+    /// Sends one request with the attempt ID `id` and returns the answer.
     pub async fn request(&self, method: &str, path: &str, id: &str) -> Answer {
         self.try_request(method, path, id)
             .await
             .expect("the connection ends with an answer")
     }
 
-    /// Sends one request; nothing where the connection ended without an answer.
+    /// Sends one request and returns the answer, or `None` if the connection ends without one.
     pub async fn try_request(&self, method: &str, path: &str, id: &str) -> Option<Answer> {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nTime-Remaining: 2000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -130,21 +136,23 @@
         exchange(self.callers, &head).await
     }
 
-    /// Tells the process to stop.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         self.signal(nix::sys::signal::Signal::SIGTERM);
     }
 
     fn signal(&self, signal: nix::sys::signal::Signal) {
-        let id = nix::unistd::Pid::from_raw(i32::try_from(self.process.id()).expect("an id fits"));
-        nix::sys::signal::kill(id, signal).expect("it is told");
+        let id = nix::unistd::Pid::from_raw(
+            i32::try_from(self.process.id()).expect("the process ID fits"),
+        );
+        nix::sys::signal::kill(id, signal).expect("the signal is sent");
     }
 
-    /// Returns whether the process has ended, and well.
-    pub fn ended_well(&mut self) -> Option<bool> {
+    /// Returns whether the process exited with success, `None` while it runs.
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.process
             .try_wait()
-            .expect("it can be asked")
+            .expect("the exit status is available")
             .map(|status| status.success())
     }
 }
@@ -157,8 +165,8 @@
     }
 }
 
-/// Starts a store with `ROUTES`, and so many endpoints that are ready.
-pub async fn endpoints(count: usize) -> (Store, Vec<Endpoint>) {
+/// Starts a store that holds `ROUTES`, and `count` endpoints registered as ready.
+pub async fn store_and_endpoints(count: usize) -> (Store, Vec<Endpoint>) {
     let store = Store::start().await;
     store.put("keyed.op", "config", Some(&config(1, ROUTES)));
     let mut endpoints = Vec::new();
@@ -170,12 +178,13 @@
     (store, endpoints)
 }
 
-/// Starts hosts at these peer addresses, which greet the first, and waits until they are ready.
-pub async fn hosts(store: &Store, addresses: &[SocketAddr]) -> Vec<Host> {
+/// Starts hosts at these peer addresses, which join through the first, and waits until all are
+/// ready.
+pub async fn start_hosts(store: &Store, addresses: &[SocketAddr]) -> Vec<Host> {
     let mut hosts = Vec::new();
     for (number, address) in addresses.iter().enumerate() {
         let name = format!("host-{number}");
-        hosts.push(Host::start_beside(&name, store, *address, Some(addresses[0])).await);
+        hosts.push(Host::start_at(&name, store, *address, Some(addresses[0])).await);
     }
     for host in &hosts {
         until("the host is ready", async || host.readiness().await == 200).await;
@@ -183,18 +192,18 @@
     hosts
 }
 
-/// Starts a host while the store is down, beside one that had started before.
+/// Starts one host, then a second one while the store refuses all calls.
 ///
-/// Returns both, the new one last, once they are ready.
-pub async fn started_in_outage(store: &Store) -> [Host; 2] {
-    let [first, second] = two_peers();
-    let old = Host::start_beside("old", store, first, None).await;
+/// Returns both once they are ready, the second one last.
+pub async fn start_in_outage(store: &Store) -> [Host; 2] {
+    let [first, second] = two_addresses();
+    let old = Host::start_at("old", store, first, None).await;
     until("the old host is ready", async || {
         old.readiness().await == 200
     })
     .await;
-    store.set(store::Mode::Refusing);
-    let new = Host::start_beside("new", store, second, Some(first)).await;
+    store.set_mode(store::Mode::Refusing);
+    let new = Host::start_at("new", store, second, Some(first)).await;
     until("the new host is ready", async || {
         new.readiness().await == 200
     })
@@ -202,7 +211,7 @@
     [old, new]
 }
 
-/// An answer, taken apart as far as tests need it.
+/// An HTTP answer: status, head and body as text.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
@@ -211,20 +220,22 @@
 }
 
 impl Answer {
-    /// Returns whether the head has this field, in any case.
-    pub fn has(&self, field: &str) -> bool {
+    /// Returns whether the head has the header `name`, which is in lower case.
+    pub fn has_header(&self, name: &str) -> bool {
         self.head
             .to_ascii_lowercase()
-            .contains(&format!("\r\n{field}:"))
+            .contains(&format!("\r\n{name}:"))
     }
 }
 
-/// Sends bytes and reads until the connection ends.
+/// Sends a request to `address` and reads the answer until the connection ends.
+///
+/// Returns `None` if the connection fails or ends before the head is complete.
 pub async fn exchange(address: SocketAddr, request: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut bytes = Vec::new();
-    timeout(LIMIT, stream.read_to_end(&mut bytes))
+    timeout(WAIT_TIMEOUT, stream.read_to_end(&mut bytes))
         .await
         .ok()?
         .ok()?;
@@ -238,19 +249,26 @@
     })
 }
 
-/// Waits until `holds`, and fails the test where it doesn't in time.
-pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
-    let last = Instant::now() + LIMIT;
-    while !holds().await {
-        assert!(Instant::now() < last, "in vain waited until {what}");
+/// Waits until `condition` returns true.
+///
+/// # Panics
+///
+/// Panics with `what` when `WAIT_TIMEOUT` has passed.
+pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(
+            Instant::now() < deadline,
+            "timed out after {WAIT_TIMEOUT:?}: {what}"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Returns the same free peer port at several addresses of this machine.
+/// Returns one free port at `count` loopback addresses.
 ///
-/// Hosts of one site have the same peer port.
-pub fn peers(count: usize) -> Vec<SocketAddr> {
+/// All hosts of a site use the same peer port.
+pub fn peer_addresses(count: usize) -> Vec<SocketAddr> {
     let port = free_port().port();
     let numbers = (1..=u8::MAX).take(count);
     numbers
@@ -258,19 +276,19 @@
         .collect()
 }
 
-/// Returns the same free peer port at two addresses of this machine.
-fn two_peers() -> [SocketAddr; 2] {
-    let two: Result<[SocketAddr; 2], _> = peers(2).try_into();
-    two.expect("two were asked for")
+/// Returns one free port at two loopback addresses.
+fn two_addresses() -> [SocketAddr; 2] {
+    let two: Result<[SocketAddr; 2], _> = peer_addresses(2).try_into();
+    two.expect("peers returns two addresses")
 }
 
-/// Returns a port that nobody uses.
+/// Returns a loopback address with a port that is free for TCP and UDP.
 ///
-/// It lies below those that the system deals out by itself, so that none of the
-/// tests running beside can be given it before the process opens it.
+/// The port is below the kernel's ephemeral range, so that no concurrent test is assigned it
+/// before the process binds it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let start = u16::try_from(std::process::id() % 10_000).expect("it fits");
+    let start = u16::try_from(std::process::id() % 10_000).expect("a number below 10,000 fits");
     loop {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
         let port = 20_000 + (start + step) % 10_000;
