--- a/components/transport/src/log/follower.rs
+++ b/components/transport/src/log/follower.rs
@@ -132,7 +132,7 @@
 
     /// Returns a channel that receives every configuration, also those in force only for a moment.
     ///
-    /// The failure detector needs all of them: see `coordination::members::History`.
+    /// The failure detector needs all of them: see `coordination::members::WatchHistory`.
     pub fn changes(&self) -> broadcast::Receiver<Arc<Config>> {
         self.shared.changes.subscribe()
     }
