--- a/components/transport/src/gateway/limits.rs
+++ b/components/transport/src/gateway/limits.rs
@@ -24,9 +24,9 @@
             }
         };
         let mut registry = self.registry.borrow_mut();
-        let cached = registry.limits().contains(key);
+        let was_limited = registry.limits().contains(key);
         let update = registry.observe_limit(key, rate, source);
-        if cached != registry.limits().contains(key) {
+        if was_limited != registry.limits().contains(key) {
             let instance = registry.get(key).map(|s| s.endpoint.instance.as_str());
             log::info!(
                 "E0144 limit-advertised instance={} rate={rate:?} source={source:?}",
